--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -64,7 +64,8 @@
     from myrtlehub.node.traffic_counters import TrafficCounters
 
     row = SimpleNamespace(name="ask", utility=1.0, latency_slo=1.0, slo_per_1000_tokens=0.0, late_share=0.0)
-    host = SimpleNamespace(decoder=SimpleNamespace(rows=[row]))
+    observers: list = []
+    host = SimpleNamespace(decoder=SimpleNamespace(rows=[row]), add_observer=observers.append)
     sequence = SimpleNamespace(
         arrival=SimpleNamespace(traffic=0, prompt=500.0),
         attempts=[1, 2],
@@ -77,7 +78,7 @@
     began = time.process_time()
     for i in range(times):
         sequence.first_token_at = 1.1 + i % 100 / 500.0
-        host.on_answered(sequence)
+        observers[0].answered(sequence)
     return (time.process_time() - began) / times
 
 
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -54,7 +54,8 @@
         attempt = self._new_attempt(sequence, engine, action.timeout, now)
         sequence.attempts.append(attempt)
         self.decoder.engines.mark_used(engine)
-        self.on_attempt_sent(attempt)
+        for observer in self._observers:
+            observer.attempt_started(attempt)
         if attempt.reads:
             read_state = sequence.read_states.setdefault(engine, ReadState(engine))
             read_state.state_machine.step(ReadStateEvent.SEND)
@@ -118,7 +119,8 @@
         """Do nothing: changes come unasked; only a configuration with `polls_endpoints` leads here."""
 
     def _poll_endpoints(self, _action: contract.PollEndpoints) -> None:
-        self.poll_endpoints()
+        for observer in self._observers:
+            observer.endpoints_requested()
 
     def _log_note(self, action: contract.LogNote) -> None:
         self.log("note", text=action.text)
@@ -126,7 +128,8 @@
     def _forget(self, action: contract.Forget) -> None:
         # Its attempts refer to it: without this only the garbage collector would free them and the request.
         sequence = self.in_flight.pop(action.sequence)
-        self.on_forgotten(sequence)
+        for observer in self._observers:
+            observer.sequence_forgotten(sequence)
         sequence.attempts = []
         sequence.streaming_attempt = None
 
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -8,6 +8,7 @@
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.batch_fronts.engine_batch import EngineBatch
 from myrtlehub.node.batch_fronts.front_capacity import FrontCapacity
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import Clock
 from myrtlehub.node.sequences import Attempt
 
@@ -15,7 +16,7 @@
 BATCH_FRONTS = ("embed", "rank")
 
 
-class BatchDispatcher:
+class BatchDispatcher(ExecutorObserver):
     """The engine batches of a node, and what its fronts have at common engines."""
 
     def __init__(self, executor: ActionExecutor, sheet: NodeConfig, clock: Clock) -> None:
@@ -26,8 +27,7 @@
         self.pooled_fronts: list[str] = []  # in the order of the engine pools; empty: there is one router
         self._sheet = sheet
         self._common_kinds: set[str] = set()  # kinds of engines that serve several fronts
-        executor.on_attempt_sent = lambda attempt: self._attempt_moved(attempt, 1)
-        executor.on_attempt_ended = lambda attempt: self._attempt_moved(attempt, -1)
+        executor.add_observer(self)
 
     def send(self, engine_batch: EngineBatch) -> None:
         """Send an engine batch now, or once the front's share allows it."""
@@ -81,6 +81,14 @@
         common = [kinds[row.kind] for row in serving if row.kind in self._common_kinds]
         self.shares.common_capacity = sum(kind.batch for kind in common) / node_count
 
+    def attempt_started(self, attempt: Attempt) -> None:
+        """Add an attempt's tokens to those of its front at common engines."""
+        self._attempt_moved(attempt, 1)
+
+    def attempt_ended(self, attempt: Attempt) -> None:
+        """Take an attempt's tokens off those of its front at common engines."""
+        self._attempt_moved(attempt, -1)
+
     def _attempt_moved(self, attempt: Attempt, sign: int) -> None:
         """Take note that an attempt was sent to an engine, or has ended there."""
         request = attempt.sequence.request
--- a/myrtlehub/node/drain.py
+++ b/myrtlehub/node/drain.py
@@ -4,6 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.node_runtime import NodeRuntime
 from myrtlehub.node.protocols import Clock, Timer
 
@@ -11,11 +12,7 @@
 ABORT_REASON = "the node is going down"
 
 
-def _ignore() -> None:
-    """Take no note."""
-
-
-class Drain:
+class Drain(ExecutorObserver):
     """Waits for the sequences of all runtimes; what has no answer after `within` seconds is aborted."""
 
     def __init__(self, clock: Clock, runtimes: Sequence[NodeRuntime], within: float) -> None:
@@ -27,7 +24,7 @@
     def start(self, hands_over: bool) -> None:
         """Wait from here on; `hands_over`: sequences whose clients may move are left to other nodes."""
         for runtime in self._runtimes:
-            runtime.executor.on_idle = self._check
+            runtime.executor.add_observer(self)
             if hands_over:
                 runtime.front.hand_over()
         self._check()
@@ -38,12 +35,16 @@
         self._done.addCallback(lambda _: done.callback(None))
         return done
 
+    def executor_idle(self) -> None:
+        """End the drain if all runtimes are idle."""
+        self._check()
+
     def _check(self) -> None:
         # Only once: a runtime that was replaced may report again that it is idle.
         if self._limit is None or not all(runtime.is_idle for runtime in self._runtimes):
             return
         for runtime in self._runtimes:
-            runtime.executor.on_idle = _ignore
+            runtime.executor.remove_observer(self)
         limit = self._limit
         self._limit = None
         if limit.active():
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -11,6 +11,7 @@
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.membership.endpoint_source import EndpointSource
 from myrtlehub.membership.endpoint_watcher import SnapshotReader, WatchDirectories, poll_only
 from myrtlehub.membership.interfaces import RunInBackground, no_log, run_now
 from myrtlehub.node.action_executor import ActionExecutor
@@ -21,6 +22,7 @@
 from myrtlehub.node.drain import Drain
 from myrtlehub.node.endpoint_list_source import FileAccess, make_endpoint_source
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.node_runtime import NodeRuntime, RuntimeContext
 from myrtlehub.node.protocols import Clock, Log
 from myrtlehub.node.replication.engine_claims import close_at_engines
@@ -38,6 +40,17 @@
     """Take no note."""
 
 
+class _EndpointRepublisher(ExecutorObserver):
+    """Publishes the complete endpoint list whenever the router asks for it."""
+
+    def __init__(self, source: EndpointSource) -> None:
+        self._source = source
+
+    def endpoints_requested(self) -> None:
+        """Publish the list."""
+        self._source.republish()
+
+
 class Node:
     """One node on a clock. `server` and `admin` are factories to listen with."""
 
@@ -95,7 +108,8 @@
         self.on_leave: Callable[[], None] = _ignore  # an order to leave came: the caller drains
         self.admin_service = NodeAdmin(self)
         self.admin_service.serve(self.admin)
-        self.executor.poll_endpoints = self.endpoint_source.republish
+        self._endpoint_republisher = _EndpointRepublisher(self.endpoint_source)
+        self.executor.add_observer(self._endpoint_republisher)
         self.endpoint_source.follow(self._update_endpoints)
 
     # -- parts ------------------------------------------------------------------------------------
@@ -179,8 +193,8 @@
         self.runtime = NodeRuntime(sheet, self.context, former.number + 1, former)
         self._generated_before = self.counters.generated
         self.front.is_closed = former.front.is_closed
-        self.executor.poll_endpoints = former.executor.poll_endpoints
-        former.executor.poll_endpoints = _ignore
+        self.executor.add_observer(self._endpoint_republisher)
+        former.executor.remove_observer(self._endpoint_republisher)
         self.runtime.update_endpoints(endpoints, True, former.executor.list_version + 1)
         # Replaced runtimes go on sending for their sequences: the list is theirs, too.
         for runtime in (former, *self.replaced_runtimes):
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -22,7 +22,9 @@
 from myrtlehub.node.client_limits import ClientLimits
 from myrtlehub.node.engine_pools import EnginePools
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import Clock, EngineTransport, Log
+from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replicated_transport import ReplicatedTransport
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.request_decoder import RequestDecoder
@@ -54,6 +56,21 @@
     replication: Replication | None = None
 
 
+class _ReplicationObserver(ExecutorObserver):
+    """Notifies the publisher of sequence records of answers."""
+
+    def __init__(self, publisher: RecordPublisher) -> None:
+        self._publisher = publisher
+
+    def answer_started(self, sequence: InFlightSequence) -> None:
+        """Report that an answer streams."""
+        self._publisher.answer_started(sequence)
+
+    def answered(self, sequence: InFlightSequence) -> None:
+        """Report a final answer."""
+        self._publisher.answered(sequence.sequence_id)
+
+
 class NodeRuntime:
     """One settings' worth of a node."""
 
@@ -143,16 +160,8 @@
         counters.follow(self.executor)
         if replication is None:
             return
-        publisher = replication.publisher
-        count_answer = self.executor.on_answered
-
-        def answered(sequence: InFlightSequence) -> None:
-            count_answer(sequence)
-            publisher.answered(sequence.sequence_id)
-
-        self.executor.on_answered = answered
-        self.executor.on_begun = publisher.answer_started
-        self.transport.ownership_of = publisher.ownership_of
+        self.executor.add_observer(_ReplicationObserver(replication.publisher))
+        self.transport.ownership_of = replication.publisher.ownership_of
 
     def _make_client_limits(self) -> ClientLimits:
         node, limits = self.sheet.node, self.sheet.limits
--- a/myrtlehub/node/router_driver.py
+++ b/myrtlehub/node/router_driver.py
@@ -8,6 +8,7 @@
 from enum import StrEnum
 
 from myrtlehub.membership.endpoint import Endpoint
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import (
     Clock,
     Decoder,
@@ -53,9 +54,7 @@
 class RouterDriver:
     """Calls a router with what happens; the one place where in-flight sequences change.
 
-    Whoever runs it may set the callbacks: `on_attempt_sent`, `on_attempt_ended`, `on_begun` with the first
-    tokens of a sequence, `on_answered` with its final answer, `on_forgotten` with one that the router is done
-    with, `on_idle` with no sequence left, and `poll_endpoints`.
+    Other parts of the node follow it as observers; see `add_observer`.
     """
 
     def __init__(
@@ -85,13 +84,15 @@
         self._pending_calls: deque[tuple[str, tuple]] = deque()
         self._is_calling = False
         self._handlers = self._make_handlers()
-        self.on_idle: Callable[[], None] = _ignore
-        self.on_attempt_sent: Callable[[Attempt], None] = _ignore
-        self.on_attempt_ended: Callable[[Attempt], None] = _ignore
-        self.on_begun: Callable[[InFlightSequence], None] = _ignore
-        self.on_answered: Callable[[InFlightSequence], None] = _ignore
-        self.on_forgotten: Callable[[InFlightSequence], None] = _ignore
-        self.poll_endpoints: Callable[[], None] = _ignore
+        self._observers: tuple[ExecutorObserver, ...] = ()
+
+    def add_observer(self, observer: ExecutorObserver) -> None:
+        """Notify an observer from now on, after those that were added before."""
+        self._observers = (*self._observers, observer)
+
+    def remove_observer(self, observer: ExecutorObserver) -> None:
+        """Notify an observer no longer; one that was never added is ignored."""
+        self._observers = tuple(other for other in self._observers if other is not observer)
 
     def _make_handlers(self) -> dict[type, Callable[[contract.Action], None]]:
         """Return what executes each type of action."""
@@ -221,7 +222,8 @@
             return
         sequence.streaming_attempt = attempt
         sequence.first_token_at = self.clock.seconds()
-        self.on_begun(sequence)
+        for observer in self._observers:
+            observer.answer_started(sequence)
         latency = sequence.first_token_at - attempt.sent_at
         self._call_router(RouterCall.BEGAN, sequence.number, attempt.number, latency)
         sequence.token_count += 1
@@ -275,7 +277,8 @@
             cached_tokens,
             load,
         )
-        self.on_attempt_ended(attempt)
+        for observer in self._observers:
+            observer.attempt_ended(attempt)
         self._mark_unused(attempt.engine)
 
     def _settle_answer(self, attempt: Attempt, outcome: contract.Outcome, tokens: int) -> None:
@@ -314,7 +317,8 @@
             if self._pending_calls:  # something was raised: what happened meanwhile is reported all the same
                 self.clock.callLater(0, self._report_pending)
         if not self.in_flight:
-            self.on_idle()
+            for observer in self._observers:
+                observer.executor_idle()
 
     def _report_pending(self) -> None:
         """Make the calls of the router that an exception left behind."""
@@ -357,4 +361,5 @@
             took=round(self.clock.seconds() - sequence.accepted_at, 4),
             **more,
         )
-        self.on_answered(sequence)
+        for observer in self._observers:
+            observer.answered(sequence)
--- a/myrtlehub/node/traffic_counters.py
+++ b/myrtlehub/node/traffic_counters.py
@@ -5,12 +5,12 @@
 
 import math
 from collections import Counter
-from functools import partial
 
 from hdrh.histogram import HdrHistogram
 
 from myrtlehub.config.traffic import TrafficTypeConfig
 from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.state.answer import AnswerState
 
@@ -59,7 +59,7 @@
 
     def follow(self, executor: ActionExecutor) -> None:
         """Count an executor's answers."""
-        executor.on_answered = partial(self._answered, executor)
+        executor.add_observer(_AnswerObserver(self, executor))
 
     def of_type(self, name: str) -> TrafficTypeCounters:
         """Return the counters of a traffic type; made at their first use."""
@@ -75,7 +75,8 @@
         counters.offered_utility += row.utility
         counters.answers[AnswerState.REJECTED.value] += 1
 
-    def _answered(self, executor: ActionExecutor, sequence: InFlightSequence) -> None:
+    def record_answered(self, executor: ActionExecutor, sequence: InFlightSequence) -> None:
+        """Count a sequence of an executor that has its final answer."""
         row = executor.decoder.rows[sequence.arrival.traffic]
         answer = sequence.answer.state
         counters = self.of_type(row.name)
@@ -93,3 +94,15 @@
             prompt_share = row.slo_per_1000_tokens * sequence.arrival.prompt_tokens / 1000.0
             is_in_time = latency <= row.latency_slo + prompt_share
             counters.earned_utility += row.utility * (1.0 if is_in_time else row.late_share)
+
+
+class _AnswerObserver(ExecutorObserver):
+    """Counts the answers of one executor."""
+
+    def __init__(self, counters: TrafficCounters, executor: ActionExecutor) -> None:
+        self._counters = counters
+        self._executor = executor
+
+    def answered(self, sequence: InFlightSequence) -> None:
+        """Count an answer."""
+        self._counters.record_answered(self._executor, sequence)
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engine_client.py
@@ -7,6 +7,7 @@
 from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
 from myrtlehub.http1.interfaces import Clock
 from myrtlehub.node.action_executor import ActionExecutor, Attempt
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import Log
 from myrtlehub.relay.attempt_response import AttemptResponseHandler
 from myrtlehub.relay.engine_directory import EngineDirectory
@@ -27,7 +28,7 @@
 TOLD_TIME_MARGIN_S = 0.02
 
 
-class EngineClient:
+class EngineClient(ExecutorObserver):
     """Carries attempts, releases and probes to engines; `attach` gives it the executor that it reports to."""
 
     def __init__(
@@ -53,7 +54,7 @@
         """Report to this executor, and hear from it of each attempt that has ended."""
         self.executor = executor
         self.releaser.in_flight = executor.in_flight
-        executor.on_attempt_ended = self.attempt_ended
+        executor.add_observer(self)
 
     def attempt_ended(self, attempt: Attempt) -> None:
         """Log an attempt's end, whoever caused it, and free its response."""
--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -7,6 +7,7 @@
 from myrtlehub.http1.server_connection import CloseReason
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import Log
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import (
@@ -31,7 +32,7 @@
     is_armed: Callable[[], bool]
 
 
-class InvariantMonitor:
+class InvariantMonitor(ExecutorObserver):
     """Checks what no single path can: answers that are overdue, timers that are not due any more.
 
     Attributes:
@@ -56,7 +57,7 @@
     def attach(self, executor: ActionExecutor) -> None:
         """Check the sequences of this executor."""
         self.executor = executor
-        executor.on_forgotten = self._forgotten
+        executor.add_observer(self)
 
     def start(self) -> None:
         """Check from now on."""
@@ -83,7 +84,8 @@
         self.log("invariant violated", invariant=invariant, seq=sequence_id)
         self.on_violation()
 
-    def _forgotten(self, sequence: InFlightSequence) -> None:
+    def sequence_forgotten(self, sequence: InFlightSequence) -> None:
+        """Check that a forgotten sequence has its answer and holds no read state."""
         broken = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(broken, sequence.sequence_id)
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -84,7 +84,7 @@
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     (sequence,) = rig.node.executor.in_flight.values()
-    rig.node.executor.on_forgotten(sequence)
+    rig.node.monitor.sequence_forgotten(sequence)
 
 
 def plant_forgotten_state(rig: RelayRig) -> None:
@@ -94,7 +94,7 @@
     rig.run(0.1)
     (sequence,) = rig.node.executor.in_flight.values()
     sequence.answer.state = AnswerState.REJECTED
-    rig.node.executor.on_forgotten(sequence)
+    rig.node.monitor.sequence_forgotten(sequence)
 
 
 def plant_close_under_a_request(rig: RelayRig) -> None:
--- a/tests/test_relay_rearming.py
+++ b/tests/test_relay_rearming.py
@@ -6,6 +6,7 @@
 from relaymessages import LONG_PROMPT, STREAM_HEAD
 from relayrig import RawClientFactory, RelayRig, never_respond
 
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.relay.graceful_shutdown import GracefulShutdown
 
 
@@ -162,7 +163,9 @@
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
     executor = rig.node.executor
-    executor.on_attempt_sent = Failing(executor.on_attempt_sent)
+    observer = ExecutorObserver()
+    observer.attempt_started = Failing(observer.attempt_started)
+    executor.add_observer(observer)
     with pytest.raises(PlantedError):
         rig.request("a1", remaining_ms=500)
     run(rig, 1.0)
