--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -71,13 +71,13 @@
         attempts=[1, 2],
         accepted_at=1.0,
         answer=SimpleNamespace(state="generated"),
-        first_token_at=1.2,
+        first_token_latency=0.2,
     )
     counters = TrafficCounters()
     counters.follow(host)
     began = time.process_time()
     for i in range(times):
-        sequence.first_token_at = 1.1 + i % 100 / 500.0
+        sequence.first_token_latency = 0.1 + i % 100 / 500.0
         observers[0].answered(sequence)
     return (time.process_time() - began) / times
 
--- a/myrtlehub/node/__init__.py
+++ b/myrtlehub/node/__init__.py
@@ -9,7 +9,11 @@
     client_limits         memory and rate limits on clients
     request_decoder       names from outside as indices; checks of requests
     endpoint_index        engines by address and by index
-    action_executor       executes a router's actions, over `router_driver`, which calls the router
+    action_executor       executes a router's actions
+    sequence_lifecycle    reports to the router what clients and engines do; owns the in-flight sequences
+    router_driver         calls the router with changes of the endpoint list and with wake-ups
+    router_calls          a queue of router calls, which never nest
+    executor_observer     the interface by which other parts follow the action executor
     sequences             in-flight sequences, their attempts and read states
     protocols             what the action executor needs of the program around it
     engine_pools          a router for each pool of engines
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -5,16 +5,17 @@
 and nothing after it.
 """
 
-from collections.abc import Callable
 from functools import partial
 
-from myrtlehub.node.router_driver import RouterCall, RouterDriver
+from myrtlehub.node.router_calls import ActionHandler
+from myrtlehub.node.sequence_lifecycle import SequenceLifecycle
 from myrtlehub.node.sequences import Attempt, InFlightSequence, ReadState
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import AnswerEffect, AnswerEvent, AnswerState
 from myrtlehub.state.read_state import ReadStateEffect, ReadStateEvent
 
 NEVER = float("inf")
+DEFAULT_PROBE_TIMEOUT = 0.25  # seconds
 
 
 class ContractViolationError(Exception):
@@ -25,10 +26,16 @@
         self.action = action
 
 
-class ActionExecutor(RouterDriver):
-    """Executes what a router decides; one method for each type of action."""
+class ActionExecutor(SequenceLifecycle):
+    """Executes what a router decides; one method for each type of action.
 
-    def _make_handlers(self) -> dict[type, Callable[[contract.Action], None]]:
+    Attributes:
+        probe_timeout: Seconds after which an unanswered probe counts as failed.
+    """
+
+    probe_timeout = DEFAULT_PROBE_TIMEOUT
+
+    def _make_handlers(self) -> dict[type[contract.Action], ActionHandler]:
         return {
             contract.Send: self._send,
             contract.Release: self._release,
@@ -103,14 +110,14 @@
     def _answer(self, sequence: InFlightSequence, event: AnswerEvent, retry_after: float = 0.0) -> None:
         if sequence.answer.step(event) != AnswerEffect.ANSWER:
             return
-        self._note_answer(sequence)
+        self._report_answer(sequence)
         if sequence.answer.state == AnswerState.REJECTED:
             sequence.client.rejected(retry_after)
         else:
             sequence.client.aborted("no engine could answer in time, and it may have run")
 
     def _schedule_wakeup(self, action: contract.ScheduleWakeup) -> None:
-        self.clock.callLater(action.delay, self._call_router, RouterCall.WAKE, action.token)
+        self.clock.callLater(action.delay, self.wake, action.token)
 
     def _close_idle(self, action: contract.CloseIdle) -> None:
         self.transport.close_idle(action.engine)
@@ -148,5 +155,5 @@
         self, engine: int, sent_at: float, is_answered: bool, load: contract.LoadReport | None
     ) -> None:
         latency = self.clock.seconds() - sent_at
-        self._call_router(RouterCall.PROBE_ENDED, engine, is_answered, latency, load)
+        self._call_router(lambda now: self.router.probe_ended(now, engine, is_answered, latency, load))
         self._mark_unused(engine)
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -1,12 +1,13 @@
 """Engines by address and by dense index, and keys as whole numbers; needs no settings file."""
 
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Mapping, Sequence
+from typing import NamedTuple
 from zlib import crc32
 
 import xxhash
 
-from myrtlehub.membership.endpoint import Endpoint, with_effective_state
+from myrtlehub.membership.endpoint import Endpoint, EndpointState, with_effective_state
 from myrtlehub.routing import contract
 
 STATES = {
@@ -22,6 +23,13 @@
     return (xxhash.xxh3_64_intdigest(text.encode()) >> _KEY_SHIFT) or 1 if text else 0
 
 
+class EngineStateChange(NamedTuple):
+    """An engine, by its address, and the state that the endpoint list has for it from now on."""
+
+    address: str
+    state: str
+
+
 class EndpointIndex:
     """Engines by address and by dense index.
 
@@ -61,6 +69,24 @@
             self._gone.update(index for index in self.index_of.values() if index not in listed)
         return updates
 
+    def state_changes(self, rows: Sequence[Endpoint], is_complete: bool) -> list[EngineStateChange]:
+        """Return the engines whose state a change of the endpoint list would change, before it is applied."""
+        gone = EndpointState.GONE.value
+        former = {
+            row.address: self.rows[self.index_of[row.address]].state
+            for row in rows
+            if row.address in self.index_of
+        }
+        changes = [
+            EngineStateChange(row.address, row.state)
+            for row in rows
+            if former.get(row.address, gone) != row.state
+        ]
+        if is_complete:
+            removed = set(self.index_of).difference(row.address for row in rows)
+            changes += [EngineStateChange(address, gone) for address in sorted(removed)]
+        return changes
+
     def _update_of(
         self, row: Endpoint, kinds: Mapping[str, int], zones: Mapping[str, int], now: float
     ) -> contract.EndpointUpdate | None:
@@ -119,12 +145,12 @@
         """Count an attempt or a probe that goes out to an engine."""
         self._use_counts[index] += 1
 
-    def mark_unused(self, index: int) -> str:
-        """Count an attempt or a probe as over; the address if that was the last at a gone engine, or ""."""
+    def mark_unused(self, index: int) -> str | None:
+        """Count an attempt or a probe as ended; return the engine's address if it is removed with that."""
         self._use_counts[index] -= 1
         if index in self._gone and not self._use_counts[index]:
             return self._forget(index)
-        return ""
+        return None
 
     def is_gone(self, index: int) -> bool:
         """Tell whether an engine has left the endpoint list."""
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -182,7 +182,7 @@
         self, endpoints: Sequence[EndpointConfig], is_complete: bool, version: int = 0, digest: str = ""
     ) -> None:
         for runtime in self._all_runtimes():
-            runtime.update_endpoints(endpoints, is_complete, version, digest)
+            runtime.update_endpoints(endpoints, is_complete, version or None, digest or None)
 
     # -- change of settings -----------------------------------------------------------------------
 
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -208,7 +208,11 @@
                     server.methods.pop(path, None)
 
     def update_endpoints(
-        self, endpoints: Sequence[EndpointConfig], is_complete: bool, version: int = 0, digest: str = ""
+        self,
+        endpoints: Sequence[EndpointConfig],
+        is_complete: bool,
+        version: int | None = None,
+        digest: str | None = None,
     ) -> None:
         """Take the endpoint list or a change to it, as far as these settings know its kinds and zones."""
         decoder = self.executor.decoder
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -143,14 +143,14 @@
         self.attempts: list[Attempt] = []
         self.read_states: dict[int, ReadState] = {}  # by engine
         self.streaming_attempt: Attempt | None = None  # the attempt whose answer the client is getting
-        self.first_token_at = 0.0  # 0: none came yet
+        self.first_token_at: float | None = None  # None: no token has come yet
         self.token_count = 0
         self.earlier_attempts = 0  # attempts of owners before this node
 
     @property
     def first_token_latency(self) -> float | None:
         """Seconds to the first token; None where none came."""
-        return self.first_token_at - self.accepted_at if self.first_token_at else None
+        return None if self.first_token_at is None else self.first_token_at - self.accepted_at
 
     def step_read_state(self, read_state: ReadState, event: ReadStateEvent) -> StrEnum:
         """Step a read state and return the effect; one that is gone is dropped."""
@@ -159,7 +159,7 @@
             self.read_states.pop(read_state.engine, None)
         return effect
 
-    def settle_read_state(
+    def resolve_read_state(
         self, attempt: Attempt, outcome: AttemptEvent, is_state_missing: bool, handle: StateHandle | None
     ) -> None:
         """Take what the end of an attempt tells of the state that it made or was to fetch."""
--- a/myrtlehub/node/traffic_counters.py
+++ b/myrtlehub/node/traffic_counters.py
@@ -86,13 +86,13 @@
         if answer == AnswerState.CLIENT_LEFT:
             return  # nobody waited for it: there was no utility to earn
         counters.offered_utility += row.utility
-        latency = sequence.first_token_at - sequence.accepted_at
-        if sequence.first_token_at:
+        latency = sequence.first_token_latency
+        if latency is not None:
             counters.record_first_token(latency)
         if answer == AnswerState.GENERATED:
             self.generated += 1
             prompt_share = row.slo_per_1000_tokens * sequence.arrival.prompt_tokens / 1000.0
-            is_in_time = latency <= row.latency_slo + prompt_share
+            is_in_time = latency is None or latency <= row.latency_slo + prompt_share
             counters.earned_utility += row.utility * (1.0 if is_in_time else row.late_share)
 
 
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -160,7 +160,7 @@
         for entry in update.entries:
             if entry.dial_address:
                 self.engine_client.directory.set_address(entry.address, entry.dial_address)
-        self.executor.update_endpoints(update.entries, update.complete, update.version)
+        self.executor.update_endpoints(update.entries, update.complete, update.version or None)
 
     def is_busy(self) -> bool:
         """Return whether anything is due to a client, or to an engine.
--- a/tests/test_action_executor.py
+++ b/tests/test_action_executor.py
@@ -285,7 +285,7 @@
     host = Fleet().nodes["n0"].executor
     host.router.wake = lambda now, token: [action]
     with pytest.raises(ContractViolationError, match="rule out") as caught:
-        host._call_router("wake", 0)
+        host.wake(0)
     assert caught.value.action == action
 
 
@@ -300,12 +300,12 @@
             depth.pop()
             return [contract.LogNote(f"{token}a"), contract.LogNote(f"{token}b")]
 
-    def note(action: contract.LogNote) -> None:
-        seen.append(action.text)
-        if action.text == "1a":
-            host._call_router("wake", 2)
+    def log(event: str, text: str) -> None:
+        seen.append(text)
+        if text == "1a":
+            host.wake(2)
 
     host.router = ScriptedRouter()
-    host._handlers[contract.LogNote] = note
-    host._call_router("wake", 1)
+    host.log = log
+    host.wake(1)
     assert seen == [1, "1a", "1b", 2, "2a", "2b"]
