--- a/myrtlehub/cli/emulator.py
+++ b/myrtlehub/cli/emulator.py
@@ -8,7 +8,7 @@
 
 from myrtlehub.cli.common import dialer, listen, load_or_exit, logger
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
-from myrtlehub.node.process import on_term, settle_memory
+from myrtlehub.node.process import call_on_termination, freeze_startup_objects
 
 CRASHED = 3  # exit code of an engine that was overloaded while cold
 
@@ -41,9 +41,9 @@
 
     engine = EmulatedEngine(settings, clock, dialer(reactor), recorder, on_crashed)
     listen(reactor, settings.listen, engine.server)
-    on_term(reactor.stop, reactor)
+    call_on_termination(reactor.stop, reactor)
     reactor.callWhenRunning(lambda: log("ready", listen=settings.listen, cold=settings.cold))
-    settle_memory()
+    freeze_startup_objects()
     reactor.run(installSignalHandlers=False)
     recorder.close()
     log("ended")
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -12,7 +12,7 @@
 from myrtlehub.cli.common import dialer, listen, load_or_exit, logger
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.membership.interfaces import Log
-from myrtlehub.node.process import on_term, settle_memory
+from myrtlehub.node.process import call_on_termination, freeze_startup_objects
 
 if TYPE_CHECKING:
     from myrtlehub.node.node import Node
@@ -41,7 +41,7 @@
     _drain_on_term(node, chat_port, reactor)
     reactor.callWhenRunning(_log_ready, settings, node, log)
     node.measure_lag()
-    settle_memory()
+    freeze_startup_objects()
     reactor.run(installSignalHandlers=False)
     log("ended", **dict(sorted(node.executor.answer_counts.items())))
 
@@ -86,7 +86,7 @@
             chat_port.stopListening()
             node.drain().addCallback(lambda ignored: reactor.stop())
 
-    on_term(drain, reactor)
+    call_on_termination(drain, reactor)
     node.on_leave = drain
 
 
--- a/myrtlehub/cli/rollout.py
+++ b/myrtlehub/cli/rollout.py
@@ -75,7 +75,7 @@
     """Run a controller until it ends, and exit with its code."""
     from twisted.internet import reactor
 
-    from myrtlehub.node.process import on_term
+    from myrtlehub.node.process import call_on_termination
     from myrtlehub.rollout_controller.errors import ExitCode, RolloutError
 
     controller = _controller(plan)
@@ -91,7 +91,7 @@
             return
         done.addBoth(results.append).addBoth(lambda ignored: reactor.stop())
 
-    on_term(reactor.stop, reactor)  # the journal has all: `resume` goes on
+    call_on_termination(reactor.stop, reactor)  # the journal has all: `resume` goes on
     reactor.callWhenRunning(begin)
     reactor.run(installSignalHandlers=False)
     is_code = bool(results) and isinstance(results[0], int)
--- a/myrtlehub/lab/in_process_fleet.py
+++ b/myrtlehub/lab/in_process_fleet.py
@@ -66,10 +66,10 @@
         self._attempts[key] = attempt
         now = self._fleet.clock.seconds()
         task = _task_of(attempt.sequence)
-        if attempt.reads:
+        if attempt.is_read:
             self._act(self.model.read(now, key, task))
         else:
-            self._act(self.model.write(now, key, task, attempt.fetched_state is not None))
+            self._act(self.model.write(now, key, task, attempt.claimed_state is not None))
 
     def cancel(self, key: int) -> None:
         """Stop an attempt that nobody waits for any more."""
@@ -126,7 +126,7 @@
         attempt = self._attempts.get(key)
         if attempt is None:
             return
-        reader = self._fleet.engines[attempt.fetched_state.handle]
+        reader = self._fleet.engines[attempt.claimed_state.handle]
         sequence_id = attempt.sequence.sequence_id
         duration = 2 * LINK_DELAY + reader.model.state_tokens(sequence_id) / FETCH_RATE
         self._fleet.clock.callLater(duration, self._fetched, key, reader, sequence_id)
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -63,13 +63,13 @@
         self.decoder.engines.mark_used(engine)
         for observer in self._observers:
             observer.attempt_started(attempt)
-        if attempt.reads:
+        if attempt.is_read:
             read_state = sequence.read_states.setdefault(engine, ReadState(engine))
             read_state.state_machine.step(ReadStateEvent.SEND)
         else:
-            attempt.fetched_state = sequence.claimable_state()
-            if attempt.fetched_state is not None:
-                attempt.fetched_state.state_machine.step(ReadStateEvent.CLAIM)
+            attempt.claimed_state = sequence.claimable_state()
+            if attempt.claimed_state is not None:
+                attempt.claimed_state.state_machine.step(ReadStateEvent.CLAIM)
         if sequence.answer.is_final:
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             return
@@ -85,9 +85,9 @@
         kind = self.decoder.engines.rows[engine].kind
         is_chat = self.decoder.rows[sequence.arrival.traffic].front == "chat"
         # Work of a single stage has nothing to read, whatever else its engine does.
-        reads = is_chat and not self.config.writes[self.decoder.kinds[kind]]
+        is_read = is_chat and not self.config.writes[self.decoder.kinds[kind]]
         times_out_at = min(sequence.deadline, now + timeout if timeout else NEVER)
-        return Attempt(sequence, len(sequence.attempts), engine, reads, now, times_out_at, kind)
+        return Attempt(sequence, len(sequence.attempts), engine, is_read, now, times_out_at, kind)
 
     def _release(self, action: contract.Release) -> None:
         sequence = self.in_flight[action.sequence]
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -35,7 +35,7 @@
         by_old=node.replaced_sequence_count(),
         list_version=executor.list_version,
         sequences=len(executor.in_flight),
-        attempts_out=executor.attempts_out(),
+        attempts_out=executor.outstanding_attempt_count(),
         taken=executor.accepted_count,
         answered=dict(executor.answer_counts),
         engines=_listed_engines(executor.decoder.engines),
@@ -48,7 +48,7 @@
 
 
 def _listed_engines(engines: EndpointIndex) -> list[pb.ListedEngine]:
-    rows = [engines.rows[index] for index in engines.index_of.values() if not engines.is_gone(index)]
+    rows = [engines.rows[index] for index in engines.index_of.values() if not engines.is_removed(index)]
     return [
         pb.ListedEngine(
             address=row.address,
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -108,7 +108,7 @@
     def cut_off(self, reason: str) -> None:
         """End it by a limit on its client."""
         if self.sequence is not None:
-            self.executor.deadline_passed(self.sequence, reason)
+            self.executor.abort(self.sequence, reason)
         else:
             self.rejected(0.0)  # it was not admitted yet: nothing ran
 
@@ -119,9 +119,7 @@
         elif self.sequence is None:
             self.rejected(retry_after)
         else:
-            self.executor.deadline_passed(
-                self.sequence, "the call's deadline came before the end of the answer"
-            )
+            self.executor.abort(self.sequence, "the call's deadline came before the end of the answer")
 
     def lost(self, code: Code) -> None:
         """Take note that the client left, or that its connection broke."""
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -152,6 +152,6 @@
             return self._forget(index)
         return None
 
-    def is_gone(self, index: int) -> bool:
+    def is_removed(self, index: int) -> bool:
         """Tell whether an engine has left the endpoint list."""
         return index in self._gone
--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -49,7 +49,7 @@
     """Return the request of an attempt: a part of a batch, a read or a write."""
     if attempt.sequence.request.batch:
         return _batch_request(executor, attempt, work, now)
-    if attempt.reads:
+    if attempt.is_read:
         return _read_request(executor, attempt, work, now)
     return _write_request(executor, attempt, work, now)
 
@@ -69,7 +69,7 @@
 
 def _write_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
     sequence = attempt.sequence
-    state = attempt.fetched_state.handle if attempt.fetched_state else None
+    state = attempt.claimed_state.handle if attempt.claimed_state else None
     data = pb.WriteRequest(work=work, state=state).SerializeToString()
     # A stream may last longer than the attempt's timeout, which is for its first token.
     time_left = sequence.request.deadline_in - (now - sequence.accepted_at)
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -230,4 +230,4 @@
         for batch in list(self.batches.in_flight):
             batch.deadline_passed()
         for sequence in list(self.executor.in_flight.values()):
-            self.executor.deadline_passed(sequence, reason)
+            self.executor.abort(sequence, reason)
--- a/myrtlehub/node/process.py
+++ b/myrtlehub/node/process.py
@@ -16,19 +16,19 @@
         """Call in the event loop."""
 
 
-def settle_memory() -> None:
+def freeze_startup_objects() -> None:
     """Exempt what start-up made from garbage collection: its pauses would be seen as latency."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
 
 
-def on_term(call: Callable[[], None], reactor: ThreadSafeReactor) -> None:
+def call_on_termination(call: Callable[[], None], reactor: ThreadSafeReactor) -> None:
     """Have the reactor call it on SIGTERM and SIGINT, which ask for an orderly end."""
     for name in (signal.SIGTERM, signal.SIGINT):
-        on_signal(name, call, reactor)
+        call_on_signal(name, call, reactor)
 
 
-def on_signal(name: signal.Signals, call: Callable[[], None], reactor: ThreadSafeReactor) -> None:
+def call_on_signal(name: signal.Signals, call: Callable[[], None], reactor: ThreadSafeReactor) -> None:
     """Have the reactor call it, whenever the signal comes."""
     signal.signal(name, lambda *ignored: reactor.callFromThread(call))
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -166,7 +166,7 @@
             published = PublishedSequence(self._begin(executor, sequence, now), executor, now)
         engine = executor.decoder.engines.rows[attempt.engine].address
         number = sequence.earlier_attempts + attempt.number
-        owned = published.owned.add_intent(AttemptIntent(number, engine, attempt.reads, now))
+        owned = published.owned.add_intent(AttemptIntent(number, engine, attempt.is_read, now))
         published.owned = owned
         self.sequences[sequence_id] = published
         self._publish(sequence_id)
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -104,7 +104,7 @@
         if sequence.answer.step(AnswerEvent.CLIENT_LEFT) != CommonEffect.LATE:
             self._close_answer(sequence)
 
-    def deadline_passed(self, sequence: InFlightSequence, reason: str) -> None:
+    def abort(self, sequence: InFlightSequence, reason: str) -> None:
         """Abort a sequence that has no final answer; does nothing if it has one."""
         if sequence.answer.step(AnswerEvent.DEADLINE_PASSED) == AnswerEffect.ANSWER:
             sequence.client.aborted(reason)
@@ -162,9 +162,9 @@
         if attempt.state_machine.step(AttemptEvent.TOKENS) != AttemptEffect.BEGIN:
             return
         attempt.stop_timer()
-        if attempt.fetched_state is not None:
-            sequence.step_read_state(attempt.fetched_state, ReadStateEvent.FETCHED)
-            attempt.fetched_state = None
+        if attempt.claimed_state is not None:
+            sequence.step_read_state(attempt.claimed_state, ReadStateEvent.FETCHED)
+            attempt.claimed_state = None
         if sequence.answer.step(AnswerEvent.FIRST_TOKENS) != AnswerEffect.PASS:
             # Another attempt streams already, or the final answer was given before these tokens arrived.
             self._stop(attempt)
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -27,11 +27,11 @@
 
     __slots__ = (
         "call",
+        "claimed_state",
         "engine",
-        "fetched_state",
+        "is_read",
         "kind",
         "number",
-        "reads",
         "sent_at",
         "sequence",
         "state_machine",
@@ -44,7 +44,7 @@
         sequence: "InFlightSequence",
         number: int,
         engine: int,
-        reads: bool,
+        is_read: bool,
         sent_at: float,
         times_out_at: float,
         kind: str = "",
@@ -53,13 +53,13 @@
         self.number = number  # from 0, among those of this node
         self.engine = engine
         self.kind = kind  # of the engine when it was sent: the endpoint list may change it meanwhile
-        self.reads = reads
+        self.is_read = is_read
         self.sent_at = sent_at
         self.times_out_at = times_out_at
         self.timer: Timer | None = None
         self.call: TransportCall | None = None
-        self.state_machine = StateMachine(ATTEMPT, AttemptState.READING if reads else AttemptState.WRITING)
-        self.fetched_state: ReadState | None = None  # a writer's: the state that it is to fetch
+        self.state_machine = StateMachine(ATTEMPT, AttemptState.READING if is_read else AttemptState.WRITING)
+        self.claimed_state: ReadState | None = None  # a writer's: the state that it is to fetch
 
     @property
     def is_outstanding(self) -> bool:
@@ -163,13 +163,13 @@
         self, attempt: Attempt, outcome: AttemptEvent, is_state_missing: bool, handle: StateHandle | None
     ) -> None:
         """Take what the end of an attempt tells of the state that it made or was to fetch."""
-        if attempt.reads:
+        if attempt.is_read:
             read_state = self.read_states[attempt.engine]
             read_state.handle = handle
             self.step_read_state(read_state, event_of_read_end(outcome))
-        elif attempt.fetched_state is not None:
+        elif attempt.claimed_state is not None:
             event = event_of_write_end(outcome, is_state_missing=is_state_missing)
-            self.step_read_state(attempt.fetched_state, event)
+            self.step_read_state(attempt.claimed_state, event)
 
     def claimable_state(self) -> ReadState | None:
         """Return the read state that the next writer is to fetch, which is the last one made."""
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -12,7 +12,7 @@
 
 from myrtlehub.http1.connection_pool import Dial
 from myrtlehub.node.clock import SteadyClock
-from myrtlehub.node.process import on_signal, on_term, settle_memory
+from myrtlehub.node.process import call_on_signal, call_on_termination, freeze_startup_objects
 from myrtlehub.relay.bounded_port import BoundedPort
 from myrtlehub.relay.errors import SettingsError
 from myrtlehub.relay.event_log import EventLog
@@ -54,8 +54,8 @@
         self.log = EventLog(LogWriter(STANDARD_OUTPUT), clock.seconds, os.environ.get("RELAY_LOG") == "all")
         # Before the file is read and the port bound: whoever writes a newer file meanwhile, or wants the
         # process gone once clients wait, is heard as soon as the reactor runs.
-        on_signal(signal.SIGHUP, self._on_hangup, reactor)
-        on_term(self._on_terminate, reactor)
+        call_on_signal(signal.SIGHUP, self._on_hangup, reactor)
+        call_on_termination(self._on_terminate, reactor)
         self.settings = with_patience(partial(read_node_settings, path))
         self.node = RelayNode(
             _within_process_limit(self.settings),
@@ -103,7 +103,7 @@
         """Run until SIGTERM and the end of all that is in flight."""
         self.node.measure_lag()
         self.node.start()
-        settle_memory()
+        freeze_startup_objects()
         self.reactor.run(installSignalHandlers=False)
         self.node.monitor.log_counters()
         self.log("ended", **dict(sorted(self.node.executor.answer_counts.items())))
--- a/myrtlehub/relay/attempt_response.py
+++ b/myrtlehub/relay/attempt_response.py
@@ -68,7 +68,7 @@
         """Decide by the table of outcomes what the response means."""
         fields = dict(headers)
         self.client.directory.note_heard(self.attempt.engine)
-        self._end = end_of_head(self.attempt.reads, status, fields.get(b"x-turned-away") == b"1")
+        self._end = end_of_head(self.attempt.is_read, status, fields.get(b"x-turned-away") == b"1")
         if b"x-pressure" in fields:
             self._load = parse_load_report(fields[b"x-pressure"])
         if self._end.outcome == contract.Outcome.GENERATED:
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engine_client.py
@@ -66,7 +66,7 @@
             number=attempt.number,
             engine=self.directory.name(attempt.engine),
             kind=attempt.kind,
-            reads=attempt.reads,
+            reads=attempt.is_read,
             state=attempt.state_machine.state,
             took=round(now - attempt.sent_at, 4),
             timed=now >= attempt.times_out_at,
@@ -103,7 +103,7 @@
         time_left = attempt.times_out_at - self.clock.seconds()
         broken = broken_by_send(self._send_facts(attempt, time_left))
         if broken is not None:
-            self.invariants.note_withheld(broken)
+            self.invariants.count_withheld(broken)
             sequence_id = attempt.sequence.sequence_id
             self.log("withheld", seq=sequence_id, number=attempt.number, why=broken)
             return None
@@ -114,7 +114,7 @@
         sequence = attempt.sequence
         check = self.executor.router.check_send(self.clock.seconds(), sequence.number, attempt.number)
         return SendFacts(
-            client_is_present=sequence.answer.state == AnswerState.OWED,
+            client_is_present=sequence.answer.state == AnswerState.PENDING,
             time_left=time_left,
             engine_is_serving=self.directory.is_serving(attempt.engine),
             is_in_slow_start_share=check.in_slow_start_share,
@@ -129,11 +129,11 @@
         that it is to fetch would stay at its reader. And against a next attempt that is there before the end
         of a cancelled one: a new connection takes longer.
         """
-        if attempt.fetched_state is not None:
+        if attempt.claimed_state is not None:
             return True
         sequence = attempt.sequence
         return self.decoder.rows[sequence.arrival.traffic].at_most_once and (
-            not attempt.reads or sequence.sequence_id in self.uncertain_attempts
+            not attempt.is_read or sequence.sequence_id in self.uncertain_attempts
         )
 
     def cancel(self, attempt: Attempt) -> None:
--- a/myrtlehub/relay/engine_directory.py
+++ b/myrtlehub/relay/engine_directory.py
@@ -27,7 +27,7 @@
 
     def is_serving(self, engine: int) -> bool:
         """Return whether the list has it for new work."""
-        return not self.index.is_gone(engine) and self.index.rows[engine].state == EndpointState.SERVING
+        return not self.index.is_removed(engine) and self.index.rows[engine].state == EndpointState.SERVING
 
     def serving_names(self) -> list[str]:
         """Return the names of all engines that take new work."""
--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -105,9 +105,9 @@
                 self.counter.check(broken_by_timer(timer.is_armed()), timer.name)
             self.log_counters()
         for sequence in overdue:
-            self.executor.deadline_passed(sequence, "its time is over")
+            self.executor.abort(sequence, "its time is over")
 
     @staticmethod
     def _is_overdue(sequence: InFlightSequence, now: float) -> bool:
         is_late = now > sequence.deadline + LATE_ANSWER_TOLERANCE_S
-        return is_late and sequence.answer.state == AnswerState.OWED
+        return is_late and sequence.answer.state == AnswerState.PENDING
--- a/myrtlehub/state/answer.py
+++ b/myrtlehub/state/answer.py
@@ -11,8 +11,8 @@
 class AnswerState(StrEnum):
     """What the client was told."""
 
-    OWED = "owed"
-    STREAMING = "flowing"
+    PENDING = "pending"
+    STREAMING = "streaming"
     GENERATED = "generated"
     REJECTED = "rejected"
     ABORTED = "aborted"
@@ -42,7 +42,7 @@
 
 ANSWER = TransitionTable.build(
     "answer",
-    initial=AnswerState.OWED,
+    initial=AnswerState.PENDING,
     events=AnswerEvent,
     finals=(
         AnswerState.GENERATED,
@@ -51,7 +51,7 @@
         AnswerState.CLIENT_LEFT,
     ),
     rows={
-        AnswerState.OWED: (
+        AnswerState.PENDING: (
             on(AnswerEvent.FIRST_TOKENS, to=AnswerState.STREAMING, effect=AnswerEffect.PASS),
             forbid(AnswerEvent.MORE_TOKENS),
             on(AnswerEvent.COMPLETED, to=AnswerState.GENERATED, effect=AnswerEffect.ANSWER),
--- a/myrtlehub/state/invariants.py
+++ b/myrtlehub/state/invariants.py
@@ -94,7 +94,7 @@
         self.withheld: Counter[str] = Counter()
         self.violations: Counter[str] = Counter()
 
-    def note_withheld(self, invariant: Invariant) -> None:
+    def count_withheld(self, invariant: Invariant) -> None:
         """Count a send that was not made."""
         self.withheld[invariant.value] += 1
 
--- a/myrtlehub/state/model_client.py
+++ b/myrtlehub/state/model_client.py
@@ -13,9 +13,9 @@
     """Iterate over what a client and the clock may do to a submission."""
     submission = model.submissions[index]
     semantics = config.semantics[submission.sequence]
-    if submission.answer in (AnswerState.OWED, AnswerState.STREAMING):
+    if submission.answer in (AnswerState.PENDING, AnswerState.STREAMING):
         yield answer_client(config, model, index, AnswerEvent.CLIENT_LEFT, f"client {index} leaves")
-    if submission.answer == AnswerState.OWED and not submission.is_late:
+    if submission.answer == AnswerState.PENDING and not submission.is_late:
         late = model.with_submission(index, submission._replace(is_late=True))
         ran = may_have_run(attempt.state for attempt in submission.writes(config))
         is_harmless = semantics == RetrySemantics.IDEMPOTENT or not ran
--- a/myrtlehub/state/model_engine.py
+++ b/myrtlehub/state/model_engine.py
@@ -149,7 +149,7 @@
     if after.effect == AnswerEffect.ANSWER and submission.answer in config.answer_table.finals:
         violation = f"rule 1: a second answer after {submission.answer}"
     answered = move.state.with_submission(index, submission._replace(answer=after.next_state))
-    if was_streaming and after.next_state in (AnswerState.OWED, AnswerState.STREAMING):
+    if was_streaming and after.next_state in (AnswerState.PENDING, AnswerState.STREAMING):
         stream = f"the stream of {submission.sequence}"
         violation = violation or f"rule 1: {stream} ended and its client was told nothing"
     return Move(label, answered, violation)
--- a/myrtlehub/state/model_router.py
+++ b/myrtlehub/state/model_router.py
@@ -21,7 +21,7 @@
 def router_moves(config: ModelConfig, model: ModelState, index: int) -> Iterator[Move]:
     """Iterate over what may be decided for a submission."""
     submission = model.submissions[index]
-    if submission.answer != AnswerState.OWED:
+    if submission.answer != AnswerState.PENDING:
         return
     has_room = len(submission.attempts) < config.max_attempts
     if has_room and not submission.has_outstanding and not submission.is_late:
--- a/myrtlehub/state/model_steps.py
+++ b/myrtlehub/state/model_steps.py
@@ -34,7 +34,7 @@
     answer = step(config.answer_table, submission.answer, event).next_state
     if answer == submission.answer:
         violation = f"rule 1: {event} left sequence {submission.sequence} unanswered"
-        return Move(label, model, violation if answer == AnswerState.OWED else "")
+        return Move(label, model, violation if answer == AnswerState.PENDING else "")
     model = model.with_submission(index, submission._replace(answer=answer))
     if answer == AnswerState.REJECTED and config.semantics[submission.sequence] != RetrySemantics.IDEMPOTENT:
         truths = TRUTHS_WITH_EFFECT + TRUTHS_BEFORE_EFFECT
--- a/tests/object_counter.py
+++ b/tests/object_counter.py
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Run the relay; `settle_memory` must not turn the collector on again."""
+    """Run the relay; `freeze_startup_objects` must not turn the collector on again."""
     signal.signal(signal.SIGUSR1, log_objects)
     gc.disable()
     from myrtlehub.relay.__main__ import main as run_relay
--- a/tests/test_message_boundaries.py
+++ b/tests/test_message_boundaries.py
@@ -79,7 +79,7 @@
             ran = [r for r in f.what("ran") if r.more["mark"] == caller.mark]
             assert len(ran) <= 1, where
         for node in f.nodes.values():
-            assert not node.executor.in_flight and not node.executor.attempts_out(), where
+            assert not node.executor.in_flight and not node.executor.outstanding_attempt_count(), where
         for name, stand in f.stands.items():
             m = stand.model
             assert m.has_crashed or not (
--- a/tests/test_request_path.py
+++ b/tests/test_request_path.py
@@ -38,7 +38,9 @@
 
 def assert_nothing_left(f: Fleet) -> None:
     """Every node and engine that lives has let go of everything."""
-    assert all(not n.executor.in_flight and not n.executor.attempts_out() for n in f.nodes.values())
+    assert all(
+        not n.executor.in_flight and not n.executor.outstanding_attempt_count() for n in f.nodes.values()
+    )
     for stand in f.stands.values():
         m = stand.model
         if not m.has_crashed:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -155,9 +155,9 @@
     "an abort is not said": SeededFault(
         "answer_table",
         ANSWER,
-        AnswerState.OWED,
+        AnswerState.PENDING,
         AnswerEvent.ABORT,
-        Transition(AnswerState.OWED, NOTHING),
+        Transition(AnswerState.PENDING, NOTHING),
         "rule 1",
     ),
     "tokens after a rejection": SeededFault(
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -141,7 +141,7 @@
 def settled(fleet: ReplicatedFleet) -> None:
     """Check that nothing is left behind anywhere."""
     for node in fleet.nodes.values():
-        assert not node.executor.in_flight and not node.executor.attempts_out()
+        assert not node.executor.in_flight and not node.executor.outstanding_attempt_count()
         assert not node.replication.publisher.sequences and not node.replication.publisher.waiting_sends
         assert not node.replication.store.records, node.replication.store.records
     for name, stand in fleet.stands.items():
