--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	$(VENV)/bin/ruff format --check
 	$(VENV)/bin/ruff check
 	$(VENV)/bin/lint-imports
+	$(VENV)/bin/mypy
 
 format: setup
 	$(VENV)/bin/ruff format
--- a/benchmarks/rollout_outcomes.py
+++ b/benchmarks/rollout_outcomes.py
@@ -18,6 +18,8 @@
 
 from ruamel.yaml import YAML
 
+from myrtlehub.log_events import LogEvent
+
 ROOT = Path(__file__).parents[1]
 ENDS = {
     "equal": "kept",
@@ -69,10 +71,10 @@
         for line in path.read_text().splitlines()
         if line.startswith("{")
     ]
-    changes = [line for line in lines if line["event"] == "change"]
-    verdict["stage"] = next((c["stage"] for c in changes if c["now"] == "undoing"), 0)
-    verdict["why"] = next((c["why"] for c in changes if c["now"] == "undoing"), "")
-    verdict["held"] = sum(c["now"] == "holding" for c in changes)
+    changes = [line for line in lines if line["event"] == LogEvent.PHASE_CHANGED]
+    verdict["stage"] = next((c["stage"] for c in changes if c["phase"] == "undoing"), 0)
+    verdict["why"] = next((c["reason"] for c in changes if c["phase"] == "undoing"), "")
+    verdict["held"] = sum(c["phase"] == "holding" for c in changes)
     return verdict
 
 
--- a/myrtlehub/cli/common.py
+++ b/myrtlehub/cli/common.py
@@ -15,7 +15,7 @@
 from twisted.logger import globalLogBeginner, textFileLogObserver
 
 from myrtlehub.config.loader import ConfigError, ConfigModel, load_config
-from myrtlehub.membership.interfaces import Log
+from myrtlehub.log_events import Log
 
 INVALID = 2  # exit code where a file or an address is wrong
 CONNECT_TIMEOUT = 30  # seconds
--- a/myrtlehub/cli/emulator.py
+++ b/myrtlehub/cli/emulator.py
@@ -8,6 +8,7 @@
 
 from myrtlehub.cli.common import dialer, listen, load_or_exit, logger
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.process import on_term, settle_memory
 
 CRASHED = 3  # exit code of an engine that was overloaded while cold
@@ -34,7 +35,7 @@
     recorder = Recorder(settings.listen, clock, settings.records)
 
     def on_crashed() -> None:
-        log("fell", why="pushed over while cold")
+        log(LogEvent.ENGINE_OVERLOADED, reason="more requests than its slow start allows")
         recorder.close()
         sys.stdout.flush()
         os._exit(CRASHED)
@@ -42,11 +43,11 @@
     engine = EmulatedEngine(settings, clock, dialer(reactor), recorder, on_crashed)
     listen(reactor, settings.listen, engine.server)
     on_term(reactor.stop, reactor)
-    reactor.callWhenRunning(lambda: log("ready", listen=settings.listen, cold=settings.cold))
+    reactor.callWhenRunning(lambda: log(LogEvent.READY, listen=settings.listen, cold=settings.cold))
     settle_memory()
     reactor.run(installSignalHandlers=False)
     recorder.close()
-    log("ended")
+    log(LogEvent.ENDED)
 
 
 if __name__ == "__main__":
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -11,7 +11,7 @@
 
 from myrtlehub.cli.common import dialer, listen, load_or_exit, logger
 from myrtlehub.config.node import NodeConfig
-from myrtlehub.membership.interfaces import Log
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.process import on_term, settle_memory
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
     node.measure_lag()
     settle_memory()
     reactor.run(installSignalHandlers=False)
-    log("ended", **dict(sorted(node.executor.answer_counts.items())))
+    log(LogEvent.ENDED, **dict(sorted(node.executor.answer_counts.items())))
 
 
 def _make_node(settings: NodeConfig, base: Path, reactor: ReactorBase, log: Log) -> "Node":
@@ -94,12 +94,12 @@
     from myrtlehub.node.revision import settings_digest
 
     log(
-        "ready",
+        LogEvent.READY,
         listen=settings.node.listen,
         engines=len(settings.list.engines),
         program=node.program,
         settings=settings_digest(settings),
-        run=node.run,
+        incarnation=node.run,
     )
 
 
--- a/myrtlehub/cli/rollout.py
+++ b/myrtlehub/cli/rollout.py
@@ -11,6 +11,7 @@
 
 from myrtlehub.cli.common import dialer, fail, load_or_exit
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
+from myrtlehub.log_events import LogEvent
 
 if TYPE_CHECKING:
     from myrtlehub.rollout.journal_format import DecodedJournal
@@ -58,15 +59,18 @@
         )
 
 
-def _print_event(event: str, **fields: object) -> None:
+def _print_event(event: LogEvent, /, **fields: object) -> None:
     """Print a line for people on a terminal, JSON otherwise."""
     if not sys.stdout.isatty():
         click.echo(json.dumps({"event": event, **fields}))
-    elif event == "node":
-        click.echo(f"  {fields['node']}: {fields['was']} -> {fields['now']} ({fields['by']})")
-    elif event == "change":
-        reason = f": {fields['why']}" if fields["why"] else ""
-        click.echo(f"{fields['was']} -> {fields['now']}, stage {fields['stage']} ({fields['by']}){reason}")
+    elif event is LogEvent.NODE_STATE_CHANGED:
+        click.echo(f"  {fields['node']}: {fields['previous_state']} -> {fields['state']} ({fields['cause']})")
+    elif event is LogEvent.PHASE_CHANGED:
+        reason = f": {fields['reason']}" if fields["reason"] else ""
+        click.echo(
+            f"{fields['previous_phase']} -> {fields['phase']}, "
+            f"stage {fields['stage']} ({fields['cause']}){reason}"
+        )
     else:
         click.echo(f"{event}: " + ", ".join(f"{name} {value}" for name, value in fields.items()))
 
--- a/myrtlehub/client/twisted_client.py
+++ b/myrtlehub/client/twisted_client.py
@@ -9,10 +9,10 @@
 from myrtlehub.client.requests import ChatRequest
 from myrtlehub.client.results import AttemptResult, Outcome
 from myrtlehub.client.retries import ChatAttempt, ChatRetryState
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.proto import chat_pb2 as pb
 from myrtlehub.rpc.channel import Channel
 from myrtlehub.rpc.client_call import CallWatcher, ClientCall
-from myrtlehub.rpc.clock import Clock, Timer
 from myrtlehub.rpc.status import Code, Metadata, Status
 
 TokenCallback = Callable[[tuple[int, ...]], None]
--- a/myrtlehub/emulator/server.py
+++ b/myrtlehub/emulator/server.py
@@ -5,6 +5,7 @@
 
 from twisted.internet.defer import Deferred
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
 from myrtlehub.emulator.batch_results import EMBED_TASK, RANK_TASK
 from myrtlehub.emulator.claims import ClaimableJobs
@@ -21,7 +22,6 @@
 from myrtlehub.recovery.sequence_records import Ownership
 from myrtlehub.rpc.channel import Channel, ClientCall
 from myrtlehub.rpc.client_call import CallWatcher
-from myrtlehub.rpc.clock import Clock
 from myrtlehub.rpc.metadata import first
 from myrtlehub.rpc.method_handlers import server_stream, unary
 from myrtlehub.rpc.server import Server
--- a/myrtlehub/emulator/timer.py
+++ b/myrtlehub/emulator/timer.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.emulator.machine import NEVER
-from myrtlehub.rpc.clock import Clock, Timer
 
 
 class ModelTimer:
--- a/myrtlehub/http1/client_connection.py
+++ b/myrtlehub/http1/client_connection.py
@@ -8,8 +8,9 @@
 import h11
 from twisted.internet.protocol import Protocol
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.bounds import MAX_CHUNK_BYTES, MAX_HEAD_BYTES, MAX_INFORMATIONAL_RESPONSES
-from myrtlehub.http1.interfaces import Clock, Headers, Transport
+from myrtlehub.http1.interfaces import Headers, Transport
 
 
 class ClientRequest(NamedTuple):
--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -6,6 +6,7 @@
 
 from twisted.internet.protocol import Factory
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.bounds import (
     LOCAL_RETRY_DELAY_S,
     MAX_LOCAL_RETRIES,
@@ -13,7 +14,7 @@
     REUSE_SUSPENSION_S,
 )
 from myrtlehub.http1.client_connection import ClientConnection, ClientRequest, ResponseHandler
-from myrtlehub.http1.interfaces import Clock, Connecting, Timer
+from myrtlehub.http1.interfaces import Connecting
 from myrtlehub.http1.pending_request import AtFirstByte, PendingRequest
 
 SWEEP_INTERVAL_S = 1.0  # between looks for connections that were idle for too long
--- a/myrtlehub/http1/interfaces.py
+++ b/myrtlehub/http1/interfaces.py
@@ -1,34 +1,11 @@
 """What this package needs of the reactor: a clock with timers, and transports."""
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 Headers = list[tuple[bytes, bytes]]
 
 
-class Timer(Protocol):
-    """A call that is due later."""
-
-    def active(self) -> bool:
-        """Whether it is still due."""
-
-    def cancel(self) -> None:
-        """Do not make the call."""
-
-    def reset(self, delay: float, /) -> None:
-        """Make the call so many seconds from now."""
-
-
-class Clock(Protocol):
-    """Time in seconds, and timers."""
-
-    def seconds(self) -> float:
-        """Return the time now; it never goes back."""
-
-    def callLater(self, delay: float, call: Callable, /, *args: Any) -> Timer:  # noqa: ANN401, N802
-        """Make a call `delay` seconds from now."""
-
-
 class Transport(Protocol):
     """As much of a TCP transport as an abortive close needs."""
 
--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -4,8 +4,8 @@
 
 from twisted.internet.protocol import Factory
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.bounds import MIN_READ_GRACE_S, READ_GRACE_S
-from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.server_connection import CloseReason, ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
 
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -7,6 +7,7 @@
 import h11
 from twisted.internet.protocol import Protocol
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.bounds import (
     DRAINING_FIRST_BYTE_TIMEOUT_S,
     IDLE_TIMEOUT_S,
@@ -20,7 +21,7 @@
     STALLED_WRITE_TIMEOUT_S,
 )
 from myrtlehub.http1.byte_arrivals import ByteArrivals
-from myrtlehub.http1.interfaces import Clock, Headers, Timer
+from myrtlehub.http1.interfaces import Headers
 from myrtlehub.http1.request_assembler import RequestAssembler
 from myrtlehub.http1.server_exchange import ServerExchange
 
--- a/myrtlehub/lab/endpoint_list_writer.py
+++ b/myrtlehub/lab/endpoint_list_writer.py
@@ -12,11 +12,11 @@
 from ruamel.yaml import YAML
 from ruamel.yaml.compat import StringIO
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.lab.scenario_file import ListFilesConfig
 from myrtlehub.membership.list_version import make_version
 from myrtlehub.records import Recorder
-from myrtlehub.rpc.clock import Clock
 
 DIGEST_LETTERS = 16  # of a digest that go with an attempt
 END_MARK = "end: yes\n"
--- a/myrtlehub/lab/fault_soak/runner.py
+++ b/myrtlehub/lab/fault_soak/runner.py
@@ -22,6 +22,7 @@
 from myrtlehub.lab.fault_soak.records import EngineCut, RequestRecord, ResponseEnd, RunRecords, Span
 from myrtlehub.lab.fault_soak.schedule import Schedule, Trouble, TroubleKind
 from myrtlehub.lab.interfaces import Reactor
+from myrtlehub.log_events import LogEvent
 
 CLIENT_RATE = 3.0  # clients a second that come to each node
 READER_SHARE = 0.4  # of the engines
@@ -304,11 +305,11 @@
         for node in self.nodes:
             last: dict[str, int] = {}
             for line in node.logged():
-                if line["event"] == "invariant violated":
+                if line["event"] == LogEvent.INVARIANT_VIOLATED:
                     self.records.node_violations.append(line["invariant"])
-                elif line["event"] == "counters":
+                elif line["event"] == LogEvent.COUNTERS:
                     last = line["withheld"]
-                elif line["event"] == "ended":
+                elif line["event"] == LogEvent.ENDED:
                     withheld.update(last)
         self.records.withheld = dict(withheld)
 
--- a/myrtlehub/lab/interfaces.py
+++ b/myrtlehub/lab/interfaces.py
@@ -6,7 +6,7 @@
 from twisted.internet.interfaces import IListeningPort
 from twisted.internet.protocol import ClientFactory, Factory, ProcessProtocol
 
-from myrtlehub.rpc.clock import Timer
+from myrtlehub.clock import Timer
 
 
 class Reactor(Protocol):
--- a/myrtlehub/lab/process_calls.py
+++ b/myrtlehub/lab/process_calls.py
@@ -5,9 +5,9 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
+from myrtlehub.clock import Clock
 from myrtlehub.lab.interfaces import Reactor
 from myrtlehub.rpc.channel import Channel
-from myrtlehub.rpc.clock import Clock
 
 DIAL_TIMEOUT = 2  # seconds
 CALL_TIMEOUT = 2.0
--- a/myrtlehub/lab/processes.py
+++ b/myrtlehub/lab/processes.py
@@ -16,8 +16,9 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Timer
 from myrtlehub.lab.interfaces import Reactor
-from myrtlehub.rpc.clock import Timer
+from myrtlehub.log_events import LogEvent
 
 HOST = "127.0.0.1"
 FIRST_PORT = 10_000
@@ -25,7 +26,6 @@
 PORTS_BETWEEN_PROCESSES = 199  # so that runs side by side begin at other places
 OUTPUT_TAIL = 2000  # bytes of a process's last output, for whoever asks why it ended
 END_WITHIN = 15.0  # seconds after SIGTERM until a process counts as one that does not end
-READY = "ready"
 
 LogLine: TypeAlias = dict[str, Any]  # a JSON line of a program, with its `event`
 
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, name: str, event: str, output: str) -> None:
-        what = "did not start" if event == READY else f"ended before it said {event!r}"
+        what = "did not start" if event == LogEvent.READY else f"ended before it said {event!r}"
         super().__init__(f"{name} {what}: {output}")
         self.name = name
         self.event = event
@@ -70,7 +70,7 @@
         self._unfinished_line = b""
         self._last_lines: dict[str, LogLine] = {}  # by event
         self._waiters: list[_Waiter] = []
-        self.wait_for(READY).chainDeferred(self.ready)
+        self.wait_for(LogEvent.READY).chainDeferred(self.ready)
 
     @property
     def is_running(self) -> bool:
--- a/myrtlehub/lab/rollout_scenario.py
+++ b/myrtlehub/lab/rollout_scenario.py
@@ -15,6 +15,7 @@
 from myrtlehub.lab.scenario_file import RolloutFaultConfig, RolloutScenarioConfig
 from myrtlehub.lab.scenario_runner import ScenarioRunner
 from myrtlehub.lab.verdict import Verdict, verdict_text
+from myrtlehub.log_events import LogEvent
 from myrtlehub.proto import admin_pb2
 from myrtlehub.records import Recorder
 
@@ -24,7 +25,13 @@
 SHOW_METHOD = "/myrtlehub.v1.NodeAdmin/Show"
 END_PAUSE = 0.5  # seconds in which nodes of other parents can end, once they were told to
 CONTROLLER = "controller"  # in a fault's `whom`
-REPORTED_EVENTS = ("change", "tell", "refused", "fault", "end")
+REPORTED_EVENTS = (
+    LogEvent.PHASE_CHANGED,
+    LogEvent.OPERATOR_NEEDED,
+    LogEvent.NODE_CALL_REJECTED,
+    LogEvent.UNEXPECTED_ERROR,
+    LogEvent.ROLLOUT_ENDED,
+)
 
 
 class RolloutEnd(StrEnum):
@@ -146,11 +153,11 @@
 
     def _on_controller_line(self, line: LogLine) -> None:
         event = line.get("event")
-        if event == "change":
-            self._begin_faults_after(line["now"])
-        if event == "kill":
+        if event == LogEvent.PHASE_CHANGED:
+            self._begin_faults_after(line["phase"])
+        if event == LogEvent.PROCESS_KILLED:
             # What it kills is gone from the time that it names.
-            self._kills.append(_Kill(line["at"], line["node"]))
+            self._kills.append(_Kill(line["killed_at_s"], line["node"]))
             self.expected_ends.add(self.running[line["node"]])
         elif event in REPORTED_EVENTS:
             self.report(" ".join(f"{name} {value}" for name, value in line.items() if value != ""))
--- a/myrtlehub/lab/simulated_clients/batch_clients.py
+++ b/myrtlehub/lab/simulated_clients/batch_clients.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from random import Random
 
+from myrtlehub.clock import Clock
 from myrtlehub.lab.scenario_file import Scenario
 from myrtlehub.lab.simulated_clients.batch_call import GENERATED, BatchCall
 from myrtlehub.lab.simulated_clients.batch_plan import IDEMPOTENT, PlannedBatch, plan_batches
 from myrtlehub.lab.simulated_clients.recorded_call import ClientGroup
 from myrtlehub.records import Recorder
-from myrtlehub.rpc.clock import Clock
 from myrtlehub.rpc.status import Status
 
 REJECTED = "rejected"
--- a/myrtlehub/lab/simulated_clients/chat_clients.py
+++ b/myrtlehub/lab/simulated_clients/chat_clients.py
@@ -6,6 +6,7 @@
 from random import Random
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.lab.scenario_file import Scenario
 from myrtlehub.lab.simulated_clients.chat_call import ChatCall
 from myrtlehub.lab.simulated_clients.recorded_call import ClientGroup
@@ -13,7 +14,6 @@
 from myrtlehub.lab.simulated_clients.tally import Tally
 from myrtlehub.limits.event_loop_lag import LagMeter
 from myrtlehub.records import Recorder
-from myrtlehub.rpc.clock import Clock, Timer
 from myrtlehub.rpc.status import Code, Status
 
 GENERATED = "generated"
--- a/myrtlehub/lab/simulated_clients/recorded_call.py
+++ b/myrtlehub/lab/simulated_clients/recorded_call.py
@@ -4,11 +4,11 @@
 from random import Random
 from typing import Protocol
 
+from myrtlehub.clock import Clock
 from myrtlehub.lab.scenario_file import Scenario, TrafficMix
 from myrtlehub.records import Recorder
 from myrtlehub.rpc.channel import Channel, ClientCall
 from myrtlehub.rpc.client_call import CallWatcher
-from myrtlehub.rpc.clock import Clock
 from myrtlehub.rpc.status import Status
 from myrtlehub.rpc.transport_limits import TransportLimits
 
--- a/myrtlehub/lab/takeover_scenario.py
+++ b/myrtlehub/lab/takeover_scenario.py
@@ -16,10 +16,11 @@
 from myrtlehub.lab.scenario_file import CUT_OFF, PEER_FAULTS, FaultConfig
 from myrtlehub.lab.scenario_runner import ScenarioRunner
 from myrtlehub.lab.verdict import Verdict, verdict_text
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.clock import SteadyClock
 
 DRAIN_WITHIN = "5s"
-TAKEOVER_EVENT = '"event":"takeover"'  # in a line of a node's log
+TAKEOVER_EVENT = f'"event":"{LogEvent.TAKEOVER_DECIDED}"'  # as it stands in a line of a node's log
 
 
 class PeerProxies:
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -8,10 +8,12 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.config.endpoints import EndpointConfig
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.membership.endpoint_source import EndpointListener, ignore_endpoints
 from myrtlehub.membership.flap_damping import NEVER
-from myrtlehub.membership.interfaces import Clock, DelayedCall, Log, RunInBackground, no_log, run_now
+from myrtlehub.membership.interfaces import RunInBackground, run_now
 from myrtlehub.membership.list_version import ListVersion
 from myrtlehub.membership.snapshot import FileStamp, Snapshot, expand_patterns, read_snapshot, stamp_files
 from myrtlehub.membership.validation import ListValidator, ValidationOutcome, Verdict
@@ -92,8 +94,8 @@
         self._to_store: ListVersion | None = None
         self._stamps: tuple[FileStamp, ...] = ()
         self._last_digest = ""
-        self._read_timer: DelayedCall | None = None
-        self._poll_timer: DelayedCall | None = None
+        self._read_timer: Timer | None = None
+        self._poll_timer: Timer | None = None
         self._first_change_at = 0.0
 
     def follow(self, listener: EndpointListener) -> None:
@@ -208,29 +210,29 @@
             self._read_timer = self.clock.callLater(wait, self._read)
         match verdict.outcome:
             case ValidationOutcome.REJECTED:
-                self._log_not_accepted("list refused", verdict)
+                self._log_not_accepted(LogEvent.ENDPOINT_LIST_REJECTED, verdict)
             case ValidationOutcome.DEFERRED:
-                self._log_not_accepted("list deferred", verdict)
+                self._log_not_accepted(LogEvent.ENDPOINT_LIST_DEFERRED, verdict)
             case ValidationOutcome.ACCEPTED:
                 self._accept(verdict)
             case ValidationOutcome.UNCHANGED:
                 pass
 
-    def _log_not_accepted(self, event: str, verdict: Verdict) -> None:
+    def _log_not_accepted(self, event: LogEvent, verdict: Verdict) -> None:
         current = self.validator.version
-        self.log(event, why=verdict.reason, version=current.number if current else 0)
+        self.log(event, reason=verdict.reason, list_version=current.number if current else 0)
 
     def _accept(self, verdict: Verdict) -> None:
         version = verdict.version
         difference = verdict.difference
         self.log(
-            "list accepted",
-            version=version.number,
+            LogEvent.ENDPOINT_LIST_ACCEPTED,
+            list_version=version.number,
             digest=version.digest,
             engines=len(version.endpoints),
             added=len(difference.added),
-            gone=len(difference.removed),
-            old=version.from_store,
+            removed=len(difference.removed),
+            from_store=version.from_store,
         )
         if difference:
             self._listener(difference.updates(), False, version.number, version.digest)
@@ -262,12 +264,12 @@
     def _saved(self, error: VersionStoreError | None) -> None:
         self._storing = False
         if error is not None:
-            self.log("list not stored", why=str(error))
+            self.log(LogEvent.VERSION_STORE_WRITE_FAILED, reason=str(error))
         self._store_next()
 
     def _load_stored(self) -> StoredVersion | None:
         try:
             return self.store.load_latest() if self.store is not None else None
         except VersionStoreError as error:
-            self.log("store not used", why=str(error))
+            self.log(LogEvent.VERSION_STORE_READ_FAILED, reason=str(error))
             return None
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from functools import partial
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.router_driver import RouterCall, RouterDriver
 from myrtlehub.node.sequences import Attempt, InFlightSequence, ReadState
 from myrtlehub.routing import contract
@@ -121,7 +122,7 @@
         self.poll_endpoints()
 
     def _log_note(self, action: contract.LogNote) -> None:
-        self.log("note", text=action.text)
+        self.log(LogEvent.ROUTER_NOTE, text=action.text)
 
     def _forget(self, action: contract.Forget) -> None:
         # Its attempts refer to it: without this only the garbage collector would free them and the request.
--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -7,6 +7,7 @@
 
 from myrtlehub.config.loader import ConfigError
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.revision import settings_digest
 from myrtlehub.node.settings_change import SettingsChangeError, parse_settings, validate_change
 from myrtlehub.proto import admin_pb2 as pb
@@ -45,7 +46,7 @@
     def _validate(self, order: pb.Order, method: str) -> None:
         reason = self.validator.refusal(Order(order.format, order.generation, order.controller, order.run))
         if reason:
-            self.node.log("order refused", order=method, why=reason)
+            self.node.log(LogEvent.ADMIN_CALL_REJECTED, method=method, reason=reason)
             raise RpcError(Code.PERMISSION_DENIED, reason)
 
     def stage(self, _call: ServerCall, data: bytes) -> bytes:
@@ -59,7 +60,7 @@
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from error
         digest = settings_digest(settings)
         self.staged = StagedSettings(digest, settings)
-        self.node.log("staged", settings=digest)
+        self.node.log(LogEvent.SETTINGS_STAGED, settings=digest)
         return pb.OrderTaken(settings=digest, changed=True).SerializeToString()
 
     def _validate_change(self, settings: NodeConfig) -> None:
@@ -77,7 +78,11 @@
         staged = self._take_staged(order.settings)
         self._validate_change(staged.settings)  # the endpoint list may have changed since
         self.node.apply(staged.settings)
-        self.node.log("applied", settings=staged.digest, by_old=self.node.replaced_sequence_count())
+        self.node.log(
+            LogEvent.SETTINGS_APPLIED,
+            settings=staged.digest,
+            on_former_settings=self.node.replaced_sequence_count(),
+        )
         return pb.OrderTaken(settings=staged.digest, changed=True).SerializeToString()
 
     def _take_staged(self, digest: str) -> StagedSettings:
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -6,6 +6,7 @@
 from myrtlehub.batching.dynamic_batcher import NEVER, BatchingWindow, DynamicBatcher
 from myrtlehub.batching.result_cache import ResultCache
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.batch_fronts.batch_request import BatchClient, BatchRequest
@@ -13,7 +14,6 @@
 from myrtlehub.node.batch_fronts.engine_batch import EngineBatch
 from myrtlehub.node.batch_fronts.front_capacity import FrontCapacity
 from myrtlehub.node.batch_fronts.in_flight_batch import InFlightBatch
-from myrtlehub.node.protocols import Clock, Timer
 from myrtlehub.node.request_decoder import InvalidRequestError
 from myrtlehub.proto.engine_pb2 import ItemResult
 
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Sequence
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.limits.fair_share import FairShare
 from myrtlehub.membership.endpoint import Endpoint
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.batch_fronts.engine_batch import EngineBatch
 from myrtlehub.node.batch_fronts.front_capacity import FrontCapacity
-from myrtlehub.node.protocols import Clock
 from myrtlehub.node.sequences import Attempt
 
 CHAT_FRONT = "chat"
--- a/myrtlehub/node/batch_fronts/in_flight_batch.py
+++ b/myrtlehub/node/batch_fronts/in_flight_batch.py
@@ -7,6 +7,8 @@
 
 from myrtlehub.batching.batch_split import split_batch
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome, MergeVerdict, ResultMerger
+from myrtlehub.clock import Timer
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.batch_fronts.batch_request import (
     BatchClient,
     BatchRequest,
@@ -14,7 +16,6 @@
     IndexedResult,
 )
 from myrtlehub.node.batch_fronts.engine_batch import BatchPart, EngineBatch
-from myrtlehub.node.protocols import Timer
 from myrtlehub.proto.engine_pb2 import ItemResult
 
 if TYPE_CHECKING:
@@ -234,12 +235,12 @@
 
     def _log_answer(self, outcome: BatchOutcome) -> None:
         self._coordinator.executor.log(
-            "batch",
+            LogEvent.BATCH_ANSWERED,
             answer=outcome.value,
             traffic_type=self.request.terms.traffic_type,
             items=len(self.request.items),
             parts=self._part_count,
-            kept=self._cached_count,
+            cached=self._cached_count,
             errors=self._error_count,
         )
 
--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.config.traffic import TrafficTypeConfig
 from myrtlehub.limits.admission import NEVER, AdmissionController
-from myrtlehub.node.protocols import Clock, Timer
 from myrtlehub.node.request_decoder import DecodedRequest
 from myrtlehub.routing.contract import Arrival
 
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from myrtlehub.clock import Timer
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import Timer
 from myrtlehub.node.replication.takeover import Takeover
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.proto import chat_pb2 as pb
--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -10,6 +10,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.config.limits import LimitsConfig
 from myrtlehub.limits.minimum_rate import CHECK_INTERVAL, MinimumRateMonitor
 from myrtlehub.limits.resource_ledger import (
@@ -20,7 +21,7 @@
     select_streams_to_shed,
 )
 from myrtlehub.limits.retry_budget import RetryBudget
-from myrtlehub.node.protocols import Clock, Log, Timer
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.rpc.server_call import ServerCall
 
 MAX_CUTS = 50  # that are remembered
@@ -129,7 +130,9 @@
         exceeded = self.ledger.exceeded_by(host_of(call.peer), tenant, size)
         if exceeded:
             self.counts[LimitCounter.REJECTED] += 1
-            self.log("request rejected", peer=call.peer, tenant=tenant, budget=exceeded, bytes=size)
+            self.log(
+                LogEvent.REQUEST_REJECTED, peer=call.peer, tenant=tenant, budget=exceeded, size_bytes=size
+            )
         return not exceeded
 
     def track(self, limited: LimitedCall) -> None:
@@ -214,12 +217,12 @@
         self.counts[counter] += 1
         self.cuts.append(CutOff(self.clock.seconds(), call.peer, limited.tenant, reason))
         self.log(
-            "client cut off",
-            seq=limited.name,
+            LogEvent.CLIENT_DISCONNECTED,
+            sequence_id=limited.name,
             peer=call.peer,
             tenant=limited.tenant,
-            why=reason,
-            held=stream.buffered,
+            reason=reason,
+            buffered_bytes=stream.buffered,
         )
         if call.over:
             stream.reset()  # its answer was complete, and the client did not take it
--- a/myrtlehub/node/clock.py
+++ b/myrtlehub/node/clock.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from myrtlehub.node.protocols import Timer
+from myrtlehub.clock import Timer
 
 
 class ReactorTime(Protocol):
--- a/myrtlehub/node/drain.py
+++ b/myrtlehub/node/drain.py
@@ -4,8 +4,8 @@
 
 from twisted.internet.defer import Deferred
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.node.node_runtime import NodeRuntime
-from myrtlehub.node.protocols import Clock, Timer
 
 FLUSH_DELAY = 0.05  # seconds: a few turns of the event loop, for the last answers to leave
 ABORT_REASON = "the node is going down"
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -4,7 +4,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.log_events import Log
 from myrtlehub.membership.endpoint_source import StaticEndpointSource
 from myrtlehub.membership.endpoint_watcher import (
     EndpointWatcher,
@@ -16,7 +18,6 @@
 from myrtlehub.membership.interfaces import RunInBackground
 from myrtlehub.membership.validation import ANY_REMOVED, ListValidator, ValidationConfig
 from myrtlehub.membership.version_store import VersionStore
-from myrtlehub.node.protocols import Clock, Log
 
 ANY_SHARE = "any"  # `list.confirm.most_removed`
 NO_DAMPING = "off"  # `list.damp.flaps`
--- a/myrtlehub/node/engine_transport/transport.py
+++ b/myrtlehub/node/engine_transport/transport.py
@@ -3,10 +3,11 @@
 from collections.abc import Callable
 from random import Random
 
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.attempt_watcher import load_report_of
 from myrtlehub.node.engine_transport.engine_requests import request_of, work_of
-from myrtlehub.node.protocols import Clock
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
@@ -112,7 +113,9 @@
         reply.addCallbacks(
             lambda message: then(True, load_report_of(message)), lambda failure: then(False, None)
         )
-        reply.addErrback(lambda failure: self.executor.log("fault", text=failure.getTraceback()))
+        reply.addErrback(
+            lambda failure: self.executor.log(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback())
+        )
 
     def close_idle(self, engine: int) -> None:
         """Close an unused connection to an engine."""
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -9,10 +9,12 @@
 
 from twisted.internet.defer import Deferred
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.membership.endpoint_watcher import SnapshotReader, WatchDirectories, poll_only
-from myrtlehub.membership.interfaces import RunInBackground, no_log, run_now
+from myrtlehub.membership.interfaces import RunInBackground, run_now
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.admin.service import NodeAdmin
 from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
@@ -22,7 +24,6 @@
 from myrtlehub.node.endpoint_list_source import FileAccess, make_endpoint_source
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.node_runtime import NodeRuntime, RuntimeContext
-from myrtlehub.node.protocols import Clock, Log
 from myrtlehub.node.replication.engine_claims import close_at_engines
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.revision import program_digest
@@ -111,8 +112,8 @@
         self.replication.service.on_abandoned = lambda record: close_at_engines(self.transport, record)
         if not self.sheet.engines_may.claims:
             self.log(
-                "takeover",
-                why="engines answer no claims here: streams end with their node, and what "
+                LogEvent.TAKEOVER_LIMITED,
+                reason="engines answer no claims here: streams end with their node, and what "
                 "may have run is not sent again",
             )
 
@@ -208,7 +209,7 @@
         worst_before = lag.worst
         due = lag.tick(now)
         if lag.worst > max(worst_before, MIN_LOGGED_LAG):
-            self.log("lag", seconds=round(lag.worst, 3))
+            self.log(LogEvent.EVENT_LOOP_LAG, lag_s=round(lag.worst, 3))
         self.clock.callLater(max(0.0, due - now), self.measure_lag)
 
     # -- drain ------------------------------------------------------------------------------------
@@ -229,6 +230,6 @@
         within = self.sheet.node.drain_within
         runtimes = self._all_runtimes()
         sequences = sum(len(runtime.executor.in_flight) for runtime in runtimes)
-        self.log("draining", sequences=sequences, within=within)
+        self.log(LogEvent.DRAINING, in_flight=sequences, timeout_s=within)
         self._drain = Drain(self.clock, runtimes, within)
         self._drain.start(hands_over=self.replication is not None and self.sheet.engines_may.claims)
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -8,10 +8,12 @@
 from random import Random
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.limits.admission import AdmissionController
 from myrtlehub.limits.retry_budget import RetryBudget
+from myrtlehub.log_events import Log
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
 from myrtlehub.node.batch_fronts.embeddings import EMBEDDINGS
@@ -22,7 +24,7 @@
 from myrtlehub.node.client_limits import ClientLimits
 from myrtlehub.node.engine_pools import EnginePools
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
-from myrtlehub.node.protocols import Clock, EngineTransport, Log
+from myrtlehub.node.protocols import EngineTransport
 from myrtlehub.node.replication.replicated_transport import ReplicatedTransport
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.request_decoder import RequestDecoder
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -21,33 +21,6 @@
 TransportCall: TypeAlias = object  # the transport's own of one attempt
 
 
-class Timer(Protocol):
-    """A call that is scheduled."""
-
-    def active(self) -> bool:
-        """Tell whether it is still to come."""
-
-    def cancel(self) -> None:
-        """Call it off."""
-
-
-class Clock(Protocol):
-    """The only clock of a node, with its timers."""
-
-    def seconds(self) -> float:
-        """Return the present time, in seconds that only advance."""
-
-    def callLater(self, delay: float, call: Callable[..., None], *args: object) -> Timer:  # noqa: N802
-        """Schedule a call, as the reactor does."""
-
-
-class Log(Protocol):
-    """The operators' log."""
-
-    def __call__(self, event: str, **fields: object) -> None:
-        """Write an event."""
-
-
 class ResponseSink(Protocol):
     """Takes the response to one sequence; of the last three methods one is called, once."""
 
--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -3,7 +3,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from myrtlehub.node.protocols import Clock, Log
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.replication.wire import CALL_TIMEOUT, FORMAT_VERSION, PEERS_SERVICE, encode_record
 from myrtlehub.proto import peers_pb2 as pb
 from myrtlehub.recovery.sequence_records import SequenceRecord
@@ -111,7 +112,7 @@
             lambda data: self._answered(peer, versions, pb.KeepReply.FromString(data)),
             lambda failure: self._failed(peer, versions),
         )
-        done.addErrback(lambda failure: self.log("fault", text=failure.getTraceback()))
+        done.addErrback(lambda failure: self.log(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback()))
 
     def _answered(self, peer: PeerConnection, versions: dict[str, int], reply: pb.KeepReply) -> None:
         peer.incarnation = reply.run
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock, Timer
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import Clock, Log, Timer
 from myrtlehub.node.replication.former_ownerships import FormerOwnerships
 from myrtlehub.node.replication.peer_connections import PeerConnections, PendingUpdate
 from myrtlehub.node.sequences import Attempt, InFlightSequence
@@ -144,7 +145,11 @@
         published = self.sequences[sequence_id]
         executor = published.executor
         self.leave(sequence_id)
-        self.log("superseded", seq=sequence_id, epoch=published.owned.record.ownership.epoch)
+        self.log(
+            LogEvent.OWNERSHIP_SUPERSEDED,
+            sequence_id=sequence_id,
+            epoch=published.owned.record.ownership.epoch,
+        )
         for sequence in [row for row in executor.in_flight.values() if row.sequence_id == sequence_id]:
             # What it has at engines is the other node's now: a reset from here could come before its claim.
             executor.hand_over(sequence)
--- a/myrtlehub/node/replication/replica_service.py
+++ b/myrtlehub/node/replication/replica_service.py
@@ -6,7 +6,8 @@
 
 from collections.abc import Callable
 
-from myrtlehub.node.protocols import Clock, Log
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.replication.wire import FORMAT_VERSION, PEERS_SERVICE, decode_record, encode_record
 from myrtlehub.proto import peers_pb2 as pb
 from myrtlehub.recovery.failure_detector import FailureDetector
@@ -55,7 +56,7 @@
         """Give the clients of a failed or restarted owner a while to come back elsewhere."""
         records = self.store.records_of(f"{node}.{incarnation}")
         if records:
-            self.log("owner lost", node=node, run=incarnation, sequences=len(records))
+            self.log(LogEvent.OWNER_LOST, node=node, incarnation=incarnation, sequences=len(records))
             self.clock.callLater(self.return_timeout, self._abandon, node, incarnation)
 
     def _abandon(self, node: str, incarnation: str) -> None:
--- a/myrtlehub/node/replication/replication.py
+++ b/myrtlehub/node/replication/replication.py
@@ -4,8 +4,9 @@
 
 from twisted.internet.defer import Deferred, succeed
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.takeover import TakeoverConfig
-from myrtlehub.node.protocols import Clock, Log
+from myrtlehub.log_events import Log
 from myrtlehub.node.replication.peer_connections import PeerConnections
 from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replica_service import ReplicaService
--- a/myrtlehub/node/replication/reply_collector.py
+++ b/myrtlehub/node/replication/reply_collector.py
@@ -4,7 +4,8 @@
 
 from twisted.internet.defer import Deferred
 
-from myrtlehub.node.protocols import Clock, Log
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import Log, LogEvent
 
 
 class ReplyCollector:
@@ -31,7 +32,7 @@
         self.is_done = False
         for index, call in enumerate(calls):
             call.addCallback(self._replied, index)
-            call.addErrback(lambda failure: log("fault", text=failure.getTraceback()))
+            call.addErrback(lambda failure: log(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback()))
 
     def _replied(self, reply: object, index: int) -> None:
         self.replies[index] = reply
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -10,9 +10,11 @@
 
 from twisted.internet.defer import Deferred
 
+from myrtlehub.clock import Timer
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.transport import SERVICE, GrpcEngineTransport
-from myrtlehub.node.protocols import ResponseSink, Timer
+from myrtlehub.node.protocols import ResponseSink
 from myrtlehub.node.replication.attached_stream import AttachedStream
 from myrtlehub.node.replication.engine_claims import EngineClaims, has_stream, is_refused
 from myrtlehub.node.replication.replication import Replication
@@ -247,16 +249,16 @@
     def _log(self, decision: RecoveryDecision, reports: list[AttemptReport] = ()) -> None:
         now = self.clock.seconds()
         self.replication.log(
-            "takeover",
-            seq=self.request.sequence_id,
-            do=decision.action,
-            why=decision.reason,
-            seen=self.request.client_tokens,
+            LogEvent.TAKEOVER_DECIDED,
+            sequence_id=self.request.sequence_id,
+            action=decision.action,
+            reason=decision.reason,
+            client_tokens=self.request.client_tokens,
             epoch=self.record.ownership.epoch if self.record else 0,
             engine=decision.engine,
-            stood=[f"{report.intent.attempt} {report.state} {report.token_count}" for report in reports],
-            asked=round(self.asked_at - self.started_at, 4),
-            took=round(now - self.started_at, 4),
+            attempts=[f"{report.intent.attempt} {report.state} {report.token_count}" for report in reports],
+            requested_after_s=round(self.asked_at - self.started_at, 4),
+            duration_s=round(now - self.started_at, 4),
         )
 
     # -- the attached stream: see `attached_stream.StreamObserver` --------------------------------
--- a/myrtlehub/node/router_driver.py
+++ b/myrtlehub/node/router_driver.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Sequence
 from enum import StrEnum
 
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.membership.endpoint import Endpoint
 from myrtlehub.node.protocols import (
-    Clock,
     Decoder,
     EngineTransport,
-    Log,
     RequestPayload,
     ResponseSink,
     StateHandle,
@@ -127,7 +127,9 @@
             self.transport.forget(address)
 
     def _log_engine(self, address: str, state: str) -> None:
-        self.log("engine", engine=address, standing=state, list_version=self.list_version)
+        self.log(
+            LogEvent.ENGINE_STATE_CHANGED, engine=address, engine_state=state, list_version=self.list_version
+        )
 
     def set_pool_closed(self, pool: int, is_closed: bool) -> None:
         """Keep the work of one engine pool from engines that other pools have as well, or let it in again."""
@@ -348,13 +350,13 @@
         self.answer_counts[answer] += 1
         latency = sequence.first_token_latency
         self.log(
-            "answer",
-            seq=sequence.sequence_id,
+            LogEvent.SEQUENCE_ANSWERED,
+            sequence_id=sequence.sequence_id,
             answer=answer,
             traffic_type=self.decoder.rows[sequence.arrival.traffic].name,
             attempts=len(sequence.attempts),
-            first_token=None if latency is None else round(latency, 4),
-            took=round(self.clock.seconds() - sequence.accepted_at, 4),
+            first_token_s=None if latency is None else round(latency, 4),
+            duration_s=round(self.clock.seconds() - sequence.accepted_at, 4),
             **more,
         )
         self.on_answered(sequence)
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -3,7 +3,8 @@
 from enum import StrEnum
 from typing import Self
 
-from myrtlehub.node.protocols import RequestPayload, ResponseSink, StateHandle, Timer, TransportCall
+from myrtlehub.clock import Timer
+from myrtlehub.node.protocols import RequestPayload, ResponseSink, StateHandle, TransportCall
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import ANSWER
 from myrtlehub.state.attempt import ATTEMPT, OUTSTANDING_STATES, AttemptEvent, AttemptState
--- a/myrtlehub/records.py
+++ b/myrtlehub/records.py
@@ -1,34 +1,36 @@
-"""Records of what passed on sockets: one line of time, kept whole up to the last write.
+"""Records of what clients and engines sent and received, for the rule checker.
 
-A record is a msgspec array: time (seconds of the machine's monotonic clock, the same for all processes),
-who wrote it, what, and details by name. Records are packed with zstandard and flushed one by one, so a
-process that is killed outright loses at most what it had not yet written.
+A record is a msgspec array: the time (seconds of the machine's monotonic clock, which all processes share),
+who wrote it, what happened, and details by name. Records are compressed with zstandard and flushed one by
+one, so a process that is killed loses at most the record that it was writing.
 """
 
 import os
 from collections.abc import Iterator
 from pathlib import Path
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 import zstandard
 
+from myrtlehub.clock import Clock
+
 HEAD = b"myrtlehub-records-1\n"
 
 
 class Record(NamedTuple):
-    """One thing that passed."""
+    """One event, as a client or an engine saw it."""
 
     at: float
     who: str
     what: str
-    more: dict
+    more: dict[str, Any]
 
 
 class Recorder:
     """Writes records to a file; without a path it keeps them in `kept`."""
 
-    def __init__(self, who: str, clock: object, path: str | Path = "") -> None:
+    def __init__(self, who: str, clock: Clock, path: str | Path = "") -> None:
         self.who, self.clock = who, clock
         self.kept: list[Record] = []
         self._file = -1
@@ -56,20 +58,24 @@
 
 
 def read(path: str | Path) -> Iterator[Record]:
-    """The records of a file, up to where it was cut. ValueError if it is not one of ours."""
+    """Yield the records of a file, up to the first one that was not written completely.
+
+    Raises:
+        ValueError: the file is not one of records.
+    """
     data = Path(path).read_bytes()
     if not data.startswith(HEAD):
         raise ValueError(f"{path}: not a file of records")
     data = data[len(HEAD) :]
     raw = bytearray()
-    while data:  # a process that came back appends a frame of its own
+    while data:  # a process that was restarted appends a frame of its own
         unpacker = zstandard.ZstdDecompressor().decompressobj()
         try:
             raw += unpacker.decompress(data)
         except zstandard.ZstdError:
             break
         data = unpacker.unused_data
-    unpack = msgspec.msgpack.Decoder(tuple[float, str, str, dict])
+    unpack = msgspec.msgpack.Decoder(tuple[float, str, str, dict[str, Any]])
     at = 0
     while at + 4 <= len(raw):
         size = int.from_bytes(raw[at : at + 4])
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -11,6 +11,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
 from myrtlehub.http1.connection_pool import Dial
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.clock import SteadyClock
 from myrtlehub.node.process import on_signal, on_term, settle_memory
 from myrtlehub.relay.bounded_port import BoundedPort
@@ -106,7 +107,7 @@
         settle_memory()
         self.reactor.run(installSignalHandlers=False)
         self.node.monitor.log_counters()
-        self.log("ended", **dict(sorted(self.node.executor.answer_counts.items())))
+        self.log(LogEvent.ENDED, **dict(sorted(self.node.executor.answer_counts.items())))
         self.log.flush(LAST_FLUSH_S)
 
 
--- a/myrtlehub/relay/attempt_response.py
+++ b/myrtlehub/relay/attempt_response.py
@@ -9,6 +9,7 @@
 from myrtlehub.http1.client_connection import ResponseHandler
 from myrtlehub.http1.interfaces import Headers
 from myrtlehub.http1.pending_request import PendingRequest
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import Attempt
 from myrtlehub.relay.errors import EventStreamError
 from myrtlehub.relay.event_stream import EventStreamParser
@@ -179,7 +180,10 @@
         self.client.stream_monitor.remove(self)
         if reason is not None:
             self.client.log(
-                "broken", seq=self.attempt.sequence.sequence_id, number=self.attempt.number, why=reason
+                LogEvent.ATTEMPT_FAILED,
+                sequence_id=self.attempt.sequence.sequence_id,
+                attempt=self.attempt.number,
+                reason=reason,
             )
         cached_tokens = cached_tokens or float(end.no_state)
         handle = True if end.outcome == contract.Outcome.READ else None
--- a/myrtlehub/relay/bounded_port.py
+++ b/myrtlehub/relay/bounded_port.py
@@ -5,7 +5,7 @@
 from twisted.internet.address import IPv4Address
 from twisted.internet.tcp import Port
 
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.clock import Clock
 from myrtlehub.http1.listener import ConnectionListener
 from myrtlehub.relay.node import MAX_ACCEPTS_PER_TURN
 
--- a/myrtlehub/relay/client_front.py
+++ b/myrtlehub/relay/client_front.py
@@ -4,6 +4,7 @@
 
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.http1.server_exchange import ServerExchange
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
 from myrtlehub.relay.errors import RejectedRequestError
 from myrtlehub.relay.platform_limits import DEFAULT_MAX_IN_FLIGHT
@@ -134,7 +135,7 @@
     def _reject(self, exchange: ServerExchange, status: int, reason: str = "") -> None:
         """Respond with a client error at once; the connection is closed."""
         self.rejected_count += 1
-        self.executor.log("request rejected", status=status, why=reason)
+        self.executor.log(LogEvent.REQUEST_REJECTED, status=status, reason=reason)
         exchange.respond(status, close=True)
 
     def _accept(self, exchange: ServerExchange) -> None:
--- a/myrtlehub/relay/discovery_client.py
+++ b/myrtlehub/relay/discovery_client.py
@@ -4,14 +4,14 @@
 from random import Random
 from typing import Any
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.client_connection import ClientRequest, ResponseHandler
 from myrtlehub.http1.connection_pool import ConnectionPool
-from myrtlehub.http1.interfaces import Clock, Headers, Timer
+from myrtlehub.http1.interfaces import Headers
 from myrtlehub.http1.pending_request import PendingRequest
-from myrtlehub.node.protocols import Log
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.relay.endpoint_list import EndpointListDecoder, EndpointListUpdate
 from myrtlehub.relay.errors import EndpointListError, MalformedJsonError
-from myrtlehub.relay.event_log import no_log
 from myrtlehub.relay.parsing import parse_json
 
 PATH = b"/discovery/hosts"
@@ -166,7 +166,7 @@
             self._on_failure(str(error))
             return
         if self._failures:
-            self.log("discovery answers again", after=self._failures)
+            self.log(LogEvent.DISCOVERY_RECOVERED, failed_polls=self._failures)
         self._stop()
         self._failures = 0
         self.has_answered = True
@@ -196,4 +196,4 @@
             self.version = None
             self._call_later(RETRY_INTERVAL_S * (0.5 + 0.5 * self.random.random()), self._send)
         if self._failures == 1:
-            self.log("discovery does not answer", why=reason)
+            self.log(LogEvent.DISCOVERY_UNREACHABLE, reason=reason)
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engine_client.py
@@ -3,14 +3,13 @@
 from collections.abc import Callable
 from functools import partial
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.client_connection import ClientRequest
 from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.action_executor import ActionExecutor, Attempt
-from myrtlehub.node.protocols import Log
 from myrtlehub.relay.attempt_response import AttemptResponseHandler
 from myrtlehub.relay.engine_directory import EngineDirectory
-from myrtlehub.relay.event_log import no_log
 from myrtlehub.relay.one_shot_response import OneShotResponse
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.relay.request_decoder import RequestDecoder
@@ -60,16 +59,16 @@
         handler = attempt.call.handler if attempt.call is not None else None
         now = self.clock.seconds()
         self.log(
-            "attempt",
-            seq=attempt.sequence.sequence_id,
-            number=attempt.number,
+            LogEvent.ATTEMPT_ENDED,
+            sequence_id=attempt.sequence.sequence_id,
+            attempt=attempt.number,
             engine=self.directory.name(attempt.engine),
-            kind=attempt.kind,
-            reads=attempt.reads,
+            engine_kind=attempt.kind,
+            is_read=attempt.reads,
             state=attempt.state_machine.state,
-            took=round(now - attempt.sent_at, 4),
-            timed=now >= attempt.times_out_at,
-            gap=round(handler.longest_gap, 2) if handler is not None else 0.0,
+            duration_s=round(now - attempt.sent_at, 4),
+            timed_out=now >= attempt.times_out_at,
+            longest_gap_s=round(handler.longest_gap, 2) if handler is not None else 0.0,
         )
         if handler is not None:
             # they refer to one another, and to the whole request: only the collector would free them
@@ -104,7 +103,7 @@
         if broken is not None:
             self.invariants.note_withheld(broken)
             sequence_id = attempt.sequence.sequence_id
-            self.log("withheld", seq=sequence_id, number=attempt.number, why=broken)
+            self.log(LogEvent.SEND_WITHHELD, sequence_id=sequence_id, attempt=attempt.number, reason=broken)
             return None
         told_ms = max(1, int((time_left - TOLD_TIME_MARGIN_S) * 1000))
         return request._replace(headers=[*request.headers, (b"x-remaining-ms", b"%d" % told_ms)])
--- a/myrtlehub/relay/engine_directory.py
+++ b/myrtlehub/relay/engine_directory.py
@@ -1,7 +1,7 @@
 """Where engines are reached, and when each was last heard of."""
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.connection_pool import ConnectionPool
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.node.endpoint_index import EndpointIndex
 from myrtlehub.relay.endpoint_list import EndpointState
 
--- a/myrtlehub/relay/graceful_shutdown.py
+++ b/myrtlehub/relay/graceful_shutdown.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.clock import Clock
 
 # After SIGTERM, for which connections are still accepted: the balancer in front needs as long to notice.
 ACCEPT_PERIOD_S = 0.5
--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from myrtlehub.http1.interfaces import Clock, Timer
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.server_connection import CloseReason
 from myrtlehub.http1.server_exchange import ServerExchange
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
-from myrtlehub.node.protocols import Log
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import (
     Invariant,
@@ -65,22 +65,22 @@
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
         """Check the close of a client's connection from this side."""
         is_open = exchange is not None and not exchange.finished
-        self.log("closed", why=reason, is_open=is_open)
+        self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
         self.counter.check(broken_by_close(is_open, client_has_closed=False))
 
     def log_counters(self) -> None:
         """Write the counters."""
         self.log(
-            "counters",
+            LogEvent.COUNTERS,
             answers=dict(sorted(self.executor.answer_counts.items())),
             in_flight=len(self.executor.in_flight),
-            worst_lag=round(self.worst_lag(), 3),
+            worst_lag_s=round(self.worst_lag(), 3),
             withheld=dict(sorted(self.counter.withheld.items())),
             violations=dict(sorted(self.counter.violations.items())),
         )
 
     def _violated(self, invariant: Invariant, sequence_id: str) -> None:
-        self.log("invariant violated", invariant=invariant, seq=sequence_id)
+        self.log(LogEvent.INVARIANT_VIOLATED, invariant=invariant, sequence_id=sequence_id)
         self.on_violation()
 
     def _forgotten(self, sequence: InFlightSequence) -> None:
--- a/myrtlehub/relay/log_writer.py
+++ b/myrtlehub/relay/log_writer.py
@@ -8,7 +8,7 @@
 MAX_BUFFERED_BYTES = 256 * 1024
 # A pipe that polls as writable takes so many bytes without blocking (POSIX, PIPE_BUF).
 MAX_WRITE_BYTES = select.PIPE_BUF
-DROP_NOTICE = b'{"event":"log lines dropped","count":%d}\n'
+DROP_NOTICE = b'{"event":"log_lines_dropped","count":%d}\n'  # LogEvent.LOG_LINES_DROPPED, encoded beforehand
 
 
 class Poll(Protocol):
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -4,18 +4,17 @@
 from random import Random
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.connection_pool import ConnectionPool, Dial
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.listener import ConnectionListener
 from myrtlehub.limits.event_loop_lag import TICK_PERIOD
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import Log
 from myrtlehub.relay.client_front import ClientFront
 from myrtlehub.relay.discovery_client import CONNECT_TIMEOUT_S, DiscoveryClient
 from myrtlehub.relay.endpoint_list import EndpointListDecoder, EndpointListUpdate
 from myrtlehub.relay.engine_client import EngineClient
 from myrtlehub.relay.errors import EndpointListError
-from myrtlehub.relay.event_log import no_log
 from myrtlehub.relay.invariant_monitor import InvariantMonitor, RecurringTimer
 from myrtlehub.relay.node_settings import NodeSettings, router_config_of
 from myrtlehub.relay.platform_limits import platform_limits_of
@@ -137,7 +136,7 @@
                 self._uses_fallback = True
                 self._apply(update._replace(complete=True))
         except EndpointListError as error:
-            self.log("fallback endpoint list rejected", why=str(error))
+            self.log(LogEvent.FALLBACK_LIST_REJECTED, reason=str(error))
         finally:
             self.open()
 
@@ -146,7 +145,7 @@
         if not self._opened:
             self._opened = True
             self.on_open()
-            self.log("ready", name=self.settings.name, engines=len(self.decoder.engines.rows))
+            self.log(LogEvent.READY, name=self.settings.name, engines=len(self.decoder.engines.rows))
 
     def _is_ready(self) -> bool:
         """Return whether a list is there: the present one, or after a while the fallback."""
--- a/myrtlehub/relay/settings_reload.py
+++ b/myrtlehub/relay/settings_reload.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from myrtlehub.node.protocols import Log
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.relay.errors import SettingsError
 from myrtlehub.relay.node_settings import NodeSettings, read_node_settings
 
@@ -17,7 +17,7 @@
     try:
         settings = read_node_settings(path)
     except SettingsError as error:
-        log("configuration kept", why=str(error))
+        log(LogEvent.SETTINGS_RELOAD_FAILED, reason=str(error))
         return
     changed = {
         "name": settings.name != current.name,
@@ -26,7 +26,7 @@
         "settings": settings.platform != current.platform,
     }
     log(
-        "configuration read",
+        LogEvent.SETTINGS_RELOADED,
         discovery=settings.discovery,
         not_applied=sorted(key for key, differs in changed.items() if differs),
     )
--- a/myrtlehub/relay/state_release.py
+++ b/myrtlehub/relay/state_release.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.client_connection import ClientRequest
 from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
-from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.action_executor import InFlightSequence
 from myrtlehub.relay.engine_directory import EngineDirectory
--- a/myrtlehub/relay/stream_monitor.py
+++ b/myrtlehub/relay/stream_monitor.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.clock import Clock
 
 CHECK_INTERVAL_S = 0.25
 
--- a/myrtlehub/relay/uncertain_attempts.py
+++ b/myrtlehub/relay/uncertain_attempts.py
@@ -1,6 +1,6 @@
 """Sequences of which an attempt may go on unseen: it was cancelled, or its connection broke."""
 
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.clock import Clock
 
 REMEMBERED_S = 60.0  # no sequence waits longer
 
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -12,6 +12,7 @@
 from twisted.python.failure import Failure
 
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
+from myrtlehub.log_events import LogEvent
 from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry, last_generation
 from myrtlehub.rollout.progress import FLEET, Action, NodeAction, RolloutState
 from myrtlehub.rollout.samples import timer_event
@@ -98,7 +99,8 @@
         torn = self.journal.open(self.files.header, resume)
         if torn:
             self._print_event(
-                "torn", text=f"{torn} bytes of a last line that was not wholly written were dropped"
+                LogEvent.JOURNAL_TAIL_DROPPED,
+                text=f"{torn} bytes of a last line that was not wholly written were dropped",
             )
         for entry in self.journal.entries:
             self.record.replay(entry)
@@ -134,7 +136,7 @@
         actions.generation = max(seen, last_generation(self.journal.entries)) + 1
         identity = {"generation": actions.generation, "controller": actions.controller}
         self.journal.append(JournalEntry(time.time(), str(BookkeepingEvent.CONTROLLER), details=identity))
-        self._print_event("controller", **identity, of=len(self.nodes))
+        self._print_event(LogEvent.CONTROLLER_STARTED, **identity, node_count=len(self.nodes))
 
     def _begin(self) -> None:
         old = [tracked.status.revision for tracked in self.nodes]
@@ -214,7 +216,13 @@
         for node, (was, now) in enumerate(zip(before.nodes, self.state.nodes, strict=True)):
             if was != now:
                 self.nodes[node].state_since = self._reactor.seconds()
-                self._print_event("node", node=self.files.names[node], was=was, now=now, by=event)
+                self._print_event(
+                    LogEvent.NODE_STATE_CHANGED,
+                    node=self.files.names[node],
+                    previous_state=was,
+                    state=now,
+                    cause=event,
+                )
 
     def _note_phase_change(
         self, before: RolloutState, event: NodeEvent | RolloutEvent, node: int, reason: str
@@ -227,7 +235,12 @@
             name = "" if node == FLEET else self.files.names[node]
             self.reason = reason or self.reason or f"{event} {name}".strip()
         self._print_event(
-            "change", was=before.phase, now=after.phase, stage=after.stage + 1, by=event, why=reason
+            LogEvent.PHASE_CHANGED,
+            previous_phase=before.phase,
+            phase=after.phase,
+            stage=after.stage + 1,
+            cause=event,
+            reason=reason,
         )
 
     def _carry_out(self, action: Action) -> None:
@@ -236,7 +249,10 @@
             self._carry_out_for_fleet(action.kind)
         elif action.kind is NodeAction.REPORT:
             self._print_event(
-                "tell", node=self.files.names[node], state=self.state.nodes[node], why=self.reason
+                LogEvent.OPERATOR_NEEDED,
+                node=self.files.names[node],
+                state=self.state.nodes[node],
+                reason=self.reason,
             )
         else:
             self._actions.carry_out(action.kind, node, self.state.nodes[node])
@@ -263,7 +279,12 @@
 
     def _note_refusal(self, node: int, refusal: Refusal) -> None:
         self.reason = refusal.reason
-        self._print_event("refused", node=self.files.names[node], order=refusal.order, why=refusal.message)
+        self._print_event(
+            LogEvent.NODE_CALL_REJECTED,
+            node=self.files.names[node],
+            method=refusal.order,
+            reason=refusal.message,
+        )
 
     def _take_refusal(self, node: int) -> None:
         try:
@@ -280,7 +301,7 @@
         if failure.check(RolloutError):
             code = failure.value.exit_code
         else:
-            self._print_event("fault", text=failure.getTraceback())
+            self._print_event(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback())
             code = ExitCode.INVALID
         self.reason = str(failure.value)
         self._end(code)
@@ -289,7 +310,7 @@
         if self._is_over:
             return
         self.abandon()
-        self._print_event("end", change=self.state.phase, why=self.reason, code=code)
+        self._print_event(LogEvent.ROLLOUT_ENDED, phase=self.state.phase, reason=self.reason, exit_code=code)
         for tracked in self.nodes:
             tracked.client.close()
         self.journal.close()
--- a/myrtlehub/rollout_controller/node_actions.py
+++ b/myrtlehub/rollout_controller/node_actions.py
@@ -6,6 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
 from myrtlehub.rollout.progress import NodeAction
@@ -79,7 +80,9 @@
             case NodeAction.START_OLD:
                 self._start(node, PlanSide.OLD)
             case NodeAction.KILL:
-                self._print_event("kill", node=self._files.names[node], at=time.monotonic())
+                self._print_event(
+                    LogEvent.PROCESS_KILLED, node=self._files.names[node], killed_at_s=time.monotonic()
+                )
                 self._supervisor.kill(node, self._nodes[node].process)
 
     def _leave(self, node: int) -> None:
--- a/myrtlehub/rollout_controller/rollout_record.py
+++ b/myrtlehub/rollout_controller/rollout_record.py
@@ -4,6 +4,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple, Protocol
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry
 from myrtlehub.rollout.progress import FLEET, StepResult, initial_state, step
 from myrtlehub.rollout.samples import Revision, WindowSampler
@@ -20,7 +21,7 @@
 class EventPrinter(Protocol):
     """Prints what a controller does, for people and for programs that follow it."""
 
-    def __call__(self, event: str, **fields: object) -> None:
+    def __call__(self, event: LogEvent, /, **fields: object) -> None:
         """Print one event."""
 
 
@@ -85,7 +86,8 @@
             self.sampler.slow_first_token = float(learned["slow"])
         except (KeyError, TypeError, ValueError) as error:
             self._print_event(
-                "unlearned", text=f"the journal's figures cannot be used: {error}; bounds are wider"
+                LogEvent.SAMPLES_UNUSABLE,
+                text=f"the journal's figures cannot be used: {error}; bounds are wider",
             )
 
     # -- writing ----------------------------------------------------------------------------------
--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -10,10 +10,10 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc.backoff import Backoff
 from myrtlehub.rpc.client_call import CallWatcher, ClientCall
 from myrtlehub.rpc.client_protocol import ClientProtocol, ClientProtocolFactory
-from myrtlehub.rpc.clock import Clock, Timer
 from myrtlehub.rpc.framing import IDENTITY
 from myrtlehub.rpc.status import Code, RpcError, Status
 from myrtlehub.rpc.transport_limits import TransportLimits
--- a/myrtlehub/rpc/client_call.py
+++ b/myrtlehub/rpc/client_call.py
@@ -5,8 +5,8 @@
 
 from h2.errors import ErrorCodes
 
+from myrtlehub.clock import Timer
 from myrtlehub.rpc import framing, metadata
-from myrtlehub.rpc.clock import Timer
 from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.status import (
     Code,
--- a/myrtlehub/rpc/frame_writer.py
+++ b/myrtlehub/rpc/frame_writer.py
@@ -6,7 +6,7 @@
 
 from typing import TYPE_CHECKING
 
-from myrtlehub.rpc.clock import Clock, Timer
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc.stream import Stream
 
 if TYPE_CHECKING:
--- a/myrtlehub/rpc/http2_protocol.py
+++ b/myrtlehub/rpc/http2_protocol.py
@@ -25,7 +25,7 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from myrtlehub.rpc.clock import Clock
+from myrtlehub.clock import Clock
 from myrtlehub.rpc.frame_rate_limiter import FrameRateLimiter
 from myrtlehub.rpc.frame_reader import FrameReader
 from myrtlehub.rpc.frame_writer import FrameWriter
--- a/myrtlehub/rpc/keepalive.py
+++ b/myrtlehub/rpc/keepalive.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from myrtlehub.rpc.clock import Clock, Timer
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 TIMER_TOLERANCE = 0.001  # seconds that a timer may be early
--- a/myrtlehub/rpc/server.py
+++ b/myrtlehub/rpc/server.py
@@ -7,8 +7,8 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Clock
 from myrtlehub.rpc import framing, metadata
-from myrtlehub.rpc.clock import Clock
 from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.method_handlers import Handler
 from myrtlehub.rpc.server_call import ServerCall
--- a/myrtlehub/rpc/server_call.py
+++ b/myrtlehub/rpc/server_call.py
@@ -7,8 +7,8 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Timer
 from myrtlehub.rpc import framing, metadata
-from myrtlehub.rpc.clock import Timer
 from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.status import Code, Metadata, RpcError, encode_message
 from myrtlehub.rpc.stream import Stream
--- a/tests/socketrig.py
+++ b/tests/socketrig.py
@@ -24,6 +24,8 @@
 from relaymessages import SETTINGS
 from socketpeers import HOST, TIMEOUT_S, Discovery, Engine, ScriptedPeer
 
+from myrtlehub.log_events import LogEvent
+
 ROOT = Path(__file__).parent.parent
 PAGE_BYTES = 4096
 
@@ -322,7 +324,7 @@
         if "stdout" in relay:
             node.wait_for_open_port()
         elif not silent:
-            node.wait_for_log("ready")
+            node.wait_for_log(LogEvent.READY)
         return node
 
     def start_relay(self, **relay: Any) -> RelayProcess:  # noqa: ANN401
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -133,7 +133,9 @@
 
 def test_generated_code_is_up_to_date(tmp_path: Path) -> None:
     subprocess.run([ROOT / ".ci" / "protos", tmp_path], check=True, timeout=60)
-    made = sorted((tmp_path / "myrtlehub" / "proto").glob("*_pb2.py"))
-    kept = sorted((ROOT / "myrtlehub" / "proto").glob("*_pb2.py"))
-    assert [p.name for p in made] == [p.name for p in kept] and len(made) == 5
-    assert all(a.read_text() == b.read_text() for a, b in zip(made, kept, strict=True)), "run `make protos`"
+    generated = sorted((tmp_path / "myrtlehub" / "proto").glob("*_pb2.py*"))
+    committed = sorted((ROOT / "myrtlehub" / "proto").glob("*_pb2.py*"))
+    assert [path.name for path in generated] == [path.name for path in committed]
+    assert len([path for path in generated if path.suffix == ".py"]) == 5 and len(generated) == 10
+    for ours, theirs in zip(committed, generated, strict=True):
+        assert ours.read_text() == theirs.read_text(), "run `make protos`"
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -7,6 +7,7 @@
 from twisted.internet.task import Clock
 
 from myrtlehub.config.endpoints import EndpointConfig
+from myrtlehub.log_events import LogEvent
 from myrtlehub.membership.endpoint_watcher import EndpointWatcher, WatchConfig
 from myrtlehub.membership.snapshot import read_snapshot
 from myrtlehub.membership.version_store import VersionStore
@@ -93,8 +94,8 @@
         path.write_text(torn)
         rig.watcher.files_changed()
         rig.run(0.5)
-        assert rig.names() == "r1 w1 w2" and rig.logged[-1][0] == "list refused"
-        assert reason in rig.logged[-1][1]["why"]
+        assert rig.names() == "r1 w1 w2" and rig.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
+        assert reason in rig.logged[-1][1]["reason"]
 
 
 def test_renames_symlinks_and_lost_directories_are_followed(tmp_path: Path) -> None:
@@ -118,7 +119,7 @@
     assert rig.names() == "r1 w1 w2 w4"
     folder.rename(tmp_path / "elsewhere")
     rig.run(1.6)
-    assert rig.names() == "r1 w1 w2 w4" and rig.logged[-1][0] == "list refused"
+    assert rig.names() == "r1 w1 w2 w4" and rig.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
     assert rig.validator.source_lost_at is not None
     assert rig.validator.age(rig.clock.seconds() + 5.0) > 5.0
     folder.mkdir()
@@ -127,7 +128,7 @@
     assert rig.names() == "r1 w9" and rig.validator.source_lost_at is None
     (folder / "8.yaml").write_text(list_text("w9", weight=2.0))  # two files in conflict
     rig.run(1.6)
-    assert rig.names() == "r1 w9" and "has other figures in" in rig.logged[-1][1]["why"]
+    assert rig.names() == "r1 w9" and "has other figures in" in rig.logged[-1][1]["reason"]
 
 
 def test_a_burst_of_complete_and_torn_writes_ends_in_the_last_valid_list(tmp_path: Path) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,6 +7,7 @@
 from relayrig import RelayRig, never_respond
 
 from myrtlehub.http1.server_connection import CloseReason
+from myrtlehub.log_events import LogEvent
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import (
     Invariant,
@@ -154,7 +155,7 @@
     assert dumps and [
         fields
         for event, fields in rig.logged
-        if event == "invariant violated" and fields["invariant"] == invariant
+        if event == LogEvent.INVARIANT_VIOLATED and fields["invariant"] == invariant
     ]
 
 
@@ -168,6 +169,6 @@
     rig.run(11.0)
     for connection in rig.engines["w1"].connections:
         connection.send(COMPLETE_STREAM) if not connection.lost else None
-    counters = [fields for event, fields in rig.logged if event == "counters"]
+    counters = [fields for event, fields in rig.logged if event == LogEvent.COUNTERS]
     assert counters and counters[-1]["violations"] == {} and counters[-1]["in_flight"] == 0
     assert counters[-1]["answers"] == {"generated": 10, "left": 1}
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.event_log import MAX_DUMPED_EVENTS, EventLog
 from myrtlehub.relay.log_writer import LogWriter
 
@@ -65,7 +66,7 @@
     writer.write_line(b"next\n")
     writer.write_line(b"last\n")
     tail = (read + pipe.read_all()).splitlines()[-3:]
-    assert tail == [b'{"event":"log lines dropped","count":%d}' % dropped, b"next", b"last"]
+    assert tail == [b'{"event":"log_lines_dropped","count":%d}' % dropped, b"next", b"last"]
 
 
 def test_a_full_device_and_a_closed_descriptor_raise_nothing() -> None:
@@ -91,14 +92,14 @@
     log("odd", value="\ud800")
     log("fine", value=object)
     lines = pipe.read_all().splitlines()
-    assert len(lines) == 3 and all(b"unreadable event" in line for line in lines[:2])
+    assert len(lines) == 3 and all(b"event_not_encodable" in line for line in lines[:2])
 
 
 def test_details_stay_in_memory_until_a_dump_which_is_bounded_and_rare(pipe: Pipe) -> None:
     now = [100.0]
     log = EventLog(LogWriter(pipe.writing, max_bytes=1 << 20), lambda: now[0])
     for number in range(5000):
-        log("attempt", number=number)
+        log(LogEvent.ATTEMPT_ENDED, number=number)
     assert pipe.read_all() == b""
     log.dump()
     log.dump()  # at once: nothing more
--- a/tests/test_relay_discovery.py
+++ b/tests/test_relay_discovery.py
@@ -9,6 +9,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Factory
 
+from myrtlehub.log_events import LogEvent
+
 Dial = Callable[[Factory], Deferred]
 Dialer = Callable[..., Dial]
 
@@ -93,7 +95,9 @@
     assert not rig.engines[first].chat_requests() and rig.node.executor.router.estimates.engines
     other = next(name for name in ("w1", "w2") if name != first)
     assert len(rig.engines[other].chat_requests()) == 1
-    assert ("broken", "not sent") in [(event, fields.get("why")) for event, fields in rig.logged]
+    assert (LogEvent.ATTEMPT_FAILED, "not sent") in [
+        (event, fields.get("reason")) for event, fields in rig.logged
+    ]
 
 
 def test_a_silent_discovery_is_polled_again() -> None:
--- a/tests/test_relay_local_failures.py
+++ b/tests/test_relay_local_failures.py
@@ -11,6 +11,8 @@
 from socketpeers import PeerConnection, ReceivedRequest, never_respond
 from socketrig import Client, RelayProcess, SocketRig, stay_stopped
 
+from myrtlehub.log_events import LogEvent
+
 LOCAL_ERRORS = ("EADDRNOTAVAIL", "ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "EACCES", "ENETUNREACH")
 
 
@@ -62,7 +64,9 @@
     faults.wait_for_injected("connect", 3)
     faults.set()
     assert client.read_status() == 200
-    assert not [line for line in node.find_logged("attempt") if line["state"] in ("unreached", "failed")]
+    assert not [
+        line for line in node.find_logged(LogEvent.ATTEMPT_ENDED) if line["state"] in ("unreached", "failed")
+    ]
     assert len(rig.engines["w1"].sequence_ids() + rig.engines["w2"].sequence_ids()) == 1
 
 
@@ -173,5 +177,5 @@
     node = rig.start_relay(argv=faults.argv())
     faults.wait_for_injected("socket", 2)
     faults.set()
-    node.wait_for_log("ready")
+    node.wait_for_log(LogEvent.READY)
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
--- a/tests/test_relay_process.py
+++ b/tests/test_relay_process.py
@@ -24,6 +24,8 @@
 from socketpeers import ReceivedRequest, entry_of, never_respond
 from socketrig import ROOT, Client, SilentClients, SocketRig, deployed_argv, stay_stopped, wait_for_file
 
+from myrtlehub.log_events import LogEvent
+
 
 def test_half_a_request_at_sigterm_is_still_answered(rig: SocketRig) -> None:
     """Crossing: its first bytes were read before the signal, its last one comes after the port has closed."""
@@ -100,7 +102,7 @@
     )
     client = Client(node.address, window=4096).send(chat_request("a1"))
     read = 0
-    while not node.find_logged("answer", seq="a1", answer="generated"):
+    while not node.find_logged(LogEvent.SEQUENCE_ANSWERED, sequence_id="a1", answer="generated"):
         read += len(client.sock.recv(16384))
     node.signal("TERM")
     assert node.exit_code(timeout=1.2) is None
@@ -147,7 +149,7 @@
     node.wait_for_closed_port()
     node.path.write_text("{")
     node.signal("HUP")
-    assert "not JSON" in node.wait_for_log("configuration kept")["why"]
+    assert "not JSON" in node.wait_for_log(LogEvent.SETTINGS_RELOAD_FAILED)["reason"]
     node.signal("TERM")
     rig.engines["w1"].connections[0].send(COMPLETE_STREAM)
     assert client.read_status() == 200
@@ -161,7 +163,7 @@
     node = rig.start_relay(argv=deployed_argv())
     wait_for_file(lambda: f"/proc/{node.process.pid}/cmdline", lambda text: not text.startswith("/bin/sh"))
     node.signal("HUP")
-    node.wait_for_log("ready")
+    node.wait_for_log(LogEvent.READY)
     node.signal("TERM")
     node.assert_clean_exit()
 
@@ -173,10 +175,10 @@
     settings = {**node.config["settings"], "OverShareWorth": 0.7}
     node.write_config(discovery=rig.discovery.address, settings=settings, limits={"sockets": 300})
     node.signal("HUP")
-    line = node.wait_for_log("configuration read")
+    line = node.wait_for_log(LogEvent.SETTINGS_RELOADED)
     assert line["discovery"] == rig.discovery.address and line["not_applied"] == ["limits", "settings"]
-    node.wait_for_log("engine", engine="w2", standing="serving")
-    node.wait_for_log("engine", engine="w1", standing="gone")
+    node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="serving")
+    node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w1", engine_state="gone")
     former_discovery.change(w1="active")
     client = Client(node.address)
     assert client.send(chat_request("a1")).read_status() == 200
@@ -188,10 +190,10 @@
     complete = node.path.read_text()
     node.path.write_text(complete[: len(complete) // 2])
     node.signal("HUP")
-    node.wait_for_log("configuration kept")
+    node.wait_for_log(LogEvent.SETTINGS_RELOAD_FAILED)
     node.path.write_text(complete)
     node.signal("HUP")
-    assert node.wait_for_log("configuration read")["not_applied"] == []
+    assert node.wait_for_log(LogEvent.SETTINGS_RELOADED)["not_applied"] == []
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
 
 
@@ -232,13 +234,13 @@
     """Crossing: as many connections as the process may have descriptors, and more that wait, all silent."""
     node = rig.start("w1 w2", descriptors=128)
     rig.discovery.fall_silent()
-    node.wait_for_log("discovery does not answer")
+    node.wait_for_log(LogEvent.DISCOVERY_UNREACHABLE)
     silent_clients = SilentClients(node.address, 300)
     wait_for_file(lambda: f"/proc/{node.process.pid}/stat", lambda text: node.descriptor_count() > 60)
     rig.discovery.entries["w1"] = entry_of(rig.engines["w1"], "leaving")
     rig.discovery.version += 1
     back = rig.discovery.come_back()
-    node.wait_for_log("engine", engine="w1", standing="draining")
+    node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w1", engine_state="draining")
     assert time.monotonic() - back < 6.0
     ids = [f"a{i}" for i in range(10)]
     requests = [chat_request(sequence_id, remaining_ms=3000) for sequence_id in ids]
@@ -253,7 +255,7 @@
     rig.start("w1")
     first = [rig.start_relay() for _ in range(9)]
     for node in first:
-        node.wait_for_log("ready")
+        node.wait_for_log(LogEvent.READY)
     for node in rig.relays:
         node.kill()
     at = time.monotonic()
@@ -263,7 +265,7 @@
     ]
     took = []
     for node in again:
-        node.wait_for_log("ready")
+        node.wait_for_log(LogEvent.READY)
         took.append(time.monotonic() - at)
     assert len(took) == 10 and sorted(took)[8] < 10.0
     for node in again:
--- a/tests/test_relay_races.py
+++ b/tests/test_relay_races.py
@@ -6,16 +6,18 @@
 from socketpeers import TIMEOUT_S, never_respond
 from socketrig import Client, SocketRig, stay_stopped, wait_for_file
 
+from myrtlehub.log_events import LogEvent
+
 
 def test_a_disconnect_behind_a_flood_of_bytes_is_noticed(rig: SocketRig) -> None:
     """Crossing: its end lies behind bytes that wait for an open request."""
     node = rig.start("w1 w2")
     rig.discovery.change(w1="leaving", w2="leaving")
-    node.wait_for_log("engine", engine="w2", standing="draining")
+    node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="draining")
     Client(node.address).send(chat_request("a1", remaining_ms=12000) + b"x" * 400_000).close()
-    node.wait_for_log("answer", seq="a1", answer="left")
+    node.wait_for_log(LogEvent.SEQUENCE_ANSWERED, sequence_id="a1", answer="left")
     rig.discovery.change(w1="active", w2="active")
-    node.wait_for_log("engine", engine="w2", standing="serving")
+    node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="serving")
     assert Client(node.address).send(chat_request("a2")).read_status() == 200
     assert rig.engines["w1"].sequence_ids() + rig.engines["w2"].sequence_ids() == ["a2"]
 
@@ -51,7 +53,7 @@
     stay_stopped(0.2)
     node.go_on()
     for i in range(8):
-        node.wait_for_log("answer", seq=f"b{i}", answer="left")
+        node.wait_for_log(LogEvent.SEQUENCE_ANSWERED, sequence_id=f"b{i}", answer="left")
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
     assert rig.engines["w1"].sequence_ids() == ["a0", "a1"]
 
--- a/tests/test_relay_rearming.py
+++ b/tests/test_relay_rearming.py
@@ -6,6 +6,7 @@
 from relaymessages import LONG_PROMPT, STREAM_HEAD
 from relayrig import RawClientFactory, RelayRig, never_respond
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.graceful_shutdown import GracefulShutdown
 
 
@@ -181,7 +182,9 @@
     run(rig, 0.8)
     assert client.statuses == [502]
     assert rig.node.monitor.counter.violations == {"answer in time": 1}
-    assert [fields["seq"] for event, fields in rig.logged if event == "invariant violated"] == ["a1"]
+    assert [
+        fields["sequence_id"] for event, fields in rig.logged if event == LogEvent.INVARIANT_VIOLATED
+    ] == ["a1"]
 
 
 def test_connections_are_accepted_again_after_one_that_could_not_be_dropped() -> None:
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -9,6 +9,7 @@
 from relaymessages import SETTINGS
 from relayrig import RelayRig
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.errors import SettingsError
 from myrtlehub.relay.node_settings import read_node_settings
 from myrtlehub.relay.settings_reload import reload_settings
@@ -29,7 +30,7 @@
 
     path.write_text("{")
     reload()
-    assert logged == ["configuration kept"] and rig.node.discovery.address == "disco:1"
+    assert logged == [LogEvent.SETTINGS_RELOAD_FAILED] and rig.node.discovery.address == "disco:1"
     rig.net.listen("disco:2", rig.discovery)
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "disco:2", "settings": {}}))
     rig.entries["w2"] = rig.entry("w2")
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -14,6 +14,7 @@
 
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.node import Node
 from myrtlehub.rollout.journal_format import decode_journal, encode_line
 from myrtlehub.rollout_controller.controller import RolloutController
@@ -227,8 +228,10 @@
     rig = Rig(tmp_path, bad=bad)
     rig.control()
     assert rig.run() == 1 and rig.programs() == ["old"] * 3 and rig.most_away == 1
-    change = next(s for s in rig.said if s["event"] == "change" and s["now"] == "undoing")
-    assert change["stage"] == 1 and any(s["event"] == "node" and s["by"] == why for s in rig.said)
+    change = next(s for s in rig.said if s["event"] == LogEvent.PHASE_CHANGED and s["phase"] == "undoing")
+    assert change["stage"] == 1 and any(
+        s["event"] == LogEvent.NODE_STATE_CHANGED and s["cause"] == why for s in rig.said
+    )
 
 
 def test_settings_that_are_valid_and_bad_are_refused_by_the_first_node(tmp_path: Path) -> None:
@@ -238,13 +241,17 @@
         path.write_text(path.read_text().replace("name: writer, writes: yes", "name: writer, reads: yes"))
     rig.control()
     assert rig.run() == 1 and rig.waits() == [2.0] * 3
-    assert "could end a sequence" in next(s["why"] for s in rig.said if s["event"] == "refused")
+    assert "could end a sequence" in next(
+        s["reason"] for s in rig.said if s["event"] == LogEvent.NODE_CALL_REJECTED
+    )
 
 
 def test_an_old_program_that_does_not_start_any_more_leaves_it_stuck_and_told(tmp_path: Path) -> None:
     rig = Rig(tmp_path, bad="never ready", old_bad="exits")
     rig.control()
-    assert rig.run() == 3 and any(s["event"] == "tell" and s["node"] == "n0" for s in rig.said)
+    assert rig.run() == 3 and any(
+        s["event"] == LogEvent.OPERATOR_NEEDED and s["node"] == "n0" for s in rig.said
+    )
     rig.old_bad = ""  # somebody mended it
     rig.codes.clear()
     rig.control(again=True, undo=True)
@@ -360,7 +367,7 @@
         rig.run_some()
     rig.gone(0)
     assert rig.run() == 0 and rig.programs() == ["new"] * 3
-    assert any(s["event"] == "change" and s["now"] == "holding" for s in rig.said)
+    assert any(s["event"] == LogEvent.PHASE_CHANGED and s["phase"] == "holding" for s in rig.said)
 
 
 def test_a_resumed_controller_knows_the_time_before_the_change(tmp_path: Path) -> None:
@@ -395,7 +402,7 @@
             entry.details["judged"]["tallies"] = {}
     path.write_bytes(b"".join(map(encode_line, [header, *entries])))
     rig.control(again=True)
-    assert any(s["event"] == "unlearned" for s in rig.said)
+    assert any(s["event"] == LogEvent.SAMPLES_UNUSABLE for s in rig.said)
     assert rig.run() == 0 and rig.programs() == ["new"] * 3
 
 
--- a/tests/test_version_store.py
+++ b/tests/test_version_store.py
@@ -9,6 +9,7 @@
 from endpointlists import list_text, make_endpoints, make_validator
 from twisted.internet.task import Clock
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.membership.endpoint_watcher import EndpointWatcher, WatchConfig
 from myrtlehub.membership.list_version import make_version
 from myrtlehub.membership.version_store import VersionStore, VersionStoreError
@@ -74,7 +75,9 @@
     )
     watcher.follow(lambda endpoints, *more: received.append(len(endpoints)))
     clock.pump([0.5] * 10)
-    assert received and {"store not used", "list not stored"} & set(logged)
+    assert received and {LogEvent.VERSION_STORE_READ_FAILED, LogEvent.VERSION_STORE_WRITE_FAILED} & set(
+        logged
+    )
     assert path.read_bytes() == before
 
 
