--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -7,6 +7,7 @@
 
 from functools import partial
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.router_calls import ActionHandler
 from myrtlehub.node.sequence_lifecycle import SequenceLifecycle
 from myrtlehub.node.sequences import Attempt, InFlightSequence, ReadState
@@ -130,7 +131,7 @@
             observer.endpoints_requested()
 
     def _log_note(self, action: contract.LogNote) -> None:
-        self.log("note", text=action.text)
+        self.log(LogEvent.ROUTER_NOTE, text=action.text)
 
     def _forget(self, action: contract.Forget) -> None:
         # Its attempts refer to it: without this only the garbage collector would free them and the request.
--- a/myrtlehub/node/router_calls.py
+++ b/myrtlehub/node/router_calls.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TypeAlias
 
-from myrtlehub.node.protocols import Clock
+from myrtlehub.clock import Clock
 from myrtlehub.routing import contract
 
 # A call of a router whose only open argument is the present time: it gets that when it is made, which may be
--- a/myrtlehub/node/router_driver.py
+++ b/myrtlehub/node/router_driver.py
@@ -4,19 +4,17 @@
 from collections.abc import Sequence
 from typing import Protocol, runtime_checkable
 
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.membership.endpoint import Endpoint
 from myrtlehub.node.executor_observer import ExecutorObserver
-from myrtlehub.node.protocols import Clock, Decoder, EngineTransport, Log
+from myrtlehub.node.protocols import Decoder, EngineTransport
 from myrtlehub.node.router_calls import ActionHandlers, RouterCall, RouterCallQueue
 from myrtlehub.routing import contract
 
 DIGEST_LABEL_LENGTH = 16  # hexadecimal digits of a list's digest in its label
 
 
-def _ignore(*_: object, **__: object) -> None:
-    """Stand in for a log that nobody has set."""
-
-
 @runtime_checkable
 class PooledRouter(Protocol):
     """What a router of several engine pools offers besides the calls of `contract.Router`."""
@@ -45,7 +43,7 @@
         decoder: Decoder,
         clock: Clock,
         transport: EngineTransport,
-        log: Log = _ignore,
+        log: Log = no_log,
     ) -> None:
         self.router = router
         self.decoder = decoder
@@ -111,7 +109,12 @@
         if digest is not None:
             self.list_label += f"-{digest[:DIGEST_LABEL_LENGTH]}"
         for address, state in state_changes:
-            self.log("engine", engine=address, standing=state, list_version=self.list_version)
+            self.log(
+                LogEvent.ENGINE_STATE_CHANGED,
+                engine=address,
+                engine_state=state,
+                list_version=self.list_version,
+            )
         self._call_router(lambda now: self.router.update_endpoints(now, updates, is_complete))
         for address in engines.remove_unused():
             self.transport.forget(address)
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -2,17 +2,17 @@
 
 from collections import Counter
 
+from myrtlehub.clock import Clock
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.protocols import (
-    Clock,
     Decoder,
     EngineTransport,
-    Log,
     RequestPayload,
     ResponseSink,
     StateHandle,
     TokenMessage,
 )
-from myrtlehub.node.router_driver import RouterDriver, _ignore
+from myrtlehub.node.router_driver import RouterDriver
 from myrtlehub.node.sequences import Attempt, InFlightSequence, ReadState
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import AnswerEffect, AnswerEvent
@@ -45,7 +45,7 @@
         clock: Clock,
         transport: EngineTransport,
         id_prefix: str = "",
-        log: Log = _ignore,
+        log: Log = no_log,
     ) -> None:
         """Make one without sequences; `id_prefix` starts the sequence ids that are made here."""
         super().__init__(router, decoder, clock, transport, log)
@@ -136,13 +136,13 @@
         self.answer_counts[answer] += 1
         latency = sequence.first_token_latency
         self.log(
-            "answer",
-            seq=sequence.sequence_id,
+            LogEvent.SEQUENCE_ANSWERED,
+            sequence_id=sequence.sequence_id,
             answer=answer,
             traffic_type=self.decoder.rows[sequence.arrival.traffic].name,
             attempts=len(sequence.attempts),
-            first_token=None if latency is None else round(latency, 4),
-            took=round(self.clock.seconds() - sequence.accepted_at, 4),
+            first_token_s=None if latency is None else round(latency, 4),
+            duration_s=round(self.clock.seconds() - sequence.accepted_at, 4),
             **more,
         )
         for observer in self._observers:
--- a/tests/test_action_executor.py
+++ b/tests/test_action_executor.py
@@ -7,6 +7,7 @@
 from fleet import Fleet
 
 from myrtlehub import platform_settings, simulator
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor, ContractViolationError
 from myrtlehub.node.router_config import router_config_of
 from myrtlehub.routing import contract
@@ -300,7 +301,8 @@
             depth.pop()
             return [contract.LogNote(f"{token}a"), contract.LogNote(f"{token}b")]
 
-    def log(event: str, text: str) -> None:
+    def log(event: LogEvent, text: str) -> None:
+        assert event is LogEvent.ROUTER_NOTE
         seen.append(text)
         if text == "1a":
             host.wake(2)
