--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -1,8 +1,7 @@
-"""The action executor: executes each action of a router, in their order.
+"""The action executor: executes the actions that a router returns, in their order.
 
-It decides nothing and knows no sockets: what it needs of the program around it is in `protocols`, what it
-knows of a sequence in `sequences`. It promises one thing of its own: a client gets one final answer at most,
-and nothing after it.
+It makes no decisions and uses no sockets: `protocols` has the interfaces of what it needs, `sequences` its
+data. It guarantees by itself that a client gets at most one final answer, and nothing after that.
 """
 
 from functools import partial
@@ -15,12 +14,12 @@
 from myrtlehub.state.answer import AnswerEffect, AnswerEvent, AnswerState
 from myrtlehub.state.read_state import ReadStateEffect, ReadStateEvent
 
-NEVER = float("inf")
-DEFAULT_PROBE_TIMEOUT = 0.25  # seconds
+DEFAULT_PROBE_TIMEOUT = 0.25  # seconds; programs with settings for it replace it
+CHAT_FRONT = "chat"  # the front whose sequences are read and written at different engines
 
 
 class ContractViolationError(Exception):
-    """The router asked for an action that its configuration does not allow."""
+    """The router returned an action that its configuration does not allow."""
 
     def __init__(self, action: contract.Action) -> None:
         super().__init__(f"the settings rule out an action that the router asked for: {action}")
@@ -28,7 +27,7 @@
 
 
 class ActionExecutor(SequenceLifecycle):
-    """Executes what a router decides; one method for each type of action.
+    """Executes the decisions of a router, with one method for each type of action.
 
     Attributes:
         probe_timeout: Seconds after which an unanswered probe counts as failed.
@@ -55,8 +54,6 @@
             contract.Gossip: self._refuse_action,
         }
 
-    # -- actions, one method each -----------------------------------------------------------------
-
     def _send(self, action: contract.Send) -> None:
         sequence, engine, now = self.in_flight[action.sequence], action.engine, self.clock.seconds()
         attempt = self._new_attempt(sequence, engine, action.timeout, now)
@@ -64,32 +61,40 @@
         self.decoder.engines.mark_used(engine)
         for observer in self._observers:
             observer.attempt_started(attempt)
-        if attempt.is_read:
-            read_state = sequence.read_states.setdefault(engine, ReadState(engine))
-            read_state.state_machine.step(ReadStateEvent.READ_SENT)
-        else:
-            attempt.claimed_state = sequence.claimable_state()
-            if attempt.claimed_state is not None:
-                attempt.claimed_state.state_machine.step(ReadStateEvent.CLAIM)
+        self._step_read_state(attempt)
         if sequence.answer.is_final:
+            # An action before this one gave the final answer, so nothing is sent for the sequence any more.
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             return
         delay = max(0.0, attempt.times_out_at - now)
         attempt.timer = self.clock.callLater(delay, self._timed_out, attempt)
         try:
             self.transport.start(attempt)
-        except BaseException:  # nothing is written before a later turn
+        except BaseException:
+            # The transport writes nothing before a later turn, so the attempt has certainly not been sent
+            # (`test_a_request_whose_send_raised_goes_again`).
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             raise
 
     def _new_attempt(self, sequence: InFlightSequence, engine: int, timeout: float, now: float) -> Attempt:
         kind = self.decoder.engines.rows[engine].kind
-        is_chat = self.decoder.rows[sequence.arrival.traffic].front == "chat"
-        # Work of a single stage has nothing to read, whatever else its engine does.
+        is_chat = self.decoder.rows[sequence.arrival.traffic].front == CHAT_FRONT
+        # Embeddings and reranking have one stage only, also at engines that read prompts of chat.
         is_read = is_chat and not self.config.writes[self.decoder.kinds[kind]]
-        times_out_at = min(sequence.deadline, now + timeout if timeout else NEVER)
+        times_out_at = min(sequence.deadline, now + timeout) if timeout else sequence.deadline
         return Attempt(sequence, len(sequence.attempts), engine, is_read, now, times_out_at, kind)
 
+    def _step_read_state(self, attempt: Attempt) -> None:
+        """Record that an attempt reads, or claim the read state that it is to fetch."""
+        sequence = attempt.sequence
+        if attempt.is_read:
+            read_state = sequence.read_states.setdefault(attempt.engine, ReadState(attempt.engine))
+            read_state.state_machine.step(ReadStateEvent.READ_SENT)
+            return
+        attempt.claimed_state = sequence.claimable_state()
+        if attempt.claimed_state is not None:
+            attempt.claimed_state.state_machine.step(ReadStateEvent.CLAIM)
+
     def _release(self, action: contract.Release) -> None:
         sequence = self.in_flight[action.sequence]
         for read_state in list(sequence.read_states.values()):
@@ -124,7 +129,7 @@
         self.transport.close_idle(action.engine)
 
     def _watch_endpoints(self, action: contract.WatchEndpoints) -> None:
-        """Do nothing: changes come unasked; only a configuration with `polls_endpoints` leads here."""
+        """Do nothing: the node follows the endpoint list whether the router asks for it or not."""
 
     def _poll_endpoints(self, _action: contract.PollEndpoints) -> None:
         for observer in self._observers:
@@ -134,10 +139,10 @@
         self.log(LogEvent.ROUTER_NOTE, text=action.text)
 
     def _forget(self, action: contract.Forget) -> None:
-        # Its attempts refer to it: without this only the garbage collector would free them and the request.
         sequence = self.in_flight.pop(action.sequence)
         for observer in self._observers:
             observer.sequence_forgotten(sequence)
+        # Attempts and sequence refer to each other; without this only the garbage collector would free them.
         sequence.attempts = []
         sequence.streaming_attempt = None
 
@@ -147,7 +152,8 @@
     def _probe(self, action: contract.Probe) -> None:
         if not self.config.may_probe:
             self._refuse_action(action)
-        # Guards against a report on an engine whose index was handed on meanwhile.
+        # The engine may be removed before it responds, and its index must not name another engine until then
+        # (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
         self.decoder.engines.mark_used(action.engine)
         then = partial(self._probed, action.engine, self.clock.seconds())
         self.transport.probe(action.engine, self.probe_timeout, then)
--- a/myrtlehub/node/clock.py
+++ b/myrtlehub/node/clock.py
@@ -1,4 +1,4 @@
-"""One clock for a process: seconds that only advance, timers of the reactor."""
+"""The clock of a process: monotonic time, with the reactor's timers."""
 
 import time
 from collections.abc import Callable
@@ -8,27 +8,30 @@
 
 
 class ReactorTime(Protocol):
-    """What is needed of a reactor."""
+    """The part of a reactor that schedules calls; `seconds` is the time that its timers use."""
 
     seconds: Callable[[], float]
 
-    def callLater(self, delay: float, call: Callable[..., object], *args: object, **more: object) -> Timer:  # noqa: N802
-        """Schedule a call."""
+    def callLater(  # noqa: N802 - Twisted's name
+        self, delay: float, call: Callable[..., object], *args: object, **more: object
+    ) -> Timer:
+        """Schedule a call `delay` seconds from now."""
 
 
 class SteadyClock:
-    """`seconds` is the machine's monotonic clock, the same for all processes on it.
+    """A clock whose `seconds` is the machine's monotonic clock, which all processes on it share.
 
-    The reactor's timers go by it too. Twisted's own go by the wall clock: set back by an hour, as after a
-    long time without contact to a time server, no timer would fire for an hour, and no answer in its time.
+    The reactor's timers use it too. By default Twisted's timers use the wall clock: if that is set back by an
+    hour, for example when a time server is reached again, no timer fires for an hour
+    (`test_timers_do_not_go_by_the_wall_clock`).
     """
 
     def __init__(self, reactor: ReactorTime) -> None:
         self._reactor = reactor
         self.seconds = reactor.seconds = time.monotonic
 
-    def callLater(  # noqa: N802
+    def callLater(  # noqa: N802 - Twisted's name
         self, delay: float, call: Callable[..., object], *args: object, **more: object
     ) -> Timer:
-        """Schedule a call, as the reactor does."""
+        """Schedule a call `delay` seconds from now."""
         return self._reactor.callLater(delay, call, *args, **more)
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -1,4 +1,4 @@
-"""Engines by address and by dense index, and keys as whole numbers; needs no settings file."""
+"""Engines by address and by dense index, and hashes of session and prefix keys."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping, Sequence
@@ -10,16 +10,16 @@
 from myrtlehub.membership.endpoint import Endpoint, EndpointState, with_effective_state
 from myrtlehub.routing import contract
 
-STATES = {
-    "serving": contract.EngineState.SERVING,
-    "draining": contract.EngineState.DRAINING,
-    "gone": contract.EngineState.GONE,
+_ROUTER_STATES = {
+    EndpointState.SERVING.value: contract.EngineState.SERVING,
+    EndpointState.DRAINING.value: contract.EngineState.DRAINING,
+    EndpointState.GONE.value: contract.EngineState.GONE,
 }
-_KEY_SHIFT = 11  # of a 64-bit hash: a double holds whole numbers below 2^53 exactly
+_KEY_SHIFT = 11  # bits cut off a 64-bit hash: a double represents integers up to 2^53 exactly
 
 
 def hash_key(text: str) -> int:
-    """Return a session or prefix as a whole number below 2^53, never 0; 0 for the empty text."""
+    """Return the hash of a session or prefix, an integer from 1 to below 2^53; 0 for the empty text."""
     return (xxhash.xxh3_64_intdigest(text.encode()) >> _KEY_SHIFT) or 1 if text else 0
 
 
@@ -33,15 +33,16 @@
 class EndpointIndex:
     """Engines by address and by dense index.
 
-    An index is handed on only once the engine has left the endpoint list and nothing is outstanding there.
+    The index of an engine is reused only once the engine was removed from the endpoint list and has no
+    outstanding attempts or probes.
     """
 
     def __init__(self) -> None:
         self.index_of: dict[str, int] = {}  # by address
         self.rows: list[Endpoint] = []  # by index
-        self._use_counts: list[int] = []  # by index: attempts and probes that are outstanding
+        self._use_counts: list[int] = []  # by index: outstanding attempts and probes
         self._hash_seeds: list[int] = []  # by index
-        self._gone: set[int] = set()
+        self._removed: set[int] = set()
         self._free: deque[int] = deque()
 
     def apply(
@@ -52,25 +53,24 @@
         zones: Mapping[str, int],
         now: float,
     ) -> list[contract.EndpointUpdate]:
-        """Take a change of the endpoint list and return it as the router is told, in order.
+        """Apply a change of the endpoint list and return it as updates for the router, in the same order.
 
-        Engines that the change removes stay known until they are unused.
+        Engines that the change removes keep their index until they are unused.
         """
         updates = []
         listed = set()
         for row in rows:
-            effective = with_effective_state(row)
-            update = self._update_of(effective, kinds, zones, now)
+            update = self._apply_row(with_effective_state(row), kinds, zones, now)
             if update is None:
                 continue
             listed.add(update.engine)
             updates.append(update)
         if is_complete:
-            self._gone.update(index for index in self.index_of.values() if index not in listed)
+            self._removed.update(index for index in self.index_of.values() if index not in listed)
         return updates
 
     def state_changes(self, rows: Sequence[Endpoint], is_complete: bool) -> list[EngineStateChange]:
-        """Return the engines whose state a change of the endpoint list would change, before it is applied."""
+        """Return the engines whose state a change will change; called before the change is applied."""
         gone = EndpointState.GONE.value
         former = {
             row.address: self.rows[self.index_of[row.address]].state
@@ -87,12 +87,12 @@
             changes += [EngineStateChange(address, gone) for address in sorted(removed)]
         return changes
 
-    def _update_of(
+    def _apply_row(
         self, row: Endpoint, kinds: Mapping[str, int], zones: Mapping[str, int], now: float
     ) -> contract.EndpointUpdate | None:
-        """Enter one row; None for an engine that left and was not known."""
+        """Apply one row; return None for the removal of an engine that was not known."""
         address, kind, zone, cell, weight, state_name, age, _ = row.field_values
-        state, index = STATES[state_name], self.index_of.get(address)
+        state, index = _ROUTER_STATES[state_name], self.index_of.get(address)
         is_new = index is None
         if index is None:
             if state == contract.EngineState.GONE:
@@ -101,10 +101,10 @@
         else:
             self.rows[index] = row
         if state == contract.EngineState.GONE:
-            self._gone.add(index)
+            self._removed.add(index)
         else:
-            self._gone.discard(index)
-        started_at = now - age if age else 0.0
+            self._removed.discard(index)
+        started_at = now - age if age else 0.0  # in `EndpointUpdate` 0 means long ago
         return contract.EndpointUpdate(
             index,
             is_new,
@@ -130,28 +130,32 @@
         return len(self.rows) - 1
 
     def remove_unused(self) -> list[str]:
-        """Forget the engines that are gone and unused, and return their addresses."""
-        unused = [index for index in sorted(self._gone) if not self._use_counts[index]]
-        return [self._forget(index) for index in unused]
+        """Free the indices of engines that were removed and are unused; return their addresses."""
+        unused = [index for index in sorted(self._removed) if not self._use_counts[index]]
+        return [self._free_index(index) for index in unused]
 
-    def _forget(self, index: int) -> str:
-        self._gone.discard(index)
+    def _free_index(self, index: int) -> str:
+        self._removed.discard(index)
         self._free.append(index)
         address = self.rows[index].address
         del self.index_of[address]
         return address
 
     def mark_used(self, index: int) -> None:
-        """Count an attempt or a probe that goes out to an engine."""
+        """Count an attempt or a probe that is sent to an engine."""
         self._use_counts[index] += 1
 
     def mark_unused(self, index: int) -> str | None:
-        """Count an attempt or a probe as ended; return the engine's address if it is removed with that."""
+        """Count an attempt or a probe as ended.
+
+        Returns:
+            The address of the engine if it was removed from the list before and its index is free now.
+        """
         self._use_counts[index] -= 1
-        if index in self._gone and not self._use_counts[index]:
-            return self._forget(index)
+        if index in self._removed and not self._use_counts[index]:
+            return self._free_index(index)
         return None
 
     def is_removed(self, index: int) -> bool:
-        """Tell whether an engine has left the endpoint list."""
-        return index in self._gone
+        """Return whether an engine was removed from the endpoint list."""
+        return index in self._removed
--- a/myrtlehub/node/process.py
+++ b/myrtlehub/node/process.py
@@ -1,34 +1,37 @@
-"""What every program of the node's kind does as a process: memory after its start, signals."""
+"""Process-wide set-up of the programs: garbage collection and signals."""
 
 import gc
 import signal
 from collections.abc import Callable
 from typing import Protocol
 
-# Of the collector's generations: the youngest is collected rarely, as few objects here are in cycles.
+# Allocations between two collections of the youngest generation, and collections of each generation between
+# two of the next. The youngest is collected rarely: few objects of these programs are in reference cycles.
 COLLECTOR_THRESHOLDS = (20_000, 20, 50)
 
 
 class ThreadSafeReactor(Protocol):
-    """What is needed of a reactor."""
+    """The part of a reactor that signal handlers use."""
 
-    def callFromThread(self, call: Callable[[], None]) -> object:  # noqa: N802
-        """Call in the event loop."""
+    def callFromThread(self, call: Callable[[], None]) -> object:  # noqa: N802 - Twisted's name
+        """Call in the event loop, from any thread or signal handler."""
 
 
 def freeze_startup_objects() -> None:
-    """Exempt what start-up made from garbage collection: its pauses would be seen as latency."""
+    """Exempt the objects made at start-up from garbage collection, whose pauses would add to latency."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
 
 
 def call_on_termination(call: Callable[[], None], reactor: ThreadSafeReactor) -> None:
-    """Have the reactor call it on SIGTERM and SIGINT, which ask for an orderly end."""
-    for name in (signal.SIGTERM, signal.SIGINT):
-        call_on_signal(name, call, reactor)
+    """Call in the event loop on SIGTERM and SIGINT, which request a graceful shutdown."""
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        call_on_signal(signal_number, call, reactor)
 
 
-def call_on_signal(name: signal.Signals, call: Callable[[], None], reactor: ThreadSafeReactor) -> None:
-    """Have the reactor call it, whenever the signal comes."""
-    signal.signal(name, lambda *ignored: reactor.callFromThread(call))
+def call_on_signal(
+    signal_number: signal.Signals, call: Callable[[], None], reactor: ThreadSafeReactor
+) -> None:
+    """Call in the event loop each time the process receives a signal."""
+    signal.signal(signal_number, lambda *_: reactor.callFromThread(call))
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -1,7 +1,7 @@
-"""What the action executor needs of the program around it.
+"""The interfaces of what the action executor needs.
 
-It knows no sockets and no settings files: a program that runs it brings a clock, a transport to engines, a
-decoder and one response sink a sequence.
+The executor uses no sockets and no settings files: a program that runs it provides a clock, a log, a decoder,
+an engine transport, and a response sink for each sequence.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
     from myrtlehub.node.sequences import Attempt
     from myrtlehub.routing import contract
 
-# Opaque to the executor, which only passes them on:
-RequestPayload: TypeAlias = object  # what the transport sends of a request
+# Types that the executor passes on without looking into them:
+RequestPayload: TypeAlias = object  # what the transport sends to engines
 TokenMessage: TypeAlias = object  # tokens as an engine sent them, for the response sink
-StateHandle: TypeAlias = object  # by which a writer fetches a read state from its reader
-TransportCall: TypeAlias = object  # the transport's own of one attempt
+StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
+TransportCall: TypeAlias = object  # the transport's own object for one attempt
 
 
 class ResponseSink(Protocol):
-    """Takes the response to one sequence; of the last three methods one is called, once."""
+    """Takes the response to one sequence; at most one of the last three methods is called, once."""
 
     def tokens(self, message: TokenMessage) -> None:
-        """Take tokens as the engine sent them."""
+        """Pass tokens to the client as the engine sent them."""
 
     def generated(self, tokens: int) -> None:
-        """Take the end of a complete answer."""
+        """End a complete answer; `tokens`: their number, as far as the engine reported it."""
 
     def rejected(self, retry_after: float) -> None:
-        """Take a rejection, with the seconds after which a retry may succeed."""
+        """Reject the request; `retry_after`: seconds after which a retry may succeed, 0 if not known."""
 
     def aborted(self, reason: str) -> None:
-        """Take an abort."""
+        """Abort the request, which may have run."""
 
 
 class TrafficTypeRow(Protocol):
-    """What the executor reads of a traffic type's settings."""
+    """What the executor reads of the settings of a traffic type."""
 
     name: str
     front: str
 
 
 class Decoder(Protocol):
-    """Names from outside as dense indices."""
+    """Maps names from outside to dense indices."""
 
     rows: Sequence[TrafficTypeRow]  # by traffic type
     kinds: Mapping[str, int]
@@ -54,24 +54,27 @@
 
 
 class EngineTransport(Protocol):
-    """Carries attempts to engines, and tells the executor what became of them."""
+    """Sends attempts to engines and reports their tokens and ends to the executor."""
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt; may not call back before it returns control to the reactor."""
+        """Send an attempt.
+
+        The executor may only be called in a later turn of the event loop, and nothing may be written before.
+        """
 
     def cancel(self, attempt: Attempt) -> None:
-        """Reset an attempt at its engine; nothing of it is reported any more."""
+        """Reset an attempt at its engine; nothing is reported of it any more."""
 
     def release(self, engine: int, sequence_id: str) -> None:
-        """Ask an engine to free what it holds for a sequence."""
+        """Ask an engine to free the read state of a sequence."""
 
     def probe(
         self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
-        """Ask an engine for its load; `then(is_answered, load)` is called once, in a later turn."""
+        """Ask an engine for a load report; `then(is_answered, load)` is called once, in a later turn."""
 
     def close_idle(self, engine: int) -> None:
         """Close an unused connection to an engine."""
 
     def forget(self, address: str) -> None:
-        """Take note that an engine has left the endpoint list and is unused."""
+        """Discard what is stored for an engine: it was removed from the list and has no attempts left."""
--- a/myrtlehub/node/router_driver.py
+++ b/myrtlehub/node/router_driver.py
@@ -1,4 +1,4 @@
-"""Calls a router for a node: with changes of the endpoint list, and with wake-ups."""
+"""The part of a node that calls its router when the endpoint list changes and when a wake-up is due."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -17,18 +17,18 @@
 
 @runtime_checkable
 class PooledRouter(Protocol):
-    """What a router of several engine pools offers besides the calls of `contract.Router`."""
+    """The call that a router of several engine pools has besides those of `contract.Router`."""
 
     def set_pool_closed(self, now: float, pool: int, is_closed: bool) -> Sequence[contract.Action]:
-        """Keep a pool from engines that other pools have as well, or admit it again."""
+        """Stop, or resume, sending a pool's sequences to engines that it shares with other pools."""
 
 
 class NoEnginePoolsError(Exception):
-    """An engine pool was to be closed or opened, but the router has only one."""
+    """An engine pool was to be closed or opened, but the router has no pools."""
 
 
 class RouterDriver(ABC):
-    """Calls a router and has the actions that it returns executed; notifies the observers of a node.
+    """Calls a router and has the returned actions executed; has the observers to notify.
 
     Attributes:
         router: Makes the decisions.
@@ -120,7 +120,7 @@
             self.transport.forget(address)
 
     def set_pool_closed(self, pool: int, is_closed: bool) -> None:
-        """Keep an engine pool from engines that other pools have as well, or admit it again.
+        """Stop, or resume, sending a pool's sequences to engines that it shares with other pools.
 
         Raises:
             NoEnginePoolsError: the router has no engine pools.
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -1,4 +1,4 @@
-"""In-flight sequences: what a node knows of each, of its attempts and of the states that readers hold."""
+"""In-flight sequences with their attempts and the read states that engines hold for them."""
 
 from enum import StrEnum
 from typing import Self
@@ -18,13 +18,13 @@
 )
 from myrtlehub.state.state_machine import StateMachine
 
-# Read once a token: a look-up in an enumeration costs more than the comparison.
+# Read for each token message: looking a member up in its enumeration costs more than the comparison.
 _STREAMING = AttemptState.STREAMING
 _NO_STATE = ReadStateStatus.NONE
 
 
 class Attempt:
-    """One try to run a sequence on an engine."""
+    """One attempt to run a sequence, or to read its prompt, on an engine."""
 
     __slots__ = (
         "call",
@@ -51,36 +51,36 @@
         kind: str = "",
     ) -> None:
         self.sequence = sequence
-        self.number = number  # from 0, among those of this node
+        self.number = number  # counts the attempts of this node from 0
         self.engine = engine
-        self.kind = kind  # of the engine when it was sent: the endpoint list may change it meanwhile
+        self.kind = kind  # of the engine when the attempt was sent: the endpoint list may change it
         self.is_read = is_read
         self.sent_at = sent_at
         self.times_out_at = times_out_at
         self.timer: Timer | None = None
         self.call: TransportCall | None = None
         self.state_machine = StateMachine(ATTEMPT, AttemptState.READING if is_read else AttemptState.WRITING)
-        self.claimed_state: ReadState | None = None  # a writer's: the state that it is to fetch
+        self.claimed_state: ReadState | None = None  # the state that a write is to fetch
 
     @property
     def is_outstanding(self) -> bool:
-        """Whether its end is still to come."""
+        """Whether it has not ended."""
         return self.state_machine.state in OUTSTANDING_STATES
 
     @property
     def is_streaming(self) -> bool:
-        """Whether its answer streams."""
+        """Whether it has sent tokens and not ended."""
         return self.state_machine.state is _STREAMING
 
     def stop_timer(self) -> None:
-        """Call its timeout off."""
+        """Cancel its timeout."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
 
 
 class ReadState:
-    """What one reader holds for one sequence, and the handle by which it is fetched."""
+    """What one reader holds for one sequence, and the handle by which writers fetch it."""
 
     __slots__ = ("engine", "handle", "state_machine")
 
@@ -91,7 +91,7 @@
 
     @classmethod
     def already_held(cls, engine: int, handle: StateHandle) -> Self:
-        """Make the state that a reader holds from an owner before this node."""
+        """Return a state that a reader holds since a former owner of the sequence sent it the prompt."""
         read_state = cls(engine)
         read_state.state_machine.step(ReadStateEvent.READ_SENT)
         read_state.state_machine.step(ReadStateEvent.READ_COMPLETED)
@@ -100,7 +100,7 @@
 
     @property
     def is_claimable(self) -> bool:
-        """Whether a writer can be sent to fetch it."""
+        """Whether a write can be sent that fetches it."""
         return self.handle is not None and self.state_machine.state in CLAIMABLE_STATUSES
 
 
@@ -133,8 +133,8 @@
         client: ResponseSink,
         now: float,
     ) -> None:
-        self.number = number  # by which the router knows it
-        self.sequence_id = sequence_id  # by which engines and clients know it
+        self.number = number  # identifies it to the router
+        self.sequence_id = sequence_id  # identifies it to engines and clients
         self.request = request
         self.arrival = arrival
         self.client = client
@@ -143,18 +143,18 @@
         self.answer = StateMachine(ANSWER)
         self.attempts: list[Attempt] = []
         self.read_states: dict[int, ReadState] = {}  # by engine
-        self.streaming_attempt: Attempt | None = None  # the attempt whose answer the client is getting
+        self.streaming_attempt: Attempt | None = None  # the attempt whose tokens the client gets
         self.first_token_at: float | None = None  # None: no token has come yet
         self.token_count = 0
-        self.earlier_attempts = 0  # attempts of owners before this node
+        self.earlier_attempts = 0  # number of attempts that former owners made
 
     @property
     def first_token_latency(self) -> float | None:
-        """Seconds to the first token; None where none came."""
+        """Seconds from acceptance to the first token; None if there is none yet."""
         return None if self.first_token_at is None else self.first_token_at - self.accepted_at
 
     def step_read_state(self, read_state: ReadState, event: ReadStateEvent) -> StrEnum:
-        """Step a read state and return the effect; one that is gone is dropped."""
+        """Step a read state and return the effect; remove the read state if its reader holds nothing more."""
         effect = read_state.state_machine.step(event)
         if read_state.state_machine.state is _NO_STATE:
             self.read_states.pop(read_state.engine, None)
@@ -163,7 +163,7 @@
     def resolve_read_state(
         self, attempt: Attempt, outcome: AttemptEvent, is_state_missing: bool, handle: StateHandle | None
     ) -> None:
-        """Take what the end of an attempt tells of the state that it made or was to fetch."""
+        """Step the read state that an attempt made or claimed, by the attempt's outcome."""
         if attempt.is_read:
             read_state = self.read_states[attempt.engine]
             read_state.handle = handle
@@ -173,6 +173,6 @@
             self.step_read_state(attempt.claimed_state, event)
 
     def claimable_state(self) -> ReadState | None:
-        """Return the read state that the next writer is to fetch, which is the last one made."""
+        """Return the read state that the next write is to fetch: the one that was made last."""
         claimable = [state for state in self.read_states.values() if state.is_claimable]
         return claimable[-1] if claimable else None
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,7 +10,7 @@
 from myrtlehub.state.answer import ANSWER, AnswerEffect, AnswerEvent, AnswerState
 from myrtlehub.state.attempt import ATTEMPT, AttemptEffect, AttemptEvent, AttemptState
 from myrtlehub.state.model import ModelConfig, initial_state
-from myrtlehub.state.model_checker import CheckResult, check_model, replay
+from myrtlehub.state.model_checker import CheckResult, UnknownMoveError, check_model, replay
 from myrtlehub.state.model_transitions import ModelTransitions
 from myrtlehub.state.read_state import (
     READ_STATE,
@@ -19,11 +19,14 @@
     event_of_write_end,
 )
 from myrtlehub.state.state_machine import (
+    AmbiguousTransitionError,
     CommonEffect,
     InvalidTransitionError,
     StateMachine,
     Transition,
     TransitionTable,
+    forbid,
+    on,
 )
 
 PAGE = Path(__file__).parents[1] / "docs" / "design" / "sequence-life.md"
@@ -49,7 +52,7 @@
     pending = [table.initial]
     if table is ATTEMPT:
         pending.append(AttemptState.READING)
-    reached = set(pending)
+    reached: set[StrEnum] = set(pending)
     while pending:
         state = pending.pop()
         for (from_state, _), transition in table.transitions.items():
@@ -71,6 +74,18 @@
         StateMachine(ATTEMPT).step("sneeze")
 
 
+def test_two_transitions_for_one_event_in_one_state_are_rejected() -> None:
+    rows = {AnswerState.PENDING: (on(AnswerEvent.ABORT), forbid(AnswerEvent.ABORT))}
+    with pytest.raises(AmbiguousTransitionError, match="lamp: pending has two transitions for abort"):
+        TransitionTable.build("lamp", initial=AnswerState.PENDING, events=AnswerEvent, rows=rows)
+
+
+def test_a_trace_with_a_label_that_is_no_move_is_rejected() -> None:
+    config = small_config(AT_MOST_ONCE)
+    with pytest.raises(UnknownMoveError, match="engine 9 crashes"):
+        replay(initial_state(config), ModelTransitions(config), ["engine 9 crashes"])
+
+
 @pytest.mark.parametrize(
     ("outcome", "is_state_missing", "event"),
     [
@@ -136,7 +151,7 @@
 
 NOTHING = CommonEffect.NOTHING
 SEEDED_FAULTS = {
-    "a reset is taken for not run": SeededFault(
+    "a reset counts as not run": SeededFault(
         "attempt_table",
         ATTEMPT,
         AttemptState.WRITING,
@@ -144,7 +159,7 @@
         Transition(AttemptState.HARMLESS, AttemptEffect.REPORT),
         "rule 2",
     ),
-    "a timeout is taken for not run": SeededFault(
+    "a timeout counts as not run": SeededFault(
         "attempt_table",
         ATTEMPT,
         AttemptState.WRITING,
@@ -152,7 +167,7 @@
         Transition(AttemptState.HARMLESS, AttemptEffect.REPORT),
         "rule 2",
     ),
-    "an abort is not said": SeededFault(
+    "an abort is not sent to the client": SeededFault(
         "answer_table",
         ANSWER,
         AnswerState.PENDING,
@@ -168,7 +183,7 @@
         Transition(AnswerState.REJECTED, AnswerEffect.PASS),
         "rule 1",
     ),
-    "a broken stream is not told": SeededFault(
+    "a failed stream is not reported to the client": SeededFault(
         "answer_table",
         ANSWER,
         AnswerState.STREAMING,
@@ -176,7 +191,7 @@
         Transition(AnswerState.STREAMING, NOTHING),
         "rule 1",
     ),
-    "a lost read is taken to hold nothing": SeededFault(
+    "a read without a result counts as holding nothing": SeededFault(
         "read_state_table",
         READ_STATE,
         ReadStateStatus.READING,
@@ -184,7 +199,7 @@
         Transition(ReadStateStatus.NONE, NOTHING),
         "rule 5",
     ),
-    "a refused second read forgets the first": SeededFault(
+    "a rejected second read removes the state of the first": SeededFault(
         "read_state_table",
         READ_STATE,
         ReadStateStatus.READING_AGAIN,
@@ -192,7 +207,7 @@
         Transition(ReadStateStatus.NONE, NOTHING),
         "rule 5",
     ),
-    "a claim in vain forgets a late read": SeededFault(
+    "a failed claim ignores a read that completes late": SeededFault(
         "read_state_table",
         READ_STATE,
         ReadStateStatus.CLAIMED_UNCERTAIN,
@@ -214,7 +229,7 @@
     assert result.violation.startswith(fault.rule), result
     first, moves = initial_state(config), ModelTransitions(config)
     assert replay(first, moves, result.trace)[1] == result.violation
-    for length in range(len(result.trace)):  # and shorter ways to it there are none
+    for length in range(len(result.trace)):  # no prefix of the trace violates a rule
         assert not replay(first, moves, result.trace[:length])[1]
 
 
