--- a/myrtlehub/node/executor_observer.py
+++ b/myrtlehub/node/executor_observer.py
@@ -25,7 +25,7 @@
         """Called before the first tokens of a sequence are passed to its client."""
 
     def answered(self, sequence: InFlightSequence) -> None:
-        """Called once a sequence has its final answer, before its client gets it, or its client has left."""
+        """Called once a sequence has its final answer, or its client has left."""
 
     def sequence_forgotten(self, sequence: InFlightSequence) -> None:
         """Called when the router has released a sequence (`contract.Forget`): it is no longer in flight."""
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -72,7 +72,7 @@
         request: RequestPayload,
         arrival: contract.Arrival,
         client: ResponseSink,
-        sequence_id: str = "",
+        sequence_id: str | None = None,
         earlier_attempts: int = 0,
         handle: StateHandle | None = None,
     ) -> InFlightSequence:
@@ -82,7 +82,7 @@
             request: is sent to engines.
             arrival: is reported to the router.
             client: takes the response.
-            sequence_id: the id that its client or a former owner gave it; empty: one is made.
+            sequence_id: the id that its client or a former owner gave it; without one, the node gives it one.
             earlier_attempts: number of attempts that former owners made.
             handle: of the read state that `arrival.state_held_by` holds for it.
         """
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -48,7 +48,7 @@
         is_read: bool,
         sent_at: float,
         times_out_at: float,
-        kind: str = "",
+        kind: str,
     ) -> None:
         self.sequence = sequence
         self.number = number  # counts the attempts of this node from 0
--- a/tests/test_action_executor.py
+++ b/tests/test_action_executor.py
@@ -1,4 +1,4 @@
-"""The action executor and the simulator, fed the same events, get the same actions from a router."""
+"""The action executor: same actions as in the simulator, order of execution, observers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,7 +9,10 @@
 from myrtlehub import platform_settings, simulator
 from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor, ContractViolationError
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.router_config import router_config_of
+from myrtlehub.node.router_driver import NoEnginePoolsError
+from myrtlehub.node.sequences import Attempt, InFlightSequence
 from myrtlehub.routing import contract
 from myrtlehub.routing.policy.router import Router
 
@@ -21,7 +24,7 @@
 
 
 class RecordedCall(NamedTuple):
-    """A call of a router, and what it answered."""
+    """A call of a router, and the actions that it returned."""
 
     now: float
     name: str
@@ -29,6 +32,32 @@
     actions: list[contract.Action]
 
 
+class RecordingObserver(ExecutorObserver):
+    """An observer that records its notifications, with its name, in a list that several observers share."""
+
+    def __init__(self, name: str, notifications: list[tuple[str, str]]) -> None:
+        self.name = name
+        self.notifications = notifications
+
+    def attempt_started(self, attempt: Attempt) -> None:
+        self.notifications.append((self.name, "attempt_started"))
+
+    def attempt_ended(self, attempt: Attempt) -> None:
+        self.notifications.append((self.name, "attempt_ended"))
+
+    def answer_started(self, sequence: InFlightSequence) -> None:
+        self.notifications.append((self.name, "answer_started"))
+
+    def answered(self, sequence: InFlightSequence) -> None:
+        self.notifications.append((self.name, "answered"))
+
+    def sequence_forgotten(self, sequence: InFlightSequence) -> None:
+        self.notifications.append((self.name, "sequence_forgotten"))
+
+    def executor_idle(self) -> None:
+        self.notifications.append((self.name, "executor_idle"))
+
+
 class RecordingRouter:
     """A router that records its calls."""
 
@@ -102,7 +131,7 @@
 def members_event(
     updates: list[contract.EndpointUpdate], is_complete: bool, engine_names: dict[int, str]
 ) -> dict:
-    """A change of the endpoint list, as the wire says it; names engines that are new."""
+    """A change of the endpoint list in the wire format; gives new engines a name."""
     entries = [
         {
             "Engine": engine_names.setdefault(update.engine, f"e{update.engine}"),
@@ -119,7 +148,7 @@
 
 
 def request_event(arrival: contract.Arrival) -> dict:
-    """An arrival, as the wire says it."""
+    """An arrival in the wire format."""
     return {
         "verb": "REQ",
         "InputLen": arrival.prompt_tokens,
@@ -141,7 +170,7 @@
     cached_tokens: float,
     load: contract.LoadReport | None,
 ) -> dict:
-    """The end of an attempt, as the wire says it."""
+    """The end of an attempt in the wire format."""
     report = None
     if load is not None:
         reported = {field: value for field, value in load._asdict().items() if value is not None}
@@ -158,7 +187,7 @@
 
 
 def wire_event_of(call: RecordedCall, engine_names: dict[int, str]) -> dict:
-    """One of the executor's calls, as the wire says it."""
+    """One of the executor's calls in the wire format."""
     name, arguments = call.name, call.arguments
     if name == "update_endpoints":
         return members_event(*arguments, engine_names)
@@ -181,7 +210,7 @@
 
 
 def run_with_faults() -> Fleet:
-    """Run a small fleet through refusals, a client that leaves, a killed engine, a restart and a drain."""
+    """Run a small fleet through rejections, a disconnect, a killed engine, a restart and a drain."""
     f = Fleet("R0 R1 W0 W0 W1", executor_class=RecordingExecutor, slots=3)
     for i in range(60):
         f.ask(
@@ -215,9 +244,9 @@
 
 
 def use_hash_seeds_of(calls: list[RecordedCall], router: Router) -> None:
-    """Have a router get the hash seeds that another was told.
+    """Give a router the hash seeds that another one got.
 
-    Seeds are made of the engines' addresses, and the simulator's adapter knows the engines by other names.
+    Seeds are made of the engines' addresses, and the simulator has other names for the engines.
     """
     hash_seeds = {
         update.engine: update.hash_seed
@@ -311,3 +340,33 @@
     host.log = log
     host.wake(1)
     assert seen == [1, "1a", "1b", 2, "2a", "2b"]
+
+
+def test_observers_are_notified_in_the_order_in_which_they_were_added_until_they_are_removed() -> None:
+    f = Fleet("R0 W0")
+    executor = f.nodes["n0"].executor
+    notifications: list[tuple[str, str]] = []
+    first, second = (RecordingObserver(name, notifications) for name in ("first", "second"))
+    executor.add_observer(first)
+    executor.add_observer(second)
+    assert f.ask(prompt=3000) is not None
+    f.run(3.0)
+    assert {name for name, _ in notifications[0::2]} == {"first"}
+    assert {name for name, _ in notifications[1::2]} == {"second"}
+    events = [event for name, event in notifications if name == "second"]
+    assert events == [event for name, event in notifications if name == "first"]
+    assert events.count("attempt_started") == events.count("attempt_ended") >= 1
+    assert all(events.count(event) == 1 for event in ("answer_started", "answered", "sequence_forgotten"))
+    assert events.index("answer_started") < events.index("answered") < events.index("sequence_forgotten")
+    assert events[-1] == "executor_idle"
+    executor.remove_observer(first)
+    del notifications[:]
+    f.ask(prompt=100)
+    f.run(3.0)
+    assert {name for name, _ in notifications} == {"second"}
+
+
+def test_a_router_without_engine_pools_has_none_to_close() -> None:
+    executor = Fleet().nodes["n0"].executor
+    with pytest.raises(NoEnginePoolsError):
+        executor.set_pool_closed(0, True)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a node: each verdict, and for each a planted breach that the counters of a relay find."""
+"""The invariants of a node: each function, and planted violations that a relay has to count."""
 
 from collections.abc import Callable
 
@@ -77,7 +77,7 @@
     assert not rig.node.monitor.counter.violations
 
 
-# -- planted breaches, each found by the counters of a running node --------------------------------
+# -- planted violations, each counted by a running node ---------------------------------------------
 
 
 def plant_second_answer(rig: RelayRig) -> None:
@@ -98,7 +98,7 @@
 
 
 def plant_forgotten_state(rig: RelayRig) -> None:
-    """Forget a sequence whose state nobody has released."""
+    """Forget a sequence whose read state was not released."""
     rig.engines["w1"].script = never_respond
     rig.request("a1", LONG_PROMPT)
     rig.run(0.1)
@@ -108,14 +108,14 @@
 
 
 def plant_close_under_a_request(rig: RelayRig) -> None:
-    """Close a connection with an open request, for room."""
+    """Close a connection with an open request, as if descriptors ran out."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     next(iter(rig.node.listener.connections)).linger(CloseReason.ROOM)
 
 
 def plant_late_answer(rig: RelayRig) -> None:
-    """Have the router forget its wake-ups."""
+    """Have the router ignore its wake-ups."""
     rig.engines["w1"].script = never_respond
     rig.node.executor.router._place_waiting = lambda now: None
     rig.request("a1", remaining_ms=300)
@@ -125,7 +125,7 @@
 
 
 def plant_dead_timer(rig: RelayRig) -> None:
-    """Stop to follow discovery."""
+    """Stop following discovery."""
     rig.node.discovery._stop()
     rig.run(11.0)
 
