--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -24,7 +24,9 @@
 from myrtlehub.node.client_limits import ClientLimits
 from myrtlehub.node.engine_pools import EnginePools
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import EngineTransport
+from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replicated_transport import ReplicatedTransport
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.request_decoder import RequestDecoder
@@ -56,6 +58,21 @@
     replication: Replication | None = None
 
 
+class _ReplicationObserver(ExecutorObserver):
+    """Notifies the publisher of sequence records of answers."""
+
+    def __init__(self, publisher: RecordPublisher) -> None:
+        self._publisher = publisher
+
+    def answer_started(self, sequence: InFlightSequence) -> None:
+        """Report that an answer streams."""
+        self._publisher.answer_started(sequence)
+
+    def answered(self, sequence: InFlightSequence) -> None:
+        """Report a final answer."""
+        self._publisher.answered(sequence.sequence_id)
+
+
 class NodeRuntime:
     """One settings' worth of a node."""
 
@@ -145,16 +162,8 @@
         counters.follow(self.executor)
         if replication is None:
             return
-        publisher = replication.publisher
-        count_answer = self.executor.on_answered
-
-        def answered(sequence: InFlightSequence) -> None:
-            count_answer(sequence)
-            publisher.answered(sequence.sequence_id)
-
-        self.executor.on_answered = answered
-        self.executor.on_begun = publisher.answer_started
-        self.transport.ownership_of = publisher.ownership_of
+        self.executor.add_observer(_ReplicationObserver(replication.publisher))
+        self.transport.ownership_of = replication.publisher.ownership_of
 
     def _make_client_limits(self) -> ClientLimits:
         node, limits = self.sheet.node, self.sheet.limits
@@ -201,7 +210,11 @@
                     server.methods.pop(path, None)
 
     def update_endpoints(
-        self, endpoints: Sequence[EndpointConfig], is_complete: bool, version: int = 0, digest: str = ""
+        self,
+        endpoints: Sequence[EndpointConfig],
+        is_complete: bool,
+        version: int | None = None,
+        digest: str | None = None,
     ) -> None:
         """Take the endpoint list or a change to it, as far as these settings know its kinds and zones."""
         decoder = self.executor.decoder
@@ -219,4 +232,4 @@
         for batch in list(self.batches.in_flight):
             batch.deadline_passed()
         for sequence in list(self.executor.in_flight.values()):
-            self.executor.deadline_passed(sequence, reason)
+            self.executor.abort(sequence, reason)
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engine_client.py
@@ -8,6 +8,7 @@
 from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
 from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.action_executor import ActionExecutor, Attempt
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.relay.attempt_response import AttemptResponseHandler
 from myrtlehub.relay.engine_directory import EngineDirectory
 from myrtlehub.relay.one_shot_response import OneShotResponse
@@ -26,7 +27,7 @@
 TOLD_TIME_MARGIN_S = 0.02
 
 
-class EngineClient:
+class EngineClient(ExecutorObserver):
     """Carries attempts, releases and probes to engines; `attach` gives it the executor that it reports to."""
 
     def __init__(
@@ -52,7 +53,7 @@
         """Report to this executor, and hear from it of each attempt that has ended."""
         self.executor = executor
         self.releaser.in_flight = executor.in_flight
-        executor.on_attempt_ended = self.attempt_ended
+        executor.add_observer(self)
 
     def attempt_ended(self, attempt: Attempt) -> None:
         """Log an attempt's end, whoever caused it, and free its response."""
@@ -64,7 +65,7 @@
             attempt=attempt.number,
             engine=self.directory.name(attempt.engine),
             engine_kind=attempt.kind,
-            is_read=attempt.reads,
+            is_read=attempt.is_read,
             state=attempt.state_machine.state,
             duration_s=round(now - attempt.sent_at, 4),
             timed_out=now >= attempt.times_out_at,
@@ -101,7 +102,7 @@
         time_left = attempt.times_out_at - self.clock.seconds()
         broken = broken_by_send(self._send_facts(attempt, time_left))
         if broken is not None:
-            self.invariants.note_withheld(broken)
+            self.invariants.count_withheld(broken)
             sequence_id = attempt.sequence.sequence_id
             self.log(LogEvent.SEND_WITHHELD, sequence_id=sequence_id, attempt=attempt.number, reason=broken)
             return None
@@ -112,7 +113,7 @@
         sequence = attempt.sequence
         check = self.executor.router.check_send(self.clock.seconds(), sequence.number, attempt.number)
         return SendFacts(
-            client_is_present=sequence.answer.state == AnswerState.OWED,
+            client_is_present=sequence.answer.state == AnswerState.PENDING,
             time_left=time_left,
             engine_is_serving=self.directory.is_serving(attempt.engine),
             is_in_slow_start_share=check.in_slow_start_share,
@@ -127,11 +128,11 @@
         that it is to fetch would stay at its reader. And against a next attempt that is there before the end
         of a cancelled one: a new connection takes longer.
         """
-        if attempt.fetched_state is not None:
+        if attempt.claimed_state is not None:
             return True
         sequence = attempt.sequence
         return self.decoder.rows[sequence.arrival.traffic].at_most_once and (
-            not attempt.reads or sequence.sequence_id in self.uncertain_attempts
+            not attempt.is_read or sequence.sequence_id in self.uncertain_attempts
         )
 
     def cancel(self, attempt: Attempt) -> None:
--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -8,6 +8,7 @@
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
+from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import (
     Invariant,
@@ -31,7 +32,7 @@
     is_armed: Callable[[], bool]
 
 
-class InvariantMonitor:
+class InvariantMonitor(ExecutorObserver):
     """Checks what no single path can: answers that are overdue, timers that are not due any more.
 
     Attributes:
@@ -56,7 +57,7 @@
     def attach(self, executor: ActionExecutor) -> None:
         """Check the sequences of this executor."""
         self.executor = executor
-        executor.on_forgotten = self._forgotten
+        executor.add_observer(self)
 
     def start(self) -> None:
         """Check from now on."""
@@ -66,7 +67,7 @@
         """Check the close of a client's connection from this side."""
         is_open = exchange is not None and not exchange.finished
         self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
-        self.counter.check(broken_by_close(is_open, client_has_closed=False))
+        self.counter.check(broken_by_close(is_open))
 
     def log_counters(self) -> None:
         """Write the counters."""
@@ -83,7 +84,8 @@
         self.log(LogEvent.INVARIANT_VIOLATED, invariant=invariant, sequence_id=sequence_id)
         self.on_violation()
 
-    def _forgotten(self, sequence: InFlightSequence) -> None:
+    def sequence_forgotten(self, sequence: InFlightSequence) -> None:
+        """Check that a forgotten sequence has its answer and holds no read state."""
         broken = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(broken, sequence.sequence_id)
 
@@ -103,9 +105,9 @@
                 self.counter.check(broken_by_timer(timer.is_armed()), timer.name)
             self.log_counters()
         for sequence in overdue:
-            self.executor.deadline_passed(sequence, "its time is over")
+            self.executor.abort(sequence, "its time is over")
 
     @staticmethod
     def _is_overdue(sequence: InFlightSequence, now: float) -> bool:
         is_late = now > sequence.deadline + LATE_ANSWER_TOLERANCE_S
-        return is_late and sequence.answer.state == AnswerState.OWED
+        return is_late and sequence.answer.state == AnswerState.PENDING
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a node: each verdict, and for each a planted breach that the counters of a relay find."""
+"""The invariants of a node: each function, and planted violations that a relay has to count."""
 
 from collections.abc import Callable
 
@@ -47,9 +47,8 @@
 
 
 def test_the_other_verdicts() -> None:
-    assert broken_by_close(has_open_request=False, client_has_closed=False) is None
-    assert broken_by_close(has_open_request=True, client_has_closed=True) is None
-    assert broken_by_close(has_open_request=True, client_has_closed=False) is Invariant.ANSWER_BEFORE_CLOSE
+    assert broken_by_close(has_open_request=False) is None
+    assert broken_by_close(has_open_request=True) is Invariant.ANSWER_BEFORE_CLOSE
     assert broken_by_answer(False) is None and broken_by_answer(True) is Invariant.ONE_FINAL_ANSWER
     assert broken_by_forgetting(True, False) is None
     assert broken_by_forgetting(False, False) is Invariant.ONE_FINAL_ANSWER
@@ -68,7 +67,17 @@
     assert reported == [(Invariant.STATE_RELEASED, "a2"), (Invariant.STATE_RELEASED, "a3")]
 
 
-# -- planted breaches, each found by the counters of a running node --------------------------------
+def test_a_client_that_closes_its_connection_under_its_request_violates_nothing() -> None:
+    rig = RelayRig("r1 w1")
+    rig.engines["w1"].script = never_respond
+    client = rig.request("a1")
+    client.transport.loseConnection()
+    rig.run(0.1)
+    assert rig.node.executor.answer_counts == {"left": 1}
+    assert not rig.node.monitor.counter.violations
+
+
+# -- planted violations, each counted by a running node ---------------------------------------------
 
 
 def plant_second_answer(rig: RelayRig) -> None:
@@ -85,28 +94,28 @@
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     (sequence,) = rig.node.executor.in_flight.values()
-    rig.node.executor.on_forgotten(sequence)
+    rig.node.monitor.sequence_forgotten(sequence)
 
 
 def plant_forgotten_state(rig: RelayRig) -> None:
-    """Forget a sequence whose state nobody has released."""
+    """Forget a sequence whose read state was not released."""
     rig.engines["w1"].script = never_respond
     rig.request("a1", LONG_PROMPT)
     rig.run(0.1)
     (sequence,) = rig.node.executor.in_flight.values()
     sequence.answer.state = AnswerState.REJECTED
-    rig.node.executor.on_forgotten(sequence)
+    rig.node.monitor.sequence_forgotten(sequence)
 
 
 def plant_close_under_a_request(rig: RelayRig) -> None:
-    """Close a connection with an open request, for room."""
+    """Close a connection with an open request, as if descriptors ran out."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     next(iter(rig.node.listener.connections)).linger(CloseReason.ROOM)
 
 
 def plant_late_answer(rig: RelayRig) -> None:
-    """Have the router forget its wake-ups."""
+    """Have the router ignore its wake-ups."""
     rig.engines["w1"].script = never_respond
     rig.node.executor.router._place_waiting = lambda now: None
     rig.request("a1", remaining_ms=300)
@@ -116,7 +125,7 @@
 
 
 def plant_dead_timer(rig: RelayRig) -> None:
-    """Stop to follow discovery."""
+    """Stop following discovery."""
     rig.node.discovery._stop()
     rig.run(11.0)
 
