--- a/myrtlehub/routing/prompt_cache.py
+++ b/myrtlehub/routing/prompt_cache.py
@@ -1,4 +1,4 @@
-"""What one engine is believed to have cached: a bounded table of sessions and shared prefixes."""
+"""A table of the prompt tokens that one engine is estimated to have cached."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class CacheEntry(NamedTuple):
-    """Prompt tokens that an engine should have cached, and when that was last seen."""
+    """An estimate of cached prompt tokens, with the time in seconds of its last confirmation."""
 
     tokens: float
     seen_at: float
@@ -16,14 +16,18 @@
 
 
 class CacheBounds(NamedTuple):
-    """How long entries count, and how many there are at most."""
+    """Limits on the age and number of the entries of a `PromptCache`."""
 
-    fresh_time: float  # seconds for which an entry counts in full, and over which it then fades away
+    fresh_time: float  # seconds for which an entry counts in full, and again over which it fades to nothing
     max_entries: int
 
 
 class PromptCache:
-    """Entries by session and, negated, by shared prefix; the one seen last is at the end."""
+    """Cache entries in the order of their confirmation, oldest first.
+
+    An entry is keyed by the session of a prompt or by the negated number of its shared prefix, so that
+    sessions and prefixes need no second table.
+    """
 
     __slots__ = ("bounds", "entries")
 
@@ -32,43 +36,49 @@
         self.entries: dict[int, CacheEntry] = {}
 
     def find(self, arrival: Arrival, now: float) -> CacheEntry:
-        """Return what should be cached of a prompt, by its session or its prefix."""
+        """Return the larger of the entries for a prompt's session and prefix, or `NO_ENTRY`.
+
+        The returned tokens are reduced by age and limited to the tokens that the prompt can share.
+        """
         entries = self.entries
         best = NO_ENTRY
         if not entries:
             return best
         fresh_time = self.bounds.fresh_time
-        for key, most in ((arrival.session, arrival.prompt_tokens), (-arrival.prefix, arrival.shared_tokens)):
+        for key, max_tokens in (
+            (arrival.session, arrival.prompt_tokens),
+            (-arrival.prefix, arrival.shared_tokens),
+        ):
             if not key or key not in entries:
                 continue
             tokens, seen_at = entries[key]
-            tokens = min(tokens, most) * min(1.0, max(0.0, 1.0 - (now - seen_at - fresh_time) / fresh_time))
+            remaining = min(1.0, max(0.0, 1.0 - (now - seen_at - fresh_time) / fresh_time))
+            tokens = min(tokens, max_tokens) * remaining
             if tokens > best.tokens:
                 best = CacheEntry(tokens, seen_at)
         return best
 
     def add(self, arrival: Arrival, now: float) -> None:
-        """Take note that a prompt is read, and drop what is too old or too much."""
+        """Record that an engine reads a prompt, and evict entries that have faded or exceed the limit."""
         entries = self.entries
         for key, tokens in (
             (arrival.session, arrival.prompt_tokens),
             (-arrival.prefix, arrival.shared_tokens),
         ):
             if key:
-                entries.pop(key, None)
+                entries.pop(key, None)  # so that the new entry is the last
                 entries[key] = CacheEntry(tokens, now)
-        # entries that have faded away count for nothing
-        seen_before = now - 2.0 * self.bounds.fresh_time
+        faded_before = now - 2.0 * self.bounds.fresh_time
         while entries:
             oldest = next(iter(entries))
-            if len(entries) <= self.bounds.max_entries and entries[oldest].seen_at >= seen_before:
+            if len(entries) <= self.bounds.max_entries and entries[oldest].seen_at >= faded_before:
                 break
             del entries[oldest]
 
     def drop_until(self, seen_at: float) -> None:
-        """Drop what was not seen after a time."""
+        """Drop the entries last confirmed at or before a time."""
         self.entries = {key: entry for key, entry in self.entries.items() if entry.seen_at > seen_at}
 
     def clear(self) -> None:
-        """Drop all."""
+        """Drop all entries."""
         self.entries = {}
--- a/myrtlehub/routing/statistics.py
+++ b/myrtlehub/routing/statistics.py
@@ -1,19 +1,21 @@
-"""Statistics of what is observed, and other general helpers of routing.
+"""Running statistics and a hash rank, free of routing policy.
 
-Nothing here decides anything, or holds a tuned value: weights, spans and bounds are passed in.
+Weights, half-lives and sample counts are parameters, because every tuned value belongs to `routing.policy`.
 """
 
 from collections import deque
 from statistics import median_high
 from typing import NamedTuple
 
-MIN_ESTIMATE = 0.001  # less is not divided by
-LN_2 = 0.69  # to two digits, as all rates have been reckoned so far
-GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio: spreads neighbouring keys
+MIN_ESTIMATE = 0.001  # smallest divisor, in the unit of the estimates
+LN_2 = 0.69  # rounded to two digits; a more exact value would change every decision that compares rates
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 / golden ratio: Fibonacci hashing spreads neighbouring keys
+RANK_SHIFT = 20  # drops the low bits of the product, which mix least
+RANK_MASK = 0xFFFFFFF  # keeps 28 bits
 
 
 class Observation(NamedTuple):
-    """A value that was observed, and when."""
+    """An observed value, and the time of its observation in seconds."""
 
     value: float
     at: float
@@ -23,7 +25,7 @@
 
 
 class MovingAverage:
-    """An exponential moving average; the first value starts it."""
+    """An exponential moving average, which starts at the first value observed."""
 
     __slots__ = ("value",)
 
@@ -31,88 +33,100 @@
         self.value: float | None = None
 
     def get(self, default: float) -> float:
-        """Return the average, or the default where nothing was observed."""
+        """Return the average, or the default before the first observation."""
         return default if self.value is None else self.value
 
     def observe(self, value: float, weight: float) -> None:
-        """Move the average towards a value by this weight."""
-        known = value if self.value is None else self.value
-        self.value = known + weight * (value - known)
+        """Move the average by `weight` (0 to 1) of its distance to a value."""
+        average = value if self.value is None else self.value
+        self.value = average + weight * (value - average)
 
 
 class MovingAverages(dict[int, float]):
-    """Exponential moving averages by key; the first value of a key starts its average."""
+    """Exponential moving averages by key, each of which starts at the first value of its key."""
 
     def observe(self, key: int, value: float, weight: float) -> float:
-        """Move the average of a key towards a value by this weight, and return what it was before."""
-        known = self.get(key, value)
-        self[key] = known + weight * (value - known)
-        return known
+        """Move the average of a key by `weight` (0 to 1) of its distance to a value.
+
+        Returns:
+            The average before this observation.
+        """
+        average = self.get(key, value)
+        self[key] = average + weight * (value - average)
+        return average
 
 
 class DecayingCounters:
-    """Counts by key that halve with time, as rates."""
+    """Event rates by key, from counts that decay exponentially with time."""
 
     def __init__(self, half_life: float) -> None:
         self.half_life = half_life
         self._counts: dict[int, Observation] = {}
 
     def rate(self, key: int, now: float) -> float:
-        """Return how many there have lately been a second."""
-        count, at = self._counts.get(key, (0.0, now))
-        return count * 0.5 ** ((now - at) / self.half_life) * LN_2 / self.half_life
+        """Return the recent rate of a key in events per second."""
+        count, counted_at = self._counts.get(key, (0.0, now))
+        decay: float = 0.5 ** ((now - counted_at) / self.half_life)
+        return count * decay * LN_2 / self.half_life
 
     def add(self, key: int, now: float) -> None:
-        """Count one."""
+        """Count one event."""
         count = self.rate(key, now) * self.half_life / LN_2 + 1.0
         self._counts[key] = Observation(count, now)
 
 
 def rendezvous_weight(key: int, hash_seed: int) -> int:
-    """Rank an engine for a key, the same at every node; the highest comes first."""
-    return (key ^ hash_seed) * GOLDEN_RATIO_64 >> 20 & 0xFFFFFFF
+    """Return the rank of an engine for a key in rendezvous hashing; the highest rank wins.
+
+    Every node computes the same rank, so nodes agree on an order of engines without exchanging messages.
+    """
+    return (key ^ hash_seed) * GOLDEN_RATIO_64 >> RANK_SHIFT & RANK_MASK
 
 
 class RecentMedians:
-    """Medians by key of the last samples."""
+    """The median of the most recent samples of each key."""
 
-    def __init__(self, samples: int, initial: float) -> None:
-        self.samples = samples
+    def __init__(self, max_samples: int, initial: float) -> None:
+        self.max_samples = max_samples
         self.initial = initial
         self._recent: dict[int, deque[float]] = {}
         self._medians: dict[int, float] = {}
 
     def get(self, key: int) -> float:
-        """Return the median of a key, or the initial value where there is no sample."""
+        """Return the median of a key, or the initial value before its first sample."""
         return self._medians.get(key, self.initial)
 
     def add(self, key: int, sample: float) -> float:
-        """Add a sample, beside the initial value where it is an early one; return the median."""
-        recent = self._recent.setdefault(key, deque((self.initial,), maxlen=self.samples))
+        """Add a sample and return the new median.
+
+        The initial value counts as a sample until newer ones displace it.
+        """
+        recent = self._recent.setdefault(key, deque((self.initial,), maxlen=self.max_samples))
         recent.append(sample)
         median = self._medians[key] = median_high(recent)
         return median
 
 
 class EstimateError:
-    """By which factor actual values were lately off from their estimates, fading to a usual factor."""
+    """The ratio of actual to estimated values, which decays to a default ratio while nothing is observed."""
 
-    def __init__(self, usual: float, half_life: float) -> None:
-        self.usual = usual
+    def __init__(self, default_factor: float, half_life: float) -> None:
+        self.default_factor = default_factor
         self.half_life = half_life
-        self.seen_at = 0.0
+        self.observed_at = 0.0
         self._estimated = MovingAverage()
         self._actual = MovingAverage()
 
     def factor(self, now: float) -> float:
-        """Return the factor."""
+        """Return the factor by which an estimate should be multiplied."""
         estimated = max(MIN_ESTIMATE, self._estimated.get(1.0))
-        off = self._actual.get(self.usual) / estimated - self.usual
-        return self.usual + off * 0.5 ** ((now - self.seen_at) / self.half_life)
+        deviation = self._actual.get(self.default_factor) / estimated - self.default_factor
+        decay: float = 0.5 ** ((now - self.observed_at) / self.half_life)
+        return self.default_factor + deviation * decay
 
     def observe(self, estimated: float, actual: float, max_weight: float, now: float) -> None:
-        """Learn from one case, with the more weight the longer ago the last one was."""
-        weight = min(max_weight, 1.0 - 0.5 ** ((now - self.seen_at) / self.half_life))
+        """Record one estimate with its actual value; its weight grows with the time since the last one."""
+        weight = min(max_weight, 1.0 - 0.5 ** ((now - self.observed_at) / self.half_life))
         self._estimated.observe(estimated, weight)
         self._actual.observe(actual, weight)
-        self.seen_at = now
+        self.observed_at = now
