--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -1,4 +1,7 @@
-"""The calls of a node, taken into the records of a router; what they lead to is decided in `policy`."""
+"""Bookkeeping common to all routers: applies each call of a node to the records of sequences and engines.
+
+Decisions are left to the abstract methods, which `routing.policy` implements.
+"""
 
 from abc import ABC, abstractmethod
 
@@ -7,84 +10,84 @@
 from myrtlehub.routing.engine_table import EngineTable
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
-MIN_WAKEUP_DELAY = 0.001  # seconds, the finest that timers are set
-WAKEUP_TOLERANCE = 0.001  # seconds by which a wake-up may come early
+MIN_WAKEUP_DELAY = 0.001  # seconds; the resolution of the timers that execute `ScheduleWakeup`
+WAKEUP_TOLERANCE = 0.001  # seconds by which a timer may fire early
 
 
 class RouterCalls(contract.UnusedCalls, ABC):
-    """Holds the sequences of a node, and collects the actions of each call."""
+    """Keeps the sequences of a node, and collects the actions of the present call."""
 
     def __init__(self, table: EngineTable, wakeup_interval: float) -> None:
         self.config = table.config
         self.table = table
-        self.wakeup_interval = wakeup_interval  # seconds at most, while sequences wait at this node
+        self.wakeup_interval = wakeup_interval  # longest delay in seconds while sequences wait at this node
         self.sequences: dict[int, Sequence] = {}
-        self.waiting: dict[int, Sequence] = {}  # that wait at this node
-        self.actions: list[Action] = []  # of this call
-        self.wake_at = float("inf")
-        self.heard_at = 0.0  # when something was last learned of engines
+        self.waiting: dict[int, Sequence] = {}  # those that wait at this node
+        self.actions: list[Action] = []  # of the present call
+        self.wake_at = float("inf")  # when the wake-up asked for is due; inf: none is
+        self.last_feedback_at = 0.0  # when an engine or the endpoint list was last heard from
 
     @abstractmethod
     def _endpoints_changed(self) -> None:
-        """Take note that the endpoint list changed."""
+        """Update what depends on the endpoint list."""
 
     @abstractmethod
-    def _accept(self, now: float, ident: int, arrival: Arrival) -> Sequence:
-        """Make the record of a sequence that arrives."""
+    def _accept(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
+        """Return the record of an arriving sequence."""
 
     @abstractmethod
     def _admit(self, sequence: Sequence, now: float) -> None:
-        """Decide on a sequence that has arrived."""
+        """Decide what happens first to an arriving sequence."""
 
     @abstractmethod
     def _place(self, sequence: Sequence, now: float) -> None:
-        """Decide where a sequence goes next."""
+        """Decide where the next attempt of a sequence goes, if anywhere."""
 
     @abstractmethod
     def _place_waiting(self, now: float) -> None:
-        """End the sequences that are due, and place again some that wait here."""
+        """End the sequences whose deadline is reached, and place some of those that wait."""
 
     @abstractmethod
     def _probe_unanswered(self, engine: Engine) -> None:
-        """Judge an engine that did not answer a probe."""
+        """Learn that an engine did not answer a probe."""
 
     @abstractmethod
     def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
-        """Learn from an answer that has begun."""
+        """Learn from an answer that has started."""
 
     @abstractmethod
     def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
-        """Learn from how an attempt ended, and decide how its sequence goes on."""
+        """Learn from the outcome of an attempt, and decide how its sequence continues."""
 
     @abstractmethod
     def _end(self, sequence: Sequence, answer: Action | None) -> None:
-        """End a sequence, with its final answer unless none is owed."""
+        """End a sequence with a final answer; None if its client has disconnected."""
 
     def start(self, now: float) -> list[Action]:
-        """Begin; called once, before all others."""
+        """Start the router; called once, before all other calls."""
         return [contract.WatchEndpoints(True)] if self.config.polls_endpoints else []
 
     def endpoint_list_failed(self, now: float) -> list[Action]:
-        """Take note that a poll of the endpoint list failed, or that its watch broke."""
+        """Handle a failed poll or watch of the endpoint list."""
         return self.start(now)
 
     def update_endpoints(
         self, now: float, updates: list[contract.EndpointUpdate], is_complete: bool
     ) -> list[Action]:
-        """Take the complete endpoint list, or a change to it."""
-        self._heard(now)
+        """Apply the complete endpoint list, or a change to it."""
+        self._record_feedback(now)
         self.table.update(updates, is_complete)
         self._endpoints_changed()
         return self._finish(now)
 
-    def arrive(self, now: float, ident: int, arrival: Arrival) -> list[Action]:
-        """Take a sequence."""
+    def arrive(self, now: float, sequence_id: int, arrival: Arrival) -> list[Action]:
+        """Accept an arriving sequence."""
         self.table.now = now
-        sequence = self.sequences[ident] = self._accept(now, ident, arrival)
+        sequence = self.sequences[sequence_id] = self._accept(now, sequence_id, arrival)
         engines = self.table.engines
-        if arrival.state_held_by >= 0:  # its former owner had it read
-            sequence.state_at = engines[arrival.state_held_by]
-            sequence.reader = sequence.state_at
+        if arrival.state_held_by >= 0:  # the former owner of a taken-over sequence had its prompt read
+            sequence.state_holder = engines[arrival.state_held_by]
+            sequence.reader = sequence.state_holder
             sequence.state_since = now
         if arrival.may_have_run_at >= 0:
             sequence.may_have_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
@@ -95,8 +98,8 @@
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Take the end of a probe; what awaited no other is placed."""
-        self._heard(now)
+        """Learn from a probe, and place the sequences for which it was the last one awaited."""
+        self._record_feedback(now)
         probed = self.table.engines[engine]
         if load is not None:
             self.table.load_reported(probed, load)
@@ -108,20 +111,20 @@
                 self._place(sequence, now)
         return self._finish(now)
 
-    def began(self, now: float, ident: int, attempt: int, latency: float) -> list[Action]:
-        """Take note that an attempt's answer has begun to stream."""
-        self._heard(now)
-        sequence = self.sequences.get(ident)
+    def began(self, now: float, sequence_id: int, attempt: int, latency: float) -> list[Action]:
+        """Handle the first token of an attempt's answer."""
+        self._record_feedback(now)
+        sequence = self.sequences.get(sequence_id)
         if sequence is not None and attempt < len(sequence.attempts):
             sequence.has_begun = True
-            sequence.state_at = None
+            sequence.state_holder = None
             self._attempt_began(sequence, sequence.attempts[attempt], now, latency)
         return self._finish(now)
 
     def ended(
         self,
         now: float,
-        ident: int,
+        sequence_id: int,
         attempt: int,
         outcome: Outcome,
         latency: float,
@@ -129,49 +132,59 @@
         cached_tokens: float,
         load: LoadReport | None,
     ) -> list[Action]:
-        """Take note how an attempt ended, and whether the client has its final answer by that."""
-        self._heard(now)
-        sequence = self.sequences.get(ident)
-        attempts = sequence.attempts if sequence is not None else []
-        if attempt < len(attempts) and attempts[attempt].is_running:
-            ended = attempts[attempt]
+        """Handle the end of an attempt; repeated and unknown ends are ignored."""
+        self._record_feedback(now)
+        sequence = self.sequences.get(sequence_id)
+        if sequence is None or attempt >= len(sequence.attempts):
+            return self._finish(now)
+        ended = sequence.attempts[attempt]
+        if ended.is_running:
             ended.end(outcome, latency, is_answered, cached_tokens)
             if load is not None:
                 self.table.load_reported(ended.engine, load)
             self._attempt_ended(sequence, ended, now)
         return self._finish(now)
 
-    def client_left(self, now: float, ident: int) -> list[Action]:
-        """Take note that no answer is owed any more."""
-        sequence = self.sequences.get(ident)
+    def client_left(self, now: float, sequence_id: int) -> list[Action]:
+        """Handle the disconnection of a client that has no final answer yet."""
+        sequence = self.sequences.get(sequence_id)
         if sequence is not None and not sequence.is_over:
             self._end(sequence, None)
         return self._finish(now)
 
     def wake(self, now: float, token: int) -> list[Action]:
-        """Take a wake-up that was asked for."""
+        """Handle a wake-up that `ScheduleWakeup` asked for."""
         self.table.now = now
         if now >= self.wake_at - WAKEUP_TOLERANCE:
             self.wake_at = float("inf")
         self._place_waiting(now)
         return self._finish(now)
 
-    def _heard(self, now: float) -> None:
+    def _record_feedback(self, now: float) -> None:
         self.table.now = now
-        self.heard_at = now
+        self.last_feedback_at = now
 
     def _finish(self, now: float) -> list[Action]:
-        """Ask for a wake-up if an abandon time or something waiting here needs one; return the actions."""
-        due = [one.abandon_at for one in self.sequences.values() if not one.is_over and not one.has_begun]
-        if due:
-            delay = min(due) - now
-            if self.waiting:
-                delay = min(self.wakeup_interval, delay)
-            delay = max(MIN_WAKEUP_DELAY, delay)
-            if now + delay < self.wake_at - WAKEUP_TOLERANCE / 2:
-                self.wake_at = now + delay
-                self.actions.append(contract.ScheduleWakeup(delay, 0))
+        """Schedule a wake-up if one is needed, and return the actions of the call."""
+        self._schedule_wakeup(now)
         actions = self.actions
         self.actions = []
-        self.table.forget_derived()
+        self.table.clear_memo()
         return actions
+
+    def _schedule_wakeup(self, now: float) -> None:
+        """Ask for a wake-up at the next deadline, or sooner while sequences wait at this node."""
+        deadlines = [
+            sequence.abandon_at
+            for sequence in self.sequences.values()
+            if not sequence.is_over and not sequence.has_begun
+        ]
+        if not deadlines:
+            return
+        delay = min(deadlines) - now
+        if self.waiting:
+            delay = min(self.wakeup_interval, delay)
+        delay = max(MIN_WAKEUP_DELAY, delay)
+        if now + delay < self.wake_at - WAKEUP_TOLERANCE / 2:
+            self.wake_at = now + delay
+            self.actions.append(contract.ScheduleWakeup(delay, 0))
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -1,7 +1,8 @@
-"""The engines by index, with what a node counts and observes of them.
+"""The table of engines, with what this node counts and observes of them.
 
-Nothing here is tuned: how fast observations fade, and what each weighs, is passed in by the policy. All that
-is observed of an engine is held against what is usual for its kind, and fades to that with time.
+The table learns, but decides nothing and has no tuned value: learning weights and half-lives come from the
+policy as `LearningSettings`. An observation of an engine is stored as its difference from what is usual for
+the engine's kind, and decays towards zero.
 """
 
 from collections import Counter
@@ -18,67 +19,67 @@
     RecentMedians,
 )
 
-SAME_START = 0.001  # seconds within which two times of a start are one, as they are rounded on their way
-MIN_RATE = 0.01  # a second, and
-MIN_DURATION = 0.01  # seconds: less is not divided by
+SAME_START_TOLERANCE = 0.001  # seconds between two reports of one start, which are rounded on the wire
+MIN_RATE = 0.01  # events per second; smallest divisor
+MIN_DURATION = 0.01  # seconds; smallest divisor
 FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.UNREACHED)
 
 
 class LearningSettings(NamedTuple):
-    """How a node learns; weights are of one observation in the average that it moves."""
+    """How quickly a node learns; a weight is that of one observation in an exponential moving average."""
 
-    half_life: float  # seconds in which what was observed of an engine halves
-    max_half_life: float  # the same at most, for kinds of engines that are rarely heard of
+    half_life: float  # seconds in which an observation of an engine halves
+    max_half_life: float  # seconds; its upper bound for kinds of engines that are seldom observed
     rate_half_life: float  # seconds in which counts of arrivals and starts halve
-    sequence_weight: float  # of one sequence in what is usual for all
-    kind_weight: float  # of one engine in what is usual for its kind
-    engine_weight: float  # in what was observed of an engine
-    failure_weight: float  # the same of a failure in the share of failures
-    unreached_weight: float  # and of a connection that was not established
-    slowdown_weight: float  # the same of an answer's duration
-    likely_uncached_tokens: float  # of a sequence that waits at an engine, until some were sent
-    likely_read_rate: float  # prompt tokens a second, until answers have shown a rate
-    read_rate_samples: int  # reads by which the rate of a kind is judged
-    min_read_rate: float  # tokens a second that a single read can show
+    sequence_weight: float  # in averages over all sequences
+    kind_weight: float  # in averages over the engines of a kind
+    engine_weight: float  # in the observations of an engine
+    failure_weight: float  # of a failure in an engine's share of failures
+    unreached_weight: float  # of a failed connection in an engine's share of failures
+    slowdown_weight: float  # of an answer's duration in an engine's slowdown
+    initial_uncached_tokens: float  # uncached tokens of a queued sequence, before any were sent
+    initial_read_rate: float  # prompt tokens per second, before any reads were observed
+    read_rate_samples: int  # recent reads of a kind whose median is its read rate
+    min_read_rate: float  # tokens per second; bounds of one sample
     max_read_rate: float
-    min_speed: float  # by how much faster than usual a single read can show an engine to be
+    min_speed: float  # bounds of one sample of `Engine.speed`
     max_speed: float
-    min_sample_tokens: float  # uncached tokens of a read from which it shows a rate
-    full_sample_tokens: float  # and from which it counts in full for its engine
+    min_sample_tokens: float  # uncached tokens below which a read is no sample of a rate
+    full_sample_tokens: float  # uncached tokens from which a sample has full weight for its engine
     cache: CacheBounds
 
 
 class EngineTable:
-    """The engines of the endpoint list, and what was observed of them up to the present time, `now`."""
+    """The engines of the endpoint list, and the observations of them up to the time `now`."""
 
     def __init__(self, config: RouterConfig, settings: LearningSettings) -> None:
         self.config = config
         self.settings = settings
         self.now = 0.0
         self.engines: list[Engine] = []  # by index
-        self.writers: list[Engine] = []  # that serve
-        self.readers: list[Engine] = []  # that serve, and do not write
+        self.writers: list[Engine] = []  # serving engines that write, by index
+        self.readers: list[Engine] = []  # serving engines that read and do not write, by index
         self.serving_by_kind: Counter[int] = Counter()
-        self.promised = 0.0  # tokens, to all writers
+        self.assigned_tokens = 0.0  # sum over all writers
         self.half_life = settings.half_life
         self.half_lives: dict[int, float] = {}  # of observations, by kind
-        self.starts = DecayingCounters(settings.rate_half_life)  # answers and reads, by kind of engine
+        self.starts = DecayingCounters(settings.rate_half_life)  # of answers and reads, by kind of engine
         self.arrivals = DecayingCounters(settings.rate_half_life)  # by tenant
         self.usual_memory = MovingAverages()  # share in use, by kind
-        self.usual_backlog = MovingAverages()  # prompt tokens of other nodes, by kind
+        self.usual_backlog = MovingAverages()  # unread prompt tokens from other nodes, by kind
         self.usual_slowdown = MovingAverages()  # of answers, by kind
         self.usual_duration = MovingAverages()  # seconds of answers, by traffic type
-        self.usual_uncached = MovingAverage()  # prompt tokens to read of what this node sends
-        self.read_rates = RecentMedians(settings.read_rate_samples, settings.likely_read_rate)  # by kind
-        self.forget_derived()
+        self.usual_uncached = MovingAverage()  # uncached prompt tokens of the attempts of this node
+        self.read_rates = RecentMedians(settings.read_rate_samples, settings.initial_read_rate)  # by kind
+        self.clear_memo()
 
-    def forget_derived(self) -> None:
-        """Drop what was derived in this call, as what it was derived from has changed."""
-        self.waits: dict[int, float] = {}  # by index of the engine
-        self.free_shares: dict[int, float] = {}
+    def clear_memo(self) -> None:
+        """Clear the values memoized during one call, because their inputs have changed."""
+        self.waits: dict[int, float] = {}  # seconds, by index of the engine
+        self.free_shares: dict[int, float] = {}  # by index of the writer
 
     def update(self, updates: list[EndpointUpdate], is_complete: bool) -> None:
-        """Take the complete endpoint list, or a change to it."""
+        """Apply the complete endpoint list, or a change to it."""
         for update in updates:
             while len(self.engines) <= update.engine:
                 self.engines.append(Engine(len(self.engines), PromptCache(self.settings.cache)))
@@ -93,10 +94,10 @@
         self.serving_by_kind = Counter(engine.kind for engine in serving)
 
     def _update_engine(self, engine: Engine, update: EndpointUpdate) -> None:
-        if update.is_new or update.started_at > engine.started_at + SAME_START:
+        if update.is_new or update.started_at > engine.started_at + SAME_START_TOLERANCE:
             engine.reset(update.is_new)
             usual = self.usual_memory.get(update.kind, 0.0)
-            engine.memory = Observation(-usual, self.now)  # it holds nothing
+            engine.memory = Observation(-usual, self.now)  # a process that has just started uses no memory
             engine.restarted(update.started_at)
         engine.state = update.state
         engine.kind = update.kind
@@ -105,98 +106,117 @@
         engine.hash_seed = update.hash_seed
 
     def observed(self, observation: Observation, engine: Engine) -> float:
-        """Return what was observed of an engine, faded."""
-        value, at = observation
+        """Return the value of an observation of an engine, decayed by its age."""
+        value, observed_at = observation
         if not value:
             return 0.0
-        return value * 0.5 ** ((self.now - at) / self.half_lives.get(engine.kind, self.half_life))
-
-    def moved(self, observation: Observation, engine: Engine, value: float, weight: float) -> Observation:
-        """Return what was observed of an engine, faded and moved towards a value by this weight."""
-        known = self.observed(observation, engine)
-        return Observation(known + weight * (value - known), self.now)
-
-    def promise(self, sequence: Sequence, writer: Engine | None) -> None:
-        """Count what a sequence will take at the writer that it is meant for, until it begins there."""
-        self.forget_derived()
-        if sequence.promised_to is not None:
-            sequence.promised_to.promised -= sequence.memory_need
-            self.promised -= sequence.memory_need
+        decay: float = 0.5 ** ((self.now - observed_at) / self.half_lives.get(engine.kind, self.half_life))
+        return value * decay
+
+    def updated(self, observation: Observation, engine: Engine, value: float, weight: float) -> Observation:
+        """Return an observation after decay, moved by `weight` (0 to 1) of its distance to a value."""
+        decayed = self.observed(observation, engine)
+        return Observation(decayed + weight * (value - decayed), self.now)
+
+    def assign(self, sequence: Sequence, writer: Engine | None) -> None:
+        """Count the memory of a sequence at the writer where it will start, and no longer at a former one.
+
+        Args:
+            sequence: The sequence, which has yet to start.
+            writer: The writer; None if the sequence has started or ended.
+        """
+        self.clear_memo()
+        if sequence.assigned_to is not None:
+            sequence.assigned_to.assigned_tokens -= sequence.memory_need
+            self.assigned_tokens -= sequence.memory_need
         if writer is not None:
-            writer.promised += sequence.memory_need
-            self.promised += sequence.memory_need
-        sequence.promised_to = writer
+            writer.assigned_tokens += sequence.memory_need
+            self.assigned_tokens += sequence.memory_need
+        sequence.assigned_to = writer
 
     def load_reported(self, engine: Engine, load: LoadReport) -> None:
-        """Take a load report."""
+        """Learn from a load report of an engine."""
         weight = self.settings.kind_weight
         share = load.memory_share
         if share is not None:
             usual = self.usual_memory.observe(engine.kind, share, weight)
-            engine.memory = self.moved(engine.memory, engine, share - usual, 1.0)
+            engine.memory = self.updated(engine.memory, engine, share - usual, 1.0)
         backlog = load.unread
         if backlog is None and load.waiting is not None:
-            backlog = load.waiting * self.usual_uncached.get(self.settings.likely_uncached_tokens)
+            backlog = load.waiting * self.usual_uncached.get(self.settings.initial_uncached_tokens)
         if backlog is not None:
             backlog = max(0.0, backlog - engine.own_backlog)
             usual = self.usual_backlog.observe(engine.kind, backlog, weight)
-            engine.backlog = self.moved(engine.backlog, engine, backlog - usual, 1.0)
+            engine.backlog = self.updated(engine.backlog, engine, backlog - usual, 1.0)
 
     def read_rate(self, engine: Engine) -> float:
-        """Return its prompt tokens a second: what is usual for its kind, and how it has lately differed."""
+        """Return the estimated prompt tokens per second of an engine."""
         return self.read_rates.get(engine.kind) * (1.0 + self.observed(engine.speed, engine))
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """Count what an attempt has an engine read."""
+        """Count the prompt tokens that an attempt has its engine read."""
         attempt.engine.own_backlog += attempt.uncached_tokens
         attempt.engine.own_reads += attempt.is_read
         if not attempt.fetches_state:
             self.usual_uncached.observe(attempt.uncached_tokens, self.settings.sequence_weight)
 
-    def attempt_began(self, attempt: Attempt, latency: float, has_moved: bool) -> None:
-        """Learn from an answer that has begun; if its state came from another cell, not how late it was."""
+    def attempt_began(self, attempt: Attempt, latency: float, was_transferred: bool) -> None:
+        """Learn from an answer that has started.
+
+        Args:
+            attempt: The attempt that writes the answer.
+            latency: Seconds from the sending of the attempt to the start of its answer.
+            was_transferred: Its read state came from another cell, so its lateness is not the engine's.
+        """
         engine = attempt.engine
         self._observe_success(engine)
-        self._read_took(attempt, latency, attempt.uncached_tokens)
-        if not has_moved:
-            late = max(0.0, latency - attempt.uncached_tokens / self.read_rate(engine))
-            engine.lateness = self.moved(engine.lateness, engine, late, self.settings.engine_weight)
+        self._observe_read(attempt, latency, attempt.uncached_tokens)
+        if not was_transferred:
+            lateness = max(0.0, latency - attempt.uncached_tokens / self.read_rate(engine))
+            engine.lateness = self.updated(engine.lateness, engine, lateness, self.settings.engine_weight)
         engine.own_backlog = max(0.0, engine.own_backlog - attempt.uncached_tokens)
         attempt.uncached_tokens = 0.0
 
     def attempt_ended(self, sequence: Sequence, attempt: Attempt) -> None:
-        """Learn from how an attempt ended, and count it no more."""
+        """Learn from the outcome of an attempt, and take it out of its engine's accounts."""
         engine = attempt.engine
-        gap = self.serving_by_kind[engine.kind] / max(self.starts.rate(engine.kind, self.now), MIN_RATE)
-        self.half_lives[engine.kind] = min(max(self.settings.half_life, gap), self.settings.max_half_life)
+        self._update_half_life(engine.kind)
         if attempt.has_succeeded and attempt.is_read:
             self._observe_success(engine)
-            self._read_took(attempt, attempt.latency, sequence.arrival.prompt_tokens - attempt.cached_tokens)
+            self._observe_read(
+                attempt, attempt.latency, sequence.arrival.prompt_tokens - attempt.cached_tokens
+            )
         if attempt.has_succeeded and sequence.has_begun:
-            self._answer_took(engine, sequence.arrival.traffic, attempt.latency)
+            self._observe_answer(engine, sequence.arrival.traffic, attempt.latency)
         if attempt.outcome in FAILURES:
             is_unreached = attempt.outcome == Outcome.UNREACHED
             weight = self.settings.unreached_weight if is_unreached else self.settings.failure_weight
-            engine.failures = self.moved(engine.failures, engine, 1.0, weight)
+            engine.failures = self.updated(engine.failures, engine, 1.0, weight)
         engine.own_backlog = max(0.0, engine.own_backlog - attempt.uncached_tokens)
         engine.own_reads -= attempt.is_read
 
+    def _update_half_life(self, kind: int) -> None:
+        """Set the half-life of a kind to the mean time between two starts at one engine, within bounds."""
+        gap = self.serving_by_kind[kind] / max(self.starts.rate(kind, self.now), MIN_RATE)
+        self.half_lives[kind] = min(max(self.settings.half_life, gap), self.settings.max_half_life)
+
     def _observe_success(self, engine: Engine) -> None:
-        engine.failures = self.moved(engine.failures, engine, 0.0, self.settings.engine_weight)
+        engine.failures = self.updated(engine.failures, engine, 0.0, self.settings.engine_weight)
         self.starts.add(engine.kind, self.now)
 
-    def _answer_took(self, engine: Engine, traffic: int, latency: float) -> None:
-        """Learn which engines, and kinds of them, begin in time and write slowly."""
+    def _observe_answer(self, engine: Engine, traffic: int, latency: float) -> None:
+        """Learn how much longer than usual the answers of an engine take, and those of its kind."""
         usual = self.usual_duration.observe(traffic, latency, self.settings.sequence_weight)
-        longer = latency / max(usual, MIN_DURATION) - 1.0
-        longer -= self.usual_slowdown.observe(engine.kind, longer, self.settings.kind_weight)
-        engine.slowdown = self.moved(engine.slowdown, engine, longer, self.settings.slowdown_weight)
+        excess = latency / max(usual, MIN_DURATION) - 1.0
+        excess -= self.usual_slowdown.observe(engine.kind, excess, self.settings.kind_weight)
+        engine.slowdown = self.updated(engine.slowdown, engine, excess, self.settings.slowdown_weight)
 
-    def _read_took(self, attempt: Attempt, latency: float, uncached_tokens: float) -> None:
-        """Learn how fast a kind reads: the median of its last reads, by those that are not very short.
+    def _observe_read(self, attempt: Attempt, latency: float, uncached_tokens: float) -> None:
+        """Learn the read rate of an engine and of its kind from one read that is long enough.
 
-        With a mean, one slow start, or a queue that nobody told of, would make all engines look too slow to
-        send to where a node sees little, and nothing would be learnt any more.
+        The rate of a kind is a median. With a mean, one late answer would make all engines of the kind look
+        too slow to send to at a node with little traffic, which would then observe nothing more
+        (`test_one_slow_start_of_an_answer_does_not_make_all_engines_look_too_slow`).
         """
         settings = self.settings
         if uncached_tokens < settings.min_sample_tokens or latency <= 0.0:
@@ -204,7 +224,7 @@
         engine = attempt.engine
         rate = (attempt.backlog + uncached_tokens) / latency
         rate = min(settings.max_read_rate, max(settings.min_read_rate, rate))
-        faster = rate / self.read_rates.add(engine.kind, rate) - 1.0
-        faster = max(settings.min_speed, min(settings.max_speed, faster))
+        excess = rate / self.read_rates.add(engine.kind, rate) - 1.0
+        excess = max(settings.min_speed, min(settings.max_speed, excess))
         weight = settings.engine_weight * min(1.0, uncached_tokens / settings.full_sample_tokens)
-        engine.speed = self.moved(engine.speed, engine, faster, weight)
+        engine.speed = self.updated(engine.speed, engine, excess, weight)
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -1,60 +1,72 @@
-"""Admission control: the gate that every send passes, slow start, and what is shed.
+"""Admission control: the gate before every attempt, slow start of cold engines, and load shedding.
 
-The five rules: 1, one final answer in time; 2, no effect twice; 3, nothing new for engines that drain;
-4, slow start of cold engines; 5, no state stays at an engine for long.
+The invariants of routing, which the code refers to by number:
+
+1. Each sequence gets one final answer, before its abandon time.
+2. No sequence that may have run has its effect a second time.
+3. A draining or removed engine gets nothing new.
+4. A cold engine gets only the share of traffic that it can handle while it warms up (slow start).
+5. No engine holds the read state of a sequence for long.
 """
 
 from myrtlehub.routing.contract import EngineState
 from myrtlehub.routing.policy.engine_estimates import LEARNING, EngineEstimates
 from myrtlehub.routing.policy.retries import may_run_at
-from myrtlehub.routing.records import Engine, Sequence, StageResult
+from myrtlehub.routing.records import Engine, Refusal, Sequence, StartEstimate
 from myrtlehub.routing.statistics import EstimateError
 
-SLOW_START_SHARE = 0.3  # of what a cold engine may be sent in a span without failing, over all nodes
-SLOW_START_RAMP = 0.5  # of an even ramp from cold to warm that is believed, as the true one is unknown
-GOLDEN_RATIO = 0.6180339887  # spreads one draw of a sequence over engines
-MAX_WAIT_SHARE = 0.7  # of the latency objective, for which a sequence waits here for capacity
-QUOTA_SLACK = 1.5  # sequences a span that a tenant may send besides, as few make no share
-QUOTA_SKEW = 1.25  # times its even part of a quota that a node admits, as nodes get unequal parts
-STATE_TIMEOUT_SHARE = 0.5  # of the time for which an engine may hold a state, after which it is released
-UNREACHED_STATE_TIMEOUT_SHARE = 0.75  # the same while a writer cannot be reached: one more may be tried
-LIKELY_DELAY_FACTOR = 0.5  # of the estimate that a start takes, until some have been seen
-MAX_DELAY_FACTOR = 5.0  # times the estimate that a single start counts at most
-MAX_DELAY_WEIGHT = 0.3  # of a single start in the averages
-PROBED_LIMIT_SHARE = 0.7  # of the time left that a start may be estimated at, where load is only probed for
+# Share of a cold engine's overload limit that all nodes together send it on average, so that random peaks
+# stay below the limit (`test_slow_start_bounds_what_all_nodes_send_however_many_they_are`).
+SLOW_START_SHARE = 0.3
+SLOW_START_RAMP = 0.5  # share of a linear warm-up that is relied on, because the real curve is unknown
+MIN_COLD_TIME = 0.001  # seconds; smallest divisor
+GOLDEN_RATIO = 0.6180339887  # spreads one draw of a sequence evenly over engines
+MAX_WAIT_SHARE = 0.7  # of the latency objective, for which a sequence waits before it is rejected
+# Sequences per rate half-life that a tenant may send beyond its quota, because a rate estimated from few
+# arrivals is noisy.
+QUOTA_SLACK = 1.5
+QUOTA_SKEW = 1.25  # multiple of its even part of a quota that a node admits, because traffic is uneven
+STATE_TIMEOUT_SHARE = 0.5  # of the state timeout, after which a waiting sequence releases its read state
+# The same after a failed connection to a writer, so that one more writer can be tried first.
+UNREACHED_STATE_TIMEOUT_SHARE = 0.75
+INITIAL_DELAY_FACTOR = 0.5  # actual over estimated start delay, before any starts were observed
+MAX_DELAY_FACTOR = 5.0  # upper bound of that ratio in one sample, so that one stall has a limited effect
+MAX_DELAY_WEIGHT = 0.3  # of one sample in the averages, however old the last one is
+PROBED_LIMIT_SHARE = 0.7  # of the time left that a start may take, where load is known from probes only
 
 
 class Admission:
-    """Decides what is admitted, what waits at this node and what is rejected."""
+    """Decides which sequences are sent, which wait at this node and which are rejected."""
 
     def __init__(self, estimates: EngineEstimates) -> None:
         self.config = estimates.config
         self.estimates = estimates
-        # it fades, as a node that rejects all learns nothing more
-        self.delay_error = EstimateError(LIKELY_DELAY_FACTOR, LEARNING.half_life)
+        # The error decays, because a node that rejects everything observes no more starts.
+        self.delay_error = EstimateError(INITIAL_DELAY_FACTOR, LEARNING.half_life)
 
     def is_over_quota(self, tenant: int) -> bool:
-        """Return whether a tenant lately sent this node more than its part of the quota."""
+        """Return whether a tenant's recent rate at this node exceeds the node's part of its quota."""
         quota = self.config.quotas[tenant] / self.config.node_count if tenant >= 0 else 0.0
         rate = self.estimates.arrivals.rate(tenant, self.estimates.now)
         return 0.0 < quota * QUOTA_SKEW < rate - QUOTA_SLACK / LEARNING.rate_half_life
 
-    def gate(self, sequence: Sequence, now: float) -> StageResult:
-        """Check each of the rules; every send passes here."""
-        engine = sequence.reader if sequence.is_split else sequence.writer
+    def gate(self, sequence: Sequence, engine: Engine, now: float) -> Refusal | None:
+        """Check rules 1 to 4 before an attempt at an engine; None lets the attempt pass."""
         attempts_left = self.config.max_attempts - len(sequence.attempts)
         if sequence.is_over or now >= sequence.abandon_at or attempts_left <= 0:
-            return StageResult.GIVE_UP  # rule 1: answered by now, or nothing more may be sent
+            return Refusal.GIVE_UP  # rule 1
         if sequence.running_attempts():
-            return StageResult.WAIT
+            return Refusal.WAIT
         if not may_run_at(sequence, engine, now, self.config):
-            return StageResult.GIVE_UP  # rule 2
+            return Refusal.GIVE_UP  # rule 2
         if engine.state != EngineState.SERVING:
-            return StageResult.WAIT  # rule 3
-        return StageResult.PASS if self.in_slow_start_share(engine, sequence, now) else StageResult.WAIT
+            return Refusal.WAIT  # rule 3
+        if not self.in_slow_start_share(engine, sequence, now):
+            return Refusal.WAIT  # rule 4
+        return None
 
     def usable(self, engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
-        """Return those that serve, may have this sequence while they are cold, and are no outliers."""
+        """Return the engines that serve, may get this sequence in slow start, and are not ejected."""
         is_outlier = self.estimates.is_outlier
         return [
             engine
@@ -65,45 +77,53 @@
         ]
 
     def in_slow_start_share(self, engine: Engine, sequence: Sequence, now: float) -> bool:
-        """Rule 4: a cold engine is only for a part of all sequences, which each draws once.
+        """Rule 4: return whether an engine is warm, or this sequence is in the share for it while cold.
 
-        So the sends of all nodes come to that part of what an engine is usually sent, however many nodes
-        there are and however little each has seen; none saves up sends, or draws again with a retry.
+        A sequence draws once, at its arrival. The sends of all nodes therefore add up to the share, however
+        many nodes there are and however little each observes; no node accumulates unused sends, and a retry
+        is no second draw.
         """
         config = self.config
         age = now - engine.started_at
         if not config.overload_window or not engine.started_at or age > config.cold_time:
             return True
-        warmed = SLOW_START_RAMP * max(0.0, age) / max(config.cold_time, 0.001)
+        warmed = SLOW_START_RAMP * max(0.0, age) / max(config.cold_time, MIN_COLD_TIME)
         share = config.cold_share + (1.0 - config.cold_share) * warmed
-        alike = self.estimates.writers if config.writes[engine.kind] else self.estimates.readers
+        peers = self.estimates.writers if config.writes[engine.kind] else self.estimates.readers
         draw = (sequence.slow_start_draw + engine.hash_seed * GOLDEN_RATIO) % 1.0
-        return draw * max(1, len(alike)) < SLOW_START_SHARE * share * config.overload_multiple
+        return draw * max(1, len(peers)) < SLOW_START_SHARE * share * config.overload_multiple
+
+    def wait_or_reject(self, sequence: Sequence, now: float) -> Refusal:
+        """Let a sequence wait for capacity, or reject it if it is over quota or has waited long.
 
-    def wait_or_reject(self, sequence: Sequence, now: float) -> StageResult:
-        """Let a sequence wait here for capacity; reject it in time for a retry, or if over its quota."""
+        The rejection comes early enough for the client to retry elsewhere.
+        """
         if sequence.is_over_quota or self.has_waited_long(sequence, now):
-            return StageResult.REJECT
-        return StageResult.WAIT
+            return Refusal.REJECT
+        return Refusal.WAIT
 
     def has_waited_long(self, sequence: Sequence, now: float) -> bool:
-        """Return whether it has waited as long as it may for its first attempt."""
-        objective = sequence.slo_at - sequence.arrived_at
+        """Return whether a sequence has reached the limit of its wait for a first attempt."""
+        objective = sequence.slo_deadline - sequence.arrived_at
         return now - sequence.arrived_at > MAX_WAIT_SHARE * objective
 
     def starts_late(self, sequence: Sequence, delay: float, now: float) -> bool:
-        """Return whether an answer estimated to start after this delay misses the latency objective."""
+        """Return whether an answer with this estimated start delay will miss the latency objective."""
         limit_share = PROBED_LIMIT_SHARE if self.config.load_by_probe_only else 1.0
-        return delay * self.delay_error.factor(now) > limit_share * (sequence.slo_at - now)
+        return delay * self.delay_error.factor(now) > limit_share * (sequence.slo_deadline - now)
+
+    def expect_start(self, sequence: Sequence, delay: float, now: float) -> None:
+        """Remember the estimated start delay of a sequence, to be compared with the actual one."""
+        sequence.start_estimate = StartEstimate(now, delay)
 
-    def start_seen(self, sequence: Sequence, now: float) -> None:
-        """Learn how long a start took, or was waited for in vain, against the estimate."""
-        expected = sequence.expected_delay
-        if expected > 0.0:
-            actual = min(now - sequence.placed_at, MAX_DELAY_FACTOR * expected)
-            self.delay_error.observe(expected, actual, MAX_DELAY_WEIGHT, now)
-            sequence.expected_delay = 0.0
+    def start_observed(self, sequence: Sequence, now: float) -> None:
+        """Learn the error of the start estimate, from an answer that started now or will not start at all."""
+        estimate = sequence.start_estimate
+        sequence.start_estimate = None
+        if estimate is not None and estimate.delay > 0.0:
+            actual = min(now - estimate.made_at, MAX_DELAY_FACTOR * estimate.delay)
+            self.delay_error.observe(estimate.delay, actual, MAX_DELAY_WEIGHT, now)
 
     def holds_state_too_long(self, sequence: Sequence, now: float, share: float) -> bool:
-        """Rule 5: what no writer fetches in this share of the time is released, and would be read anew."""
+        """Rule 5: return whether a read state was not fetched within a share of the state timeout."""
         return now > sequence.state_since + share * self.config.state_timeout
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -1,6 +1,6 @@
-"""What this node believes of the engines: load, free memory, speed, health.
+"""Estimates of an engine's load, free memory, speed and health, as all stages use them.
 
-All that is observed of an engine is held against what is usual for its kind, and fades to that with time.
+Each starts from what is usual for the engine's kind, and adds the decaying observations of the engine itself.
 """
 
 from statistics import median
@@ -11,94 +11,104 @@
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
 LEARNING = LearningSettings(
-    half_life=5.0,  # seconds in which what was seen of an engine halves
-    max_half_life=15.0,  # the same at most, for kinds of engines that are rarely heard of
-    rate_half_life=20.0,  # seconds in which the counts of arrivals and starts halve
-    sequence_weight=0.05,  # of one sequence in what is usual for all
-    kind_weight=0.1,  # of one engine in what is usual for its kind
-    engine_weight=0.3,  # of one observation in what was seen of an engine
-    failure_weight=0.5,  # the same of a failure in its share of failures
-    unreached_weight=0.7,  # and of a connection that was not established
-    slowdown_weight=0.2,  # the same of an answer's duration
-    likely_uncached_tokens=600.0,  # of a sequence that waits at an engine, until some were sent
-    likely_read_rate=12000.0,  # prompt tokens a second, until answers have shown a rate
-    read_rate_samples=20,  # reads by which the rate of a kind is judged
-    min_read_rate=200.0,  # tokens a second that a single read can show
-    max_read_rate=100000.0,
-    min_speed=-0.95,  # by how much faster than usual a single read can show an engine to be
-    max_speed=1.0,
-    min_sample_tokens=200.0,  # uncached tokens of a read from which it shows a rate
-    full_sample_tokens=2000.0,  # and from which it counts in full for its engine
+    half_life=5.0,  # seconds, for kinds of engines that are observed often
+    max_half_life=15.0,  # seconds: at 160 nodes a node hears from an engine about every 30
+    rate_half_life=20.0,  # seconds: long enough to count several starts at a node with little traffic
+    sequence_weight=0.05,  # averages over about 20 sequences
+    kind_weight=0.1,  # averages over about 10 reports of the engines of a kind
+    engine_weight=0.3,  # averages over about 3 observations of an engine
+    failure_weight=0.5,  # two failures in a row raise the share of failures to 0.75
+    unreached_weight=0.7,  # a refused connection says more than an error: two raise the share to 0.91
+    slowdown_weight=0.2,  # averages over about 5 answers of an engine
+    initial_uncached_tokens=600.0,  # tokens of a queued sequence, before any were sent
+    initial_read_rate=12000.0,  # prompt tokens per second, before any reads were observed
+    read_rate_samples=20,  # reads, of which a few outliers do not move the median
+    min_read_rate=200.0,  # tokens per second, so that one stalled read has a limited effect
+    max_read_rate=100000.0,  # tokens per second, so that one very short read has a limited effect
+    min_speed=-0.95,  # a read rate of 0.05 of the usual one, so that estimates stay positive
+    max_speed=1.0,  # twice the usual read rate
+    min_sample_tokens=200.0,  # tokens: the time of a shorter read is mostly fixed overhead
+    full_sample_tokens=2000.0,  # tokens: from there the fixed overhead matters little
     cache=CACHE_BOUNDS,
 )
-LIKELY_MEMORY = 150000.0  # tokens, where no figure is stated
-MAX_ALIKE_NODES = 3.0  # other nodes at most that are taken to send to the engines that we send to
-OUTLIER_MARGIN = 0.25  # share of failures above the fleet's median at which an engine is ejected
-RESTARTED_FAILURES = 0.8  # share of failures from which an engine that cannot be reached counts as restarted
-SILENT_QUEUE = 0.5  # seconds of queue that an engine is taken to have whose probe found no answer
+DEFAULT_MEMORY = 150000.0  # tokens, of a kind whose memory is not configured
+# Other nodes at most that are assumed to send to the same engines as this one. Few nodes see the same load
+# reports and choose alike; many nodes spread their sends.
+MAX_CORRELATED_NODES = 3.0
+OUTLIER_MARGIN = 0.25  # share of failures above the fleet's median from which an engine is ejected
+# Share of failures from which a reset or refused connection means a restart: three resets or two refused
+# connections in a row (`test_one_reset_is_no_restart_and_three_in_a_row_are`).
+RESTARTED_FAILURES = 0.8
+UNANSWERED_PROBE_QUEUE_TIME = 0.5  # seconds of queue assumed at an engine whose probe timed out
 
 
 class EngineEstimates(EngineTable):
-    """The engines, and what is believed of them at the present time."""
+    """The table of engines, with the estimates derived from its observations."""
 
     def __init__(self, config: RouterConfig) -> None:
         super().__init__(config, LEARNING)
 
     def probe_unanswered(self, engine: Engine) -> None:
-        """Take an engine for full: a probe waits like a request, so a time-out is a long queue, no death."""
-        backlog = SILENT_QUEUE * self.read_rate(engine) - self.usual_backlog.get(engine.kind, 0.0)
-        engine.backlog = self.moved(engine.backlog, engine, backlog, 1.0)
+        """Assume that an engine is full: a probe queues like a request, so its timeout means a long queue."""
+        backlog = UNANSWERED_PROBE_QUEUE_TIME * self.read_rate(engine)
+        backlog -= self.usual_backlog.get(engine.kind, 0.0)
+        engine.backlog = self.updated(engine.backlog, engine, backlog, 1.0)
         memory = 1.0 - self.usual_memory.get(engine.kind, 0.0)
-        engine.memory = self.moved(engine.memory, engine, memory, 1.0)
+        engine.memory = self.updated(engine.memory, engine, memory, 1.0)
 
     def free_share(self, writer: Engine, sequence: Sequence) -> float:
-        """Return the share of a writer's memory left with this sequence and all that is meant for it.
+        """Return the share of a writer's memory that is free once a sequence and all assigned ones are there.
 
-        A few nodes that see the same reports choose as we do; of many, our own few sends tell nothing.
+        The tokens that other nodes assigned are estimated from this node's: the mean over all writers for
+        each node, and this node's preference for the writer for up to `MAX_CORRELATED_NODES`.
         """
-        memory = self.config.memory[writer.kind] or LIKELY_MEMORY
+        memory = self.config.memory[writer.kind] or DEFAULT_MEMORY
         free = self.free_shares.get(writer.index)
         if free is None:
-            mean = self.promised / max(1, len(self.writers))
-            others = self._other_nodes()
-            coming = writer.promised + others * mean + min(others, MAX_ALIKE_NODES) * (writer.promised - mean)
+            own, mean = writer.assigned_tokens, self.assigned_tokens / max(1, len(self.writers))
+            others = self._equivalent_other_nodes()
+            assigned = own + others * mean + min(others, MAX_CORRELATED_NODES) * (own - mean)
             used = self.usual_memory.get(writer.kind, 0.0) + self.observed(writer.memory, writer)
-            free = self.free_shares[writer.index] = 1.0 - used - coming / memory
+            free = self.free_shares[writer.index] = 1.0 - used - assigned / memory
         return free - sequence.memory_need / memory
 
-    def _other_nodes(self) -> float:
-        """Return as many nodes with our traffic as the rest of what tenants may send is worth.
+    def _equivalent_other_nodes(self) -> float:
+        """Return the number of nodes with this node's traffic that the rest of all quotas would fill.
 
-        A node that gets several times its even part would else see all writers full of what nobody sends.
+        It is at most the number of other nodes. Without the bound by quotas, a node with several times its
+        even part of the traffic would expect as much from each other node, and estimate all writers full
+        (`test_a_node_with_more_than_its_even_part_does_not_take_the_fleet_to_be_full`).
         """
         others = self.config.node_count - 1.0
-        ours = sum(self.arrivals.rate(tenant, self.now) for tenant in range(len(self.config.quotas)))
-        total = sum(self.config.quotas)
-        return min(others, max(0.0, total / ours - 1.0)) if ours and total else others
+        own_rate = sum(self.arrivals.rate(tenant, self.now) for tenant in range(len(self.config.quotas)))
+        total_rate = sum(self.config.quotas)
+        if not own_rate or not total_rate:
+            return others
+        return min(others, max(0.0, total_rate / own_rate - 1.0))
 
     def total_backlog(self, engine: Engine) -> float:
-        """Return the prompt tokens that wait there, of all nodes."""
+        """Return the prompt tokens of all nodes that an engine has yet to read."""
         own = engine.own_backlog
-        alike = own * min(self.config.node_count - 1, MAX_ALIKE_NODES)
-        others = self.usual_backlog.get(engine.kind, alike) + self.observed(engine.backlog, engine)
+        default = own * min(self.config.node_count - 1, MAX_CORRELATED_NODES)
+        others = self.usual_backlog.get(engine.kind, default) + self.observed(engine.backlog, engine)
         return own + max(0.0, others)
 
     def wait(self, engine: Engine) -> float:
-        """Return the seconds until what waits there has been read."""
+        """Return the seconds until an engine has read its backlog."""
         wait = self.waits.get(engine.index)
         if wait is None:
             wait = self.waits[engine.index] = self.total_backlog(engine) / self.read_rate(engine)
         return wait
 
     def slowdown(self, writer: Engine) -> float:
-        """Return by how much of the usual time a writer's answers take longer."""
+        """Return the excess duration of a writer's answers, as a share of the usual duration."""
         return self.usual_slowdown.get(writer.kind, 0.0) + self.observed(writer.slowdown, writer)
 
     def attempt_ended(self, sequence: Sequence, attempt: Attempt) -> None:
-        """Learn from how an attempt ended, and whether its engine has probably died and come back.
+        """Learn from the outcome of an attempt, and whether its engine has probably restarted.
 
-        The endpoint list tells of that seconds late. One reset is no death: connections break at engines
-        that run on.
+        The endpoint list reports a restart seconds late. One reset is no restart, because connections also
+        break at engines that keep running.
         """
         super().attempt_ended(sequence, attempt)
         engine = attempt.engine
@@ -107,7 +117,7 @@
             engine.restarted(self.now)
 
     def is_outlier(self, engine: Engine) -> bool:
-        """Return whether its share of failures is far above the median of the fleet."""
+        """Return whether an engine's share of failures is far above the median of the serving engines."""
         share = self.observed(engine.failures, engine)
         if share <= OUTLIER_MARGIN:
             return False
--- a/myrtlehub/routing/policy/load_probing.py
+++ b/myrtlehub/routing/policy/load_probing.py
@@ -1,6 +1,6 @@
-"""Load probing: where engines tell their load to probes alone, arriving sequences ask those they may go to.
+"""Load probing: which engines an arriving sequence probes, where engines report load to probes only.
 
-Probes are paced by the sequences of this node and by the price of one.
+The number of probes is limited by this node's arrivals and by the price of a probe.
 """
 
 from myrtlehub.routing.policy.engine_estimates import EngineEstimates
@@ -8,16 +8,17 @@
 from myrtlehub.routing.policy.writer_selection import WriterSelection
 from myrtlehub.routing.records import Engine, Sequence
 
-PROBE_SPEND = 0.01  # of the utility asked for, that probes may cost
-MAX_PROBES = 6.0  # a sequence, however cheap they are
-SAVED_PROBES = 3.0 * MAX_PROBES  # that may be saved up
-PROBED_WRITERS = 2  # of the best, each with its reader; and one engine by chance
-CANDIDATE_WRITERS = 8  # of which one is chosen once probes have answered
-PROBE_INTERVAL = 0.3  # seconds in which an engine is not probed anew
+PROBE_SPEND = 0.01  # share of a sequence's utility that its probes may cost
+MIN_PROBE_PRICE = 1e-6  # share of a sequence's utility; smallest divisor
+MAX_PROBES = 6.0  # per sequence on average, however cheap they are
+MAX_PROBE_TOKENS = 3.0 * MAX_PROBES  # capacity of the token bucket that limits probes
+PROBED_WRITERS = 2  # best-ranked writers probed, each with its reader
+CANDIDATE_WRITERS = 8  # best-ranked writers among which the answers decide
+PROBE_INTERVAL = 0.3  # seconds between two probes of an engine, as load changes little sooner
 
 
 class LoadProbing:
-    """Decides which engines are probed for a sequence."""
+    """Decides which engines are probed for a sequence, within a token bucket filled by arrivals."""
 
     def __init__(self, estimates: EngineEstimates, reads: ReadPlacement, writers: WriterSelection) -> None:
         config = estimates.config
@@ -26,22 +27,24 @@
         self.writers = writers
         self.random = reads.random
         self.is_needed = config.load_by_probe_only and config.may_probe
-        self.earned = min(MAX_PROBES, PROBE_SPEND / max(config.probe_price, 1e-6))  # probes by each sequence
-        self.saved = MAX_PROBES
+        price = max(config.probe_price, MIN_PROBE_PRICE)
+        self.tokens_per_sequence = min(MAX_PROBES, PROBE_SPEND / price)
+        self.tokens = MAX_PROBES
 
-    def probe_for(self, sequence: Sequence, now: float) -> list[Engine]:
-        """Return the engines to probe before a sequence is placed; it awaits their answers."""
-        self.saved = min(self.saved + self.earned, SAVED_PROBES)
+    def select(self, sequence: Sequence, now: float) -> list[Engine]:
+        """Return the engines to probe before a sequence is placed, and record that it awaits them."""
+        self.tokens = min(self.tokens + self.tokens_per_sequence, MAX_PROBE_TOKENS)
         probed = []
         for engine in self._wanted(sequence, now):
-            if self.saved >= 1.0 and now > engine.last_probed_at + PROBE_INTERVAL:
-                self.saved -= 1.0
+            if self.tokens >= 1.0 and now > engine.last_probed_at + PROBE_INTERVAL:
+                self.tokens -= 1.0
                 engine.last_probed_at = now
                 sequence.awaited_probes.add(engine)
                 probed.append(engine)
         return probed
 
     def _wanted(self, sequence: Sequence, now: float) -> list[Engine]:
+        """Return the best writers, their readers and one random engine, in the order of their use."""
         estimates, arrival = self.estimates, sequence.arrival
         usable = self.writers.admission.usable(estimates.writers, sequence, now)
         plan = self.reads.plan(sequence, now)
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -1,7 +1,7 @@
-"""The prefix cache estimate: which prompt tokens each engine is believed to have cached.
+"""Prefix cache estimates: how many prompt tokens each engine has cached.
 
-Where this node knows nothing of a prompt, affinity stands in: an order of readers by prefix that is the same
-at every node, so that a prefix is cached at few readers.
+Where this node has no entry for a prompt, an estimate comes from affinity: all nodes rank the readers of a
+prefix in the same order, so that each prefix is cached at few readers.
 """
 
 from myrtlehub.routing.contract import Arrival
@@ -10,25 +10,36 @@
 from myrtlehub.routing.statistics import MovingAverages, rendezvous_weight
 
 CACHE_BOUNDS = CacheBounds(
-    fresh_time=30.0,  # seconds for which an entry counts in full, and over which it then fades away
-    max_entries=4000,  # sessions and prefixes for each engine
+    fresh_time=30.0,  # seconds; 10 and 120 scored alike within noise
+    max_entries=4000,  # sessions and prefixes per engine, which bounds the memory of a node
 )
-MIN_TOKENS = 64.0  # of an entry from which what an engine reports tells whether it was right
-VOID_SHARE = 0.5  # of an entry: an engine that has less of it has lost all older ones too
-AFFINITY_READERS = 6  # at which a prefix is cached first of all
-HIT_SHARES = (0.5, 0.3, 0.0)  # of a prompt that readers have cached, by affinity, until some were seen
-HIT_WEIGHT = 0.1  # of one read in the average of its affinity
+# Tokens of an entry from which the engine's report of cached tokens is evidence for or against the entry.
+MIN_CONFIRMED_TOKENS = 64.0
+# Share of an entry's tokens below which a report means a flush, a restart or eviction, by which the engine
+# has lost all older entries too.
+MIN_CONFIRMED_SHARE = 0.5
+AFFINITY_READERS = 6  # readers at which a prefix is cached: more spread its load, fewer raise its hit rate
+INITIAL_HIT_SHARES = (0.5, 0.3, 0.0)  # of a prompt's tokens, by affinity, before any reads were observed
+HIT_WEIGHT = 0.1  # weight of one read in the average hit share of its affinity
+SESSION_DRAW_KEYS = 2**40  # number of keys among which a prompt without prefix and session draws its own
 
 
 def affinity_key(sequence: Sequence) -> int:
-    """Return what a prompt has in common with others: a prefix, else its session, else nothing."""
+    """Return the key by which readers are ranked: a prompt's prefix, else its session, else a random one."""
     arrival = sequence.arrival
-    return arrival.prefix or arrival.session or int(sequence.slow_start_draw * 2**40)
+    return arrival.prefix or arrival.session or int(sequence.slow_start_draw * SESSION_DRAW_KEYS)
 
 
 def rank_affinity(session: int, readers: list[Engine], weights: list[int]) -> dict[Engine, Affinity]:
-    """Return the affinity of the first readers by weight for a prefix, and of the first of each cell."""
-    ranked = [readers[place] for place in sorted(range(len(readers)), key=lambda place: -weights[place])]
+    """Return the readers nearer than `Affinity.OTHER`: the highest-ranked of all, and of each cell.
+
+    Args:
+        session: The session of the prompt, which selects its home among the highest-ranked readers.
+        readers: The usable readers.
+        weights: Their ranks for the prompt's affinity key; the highest comes first.
+    """
+    order = sorted(range(len(readers)), key=lambda place: -weights[place])
+    ranked = [readers[place] for place in order]
     first_of_cell: dict[int, Engine] = {}
     for reader in ranked:
         first_of_cell.setdefault(reader.cell, reader)
@@ -41,28 +52,27 @@
 
 
 class HitRates:
-    """Shares of prompts that readers have lately had cached, by affinity."""
+    """Average shares of prompts that readers had cached, by affinity."""
 
     def __init__(self) -> None:
         self._averages = MovingAverages()
 
-    def likely_tokens(self, arrival: Arrival) -> list[float]:
-        """Return by affinity the tokens that a reader should have cached where nothing is known of it."""
+    def estimated_tokens(self, arrival: Arrival) -> list[float]:
+        """Return, by affinity, the tokens of a prompt that a reader without an entry for it has cached."""
         if not arrival.shared_tokens:
             return [0.0 for _ in Affinity]
-        shares = [self._averages.get(affinity, HIT_SHARES[affinity]) for affinity in Affinity]
+        shares = [self._averages.get(affinity, INITIAL_HIT_SHARES[affinity]) for affinity in Affinity]
         return [share * arrival.prompt_tokens for share in shares]
 
-    def succeeded(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
-        """Learn what an engine had cached of a prompt that it read, or wrote an answer to."""
+    def attempt_succeeded(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
+        """Learn from the cached tokens that an engine reported, and update its cache entries."""
         arrival = sequence.arrival
-        is_known = attempt.cached.tokens >= MIN_TOKENS
-        if attempt.is_read and not is_known and arrival.shared_tokens:
+        had_entry = attempt.cached.tokens >= MIN_CONFIRMED_TOKENS
+        if attempt.is_read and not had_entry and arrival.shared_tokens:
             share = attempt.cached_tokens / arrival.prompt_tokens
             self._averages.observe(attempt.affinity, share, HIT_WEIGHT)
         if attempt.fetches_state:
-            return  # a fetched state is not cached for the next prompt
-        if is_known and attempt.cached_tokens < VOID_SHARE * attempt.cached.tokens:
-            # a flush, a restart or eviction: what was seen then is gone, and all that is older
+            return  # engines cache the prompts that they read, and not the states that they fetch
+        if had_entry and attempt.cached_tokens < MIN_CONFIRMED_SHARE * attempt.cached.tokens:
             attempt.engine.cache.drop_until(attempt.cached.seen_at)
         attempt.engine.cache.add(arrival, now)
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -1,34 +1,61 @@
-"""Read placement: whether a prompt is read apart from its writer, and by which reader.
+"""Read placement, the second stage: whether an engine other than the writer reads the prompt, and which.
 
-A prompt is split off when its uncached tokens reach a threshold. It goes to the reader in the writer's cell
-that caches most of it, then to the least loaded.
+A prompt is split off its writer from `SPLIT_TOKENS` uncached tokens. It goes to the reader in the writer's
+cell with the most cached tokens, and among equals to the one with the fewest reads of this node.
 """
 
 from collections import Counter
 from collections.abc import Callable, Iterator
+from typing import NamedTuple
 
 from myrtlehub.routing.policy.admission import Admission
-from myrtlehub.routing.policy.engine_estimates import MAX_ALIKE_NODES, EngineEstimates
+from myrtlehub.routing.policy.engine_estimates import MAX_CORRELATED_NODES, EngineEstimates
 from myrtlehub.routing.policy.prefix_cache import HitRates, affinity_key, rank_affinity
 from myrtlehub.routing.policy.retries import prefer_accepting
-from myrtlehub.routing.records import Affinity, Engine, PlannedRead, ReadPlan, Sequence, StageResult
+from myrtlehub.routing.records import (
+    Affinity,
+    Engine,
+    PlannedRead,
+    ReadEstimate,
+    ReadPlan,
+    Refusal,
+    Sequence,
+)
 from myrtlehub.routing.statistics import MovingAverages, rendezvous_weight
 
-SPLIT_TOKENS = 600.0  # uncached prompt tokens from which a prompt is read elsewhere; 0: never
-LIKELY_MOVE_TIME = 1.0 / 24000.0  # seconds a token that a move between cells takes, until some were seen
-MOVE_WEIGHT = 0.2  # of one move in the average of its link
-MIN_MOVE_TOKENS = 500.0  # that a move counts for at least, as short ones tell little of a link
-OWN_READ_FACTOR = 3.0  # times longer that a writer's own read counts, as its streams wait meanwhile
-TIE_TIME = 0.1  # seconds within which chance picks among readers, lest all nodes send to one
-CELL_SLACK = 1.3  # times their even part that a cell's readers are trusted with unseen
-MAX_QUEUE_SHARE = 0.5  # of the time left to the latency objective, that a reader's queue and read may take
+SPLIT_TOKENS = 600.0  # uncached prompt tokens from which another engine reads the prompt; 0 never splits
+INITIAL_TRANSFER_TIME = 1.0 / 24000.0  # seconds per token between cells, before any transfers were observed
+TRANSFER_WEIGHT = 0.2  # weight of one transfer in the average of its link
+MIN_TRANSFER_TOKENS = 500.0  # tokens that a transfer counts as at least; short ones are mostly fixed overhead
+OWN_READ_FACTOR = (
+    3.0  # multiple that a read by the writer itself counts, because it delays the writer's streams
+)
+TIE_TIME = 0.1  # seconds of random difference between readers, so that not all nodes send to the same one
+CELL_SLACK = (
+    1.3  # multiple of their even part of reads that a cell's readers get without a recent load report
+)
+MAX_QUEUE_SHARE = 0.5  # of the time left to the latency objective, which a reader's queue and read may take
 MIN_QUEUE_TIME = 0.1  # seconds that they may take in any case
-REPORT_HALF_LIFE = 1.0  # seconds in which a report of what waits at a reader is half worthless
-LAST_ATTEMPTS = 2  # left, with which a sequence that was refused is not split: it would take both
+REPORT_HALF_LIFE = 1.0  # seconds in which the weight of a reader's load report halves
+LAST_ATTEMPTS = 2  # attempts left with which a rejected sequence is not split, as a read and a write use both
+
+
+class _RankedRead(NamedTuple):
+    """The best read of a cell so far, with what it is compared by; the greatest rank is the best."""
+
+    rank: tuple[int, int, int, float]  # cached tokens, reads in flight (negated), prefix rank, seconds
+    read: PlannedRead
+
+
+class _TimedRead(NamedTuple):
+    """The soonest read of a zone so far, with what it is compared by; the least order is the best."""
+
+    order: tuple[float, float]  # seconds with transfer and random difference, seconds of the read
+    read: ReadEstimate
 
 
 class ReadPlacement:
-    """Chooses where prompts are read."""
+    """Chooses the engines that read prompts."""
 
     def __init__(self, estimates: EngineEstimates, admission: Admission, random: Callable[[], float]) -> None:
         self.config = estimates.config
@@ -36,26 +63,26 @@
         self.admission = admission
         self.random = random
         self.hit_rates = HitRates()
-        self.trusted_shares: dict[int, float] = {}  # by cell: readers a writer, against the fleet
-        self.cell_moves = MovingAverages()  # seconds a token out of a cell, to others of its zone
-        self.zone_moves = MovingAverages()  # and to other zones
+        # By cell: its readers per writer, relative to the fleet's, times `CELL_SLACK`.
+        self.reader_shares: dict[int, float] = {}
+        self.zone_transfer_times = MovingAverages()  # seconds per token, from a cell to others of its zone
+        self.remote_transfer_times = MovingAverages()  # seconds per token, from a cell to other zones
 
     def update_cells(self) -> None:
-        """Take note that the endpoint list changed."""
+        """Recompute the reader shares of all cells from the endpoint list."""
         writers, readers = self.estimates.writers, self.estimates.readers
         ratio = CELL_SLACK * len(writers) / max(1, len(readers))
         writers_of_cell = Counter(writer.cell for writer in writers)
         readers_of_cell = Counter(reader.cell for reader in readers)
-        self.trusted_shares = {
+        self.reader_shares = {
             cell: ratio * count / max(1, writers_of_cell[cell]) for cell, count in readers_of_cell.items()
         }
 
-    def place(self, sequence: Sequence, now: float) -> StageResult:
-        """Split a sequence when its writer would have to read too much itself, or cannot read."""
+    def place(self, sequence: Sequence, writer: Engine, now: float) -> Engine | Refusal:
+        """Return the engine for the next attempt: the selected writer, or a reader if the prompt is split."""
         sequence.is_split = False
-        writer = sequence.writer
-        if sequence.state_at is not None:
-            return StageResult.PASS
+        if sequence.state_holder is not None:
+            return writer
         plan = sequence.read_plan or self.plan(sequence, now)
         sequence.read_plan = None
         uncached = sequence.arrival.prompt_tokens - writer.cache.find(sequence.arrival, now).tokens
@@ -64,55 +91,69 @@
         delay = read.seconds
         delay += self.estimates.wait(writer) + self.estimates.observed(writer.lateness, writer)
         if not sequence.attempts and self.admission.starts_late(sequence, delay, now):
-            # an engine's queue would hold only what comes too late, whatever filled it
+            # Sent all the same, it would only lengthen the queues that make it late.
             return self.admission.wait_or_reject(sequence, now)
-        sequence.placed_at = now
-        sequence.expected_delay = delay
+        self.admission.expect_start(sequence, delay, now)
         if not read.is_possible:
-            return StageResult.WAIT  # there is no reader, and the writer cannot read
+            return Refusal.WAIT
+        if read.reader is None or self._must_save_attempts(sequence, writer):
+            return writer
+        sequence.is_split = True
+        return read.reader
+
+    def _must_save_attempts(self, sequence: Sequence, writer: Engine) -> bool:
+        """Return whether a rejected sequence has too few attempts left for both a read and a write."""
         attempts_left = self.config.max_attempts - len(sequence.attempts)
-        is_short = sequence.was_refused and attempts_left <= LAST_ATTEMPTS and self._can_read(writer)
-        sequence.is_split = read.reader is not None and not is_short
-        return StageResult.PASS
+        return sequence.was_rejected and attempts_left <= LAST_ATTEMPTS and self._can_read(writer)
 
     def plan(self, sequence: Sequence, now: float) -> ReadPlan:
-        """Find the best reader of each cell that has capacity, and the soonest of each zone and of all."""
-        engines = self.estimates.engines
-        limit = max(MIN_QUEUE_TIME, MAX_QUEUE_SHARE * (sequence.slo_at - now))
-        by_cell: dict[int, tuple] = {}  # (what they are compared by, seconds, index)
-        by_zone: dict[int | None, tuple] = {}
+        """Find the best reader with capacity of each cell, and the soonest reader of each zone and of all.
+
+        Readers come in the order of their index, which decides between equals: the last one in a cell, the
+        first one in a zone.
+        """
+        limit = max(MIN_QUEUE_TIME, MAX_QUEUE_SHARE * (sequence.slo_deadline - now))
+        by_cell: dict[int, _RankedRead] = {}
+        by_zone: dict[int | None, _TimedRead] = {}
         for reader, cached, weight, seconds in self._estimate_reads(sequence, now):
             if seconds < limit:
-                choice = ((round(cached), -reader.own_reads, weight), seconds, reader.index)
-                by_cell[reader.cell] = max(by_cell.get(reader.cell, choice), choice)
-            for zone, moves in ((reader.zone, self.cell_moves), (None, self.zone_moves)):
-                move = sequence.arrival.prompt_tokens * moves.get(reader.cell, LIKELY_MOVE_TIME)
-                choice = (seconds + move + TIE_TIME * self.random(), seconds, reader.index)
-                by_zone[zone] = min(by_zone.get(zone, choice), choice)
+                rank = (round(cached), -reader.own_reads, weight, seconds)
+                best = by_cell.get(reader.cell)
+                if best is None or rank >= best.rank:
+                    by_cell[reader.cell] = _RankedRead(rank, PlannedRead(seconds, reader, rank[0]))
+            for zone, times in ((reader.zone, self.zone_transfer_times), (None, self.remote_transfer_times)):
+                transfer = sequence.arrival.prompt_tokens * times.get(reader.cell, INITIAL_TRANSFER_TIME)
+                order = (seconds + transfer + TIE_TIME * self.random(), seconds)
+                soonest = by_zone.get(zone)
+                if soonest is None or order < soonest.order:
+                    by_zone[zone] = _TimedRead(order, ReadEstimate(reader, seconds))
         return ReadPlan(
-            {cell: PlannedRead(seconds, engines[i], rank[0]) for cell, (rank, seconds, i) in by_cell.items()},
-            {zone: PlannedRead(seconds, engines[i]) for zone, (_, seconds, i) in by_zone.items()},
+            {cell: best.read for cell, best in by_cell.items()},
+            {zone: soonest.read for zone, soonest in by_zone.items()},
         )
 
     def _estimate_reads(self, sequence: Sequence, now: float) -> Iterator[tuple[Engine, float, int, float]]:
-        """Yield each usable reader, its cached tokens, affinity weight, and the seconds that a read takes."""
+        """Yield each usable reader, its cached tokens, its prefix rank, and the seconds until it has read.
+
+        A load report counts less as it ages, and a reader without one gets its cell's share of the reads.
+        Otherwise all nodes would send to the few readers of a cell with many writers
+        (`test_a_cell_with_few_readers_reads_its_part`).
+        """
         estimates, arrival, prompt = self.estimates, sequence.arrival, sequence.arrival.prompt_tokens
-        chance = self.random()
-        half_life = REPORT_HALF_LIFE * (1.0 + MAX_ALIKE_NODES / self.config.node_count)
+        draw = self.random()
+        half_life = REPORT_HALF_LIFE * (1.0 + MAX_CORRELATED_NODES / self.config.node_count)
         readers = self._usable_readers(sequence, now)
         key = affinity_key(sequence)
         weights = [rendezvous_weight(key, reader.hash_seed) for reader in readers]
         affinity = sequence.affinity = rank_affinity(arrival.session, readers, weights)
-        likely_tokens = self.hit_rates.likely_tokens(arrival)
+        estimated_tokens = self.hit_rates.estimated_tokens(arrival)
         for reader, weight in zip(readers, weights, strict=True):
-            likely = likely_tokens[affinity.get(reader, Affinity.OTHER)]
-            cached = max(reader.cache.find(arrival, now).tokens, likely)
+            estimated = estimated_tokens[affinity.get(reader, Affinity.OTHER)]
+            cached = max(reader.cache.find(arrival, now).tokens, estimated)
             seconds = (estimates.total_backlog(reader) + prompt - cached) / estimates.read_rate(reader)
-            # Cells whose few readers all nodes take to be free: what is not known of them is judged by how
-            # many readers a writer of that cell has, against the fleet.
-            known = 0.5 ** ((now - reader.backlog.at) / half_life)
-            if chance > known + (1.0 - known) * self.trusted_shares[reader.cell]:
-                seconds += sequence.slo_at - now
+            known: float = 0.5 ** ((now - reader.backlog.at) / half_life)
+            if draw > known + (1.0 - known) * self.reader_shares[reader.cell]:
+                seconds += sequence.slo_deadline - now
             yield reader, cached, weight, seconds
 
     def _usable_readers(self, sequence: Sequence, now: float) -> list[Engine]:
@@ -122,36 +163,57 @@
     def choose(
         self, writer: Engine, sequence: Sequence, plan: ReadPlan, uncached: float, now: float
     ) -> PlannedRead:
-        """Choose who reads a prompt for this writer, of which it has so many tokens uncached."""
-        estimates = self.estimates
+        """Choose the engine that reads a prompt for a writer.
+
+        Args:
+            writer: The writer.
+            sequence: The sequence of the prompt.
+            plan: The readers that the sequence may use.
+            uncached: Tokens of the prompt that the writer has not cached.
+            now: The present time.
+        """
         can_read = self._can_read(writer)
-        alone = OWN_READ_FACTOR * uncached / estimates.read_rate(writer)
+        own_read = OWN_READ_FACTOR * uncached / self.estimates.read_rate(writer)
         if can_read and (SPLIT_TOKENS <= 0 or uncached < SPLIT_TOKENS):
-            return PlannedRead(alone)
+            return PlannedRead(own_read)
         if writer.cell in plan.by_cell:
             return plan.by_cell[writer.cell]
-        # Readers flooded by a lasting heavy mix, and states that queue on the links between cells: where no
-        # reader of the cell has capacity, who should be ready first reads, the writer included.
-        best = PlannedRead(sequence.abandon_at - now, is_possible=False)
-        for read in [plan.by_zone[zone] for zone in (writer.zone, None) if zone in plan.by_zone]:
-            ready = read.seconds + self.move_time(read.reader, writer, sequence)
-            if not best.is_possible or (ready, read.reader.index) < (best.seconds, best.reader.index):
-                best = PlannedRead(ready, read.reader)
-        if can_read and (not best.is_possible or alone + estimates.wait(writer) < best.seconds):
-            return PlannedRead(alone)
-        return best
+        # No reader of the cell has capacity: its readers may be flooded, and the links to other cells slow.
+        # The engine that would be ready first reads, which may be the writer.
+        soonest = self._soonest_elsewhere(writer, sequence, plan)
+        if can_read and (soonest is None or own_read + self.estimates.wait(writer) < soonest.seconds):
+            return PlannedRead(own_read)
+        if soonest is None:
+            return PlannedRead(sequence.abandon_at - now, is_possible=False)
+        return PlannedRead(soonest.seconds, soonest.reader)
+
+    def _soonest_elsewhere(self, writer: Engine, sequence: Sequence, plan: ReadPlan) -> ReadEstimate | None:
+        """Return the reader whose read state a writer would have first, with the seconds until then."""
+        soonest: ReadEstimate | None = None
+        for zone in (writer.zone, None):
+            read = plan.by_zone.get(zone)
+            if read is None:
+                continue
+            ready = read.seconds + self.transfer_time(read.reader, writer, sequence)
+            order = (ready, read.reader.index)
+            if soonest is None or order < (soonest.seconds, soonest.reader.index):
+                soonest = ReadEstimate(read.reader, ready)
+        return soonest
 
     def _can_read(self, writer: Engine) -> bool:
         return self.config.reads[writer.kind] or self.config.writers_can_read
 
-    def move_time(self, reader: Engine, writer: Engine, sequence: Sequence) -> float:
-        """Return the seconds in which a writer should fetch a read state."""
-        if reader.cell == writer.cell:
+    def transfer_time(self, holder: Engine, writer: Engine, sequence: Sequence) -> float:
+        """Return the estimated seconds in which a writer fetches a read state from its holder."""
+        if holder.cell == writer.cell:
             return 0.0
-        moves = self.cell_moves if reader.zone == writer.zone else self.zone_moves
-        return sequence.arrival.prompt_tokens * moves.get(reader.cell, LIKELY_MOVE_TIME)
+        times = self._transfer_times(holder, writer)
+        return sequence.arrival.prompt_tokens * times.get(holder.cell, INITIAL_TRANSFER_TIME)
+
+    def transfer_observed(self, holder: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
+        """Learn from a transfer of a read state between cells, which took `latency` seconds."""
+        times = self._transfer_times(holder, writer)
+        times.observe(holder.cell, latency / max(MIN_TRANSFER_TOKENS, prompt_tokens), TRANSFER_WEIGHT)
 
-    def moved(self, reader: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
-        """Learn how long a move between cells took."""
-        moves = self.cell_moves if reader.zone == writer.zone else self.zone_moves
-        moves.observe(reader.cell, latency / max(MIN_MOVE_TOKENS, prompt_tokens), MOVE_WEIGHT)
+    def _transfer_times(self, holder: Engine, writer: Engine) -> MovingAverages:
+        return self.zone_transfer_times if holder.zone == writer.zone else self.remote_transfer_times
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -1,7 +1,8 @@
-"""The router: composes all decisions.
+"""The router of a node: runs the stages for each sequence, and answers its client when they cannot continue.
 
-A sequence passes a chain of stages: writer selection, read placement, the gate. Each passes it on, lets it
-wait at this node or ends it. What an attempt showed is learned first; then its sequence ends or passes again.
+A sequence passes three stages before each attempt: writer selection, read placement and the admission gate.
+A stage returns the engine to use, or a `Refusal`: the sequence then waits at this node or ends. When an
+attempt ends, the router first learns from it, and then ends the sequence or runs the stages again.
 """
 
 from random import Random
@@ -15,16 +16,16 @@
 from myrtlehub.routing.policy.read_placement import ReadPlacement
 from myrtlehub.routing.policy.writer_selection import WriterSelection
 from myrtlehub.routing.prompt_cache import NO_ENTRY
-from myrtlehub.routing.records import Affinity, Attempt, Engine, Sequence, StageResult
+from myrtlehub.routing.records import Affinity, Attempt, Engine, Refusal, Sequence
 
-ANSWER_TICKS = 2  # of the node's timer, by which an answer comes before the abandon time
-MIN_ANSWER_MARGIN = 0.004  # seconds, likewise at least
-LIKELY_OUTPUT_SHARE = 0.25  # of the most that it may produce, that an answer is taken to produce
-READ_TIMEOUT_SHARE = 0.6  # of the time left, for which a first read may be out
-WAKEUP_INTERVAL = 0.04  # seconds between looks at what waits here
-RETRY_INTERVAL = 0.08  # seconds from one placement of a sequence that waits here to the next
-PROBED_RETRY_INTERVAL = 0.4  # the same where load is told to probes alone
-MAX_VAIN_PLACEMENTS = 3  # sequences waiting here that are tried in vain at a time
+ANSWER_TICKS = 2  # ticks of the node's timer by which the final answer precedes the abandon time
+MIN_ANSWER_MARGIN = 0.004  # seconds by which it does so at least, to reach the client in time
+EXPECTED_OUTPUT_SHARE = 0.25  # of the maximum output tokens, which an answer is expected to produce
+READ_TIMEOUT_SHARE = 0.6  # of the time left, for a first read, so that another attempt fits in the rest
+WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
+RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, to bound their cost
+PROBED_RETRY_INTERVAL = 0.4  # the same where load is known from probes only, as reports are fewer
+MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
 
 
 class Router(RouterCalls):
@@ -38,7 +39,6 @@
         self.reads = ReadPlacement(self.estimates, self.admission, self.random)
         self.writers = WriterSelection(self.estimates, self.admission, self.reads)
         self.probing = LoadProbing(self.estimates, self.reads, self.writers)
-        self.stages = (self.writers.select, self.reads.place, self.admission.gate)
 
     def _endpoints_changed(self) -> None:
         self.reads.update_cells()
@@ -46,17 +46,17 @@
     def _probe_unanswered(self, engine: Engine) -> None:
         self.estimates.probe_unanswered(engine)
 
-    def _accept(self, now: float, ident: int, arrival: Arrival) -> Sequence:
+    def _accept(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
         margin = max(ANSWER_TICKS * self.config.tick, MIN_ANSWER_MARGIN)
         abandon_at = now + arrival.time_left - margin
-        need = arrival.prompt_tokens + LIKELY_OUTPUT_SHARE * arrival.max_output_tokens
+        memory_need = arrival.prompt_tokens + EXPECTED_OUTPUT_SHARE * arrival.max_output_tokens
         traffic = self.config.traffic[arrival.traffic]
-        return Sequence(ident, arrival, traffic, now, abandon_at, self.random(), need)
+        return Sequence(sequence_id, arrival, traffic, now, abandon_at, self.random(), memory_need)
 
     def _admit(self, sequence: Sequence, now: float) -> None:
         sequence.is_over_quota = self.admission.is_over_quota(sequence.arrival.tenant)
         if self.probing.is_needed:
-            probed = self.probing.probe_for(sequence, now)
+            probed = self.probing.select(sequence, now)
             self.actions.extend(contract.Probe(engine.index) for engine in probed)
         if sequence.awaited_probes:
             self.waiting[sequence.id] = sequence
@@ -64,68 +64,87 @@
             self._place(sequence, now)
 
     def _place_waiting(self, now: float) -> None:
-        in_vain = 0
-        interval = PROBED_RETRY_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
-        by_urgency = sorted(self.sequences.values(), key=lambda one: (one.is_over_quota, one.slo_at, one.id))
+        failed_placements = 0
+        by_urgency = sorted(
+            self.sequences.values(),
+            key=lambda sequence: (sequence.is_over_quota, sequence.slo_deadline, sequence.id),
+        )
         for sequence in by_urgency:
             if sequence.is_over or sequence.has_begun:
                 continue
-            # A long queue here would take long: a few are tried, and all that are due.
-            is_due = sequence.attempts or self.admission.has_waited_long(sequence, now)
-            has_news = now > sequence.last_tried_at + interval and self.heard_at > sequence.last_tried_at
             if now >= sequence.abandon_at:
                 self._give_up(sequence)
-            elif sequence.id in self.waiting and (is_due or (in_vain < MAX_VAIN_PLACEMENTS and has_news)):
+                continue
+            if sequence.id not in self.waiting:
+                continue
+            may_try = failed_placements < MAX_FAILED_PLACEMENTS and self._may_place_again(sequence, now)
+            if may_try or sequence.attempts or self.admission.has_waited_long(sequence, now):
                 self._place(sequence, now)
-                in_vain += sequence.id in self.waiting
+                failed_placements += sequence.id in self.waiting
+
+    def _may_place_again(self, sequence: Sequence, now: float) -> bool:
+        """Return whether engines were heard from since the last placement, and that was long enough ago."""
+        interval = PROBED_RETRY_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
+        last_placed_at = sequence.last_placed_at
+        return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
 
     def _place(self, sequence: Sequence, now: float) -> None:
-        """Pass the stages, and send the sequence if all let it."""
+        """Run the stages, and send the next attempt if all of them pass."""
         self.waiting.pop(sequence.id, None)
-        sequence.last_tried_at = now
-        result = StageResult.PASS
-        for stage in self.stages:
-            result = stage(sequence, now)
-            if result != StageResult.PASS:
-                break
-        if result == StageResult.PASS:
-            self._send(sequence, sequence.reader if sequence.is_split else sequence.writer, now)
-        elif result == StageResult.WAIT:
+        sequence.last_placed_at = now
+        result = self._run_stages(sequence, now)
+        if isinstance(result, Engine):
+            self._send(sequence, result, now)
+        elif result is Refusal.WAIT:
             self.waiting[sequence.id] = sequence
             if sequence.attempts and not sequence.running_attempts():
-                self._release_old_state(sequence, now, admission.STATE_TIMEOUT_SHARE)
+                self._release_expired_state(sequence, now, admission.STATE_TIMEOUT_SHARE)
         else:
-            self._give_up(sequence, self.config.max_retry_after if result == StageResult.REJECT else 0.0)
-
-    def _release_old_state(self, sequence: Sequence, now: float, share: float) -> None:
+            self._give_up(sequence, self.config.max_retry_after if result is Refusal.REJECT else 0.0)
+
+    def _run_stages(self, sequence: Sequence, now: float) -> Engine | Refusal:
+        """Return the engine for the next attempt, or the refusal of the first stage that does not pass."""
+        writer = self.writers.select(sequence, now)
+        if isinstance(writer, Refusal):
+            return writer
+        engine = self.reads.place(sequence, writer, now)
+        if isinstance(engine, Refusal):
+            return engine
+        return self.admission.gate(sequence, engine, now) or engine
+
+    def _release_expired_state(self, sequence: Sequence, now: float, share: float) -> None:
         if self.admission.holds_state_too_long(sequence, now, share):
             self.actions.append(contract.Release(sequence.id))
-            sequence.state_at = None
+            sequence.state_holder = None
             sequence.state_since = float("inf")
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
+        """Send the next attempt: a read if the sequence is split, else one that writes the answer."""
         arrival = sequence.arrival
-        is_read = sequence.is_split
-        has_state = sequence.state_at is not None
-        cached = NO_ENTRY if has_state else engine.cache.find(arrival, now)
-        affinity = sequence.affinity.get(engine, Affinity.OTHER) if is_read else Affinity.OTHER
-        likely = self.reads.hit_rates.likely_tokens(arrival)[affinity] if is_read else 0.0
-        uncached = 0.0 if has_state else max(0.0, arrival.prompt_tokens - max(cached.tokens, likely))
-        backlog = self.estimates.total_backlog(engine)
-        attempt = Attempt(engine, is_read, now, uncached, backlog, cached, affinity, has_state)
-        # one time-out a sequence: those that fire under mere load make load
-        is_first_read = is_read and not sequence.attempts
+        # Only first reads time out here: later timeouts would fire under load alone, and add retries to it.
+        is_first_read = sequence.is_split and not sequence.attempts
         timeout = READ_TIMEOUT_SHARE * (sequence.abandon_at - now) if is_first_read else 0.0
-        self.estimates.promise(sequence, sequence.writer)
+        attempt = self._new_attempt(sequence, engine, now)
+        self.estimates.assign(sequence, sequence.writer)
         sequence.attempts.append(attempt)
         self.estimates.attempt_sent(attempt)
-        if not has_state:  # a fetched state is not cached for the next prompt
+        if not attempt.fetches_state:  # engines cache the prompts that they read, and not fetched states
             engine.cache.add(arrival, now)
         self.actions.append(contract.Send(sequence.id, engine.index, timeout))
 
-    def check_send(self, now: float, ident: int, attempt: int) -> contract.SendCheck:
-        """Return what still holds of an attempt before its first byte; changes nothing."""
-        sequence = self.sequences.get(ident)
+    def _new_attempt(self, sequence: Sequence, engine: Engine, now: float) -> Attempt:
+        arrival, is_read = sequence.arrival, sequence.is_split
+        has_state = sequence.state_holder is not None
+        cached = NO_ENTRY if has_state else engine.cache.find(arrival, now)
+        affinity = sequence.affinity.get(engine, Affinity.OTHER) if is_read else Affinity.OTHER
+        estimated = self.reads.hit_rates.estimated_tokens(arrival)[affinity] if is_read else 0.0
+        uncached = 0.0 if has_state else max(0.0, arrival.prompt_tokens - max(cached.tokens, estimated))
+        backlog = self.estimates.total_backlog(engine)
+        return Attempt(engine, is_read, now, uncached, backlog, cached, affinity, has_state)
+
+    def check_send(self, now: float, sequence_id: int, attempt: int) -> contract.SendCheck:
+        """Return which conditions of an attempt still hold before its first byte; changes nothing."""
+        sequence = self.sequences.get(sequence_id)
         if sequence is None or attempt >= len(sequence.attempts):
             return contract.SendCheck(may_run=False, in_slow_start_share=False)
         engine = sequence.attempts[attempt].engine
@@ -135,44 +154,45 @@
         )
 
     def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
-        writer, reader = attempt.engine, sequence.reader
-        is_reported = (
-            writer.kind in self.estimates.usual_memory
-        )  # load reports show what it takes from now on
-        self.estimates.promise(sequence, None if is_reported else sequence.promised_to)
-        self.admission.start_seen(sequence, now)
-        has_moved = attempt.fetches_state and reader is not None and reader.cell != writer.cell
-        if has_moved:
-            self.reads.moved(reader, writer, sequence.arrival.prompt_tokens, latency)
-        self.estimates.attempt_began(attempt, latency, has_moved)
+        writer, holder = attempt.engine, sequence.reader
+        # Where load reports include memory, they cover the sequence from now on; elsewhere it stays assigned.
+        is_reported = writer.kind in self.estimates.usual_memory
+        self.estimates.assign(sequence, None if is_reported else sequence.assigned_to)
+        self.admission.start_observed(sequence, now)
+        was_transferred = False
+        if attempt.fetches_state and holder is not None and holder.cell != writer.cell:
+            was_transferred = True
+            self.reads.transfer_observed(holder, writer, sequence.arrival.prompt_tokens, latency)
+        self.estimates.attempt_began(attempt, latency, was_transferred)
 
     def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
         self.estimates.attempt_ended(sequence, attempt)
         if attempt.has_succeeded:
-            self.reads.hit_rates.succeeded(sequence, attempt, now)
+            self.reads.hit_rates.attempt_succeeded(sequence, attempt, now)
         retries.record_capacity(sequence, attempt, now)
         retries.record_outcome(sequence, attempt, now)
         sequence.is_over = sequence.is_over or attempt.is_answered
         if sequence.is_over:
             self._forget(sequence)
         elif not retries.may_run_at(sequence, attempt.engine, now, self.config):
-            self._give_up(sequence)  # nothing more may be tried: say so at once
+            self._give_up(sequence)
         elif not sequence.running_attempts():
             if attempt.outcome == Outcome.UNREACHED and sequence.state_since > 0.0:
-                # Writers that are cut off: with each connection that does not come up the state would stay.
-                self._release_old_state(sequence, now, admission.UNREACHED_STATE_TIMEOUT_SHARE)
+                # Each failed connection to a writer takes time in which the read state stays at its engine
+                # (`test_a_read_state_is_released_in_time_while_writers_cannot_be_reached`).
+                self._release_expired_state(sequence, now, admission.UNREACHED_STATE_TIMEOUT_SHARE)
             self._place(sequence, now)
 
     def _give_up(self, sequence: Sequence, retry_after: float = 0.0) -> None:
-        """Give the final answer at once: a rejection where that is true, else an abort."""
-        self.admission.start_seen(sequence, self.estimates.now)
+        """End a sequence with a rejection if that is true, else with an abort."""
+        self.admission.start_observed(sequence, self.estimates.now)
         is_harmless = retries.may_reject(sequence)
         answer = contract.Reject(sequence.id, retry_after) if is_harmless else contract.Abort(sequence.id)
         self._end(sequence, answer)
 
     def _end(self, sequence: Sequence, answer: Action | None) -> None:
         sequence.is_over = True
-        if answer:
+        if answer is not None:
             self.actions.append(answer)
         if self.config.may_cancel and not sequence.has_begun:
             running = sequence.running_attempts()
@@ -180,13 +200,13 @@
         self._forget(sequence)
 
     def _forget(self, sequence: Sequence) -> None:
-        """Rule 5: release all that is held for an ended sequence once none of its attempts is out."""
+        """Forget an ended sequence once no attempt of it runs; rule 5: release its read states."""
         self.waiting.pop(sequence.id, None)
-        self.estimates.promise(sequence, None)
+        self.estimates.assign(sequence, None)
         if sequence.running_attempts():
             return
-        is_read = any(attempt.is_read for attempt in sequence.attempts)
-        if sequence.arrival.state_held_by >= 0 or is_read:
+        has_read = any(attempt.is_read for attempt in sequence.attempts)
+        if sequence.arrival.state_held_by >= 0 or has_read:
             self.actions.append(contract.Release(sequence.id))
         self.actions.append(contract.Forget(sequence.id))
         self.sequences.pop(sequence.id, None)
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -1,6 +1,6 @@
-"""Records of what a router works on: engines, sequences and their attempts.
+"""Mutable records of engines, sequences and attempts, and the typed plans that pass between stages.
 
-They hold state and answer plain questions about it; what is made of it is decided in `policy`.
+Records hold state and answer questions about it. The choices made from that state are in `routing.policy`.
 """
 
 from dataclasses import dataclass, field
@@ -11,45 +11,51 @@
 from myrtlehub.routing.prompt_cache import CacheEntry, PromptCache
 from myrtlehub.routing.statistics import UNOBSERVED, Observation
 
-NEVER = float("-inf")
+NEVER = float("-inf")  # a time before all others
 
 
-class StageResult(Enum):
-    """What a stage of the chain makes of a sequence."""
+class Refusal(Enum):
+    """Why a stage does not let a sequence be sent now, and what follows from it."""
 
-    PASS = "pass"  # to the next stage
-    WAIT = "wait"  # it waits at this node
-    REJECT = "reject"  # it ends for lack of capacity; the client may come again
-    GIVE_UP = "give-up"  # it ends
+    WAIT = "wait"  # the sequence waits at this node and is placed again later
+    REJECT = "reject"  # no capacity: the sequence ends, and its client may be told when to retry
+    GIVE_UP = "give-up"  # the sequence ends, and its client is not told when to retry
 
 
 class Affinity(IntEnum):
-    """How near a reader is to the first choice of a prompt's prefix."""
+    """The rank of a reader in the shared order of readers for a prompt's prefix."""
 
-    HOME = 0  # the one reader of a session
-    NEAR = 1  # the other readers of its prefix, and the first of each cell
+    HOME = 0  # the reader to which all prompts of one session go
+    NEAR = 1  # the other readers that cache the prefix, and the highest-ranked reader of each cell
     OTHER = 2
 
 
-class Customer(NamedTuple):
-    """For whom engines may have capacity, or none."""
+class Workload(NamedTuple):
+    """A tenant's traffic of one type; engines admit or reject each workload on its own."""
 
     tenant: int
     traffic: int
 
 
 class PossibleRun(NamedTuple):
-    """The first attempt that may have run."""
+    """The first attempt of a sequence that may have run, as far as deduplication depends on it."""
 
     dedup_group: int
     sent_at: float
 
 
+class StartEstimate(NamedTuple):
+    """An estimate of when an answer starts."""
+
+    made_at: float
+    delay: float  # seconds from `made_at`
+
+
 @dataclass(slots=True, eq=False)
 class Engine:
-    """One engine: its entry in the endpoint list, and what this node knows of it.
+    """One engine: its entry in the endpoint list, and this node's observations and accounts of it.
 
-    The observations are against what is usual for engines of its kind.
+    Observations are differences from what is usual for engines of its kind.
     """
 
     index: int
@@ -59,22 +65,26 @@
     zone: int = 0
     cell: int = 0
     hash_seed: int = 0
-    started_at: float = 0.0  # 0: long past
-    own_backlog: float = 0.0  # prompt tokens that this node sent to be read there, and that are not read yet
-    own_reads: int = 0  # reads of this node that are out there
-    promised: float = 0.0  # tokens of sequences of this node that are meant for it and have not begun there
+    started_at: float = 0.0  # 0.0: before this node can have seen it, so it needs no slow start
+    own_backlog: float = 0.0  # prompt tokens that this node sent and that the engine has yet to read
+    own_reads: int = 0  # reads that this node has in flight there
+    assigned_tokens: float = 0.0  # memory needed by this node's sequences that have yet to start there
     last_probed_at: float = NEVER
     memory: Observation = UNOBSERVED  # share of its memory in use
-    backlog: Observation = UNOBSERVED  # prompt tokens of other nodes that wait there
-    speed: Observation = UNOBSERVED  # by how much of the usual rate it reads faster
-    slowdown: Observation = UNOBSERVED  # by how much of the usual time its answers take longer
-    lateness: Observation = UNOBSERVED  # seconds by which its answers begin late
-    failures: Observation = UNOBSERVED  # share of its attempts
-    full_until: dict[Customer, float] = field(default_factory=dict)  # it was full for these
-    accepts_until: dict[Customer, float] = field(default_factory=dict)  # it had capacity for these
+    backlog: Observation = UNOBSERVED  # unread prompt tokens from other nodes
+    speed: Observation = UNOBSERVED  # excess of its read rate, as a share of the usual rate
+    slowdown: Observation = UNOBSERVED  # excess of its answers' duration, as a share of the usual one
+    lateness: Observation = UNOBSERVED  # seconds by which its answers start later than estimated
+    failures: Observation = UNOBSERVED  # share of its attempts that failed
+    full_until: dict[Workload, float] = field(default_factory=dict)  # it rejected these
+    accepts_until: dict[Workload, float] = field(default_factory=dict)  # it accepted these
 
     def reset(self, is_new: bool) -> None:
-        """Forget what a former process showed; another engine has nothing of this node's either."""
+        """Discard the observations of a former process.
+
+        Args:
+            is_new: The index now names another engine, at which this node has nothing in flight.
+        """
         self.last_probed_at = NEVER
         self.memory = UNOBSERVED
         self.backlog = UNOBSERVED
@@ -85,16 +95,16 @@
         if is_new:
             self.own_backlog = 0.0
             self.own_reads = 0
-            self.promised = 0.0
+            self.assigned_tokens = 0.0
 
     def dedup_group(self, traffic: TrafficType) -> int:
-        """Return the group of engines that share its memory of idempotency keys."""
+        """Return the number of the group of engines that shares this engine's idempotency keys."""
         if traffic.dedup_group == DedupGroup.ALL:
             return 0
         return self.zone if traffic.dedup_group == DedupGroup.ZONE else self.cell
 
     def restarted(self, at: float) -> None:
-        """Take note that its process started, with an empty cache."""
+        """Record that its process started at a time, with an empty cache."""
         self.started_at = at
         self.cache.clear()
 
@@ -104,21 +114,21 @@
     """One attempt of a sequence at an engine."""
 
     engine: Engine
-    is_read: bool  # for the read alone: another engine writes the answer
+    is_read: bool  # the engine only reads the prompt, and another one writes the answer
     sent_at: float
-    uncached_tokens: float  # of the prompt, as estimated, until the answer begins
-    backlog: float  # of the engine when it was sent
-    cached: CacheEntry  # what the engine was believed to have cached
+    uncached_tokens: float  # estimated prompt tokens yet to be read; 0.0 once the answer has started
+    backlog: float  # prompt tokens queued at the engine when the attempt was sent, as estimated
+    cached: CacheEntry  # the engine's cache entry for the prompt when the attempt was sent
     affinity: Affinity
-    fetches_state: bool  # the prompt was read elsewhere
+    fetches_state: bool  # the engine fetches the read state from the engine that read the prompt
     is_running: bool = True
-    outcome: Outcome | None = None
-    latency: float = 0.0
-    is_answered: bool = False  # the client has its final answer by it
+    outcome: Outcome | None = None  # None while it runs
+    latency: float = 0.0  # seconds, set when it ends
+    is_answered: bool = False  # the client got its final answer from this attempt
     cached_tokens: float = 0.0  # as the engine reported them
 
     def end(self, outcome: Outcome, latency: float, is_answered: bool, cached_tokens: float) -> None:
-        """Take note how it ended."""
+        """Record how the attempt ended."""
         self.is_running = False
         self.outcome = outcome
         self.latency = latency
@@ -127,24 +137,33 @@
 
     @property
     def has_succeeded(self) -> bool:
-        """Whether the engine did what it was sent for."""
+        """Whether the engine completed the read or the answer that it was sent."""
         return self.outcome in (Outcome.GENERATED, Outcome.READ)
 
 
-class PlannedRead(NamedTuple):
-    """Where a prompt would be read for a writer, and in how many seconds it would be."""
+class ReadEstimate(NamedTuple):
+    """A reader, and the seconds until it would have read a prompt."""
 
+    reader: Engine
     seconds: float
-    reader: Engine | None = None  # None: the writer reads it itself
-    cached_tokens: int = 0
-    is_possible: bool = True
+
+
+class PlannedRead(NamedTuple):
+    """The read of a prompt for one writer."""
+
+    seconds: float  # until the writer has the read state
+    reader: Engine | None = None  # None: the writer reads the prompt itself
+    cached_tokens: int = 0  # at the reader
+    is_possible: bool = True  # False: there is no reader, and the writer cannot read
 
 
 class ReadPlan(NamedTuple):
-    """The readers that a sequence may use."""
+    """The readers that a sequence may use, whichever writer is selected."""
 
-    by_cell: dict[int, PlannedRead]  # the best of each cell that has one with capacity
-    by_zone: dict[int | None, PlannedRead]  # the soonest for writers of a zone; None: of other zones
+    by_cell: dict[int, PlannedRead]  # the best reader with capacity, of each cell that has one
+    by_zone: dict[
+        int | None, ReadEstimate
+    ]  # the soonest reader for writers of its zone; None: of other zones
 
 
 @dataclass(slots=True, eq=False)
@@ -155,41 +174,44 @@
     arrival: Arrival
     traffic: TrafficType
     arrived_at: float
-    abandon_at: float
-    slow_start_draw: float  # by chance: which engines in slow start it may go to
-    memory_need: float  # tokens that it is likely to take at a writer
-    slo_at: float = field(init=False)  # when its answer should have begun
-    customer: Customer = field(init=False)
+    abandon_at: float  # deadline of the final answer
+    slow_start_draw: float  # uniform in [0, 1): decides which engines in slow start it may use
+    memory_need: float  # estimated tokens of a writer's memory
+    slo_deadline: float = field(init=False)  # the answer should have started by then
+    workload: Workload = field(init=False)
     is_over_quota: bool = False
-    has_begun: bool = False
-    is_over: bool = False
-    was_refused: bool = False  # an engine was full for it
-    last_tried_at: float = 0.0
-    writer: Engine | None = None
-    promised_to: Engine | None = None
-    reader: Engine | None = None
-    is_split: bool = False  # it is read by another engine than its writer
-    read_plan: ReadPlan | None = None
-    affinity: dict[Engine, Affinity] = field(default_factory=dict)  # of readers; others are not listed
-    state_at: Engine | None = None  # holds its read state
+    has_begun: bool = False  # the answer has started to stream
+    is_over: bool = False  # the final answer was given, or the client has disconnected
+    was_rejected: bool = False  # an engine rejected it for lack of capacity
+    last_placed_at: float = 0.0
+    writer: Engine | None = None  # the selected writer
+    assigned_to: Engine | None = None  # the writer whose `assigned_tokens` include this sequence
+    reader: Engine | None = None  # the reader of the present placement, or the engine with the read state
+    is_split: bool = False  # an engine other than its writer reads the prompt
+    read_plan: ReadPlan | None = None  # passed from writer selection to read placement
+    affinity: dict[Engine, Affinity] = field(default_factory=dict)  # of readers; those missing are OTHER
+    state_holder: Engine | None = None  # the engine that has its read state
+    # When the time of a read state at an engine began to count: 0.0 before any attempt ended in a way that
+    # may have left one, inf once it was released.
     state_since: float = 0.0
-    placed_at: float = 0.0
-    expected_delay: float = 0.0  # from then to the start of its answer; 0: not expected any more
+    start_estimate: StartEstimate | None = None  # None once it was compared with the actual start
     attempts: list[Attempt] = field(default_factory=list)
     failed_engines: set[Engine] = field(default_factory=set)
     possible_run: PossibleRun | None = None
     awaited_probes: set[Engine] = field(default_factory=set)
-    candidate_writers: list[Engine] = field(default_factory=list)  # ranked best when probes were sent
+    candidate_writers: list[Engine] = field(default_factory=list)  # the best-ranked when probes were sent
 
     def __post_init__(self) -> None:
         arrival = self.arrival
         objective = self.arrived_at + self.traffic.latency_slo
-        # some come with little time left: that is what counts then
-        self.slo_at = min(self.abandon_at, objective + self.traffic.slo_per_token * arrival.prompt_tokens)
-        self.customer = Customer(arrival.tenant, arrival.traffic)
+        # A client that grants less time than the objective sets the deadline itself.
+        self.slo_deadline = min(
+            self.abandon_at, objective + self.traffic.slo_per_token * arrival.prompt_tokens
+        )
+        self.workload = Workload(arrival.tenant, arrival.traffic)
 
     def may_have_run(self, engine: Engine, sent_at: float) -> None:
-        """Take note that an attempt may have run."""
+        """Record that an attempt sent to an engine at a time may have run."""
         self.possible_run = PossibleRun(engine.dedup_group(self.traffic), sent_at)
 
     def running_attempts(self) -> list[int]:
--- a/tests/test_routing_admission.py
+++ b/tests/test_routing_admission.py
@@ -135,9 +135,9 @@
     bench.probe_ended(0, LoadReport(memory_share=0.99, unread=0.0))
     bench.wait(0.05)
     assert ident in bench.router.waiting
-    tried_at = bench.sequence(ident).last_tried_at
+    placed_at = bench.sequence(ident).last_placed_at
     bench.wait(0.5)
-    assert bench.sequence(ident).last_tried_at == tried_at  # nothing was heard, so nothing has changed
+    assert bench.sequence(ident).last_placed_at == placed_at  # nothing was heard, so nothing has changed
     bench.probe_ended(0, LoadReport(memory_share=0.1, unread=0.0))
     bench.wait(0.05)
     assert bench.sends()[ident] == [0]
