--- a/myrtlehub/routing/__init__.py
+++ b/myrtlehub/routing/__init__.py
@@ -1,7 +1,14 @@
-"""Routing: which engine reads a sequence, which one writes it, and when to give up.
+"""Routing: which engine reads a prompt, which one writes the answer, and when a sequence is rejected.
 
-`policy` has all routing decisions and all tuned values; its `router.Router` is what a node makes. Outside it
-stands what would be the same whatever is decided: `contract` (the calls and actions between a router and the
-program around it), `calls` (what they do to the records), `records`, `engine_table` and `prompt_cache` (what
-is known) and `statistics`. Nothing here knows of sockets, clocks, files or wire formats.
+What belongs where:
+
+- `policy` has every choice between engines, between waiting and rejecting, and between retrying and giving
+  up, and every tuned constant. `policy.router.Router` is the router that a node creates.
+- Everything else is bookkeeping that would be the same under another policy. `contract` defines the events,
+  actions and calls between a router and its node; `calls` applies events to the records of sequences
+  (`records`) and engines (`engine_table`, `prompt_cache`); `statistics` has running averages and rates.
+- Learning is in both: `engine_table` computes averages of what was observed, and `policy` sets their weights
+  and half-lives (`LEARNING`, `CACHE_BOUNDS`) and derives estimates from them (`policy.engine_estimates`).
+
+The package imports no sockets, clock, files or wire formats.
 """
--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -14,7 +14,7 @@
 WAKEUP_TOLERANCE = 0.001  # seconds by which a timer may fire early
 
 
-class RouterCalls(contract.UnusedCalls, ABC):
+class RouterCalls(contract.OptionalCalls, ABC):
     """Keeps the sequences of a node, and collects the actions of the present call."""
 
     def __init__(self, table: EngineTable, wakeup_interval: float) -> None:
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -1,10 +1,13 @@
 """The contract between a router and the program that executes its decisions.
 
-A node makes one `router.Router` and calls it with what has happened; every call returns a list of actions in
-the order in which they are to be executed. All times are seconds with fractions on one clock that only
-advances. Engines, kinds, zones, tenants and traffic types are small dense indices that the caller hands out;
-an index that was freed may name another engine later, and the update that introduces it says so (`is_new`).
-Sessions and shared prefixes are opaque whole numbers (0: none).
+A node creates one `routing.policy.router.Router` and calls it with each event. A call returns the actions to
+execute, in their order. The module has, in this order: the configuration, the events, the actions, and the
+calls (`Router`).
+
+- Times and durations are seconds, on one monotonic clock.
+- Engines, kinds, zones, tenants and traffic types are small dense indices assigned by the caller. An index
+  may be reused for another engine; the update that introduces the engine says so (`EndpointUpdate.is_new`).
+- Sessions and shared prefixes are opaque integers; 0 means that a sequence has none.
 """
 
 from collections.abc import Sequence
@@ -12,38 +15,16 @@
 from typing import NamedTuple, Protocol
 
 
-class Outcome(StrEnum):
-    """How an attempt ended."""
-
-    GENERATED = "generated"  # the answer is complete
-    READ = "read"  # the prompt was read, and the engine holds its state
-    FULL = "full"  # rejected before it ran, for lack of capacity
-    UNREACHED = "unreached"  # no connection was established
-    UNSENT = "unsent"  # it was not sent, as it was no longer needed
-    ERROR = "error"
-    TIMEOUT = "timeout"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-
-
 class RetrySemantics(StrEnum):
-    """What a second execution of a sequence does; the values are those of the settings."""
+    """Whether a sequence may run a second time; the values are those of the settings."""
 
     IDEMPOTENT = "repeatable"
-    IDEMPOTENCY_KEY = "tokened"  # engines of one group drop repeats within a time window
+    IDEMPOTENCY_KEY = "tokened"  # engines of one dedup group drop repeats within the dedup window
     AT_MOST_ONCE = "once-only"
 
 
-class EngineState(IntEnum):
-    """The state of an engine in the endpoint list."""
-
-    SERVING = 0
-    DRAINING = 1
-    GONE = 2
-
-
 class DedupGroup(StrEnum):
-    """Which engines share a memory of idempotency keys; the values are those of the settings."""
+    """Which engines share their idempotency keys; the values are those of the settings."""
 
     ALL = "all"
     ZONE = "zone"
@@ -51,105 +32,130 @@
 
 
 class TrafficType(NamedTuple):
-    """What the operators state of one traffic type."""
+    """The configuration of one traffic type."""
 
     retry_semantics: RetrySemantics
     latency_slo: float  # seconds to the first token
-    slo_per_token: float  # added for each prompt token
-    abandon_time: float
-    seconds_per_token: float
-    utility: float
-    late_share: float  # of the utility, once past the latency SLO
+    slo_per_token: float  # seconds added to the latency SLO for each prompt token
+    abandon_time: float  # seconds after which its clients abandon a sequence
+    seconds_per_token: float  # objective for the time between two tokens of an answer
+    utility: float  # priority weight of an answer in time
+    late_share: float  # share of the utility that an answer after the latency SLO still has
     dedup_group: DedupGroup = DedupGroup.ALL
-    dedup_window: float = 0.0
+    dedup_window: float = 0.0  # seconds for which engines remember an idempotency key
 
 
 class RouterConfig(NamedTuple):
-    """The configuration of a router, fixed when it is made."""
+    """The configuration of a router, fixed at its creation."""
 
-    seed: int
-    node: int
+    seed: int  # of its random generator
+    node: int  # index of its node
     node_count: int
-    zone: int
-    traffic: tuple[TrafficType, ...]
-    reads: tuple[bool, ...]  # by kind of engine
-    writes: tuple[bool, ...]
-    memory: tuple[float, ...]  # tokens, by kind; 0 where unknown
-    quotas: tuple[float, ...]  # sequences a second by tenant, over all nodes; 0: none stated
-    writers_can_read: bool  # an engine that only writes can read a prompt itself
+    zone: int  # of its node
+    traffic: tuple[TrafficType, ...]  # by index of the traffic type
+    reads: tuple[bool, ...]  # by kind of engine: whether it reads prompts
+    writes: tuple[bool, ...]  # by kind of engine: whether it writes answers
+    memory: tuple[float, ...]  # by kind of engine: tokens; 0 if unknown
+    quotas: tuple[float, ...]  # by tenant: sequences per second over all nodes; 0 for no quota
+    writers_can_read: bool  # an engine that only writes can read the prompt of its own answer
     may_reserve: bool
     may_cancel: bool
     may_migrate: bool
     may_probe: bool
     may_gossip: bool
     may_hedge: bool
-    max_attempts: int
-    state_timeout: float  # seconds for which an engine may hold a state that no writer fetches
-    drain_grace: float
-    cold_share: float
-    cold_time: float
-    overload_multiple: float
-    overload_window: float
-    answer_slack: float
-    tick: float
-    max_retry_after: float  # longest wait a client honours; 0: clients are given none
-    over_quota_utility: float
-    polls_endpoints: bool
-    load_by_probe_only: bool = False  # engines tell their load to probes alone, not with what they answer
-    connect_timeout: float = 0.0  # seconds that a connection may take before an attempt on it begins
-    probe_price: float = 0.0  # of utility asked for, that one probe a sequence costs
+    max_attempts: int  # per sequence
+    state_timeout: float  # seconds for which an engine may hold a read state that no writer fetches
+    drain_grace: float  # seconds after it starts draining in which an engine still accepts sequences
+    cold_share: float  # share of its capacity that an engine has when it starts
+    cold_time: float  # seconds from the start of an engine until it has its full capacity
+    overload_multiple: float  # multiple of its capacity from which a cold engine is overloaded
+    overload_window: float  # seconds over which its load is measured; 0 for no slow start
+    answer_slack: float  # seconds by which a final answer may follow the abandon time
+    tick: float  # seconds by which the node's timers may fire late
+    max_retry_after: float  # longest Retry-After in seconds that clients honour; 0 if they honour none
+    over_quota_utility: float  # utility of a sequence beyond its tenant's quota
+    polls_endpoints: bool  # the router has to ask for the endpoint list
+    load_by_probe_only: bool = False  # engines report load to probes, and not with their responses
+    connect_timeout: float = 0.0  # seconds that a connection may take before its attempt is sent
+    probe_price: float = 0.0  # utility that one probe per sequence costs
+
+
+class EngineState(IntEnum):
+    """The state of an engine in the endpoint list."""
+
+    SERVING = 0
+    DRAINING = 1
+    GONE = 2  # removed from the list
+
+
+class Outcome(StrEnum):
+    """How an attempt ended; the values are those in records and metrics."""
+
+    GENERATED = "generated"  # the answer is complete
+    READ = "read"  # the prompt was read, and the engine holds the read state
+    FULL = "full"  # the engine rejected it before it ran: no capacity, or the read state was lost
+    UNREACHED = "unreached"  # no connection was established
+    UNSENT = "unsent"  # it was withheld, because it was no longer needed or allowed
+    ERROR = "error"
+    TIMEOUT = "timeout"
+    RESET = "reset"
+    CANCELLED = "cancelled"
 
 
 class EndpointUpdate(NamedTuple):
-    """One engine of the endpoint list."""
+    """The entry of one engine in the endpoint list."""
 
     engine: int
-    is_new: bool  # the index is new, or names another engine than before
+    is_new: bool  # the index is new, or was reused for another engine
     state: EngineState
     kind: int
     zone: int
     cell: int
-    started_at: float  # 0: long past
-    weight: float
-    hash_seed: int = 0  # a number of the engine that is the same at every node, and tells nothing else
+    started_at: float  # 0.0 if the engine started long ago
+    weight: float  # relative capacity
+    hash_seed: int = 0  # identifies the engine in rendezvous hashing; every node has the same number
 
 
 class Arrival(NamedTuple):
-    """A sequence as it arrives."""
+    """A sequence as it arrives.
+
+    The last three fields are set for a sequence that this node takes over from another one.
+    """
 
     traffic: int
     tenant: int  # -1: none
     prompt_tokens: float
-    time_left: float
+    time_left: float  # seconds until the client abandons it
     session: int
     prefix: int
-    shared_tokens: float
+    shared_tokens: float  # tokens of the prompt that belong to the shared prefix
     max_output_tokens: float
-    expected_seconds: float  # of answer, a rough estimate; 0: none
-    is_resumed: bool = False
-    is_retry: bool = False
-    state_held_by: int = -1  # engine that holds its read state already, from an owner before this node
-    may_have_run_at: int = -1  # engine at which an attempt of such an owner may have run
-    may_have_run_ago: float = 0.0  # and how many seconds ago
+    expected_seconds: float  # rough estimate of the answer's duration; 0.0 if there is none
+    is_resumed: bool = False  # the client continues an answer that was interrupted
+    is_retry: bool = False  # the client sends it again after a rejection or an abort
+    state_held_by: int = -1  # engine that holds its read state
+    may_have_run_at: int = -1  # engine at which a former attempt may have run
+    may_have_run_ago: float = 0.0  # seconds since that attempt was sent
 
 
 class LoadReport(NamedTuple):
-    """A load report, with the field names of the protocol; None where a figure is not reported."""
+    """The load report of an engine, with the field names of the protocol; None for a value not reported."""
 
-    memory_share: float | None = None
-    unread: float | None = None  # prompt tokens still to read or fetch
-    slot_share: float | None = None
-    waiting: float | None = None  # sequences
-    latency: float | None = None
-    active: float | None = None
+    memory_share: float | None = None  # in use
+    unread: float | None = None  # prompt tokens still to be read or fetched
+    slot_share: float | None = None  # in use
+    waiting: float | None = None  # queued sequences
+    latency: float | None = None  # mean seconds of recent sequences
+    active: float | None = None  # sequences in progress
 
 
 class Send(NamedTuple):
-    """Send the next attempt, numbered from 0, to an engine."""
+    """Send the next attempt of a sequence to an engine; attempts are numbered from 0."""
 
     sequence: int
     engine: int
-    timeout: float  # seconds; 0: none but the abandon time
+    timeout: float  # seconds; 0.0 for none but the abandon time
 
 
 class Reserve(NamedTuple):
@@ -160,33 +166,33 @@
 
 
 class Release(NamedTuple):
-    """Let engines free all state that they hold for a sequence."""
+    """Have engines free all read states that they hold for a sequence."""
 
     sequence: int
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt that is running."""
 
     sequence: int
     attempt: int
 
 
 class Reject(NamedTuple):
-    """Final answer: it did not run, and a retry is harmless."""
+    """Answer the client that its sequence did not run, or that a retry is harmless."""
 
     sequence: int
-    retry_after: float  # seconds; 0: not stated
+    retry_after: float  # seconds; 0.0 if not stated
 
 
 class Abort(NamedTuple):
-    """Final answer: it may have run."""
+    """Answer the client that its sequence failed and may have run."""
 
     sequence: int
 
 
 class Migrate(NamedTuple):
-    """Hand a stream that has begun back to its client, to be resumed elsewhere."""
+    """End a stream so that its client resumes it at another engine."""
 
     sequence: int
 
@@ -199,7 +205,7 @@
 
 
 class Probe(NamedTuple):
-    """Ask an engine for its load."""
+    """Send a health check that asks an engine for its load report."""
 
     engine: int
 
@@ -213,28 +219,28 @@
 class Gossip(NamedTuple):
     """Send a message to another node, or to all of them."""
 
-    node: int | None  # None: all
+    node: int | None  # None for all nodes
     payload: str
 
 
 class WatchEndpoints(NamedTuple):
-    """Follow the endpoint list, or stop following it."""
+    """Start or stop watching the endpoint list."""
 
     enabled: bool
 
 
 class PollEndpoints(NamedTuple):
-    """Ask for the complete endpoint list."""
+    """Request the complete endpoint list once."""
 
 
 class LogNote(NamedTuple):
-    """Write a line to the operators' log."""
+    """Write a line to the log of the node."""
 
     text: str
 
 
 class Forget(NamedTuple):
-    """Nothing further will be said of a sequence."""
+    """Discard the record of a sequence; no further action names it."""
 
     sequence: int
 
@@ -259,11 +265,11 @@
 
 
 class SendCheck(NamedTuple):
-    """What still holds of a decided attempt, just before its first byte.
+    """Which conditions of an attempt still hold just before its first byte.
 
     Attributes:
-        may_run: An earlier attempt is known not to have run, or another run does no harm there and then.
-        in_slow_start_share: The engine is warm, or cold and this sequence is of the share that it may have.
+        may_run: No earlier attempt may have run, or another run would have no second effect.
+        in_slow_start_share: The engine is warm, or this sequence is in the share for it while cold.
     """
 
     may_run: bool
@@ -271,27 +277,29 @@
 
 
 class Router(Protocol):
-    """What a node calls; the first argument is always the present time.
+    """The calls that a node makes.
 
-    Every call returns the actions to execute, in their order.
+    The first argument of each is the present time. Sequence numbers are assigned by the caller; attempts of a
+    sequence are numbered from 0 in the order of their `Send`. Each call but `check_send` returns the actions
+    to execute, in their order.
     """
 
     def start(self, now: float) -> list[Action]:
-        """Begin; called once, before all others."""
+        """Start the router; called once, before all other calls."""
 
     def update_endpoints(
         self, now: float, updates: Sequence[EndpointUpdate], is_complete: bool
     ) -> list[Action]:
-        """Take the complete endpoint list, or a change to it."""
+        """Apply the complete endpoint list, or a change to it."""
 
     def endpoint_list_failed(self, now: float) -> list[Action]:
-        """Take note that a poll of the endpoint list failed, or that its watch broke."""
+        """Handle a failed poll or watch of the endpoint list."""
 
     def arrive(self, now: float, sequence: int, arrival: Arrival) -> list[Action]:
-        """Take a sequence."""
+        """Accept an arriving sequence."""
 
     def began(self, now: float, sequence: int, attempt: int, latency: float) -> list[Action]:
-        """Take note that an attempt's answer has begun to stream."""
+        """Handle the first token of an attempt's answer, `latency` seconds after the attempt was sent."""
 
     def ended(
         self,
@@ -304,46 +312,58 @@
         cached_tokens: float,
         load: LoadReport | None,
     ) -> list[Action]:
-        """Take note how an attempt ended, and whether the client has its final answer by that."""
+        """Handle the end of an attempt.
+
+        Args:
+            now: The present time.
+            sequence: The sequence.
+            attempt: The number of the attempt.
+            outcome: How it ended.
+            latency: Seconds since it was sent.
+            is_answered: The client got its final answer from this attempt.
+            cached_tokens: Prompt tokens that the engine had cached. With `Outcome.FULL`, any number but 0
+                means that the engine could not fetch the read state.
+            load: The load report in the engine's response, if there is one.
+        """
 
     def reservation_answered(
         self, now: float, sequence: int, attempt: int, engine: int, is_reserved: bool
     ) -> list[Action]:
-        """Take an engine's answer to `Reserve`."""
+        """Handle an engine's response to `Reserve`."""
 
     def client_left(self, now: float, sequence: int) -> list[Action]:
-        """Take note that no answer is owed any more."""
+        """Handle the disconnection of a client that has no final answer yet."""
 
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Take the end of a probe."""
+        """Handle the response to a `Probe`, or its timeout if it is not answered."""
 
     def gossip_received(self, now: float, node: int, payload: str) -> list[Action]:
-        """Take a message from another node."""
+        """Handle a message from another node."""
 
     def wake(self, now: float, token: int) -> list[Action]:
-        """Take a wake-up that was asked for."""
+        """Handle a wake-up that `ScheduleWakeup` asked for."""
 
     def check_send(self, now: float, sequence: int, attempt: int) -> SendCheck:
-        """Return what still holds of an attempt before its first byte; changes nothing."""
+        """Return which conditions of an attempt still hold before its first byte; changes nothing."""
 
 
-class UnusedCalls:
-    """The calls that a router may leave as they are, where it never asks for what they answer."""
+class OptionalCalls:
+    """Defaults for the calls that follow only from actions which a router may never return."""
 
     def reservation_answered(
         self, now: float, sequence: int, attempt: int, engine: int, is_reserved: bool
     ) -> list[Action]:
-        """Take an engine's answer to `Reserve`."""
+        """Ignore an engine's response to `Reserve`."""
         return []
 
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Take the end of a probe."""
+        """Ignore the end of a `Probe`."""
         return []
 
     def gossip_received(self, now: float, node: int, payload: str) -> list[Action]:
-        """Take a message from another node."""
+        """Ignore a message from another node."""
         return []
--- a/myrtlehub/routing/policy/load_probing.py
+++ b/myrtlehub/routing/policy/load_probing.py
@@ -8,8 +8,8 @@
 from myrtlehub.routing.policy.writer_selection import WriterSelection
 from myrtlehub.routing.records import Engine, Sequence
 
-PROBE_SPEND = 0.01  # share of a sequence's utility that its probes may cost
-MIN_PROBE_PRICE = 1e-6  # share of a sequence's utility; smallest divisor
+PROBE_SPEND = 0.01  # utility per sequence that probes may cost
+MIN_PROBE_PRICE = 1e-6  # utility; smallest divisor
 MAX_PROBES = 6.0  # per sequence on average, however cheap they are
 MAX_PROBE_TOKENS = 3.0 * MAX_PROBES  # capacity of the token bucket that limits probes
 PROBED_WRITERS = 2  # best-ranked writers probed, each with its reader
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -18,7 +18,7 @@
 from myrtlehub.routing.prompt_cache import NO_ENTRY
 from myrtlehub.routing.records import Affinity, Attempt, Engine, Refusal, Sequence
 
-ANSWER_TICKS = 2  # ticks of the node's timer by which the final answer precedes the abandon time
+ANSWER_TICKS = 2  # multiple of the timers' lateness by which the final answer precedes the abandon time
 MIN_ANSWER_MARGIN = 0.004  # seconds by which it does so at least, to reach the client in time
 EXPECTED_OUTPUT_SHARE = 0.25  # of the maximum output tokens, which an answer is expected to produce
 READ_TIMEOUT_SHARE = 0.6  # of the time left, for a first read, so that another attempt fits in the rest
