--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -146,7 +146,7 @@
     unread: float | None = None  # prompt tokens still to be read or fetched
     slot_share: float | None = None  # in use
     waiting: float | None = None  # queued sequences
-    latency: float | None = None  # mean seconds of recent sequences
+    latency: float | None = None  # recent seconds to the end of a read or to the first token
     active: float | None = None  # sequences in progress
 
 
