--- a/benchmarks/decision_speed.py
+++ b/benchmarks/decision_speed.py
@@ -89,7 +89,7 @@
         arrival = dialect.make(
             "Arrival",
             traffic=0,
-            tenant=-1,
+            tenant=None,
             prompt_tokens=float(random.randint(50, 4000)),
             time_left=10.0,
             session=random.randrange(200),
--- a/benchmarks/fleet_shape.py
+++ b/benchmarks/fleet_shape.py
@@ -153,9 +153,10 @@
         draw = self.random
         traffic = draw.randrange(len(self.traffic))
         prompt = float(int(min(30000.0, 20.0 + draw.lognormvariate(7.0, 1.1))))
+        tenant = draw.randrange(-1, self.tenants)
         fields = {
             "traffic": traffic,
-            "tenant": draw.randrange(-1, self.tenants),
+            "tenant": None if tenant < 0 else tenant,
             "prompt_tokens": prompt,
             "time_left": draw.choice(TIME_LEFT) or self.traffic[traffic].abandon_time,
             "session": draw.choice((0, draw.randrange(1, 60))),
--- a/benchmarks/router_dialects.py
+++ b/benchmarks/router_dialects.py
@@ -93,9 +93,13 @@
         self._router_class = router.Router
         self._contract = contract
         self.is_typed = contract.__name__ == CONTRACT_MODULES[0]
+        # Up to 6dda3f4 an absent tenant or engine of an arrival was -1.
+        self._absent_index = -1 if -1 in contract.Arrival._field_defaults.values() else None
 
     def make(self, type_name: str, **fields: Any) -> Any:  # noqa: ANN401 - of whichever tree
         """Build a value of the contract from present names."""
+        if type_name == "Arrival" and fields["tenant"] is None:
+            fields["tenant"] = self._absent_index
         if self.is_typed:
             return getattr(self._contract, type_name)(**self._enumerated(fields))
         renamed = FIELDS[type_name]
--- a/myrtlehub/node/request_decoder.py
+++ b/myrtlehub/node/request_decoder.py
@@ -9,7 +9,6 @@
 from myrtlehub.routing import contract
 
 MAX_MARK_BYTES = 200
-NO_TENANT = -1
 
 
 class InvalidRequestError(Exception):
@@ -65,7 +64,7 @@
         )
         return contract.Arrival(
             traffic=traffic,
-            tenant=self.tenants.get(request.tenant, NO_TENANT),
+            tenant=self.tenants.get(request.tenant),
             prompt_tokens=float(request.prompt_tokens),
             time_left=self.lag.time_left(now, time_left),
             session=hash_key(request.session),
--- a/myrtlehub/node/router_driver.py
+++ b/myrtlehub/node/router_driver.py
@@ -164,8 +164,8 @@
         sequence = InFlightSequence(number, sequence_id, request, arrival, client, now)
         sequence.earlier_attempts = earlier_attempts
         self.in_flight[number] = sequence
-        if handle is not None:
-            reader = arrival.state_held_by
+        reader = arrival.state_held_by
+        if handle is not None and reader is not None:
             sequence.read_states[reader] = ReadState.already_held(reader, handle)
         self.accepted_count += 1
         self._call_router(RouterCall.ARRIVE, number, arrival)
--- a/myrtlehub/relay/request_decoder.py
+++ b/myrtlehub/relay/request_decoder.py
@@ -104,12 +104,12 @@
         passed = EngineRequest(request.target, forwarded_headers(request.headers), request.body)
         return DecodedRequest(sequence_id, passed, arrival)
 
-    def _tenant(self, fields: dict[bytes, bytes]) -> int:
+    def _tenant(self, fields: dict[bytes, bytes]) -> int | None:
         name = fields.get(b"x-org", b"").decode("latin-1")
         if not name:
-            return -1
-        tenant = self.tenants.get(name, -1)
-        if tenant < 0 and self.tenants:
+            return None
+        tenant = self.tenants.get(name)
+        if tenant is None and self.tenants:
             raise RejectedRequestError(400, "X-Org is none of ours")
         return tenant
 
--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -85,13 +85,14 @@
         self.table.now = now
         sequence = self.sequences[sequence_id] = self._accept(now, sequence_id, arrival)
         engines = self.table.engines
-        if arrival.state_held_by >= 0:  # the former owner of a taken-over sequence had its prompt read
+        if arrival.state_held_by is not None:  # the former owner of a taken-over sequence had its prompt read
             sequence.state_holder = engines[arrival.state_held_by]
             sequence.reader = sequence.state_holder
             sequence.state_since = now
-        if arrival.may_have_run_at >= 0:
+        if arrival.may_have_run_at is not None:
             sequence.may_have_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
-        self.table.arrivals.add(arrival.tenant, now)
+        if arrival.tenant is not None:
+            self.table.arrivals.add(arrival.tenant, now)
         self._admit(sequence, now)
         return self._finish(now)
 
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -124,7 +124,7 @@
     """
 
     traffic: int
-    tenant: int  # -1: none
+    tenant: int | None
     prompt_tokens: float
     time_left: float  # seconds until the client abandons it
     session: int
@@ -134,8 +134,8 @@
     expected_seconds: float  # rough estimate of the answer's duration; 0.0 if there is none
     is_resumed: bool = False  # the client continues an answer that was interrupted
     is_retry: bool = False  # the client sends it again after a rejection or an abort
-    state_held_by: int = -1  # engine that holds its read state
-    may_have_run_at: int = -1  # engine at which a former attempt may have run
+    state_held_by: int | None = None  # engine that holds its read state
+    may_have_run_at: int | None = None  # engine at which a former attempt may have run
     may_have_run_ago: float = 0.0  # seconds since that attempt was sent
 
 
--- a/myrtlehub/routing/policy/__init__.py
+++ b/myrtlehub/routing/policy/__init__.py
@@ -1,6 +1,6 @@
 """All routing decisions and all tuned values; each constant stands in the module that it tunes.
 
-`router` runs the three stages `writer_selection`, `read_placement` and `admission`; `retries` decides what may
-run again. `engine_estimates` and `prefix_cache` have the estimates that the stages share, `load_probing` the
-choice of probes.
+`router` runs the three stages `writer_selection`, `read_placement` and `admission`; `retries` decides what
+may run again. `engine_estimates` and `prefix_cache` have the estimates that the stages share, `load_probing`
+the choice of probes.
 """
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -44,9 +44,11 @@
         # The error decays, because a node that rejects everything observes no more starts.
         self.delay_error = EstimateError(INITIAL_DELAY_FACTOR, LEARNING.half_life)
 
-    def is_over_quota(self, tenant: int) -> bool:
+    def is_over_quota(self, tenant: int | None) -> bool:
         """Return whether a tenant's recent rate at this node exceeds the node's part of its quota."""
-        quota = self.config.quotas[tenant] / self.config.node_count if tenant >= 0 else 0.0
+        if tenant is None:
+            return False
+        quota = self.config.quotas[tenant] / self.config.node_count
         rate = self.estimates.arrivals.rate(tenant, self.estimates.now)
         return 0.0 < quota * QUOTA_SKEW < rate - QUOTA_SLACK / LEARNING.rate_half_life
 
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -206,7 +206,7 @@
         if sequence.running_attempts():
             return
         has_read = any(attempt.is_read for attempt in sequence.attempts)
-        if sequence.arrival.state_held_by >= 0 or has_read:
+        if sequence.arrival.state_held_by is not None or has_read:
             self.actions.append(contract.Release(sequence.id))
         self.actions.append(contract.Forget(sequence.id))
         self.sequences.pop(sequence.id, None)
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -33,7 +33,7 @@
 class Workload(NamedTuple):
     """A tenant's traffic of one type; engines admit or reject each workload on its own."""
 
-    tenant: int
+    tenant: int | None
     traffic: int
 
 
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -102,7 +102,7 @@
         options = event.get("Options", 0)
         arrival = contract.Arrival(
             traffic=self.traffic[event["Grade"]],
-            tenant=self.tenants.get(event.get("ClientGroup"), -1),
+            tenant=self.tenants.get(event.get("ClientGroup")),
             prompt_tokens=event.get("InputLen", 0.0),
             time_left=event["TimeBudgetMs"] / 1e3,
             session=event.get("Chat", 0),
--- a/tests/router_bench.py
+++ b/tests/router_bench.py
@@ -69,7 +69,7 @@
     session: int = 0,
     prefix: int = 0,
     shared: float = 0.0,
-    tenant: int = -1,
+    tenant: int | None = None,
     **more: float,
 ) -> contract.Arrival:
     """A sequence as it arrives, with 400 tokens to generate at most."""
--- a/tests/test_engine_pools.py
+++ b/tests/test_engine_pools.py
@@ -135,7 +135,7 @@
 
 
 def arrival(traffic: int) -> contract.Arrival:
-    return contract.Arrival(traffic, -1, 100.0, 4.0, 0, 0, 0.0, 10.0, 0.0)
+    return contract.Arrival(traffic, None, 100.0, 4.0, 0, 0, 0.0, 10.0, 0.0)
 
 
 def test_each_pool_is_told_of_its_own_engines_and_of_those_it_loses() -> None:
--- a/tests/test_request_path.py
+++ b/tests/test_request_path.py
@@ -479,5 +479,5 @@
 
 def test_a_held_sequence_is_small() -> None:
     assert not hasattr(
-        InFlightSequence(0, "x", None, contract.Arrival(0, -1, 1, 1, 0, 0, 0, 1, 0), None, 0.0), "__dict__"
+        InFlightSequence(0, "x", None, contract.Arrival(0, None, 1, 1, 0, 0, 0, 1, 0), None, 0.0), "__dict__"
     )
