--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -12,7 +12,7 @@
 STATES = {
     "serving": contract.EngineState.SERVING,
     "draining": contract.EngineState.DRAINING,
-    "gone": contract.EngineState.GONE,
+    "gone": contract.EngineState.REMOVED,
 }
 _KEY_SHIFT = 11  # of a 64-bit hash: a double holds whole numbers below 2^53 exactly
 
@@ -69,12 +69,12 @@
         state, index = STATES[state_name], self.index_of.get(address)
         is_new = index is None
         if index is None:
-            if state == contract.EngineState.GONE:
+            if state == contract.EngineState.REMOVED:
                 return None
             index = self.index_of[address] = self._new_index(row)
         else:
             self.rows[index] = row
-        if state == contract.EngineState.GONE:
+        if state == contract.EngineState.REMOVED:
             self._gone.add(index)
         else:
             self._gone.discard(index)
--- a/myrtlehub/node/engine_pools.py
+++ b/myrtlehub/node/engine_pools.py
@@ -91,7 +91,7 @@
                 own_updates.append(self._seen_by(pool, update._replace(is_new=not is_known)))
                 known[update.engine] = KnownEngine(generation, update)
             elif is_known:
-                own_updates.append(update._replace(state=contract.EngineState.GONE, is_new=False))
+                own_updates.append(update._replace(state=contract.EngineState.REMOVED, is_new=False))
                 known[update.engine] = KnownEngine(generation, update)
         return own_updates
 
@@ -100,7 +100,7 @@
         known = self._known[pool]
         for engine in set(known).difference(update.engine for update in updates):
             generation, update = known[engine]
-            known[engine] = KnownEngine(generation, update._replace(state=contract.EngineState.GONE))
+            known[engine] = KnownEngine(generation, update._replace(state=contract.EngineState.REMOVED))
 
     def _seen_by(self, pool: int, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
         """Return an update as a pool is told: one that is closed sees common engines drain."""
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engine_client.py
@@ -116,7 +116,7 @@
             client_is_present=sequence.answer.state == AnswerState.OWED,
             time_left=time_left,
             engine_is_serving=self.directory.is_serving(attempt.engine),
-            is_in_slow_start_share=check.in_slow_start_share,
+            is_in_slow_start_share=check.is_in_slow_start_share,
             may_run=check.may_run,
         )
 
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -86,7 +86,7 @@
 
     SERVING = 0
     DRAINING = 1
-    GONE = 2  # removed from the list
+    REMOVED = 2  # no longer in the list
 
 
 class Outcome(StrEnum):
@@ -269,11 +269,11 @@
 
     Attributes:
         may_run: No earlier attempt may have run, or another run would have no second effect.
-        in_slow_start_share: The engine is warm, or this sequence is in the share for it while cold.
+        is_in_slow_start_share: The engine is warm, or this sequence is in the share for it while cold.
     """
 
     may_run: bool
-    in_slow_start_share: bool
+    is_in_slow_start_share: bool
 
 
 class Router(Protocol):
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -63,7 +63,7 @@
             return Refusal.GIVE_UP  # rule 2
         if engine.state != EngineState.SERVING:
             return Refusal.WAIT  # rule 3
-        if not self.in_slow_start_share(engine, sequence, now):
+        if not self.is_in_slow_start_share(engine, sequence, now):
             return Refusal.WAIT  # rule 4
         return None
 
@@ -74,11 +74,11 @@
             engine
             for engine in engines
             if engine.state == EngineState.SERVING
-            and (not engine.started_at or self.in_slow_start_share(engine, sequence, now))
+            and (not engine.started_at or self.is_in_slow_start_share(engine, sequence, now))
             and not (engine.failures.value and is_outlier(engine))
         ]
 
-    def in_slow_start_share(self, engine: Engine, sequence: Sequence, now: float) -> bool:
+    def is_in_slow_start_share(self, engine: Engine, sequence: Sequence, now: float) -> bool:
         """Rule 4: return whether an engine is warm, or this sequence is in the share for it while cold.
 
         A sequence draws once, at its arrival. The sends of all nodes therefore add up to the share, however
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -146,11 +146,11 @@
         """Return which conditions of an attempt still hold before its first byte; changes nothing."""
         sequence = self.sequences.get(sequence_id)
         if sequence is None or attempt >= len(sequence.attempts):
-            return contract.SendCheck(may_run=False, in_slow_start_share=False)
+            return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
         engine = sequence.attempts[attempt].engine
         return contract.SendCheck(
             may_run=retries.may_arrive_at(sequence, engine, now + retries.SEND_MARGIN, self.config),
-            in_slow_start_share=self.admission.in_slow_start_share(engine, sequence, now),
+            is_in_slow_start_share=self.admission.is_in_slow_start_share(engine, sequence, now),
         )
 
     def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
--- a/myrtlehub/simulator/ids.py
+++ b/myrtlehub/simulator/ids.py
@@ -37,7 +37,7 @@
         if ident not in self._index_of:
             self._index_of[ident] = self._new_index(ident)
         index = self._index_of[ident]
-        if state == EngineState.GONE:
+        if state == EngineState.REMOVED:
             self._gone.add(index)
         else:
             self._gone.discard(index)
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -83,7 +83,7 @@
         ident = entry["Engine"]
         state = STATES[entry.get("State", "SERVING")]
         is_new = not self.engines.is_listed(ident)
-        if is_new and state == EngineState.GONE:
+        if is_new and state == EngineState.REMOVED:
             return None
         return contract.EndpointUpdate(
             engine=self.engines.list_engine(ident, state),
--- a/myrtlehub/simulator/wire.py
+++ b/myrtlehub/simulator/wire.py
@@ -22,7 +22,7 @@
 STATES = {
     "SERVING": EngineState.SERVING,
     "DRAINING": EngineState.DRAINING,
-    "DELETED": EngineState.GONE,
+    "DELETED": EngineState.REMOVED,
 }
 WIRE_VERBS = {
     contract.Send: "PLACE",
--- a/tests/test_engine_pools.py
+++ b/tests/test_engine_pools.py
@@ -146,10 +146,10 @@
     assert second == [([(1, True, 0), (2, True, 0)], True)]
     pools.update_endpoints(1.0, [update(1, 0)], False)  # changes its kind: new to one, gone from the other
     assert first[1:] == [([(1, True, 0)], False)] and second[1:] == [
-        ([(1, False, contract.EngineState.GONE)], False)
+        ([(1, False, contract.EngineState.REMOVED)], False)
     ]
     pools.update_endpoints(2.0, [update(1, 1)], False)
-    assert first[2:] == [([(1, False, contract.EngineState.GONE)], False)] and second[2:] == [
+    assert first[2:] == [([(1, False, contract.EngineState.REMOVED)], False)] and second[2:] == [
         ([(1, False, 0)], False)
     ]
     pools.update_endpoints(3.0, [update(0, 1, True)], False)  # the index names another engine from now on
@@ -184,7 +184,7 @@
     pools.update_endpoints(3.0, [update(0, 0), update(1, 2)], True)
     pools.set_pool_closed(4.0, 1, False)
     assert pools.routers[1].updates[-1] == (
-        [(1, False, contract.EngineState.SERVING), (2, False, contract.EngineState.GONE)],
+        [(1, False, contract.EngineState.SERVING), (2, False, contract.EngineState.REMOVED)],
         False,
     )
 
--- a/tests/test_routing_admission.py
+++ b/tests/test_routing_admission.py
@@ -29,7 +29,7 @@
     for _ in range(3):
         bench.arrive(prompt=300.0)
     bench.update_endpoint(1, state=EngineState.SERVING, started_at=bench.now)
-    bench.update_endpoint(2, state=EngineState.GONE)
+    bench.update_endpoint(2, state=EngineState.REMOVED)
     for _ in range(3):
         bench.arrive(prompt=300.0)
     bench.wait(9.0)
@@ -67,7 +67,7 @@
         actions = router.arrive(now, ident, arrival(prompt=300.0))
         sends = [action for action in actions if isinstance(action, contract.Send)]
         cold = router.estimates.engines[0]
-        if router.admission.in_slow_start_share(cold, router.sequences[ident], now):
+        if router.admission.is_in_slow_start_share(cold, router.sequences[ident], now):
             admitted.append(now)  # as if whoever may go to the cold one did
         else:
             assert all(send.engine for send in sends)
--- a/tests/test_routing_statistics.py
+++ b/tests/test_routing_statistics.py
@@ -66,7 +66,7 @@
     ids = EngineIds()
     old = ids.list_engine("old", EngineState.SERVING)
     ids.sent(old)
-    ids.list_engine("old", EngineState.GONE)
+    ids.list_engine("old", EngineState.REMOVED)
     ids.free_gone()
     assert ids.list_engine("second", EngineState.SERVING) != old and ids.index("old") == old
     ids.ended(old)
