--- a/myrtlehub/platform_settings.py
+++ b/myrtlehub/platform_settings.py
@@ -1,49 +1,62 @@
-"""Settings and load reports of the operators' platform as the types of `routing.contract`.
+"""Conversion of the operators' platform settings and load reports to the types of `routing.contract`.
 
-The simulator adapter and the relay share it. It decides nothing.
+The simulator adapter and the relay share these functions. Key names are those of the platform.
 """
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from myrtlehub.routing.contract import LoadReport, RetrySemantics, RouterConfig, TrafficType
 
-Settings = Mapping[str, Any]  # as decoded from JSON
+Settings = Mapping[str, Any]  # a JSON object; its values are of any JSON type
 
+MS_PER_SECOND = 1e3
+US_PER_1000_SECONDS = 1e9  # microseconds per 1000 tokens are divided by it for seconds per token
 RETRY_SEMANTICS = {
     "idempotent": RetrySemantics.IDEMPOTENT,
     "deduplicated": RetrySemantics.IDEMPOTENCY_KEY,
     "at_most_once": RetrySemantics.AT_MOST_ONCE,
 }
-LOAD_UNITS = {  # wire name: field, factor
-    "x0": ("memory_share", 1.0),
-    "x1": ("unread", 1000.0),
-    "cpu": ("slot_share", 1.0),
-    "waiting": ("waiting", 1.0),
-    "avg_ms": ("latency", 0.001),
-    "active": ("active", 1.0),
-}
 READING_DUTIES = ("read", "both")
 WRITING_DUTIES = ("write", "both")
 
 
+class LoadValue(NamedTuple):
+    """The field of `LoadReport` that a reported value belongs to, and the factor to the field's unit."""
+
+    field: str
+    factor: float
+
+
+LOAD_VALUES = {  # by name on the wire
+    "x0": LoadValue("memory_share", 1.0),
+    "x1": LoadValue("unread", 1000.0),  # thousands of tokens
+    "cpu": LoadValue("slot_share", 1.0),
+    "waiting": LoadValue("waiting", 1.0),
+    "avg_ms": LoadValue("latency", 0.001),
+    "active": LoadValue("active", 1.0),
+}
+
+
 def router_config_from_settings(settings: Settings, seed: int) -> RouterConfig:
-    """Read the settings of a node's start; unknown keys are ignored."""
+    """Return the router configuration in the settings that a node gets at its start.
+
+    Unknown keys are ignored, and an absent key means the platform's default.
+    """
     capabilities = settings.get("Caps", {})
     rules = settings.get("Invariants", {})
     specifics = settings.get("Specifics", {})
-    traffic = _traffic_types(settings, specifics)
-    kinds = settings.get("MachineTypes") or [""]
-    duties = specifics.get("DutyByKind") or ["both"] * len(kinds)
+    kind_count = len(settings.get("MachineTypes") or [""])
+    duties = specifics.get("DutyByKind") or ["both"] * kind_count
     return RouterConfig(
         seed=seed,
         node=settings.get("Ordinal", 0),
         node_count=settings.get("Balancers", 1),
         zone=_zone_index(settings),
-        traffic=traffic,
+        traffic=_traffic_types(settings, specifics),
         reads=tuple(duty in READING_DUTIES for duty in duties),
         writes=tuple(duty in WRITING_DUTIES for duty in duties),
-        memory=tuple(specifics.get("KvTokens") or [0.0] * len(kinds)),
+        memory=tuple(specifics.get("KvTokens") or [0.0] * kind_count),
         quotas=tuple(tenant.get("QuotaPerS", 0.0) for tenant in settings.get("Orgs") or []),
         writers_can_read=specifics.get("SelfPrefill", False),
         may_reserve=specifics.get("HoldsAllowed", False),
@@ -53,23 +66,29 @@
         may_gossip=capabilities.get("Peers", False),
         may_hedge=capabilities.get("SecondCopies", False),
         max_attempts=capabilities.get("MostTries", 1),
-        state_timeout=specifics.get("LetGoByMs", 0.0) / 1e3,
-        drain_grace=rules.get("DrainGraceMs", 0.0) / 1e3,
+        state_timeout=_seconds(specifics, "LetGoByMs"),
+        drain_grace=_seconds(rules, "DrainGraceMs"),
         cold_share=rules.get("ColdShare", 0.0),
-        cold_time=rules.get("ColdMs", 0.0) / 1e3,
+        cold_time=_seconds(rules, "ColdMs"),
         overload_multiple=rules.get("FallMultiple", 0.0),
-        overload_window=rules.get("FallMs", 0.0) / 1e3,
-        answer_slack=rules.get("AnswerSlackMs", 0.0) / 1e3,
-        tick=settings.get("PeriodMs", 0.0) / 1e3,
-        max_retry_after=_max_retry_after(capabilities),
+        overload_window=_seconds(rules, "FallMs"),
+        answer_slack=_seconds(rules, "AnswerSlackMs"),
+        tick=_seconds(settings, "PeriodMs"),
+        max_retry_after=_seconds(capabilities, "MaxRetryAfterMs") if capabilities.get("RetryAfter") else 0.0,
         over_quota_utility=settings.get("OverShareWorth", 1.0),
         polls_endpoints=settings.get("Discovery") == "ask",
         load_by_probe_only=settings.get("Report", {}).get("How") == "on_probe",
-        connect_timeout=capabilities.get("ConnectTimeoutMs", 0.0) / 1e3,
+        connect_timeout=_seconds(capabilities, "ConnectTimeoutMs"),
         probe_price=settings.get("Prices", {}).get("Probe", 0.0),
     )
 
 
+def _seconds(settings: Settings, key: str) -> float:
+    """Return a duration that the settings state in milliseconds, 0.0 if it is absent."""
+    milliseconds: float = settings.get(key, 0.0)
+    return milliseconds / MS_PER_SECOND
+
+
 def _traffic_types(settings: Settings, specifics: Settings) -> tuple[TrafficType, ...]:
     classes = settings["Classes"]
     prompt_time = specifics.get("AimUsPer1000PromptTokens") or [0.0] * len(classes)
@@ -77,37 +96,36 @@
     return tuple(
         TrafficType(
             retry_semantics=RETRY_SEMANTICS[traffic.get("Effect", "at_most_once")],
-            latency_slo=traffic["AimMs"] / 1e3,
-            slo_per_token=prompt_time[index] / 1e9,
-            abandon_time=traffic["GiveUpMs"] / 1e3,
-            seconds_per_token=token_time[index] / 1e3,
+            latency_slo=traffic["AimMs"] / MS_PER_SECOND,
+            slo_per_token=prompt_time[index] / US_PER_1000_SECONDS,
+            abandon_time=traffic["GiveUpMs"] / MS_PER_SECOND,
+            seconds_per_token=token_time[index] / MS_PER_SECOND,
             utility=traffic.get("Credit", 1.0),
             late_share=traffic.get("LateWorth", 0.0),
             dedup_group=traffic.get("DedupScope", "all"),
-            dedup_window=traffic.get("WindowMs", 0.0) / 1e3,
+            dedup_window=_seconds(traffic, "WindowMs"),
         )
         for index, traffic in enumerate(classes)
     )
 
 
 def _zone_index(settings: Settings) -> int:
-    zones = settings.get("Zones") or [""]
+    """Return the index of the node's zone, 0 if it is not among the listed zones."""
+    zones: list[str] = settings.get("Zones") or [""]
     own_zone = settings.get("MyZone", "")
     return zones.index(own_zone) if own_zone in zones else 0
 
 
-def _max_retry_after(capabilities: Settings) -> float:
-    """Return 0 where clients are given no wait."""
-    return capabilities.get("MaxRetryAfterMs", 0.0) / 1e3 if capabilities.get("RetryAfter") else 0.0
-
-
 def load_report_from_platform(report: Mapping[str, float] | None) -> LoadReport | None:
-    """Read a load report, or return None where there is none; unknown figures are ignored."""
+    """Return a load report with our field names and units, None if there is none.
+
+    Values of unknown names are ignored.
+    """
     if not report:
         return None
-    figures = {}
+    values = {}
     for name, value in report.items():
-        if name in LOAD_UNITS:
-            field, factor = LOAD_UNITS[name]
-            figures[field] = value * factor
-    return LoadReport(**figures)
+        if name in LOAD_VALUES:
+            field, factor = LOAD_VALUES[name]
+            values[field] = value * factor
+    return LoadReport(**values)
--- a/tests/test_action_executor.py
+++ b/tests/test_action_executor.py
@@ -15,7 +15,7 @@
 OUTCOME_CODES = {ours: wire for wire, ours in simulator.OUTCOMES.items()}
 EFFECTS = {ours: wire for wire, ours in platform_settings.RETRY_SEMANTICS.items()}
 ENGINE_STATES = {ours: wire for wire, ours in simulator.STATES.items()}
-LOAD_UNITS = {ours: (wire, factor) for wire, (ours, factor) in platform_settings.LOAD_UNITS.items()}
+LOAD_UNITS = {ours: (wire, factor) for wire, (ours, factor) in platform_settings.LOAD_VALUES.items()}
 MS = 1e3
 
 
