--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -90,7 +90,7 @@
             sequence.reader = sequence.state_holder
             sequence.state_since = now
         if arrival.may_have_run_at is not None:
-            sequence.may_have_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
+            sequence.record_possible_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
         if arrival.tenant is not None:
             self.table.arrivals.add(arrival.tenant, now)
         self._admit(sequence, now)
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -98,7 +98,7 @@
             engine.reset(update.is_new)
             usual = self.usual_memory.get(update.kind, 0.0)
             engine.memory = Observation(-usual, self.now)  # a process that has just started uses no memory
-            engine.restarted(update.started_at)
+            engine.record_restart(update.started_at)
         engine.state = update.state
         engine.kind = update.kind
         engine.zone = update.zone
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -118,7 +118,7 @@
         """Remember the estimated start delay of a sequence, to be compared with the actual one."""
         sequence.start_estimate = StartEstimate(now, delay)
 
-    def start_observed(self, sequence: Sequence, now: float) -> None:
+    def observe_start(self, sequence: Sequence, now: float) -> None:
         """Learn the error of the start estimate, from an answer that started now or will not start at all."""
         estimate = sequence.start_estimate
         sequence.start_estimate = None
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -114,7 +114,7 @@
         engine = attempt.engine
         is_cut_off = attempt.outcome in (Outcome.UNREACHED, Outcome.RESET)
         if is_cut_off and self.observed(engine.failures, engine) > RESTARTED_FAILURES:
-            engine.restarted(self.now)
+            engine.record_restart(self.now)
 
     def is_outlier(self, engine: Engine) -> bool:
         """Return whether an engine's share of failures is far above the median of the serving engines."""
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -64,7 +64,7 @@
         shares = [self._averages.get(affinity, INITIAL_HIT_SHARES[affinity]) for affinity in Affinity]
         return [share * arrival.prompt_tokens for share in shares]
 
-    def attempt_succeeded(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
+    def observe_success(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
         """Learn from the cached tokens that an engine reported, and update its cache entries."""
         arrival = sequence.arrival
         had_entry = attempt.cached.tokens >= MIN_CONFIRMED_TOKENS
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -210,7 +210,7 @@
         times = self._transfer_times(holder, writer)
         return sequence.arrival.prompt_tokens * times.get(holder.cell, INITIAL_TRANSFER_TIME)
 
-    def transfer_observed(self, holder: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
+    def observe_transfer(self, holder: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
         """Learn from a transfer of a read state between cells, which took `latency` seconds."""
         times = self._transfer_times(holder, writer)
         times.observe(holder.cell, latency / max(MIN_TRANSFER_TOKENS, prompt_tokens), TRANSFER_WEIGHT)
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -77,7 +77,7 @@
     """Record what an ended attempt means for later ones: a possible run, a read state or a failed engine."""
     outcome = attempt.outcome
     if sequence.possible_run is None and not attempt.is_read and outcome not in NOT_RUN:
-        sequence.may_have_run(attempt.engine, attempt.sent_at)
+        sequence.record_possible_run(attempt.engine, attempt.sent_at)
     if outcome == Outcome.READ and attempt.is_read and not sequence.has_begun:
         sequence.state_holder = attempt.engine
         sequence.state_since = now
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -158,17 +158,17 @@
         # Where load reports include memory, they cover the sequence from now on; elsewhere it stays assigned.
         is_reported = writer.kind in self.estimates.usual_memory
         self.estimates.assign(sequence, None if is_reported else sequence.assigned_to)
-        self.admission.start_observed(sequence, now)
+        self.admission.observe_start(sequence, now)
         was_transferred = False
         if attempt.fetches_state and holder is not None and holder.cell != writer.cell:
             was_transferred = True
-            self.reads.transfer_observed(holder, writer, sequence.arrival.prompt_tokens, latency)
+            self.reads.observe_transfer(holder, writer, sequence.arrival.prompt_tokens, latency)
         self.estimates.attempt_began(attempt, latency, was_transferred)
 
     def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
         self.estimates.attempt_ended(sequence, attempt)
         if attempt.has_succeeded:
-            self.reads.hit_rates.attempt_succeeded(sequence, attempt, now)
+            self.reads.hit_rates.observe_success(sequence, attempt, now)
         retries.record_capacity(sequence, attempt, now)
         retries.record_outcome(sequence, attempt, now)
         sequence.is_over = sequence.is_over or attempt.is_answered
@@ -185,7 +185,7 @@
 
     def _give_up(self, sequence: Sequence, retry_after: float = 0.0) -> None:
         """End a sequence with a rejection if that is true, else with an abort."""
-        self.admission.start_observed(sequence, self.estimates.now)
+        self.admission.observe_start(sequence, self.estimates.now)
         is_harmless = retries.may_reject(sequence)
         answer = contract.Reject(sequence.id, retry_after) if is_harmless else contract.Abort(sequence.id)
         self._end(sequence, answer)
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -103,7 +103,7 @@
             return 0
         return self.zone if traffic.dedup_group == DedupGroup.ZONE else self.cell
 
-    def restarted(self, at: float) -> None:
+    def record_restart(self, at: float) -> None:
         """Record that its process started at a time, with an empty cache."""
         self.started_at = at
         self.cache.clear()
@@ -210,7 +210,7 @@
         )
         self.workload = Workload(arrival.tenant, arrival.traffic)
 
-    def may_have_run(self, engine: Engine, sent_at: float) -> None:
+    def record_possible_run(self, engine: Engine, sent_at: float) -> None:
         """Record that an attempt sent to an engine at a time may have run."""
         self.possible_run = PossibleRun(engine.dedup_group(self.traffic), sent_at)
 
