--- a/myrtlehub/simulator/__init__.py
+++ b/myrtlehub/simulator/__init__.py
@@ -1,8 +1,12 @@
-"""Adapter to the operators' simulator: decodes batches into calls of routers, and encodes their actions.
+"""Adapter to the operators' simulator: decodes its events into router calls, and encodes router actions.
 
-`python -m myrtlehub.simulator` reads one JSON batch a line on standard input and answers each with one line
-on standard output. Each node named on the wire has a router of its own. The adapter decides nothing.
-`wire` has the words of the wire, `ids` its ids against our indices, `node` one node, `__main__` the program.
+`python -m myrtlehub.simulator` reads one JSON batch per line from standard input and answers each batch with
+one line on standard output. Each simulated node has its own router. The adapter makes no decisions.
+
+- `wire`: the names of the protocol, and the encoding of actions.
+- `ids`: the protocol's ids, as the indices that routers use.
+- `node`: one simulated node.
+- `__main__`: the program.
 """
 
 from myrtlehub.simulator.node import Node
--- a/myrtlehub/simulator/__main__.py
+++ b/myrtlehub/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Answers batches of the operators' simulator, one a line."""
+"""The simulator adapter as a program: answers one batch of events per line."""
 
 import sys
 
@@ -6,20 +6,20 @@
 
 from myrtlehub.routing.contract import Action
 from myrtlehub.simulator.node import Node
-from myrtlehub.simulator.wire import Event, Order, WireError
+from myrtlehub.simulator.wire import MS_PER_SECOND, Event, Order, WireError
 
-INVALID_INPUT = 2  # exit status
+EXIT_INVALID_INPUT = 2
 
 
 def play(nodes: dict[str, Node], batch: Event) -> Order:
-    """Answer one batch."""
-    now = batch["MomentMs"] / 1e3
+    """Apply the events of a batch to the nodes, and return the orders that follow from them."""
+    now = batch["MomentMs"] / MS_PER_SECOND
     orders: list[Order] = []
     for event in batch["events"]:
         name = event["NodeId"]
         if event["verb"] == "KILL":
             nodes.pop(name, None)
-            # what it had ordered in this batch is lost with it
+            # The orders of a killed node in this batch have not reached the simulator: they are lost with it.
             orders = [order for order in orders if order["NodeId"] != name]
             continue
         actions = _call_node(nodes, name, event, now)
@@ -38,16 +38,20 @@
 
 
 class Simulation:
-    """All nodes of a simulation, and the frame that was read last."""
+    """All nodes of a simulation."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
-        self.frame: int | None = None
+        self.frame: int | None = None  # of the last batch, for error messages; None before the first one
         self._decode = msgspec.json.Decoder().decode
         self._encode = msgspec.json.Encoder().encode
 
     def answer(self, line: bytes) -> bytes:
-        """Answer one line of input, or raise a `WireError` that says what is wrong with it and where."""
+        """Answer one line of input.
+
+        Raises:
+            WireError: The input is malformed; the message says what is wrong and in which frame.
+        """
         try:
             batch = self._decode(line)
             if not isinstance(batch, dict):
@@ -63,7 +67,7 @@
 
 
 def main() -> int:
-    """Answer batches until input ends."""
+    """Answer batches until the end of input, and return the exit status."""
     simulation = Simulation()
     for line in sys.stdin.buffer:
         if not line.strip():
@@ -72,7 +76,7 @@
             reply = simulation.answer(line)
         except WireError as error:
             print(f"simhost: {error}", file=sys.stderr)
-            return INVALID_INPUT
+            return EXIT_INVALID_INPUT
         sys.stdout.buffer.write(reply + b"\n")
         sys.stdout.buffer.flush()
     return 0
--- a/myrtlehub/simulator/ids.py
+++ b/myrtlehub/simulator/ids.py
@@ -1,103 +1,104 @@
-"""Ids of the simulator's wire against the indices of routers."""
+"""The ids of the simulator's protocol, as the indices and numbers that routers use."""
 
 from myrtlehub.routing.contract import EngineState
 from myrtlehub.simulator.wire import WireError
 
 
 class EngineIds:
-    """Ids of engines, and their dense indices.
+    """The ids of engines and their dense indices.
 
-    An index is handed on once its engine is gone and nothing sent to it is out: what still comes of that
-    would else be taken for the next engine's.
+    The index of a removed engine is reused once no attempt or probe of it is in flight. Reused earlier, the
+    response to such an attempt would be attributed to the new engine
+    (`test_an_engines_index_is_handed_on_once_nothing_of_it_is_out`).
     """
 
     def __init__(self) -> None:
         self._ids: list[str] = []  # by index
-        self._out: list[int] = []  # attempts and probes that are out, by index
+        self._in_flight: list[int] = []  # number of attempts and probes, by index
         self._index_of: dict[str, int] = {}
-        self._gone: set[int] = set()
-        self._free: list[int] = []
+        self._removed: set[int] = set()  # indices of removed engines that are not free yet
+        self._free: list[int] = []  # in the order of their reuse
 
-    def index(self, ident: str) -> int:
-        """Return the index of a listed engine."""
-        if ident not in self._index_of:
-            raise WireError(f"engine {ident} is not listed")
-        return self._index_of[ident]
+    def index(self, engine_id: str) -> int:
+        """Return the index of a listed engine, or raise `WireError`."""
+        if engine_id not in self._index_of:
+            raise WireError(f"engine {engine_id} is not listed")
+        return self._index_of[engine_id]
 
-    def ident(self, index: int) -> str:
-        """Return the id of an engine."""
+    def id_of(self, index: int) -> str:
+        """Return the id of the engine with an index."""
         return self._ids[index]
 
-    def is_listed(self, ident: str) -> bool:
+    def is_listed(self, engine_id: str) -> bool:
         """Return whether an engine has an index."""
-        return ident in self._index_of
+        return engine_id in self._index_of
 
-    def list_engine(self, ident: str, state: EngineState) -> int:
-        """Return the index of an engine in the endpoint list, a new one where it has none."""
-        if ident not in self._index_of:
-            self._index_of[ident] = self._new_index(ident)
-        index = self._index_of[ident]
+    def add_or_update(self, engine_id: str, state: EngineState) -> int:
+        """Return the index of an engine in the endpoint list, assigning one to a new engine."""
+        if engine_id not in self._index_of:
+            self._index_of[engine_id] = self._assign_index(engine_id)
+        index = self._index_of[engine_id]
         if state == EngineState.REMOVED:
-            self._gone.add(index)
+            self._removed.add(index)
         else:
-            self._gone.discard(index)
+            self._removed.discard(index)
         return index
 
-    def _new_index(self, ident: str) -> int:
+    def _assign_index(self, engine_id: str) -> int:
         if self._free:
             index = self._free.pop(0)
-            self._ids[index] = ident
+            self._ids[index] = engine_id
             return index
-        self._ids.append(ident)
-        self._out.append(0)
+        self._ids.append(engine_id)
+        self._in_flight.append(0)
         return len(self._ids) - 1
 
-    def keep_only(self, listed: set[int]) -> None:
-        """Take all engines for gone that the complete endpoint list doesn't have."""
-        self._gone.update(index for index in self._index_of.values() if index not in listed)
+    def remove_all_but(self, listed: set[int]) -> None:
+        """Remove the engines whose index is not in the complete endpoint list."""
+        self._removed.update(index for index in self._index_of.values() if index not in listed)
 
-    def sent(self, index: int) -> None:
-        """Take note that an attempt or a probe is out."""
-        self._out[index] += 1
+    def count_sent(self, index: int) -> None:
+        """Count an attempt or probe that was sent to an engine."""
+        self._in_flight[index] += 1
 
-    def ended(self, index: int) -> None:
-        """Take note that an attempt or a probe has ended."""
-        self._out[index] = max(0, self._out[index] - 1)
+    def count_ended(self, index: int) -> None:
+        """Count the end of an attempt or probe."""
+        self._in_flight[index] = max(0, self._in_flight[index] - 1)
 
-    def free_gone(self) -> None:
-        """Free the indices of all engines that are gone."""
-        for index in sorted(self._gone):
-            self.free_if_gone(index)
+    def free_removed(self) -> None:
+        """Free the indices of all removed engines that have nothing in flight."""
+        for index in sorted(self._removed):
+            self.free_if_removed(index)
 
-    def free_if_gone(self, index: int) -> None:
-        """Free the index of an engine if it is gone and nothing sent to it is out."""
-        if index in self._gone and not self._out[index]:
-            self._gone.discard(index)
+    def free_if_removed(self, index: int) -> None:
+        """Free the index of an engine if the engine is removed and has nothing in flight."""
+        if index in self._removed and not self._in_flight[index]:
+            self._removed.discard(index)
             self._free.append(index)
             del self._index_of[self._ids[index]]
 
 
 class SequenceIds:
-    """Ids of sequences, and the numbers that the router has for them."""
+    """The ids of sequences and their numbers, which are never reused."""
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
         self._ids: dict[int, str] = {}
         self._next = 0
 
-    def add(self, ident: str) -> int:
-        """Number a sequence that arrives."""
+    def add(self, sequence_id: str) -> int:
+        """Assign a number to an arriving sequence."""
         number = self._next
         self._next += 1
-        self._numbers[ident] = number
-        self._ids[number] = ident
+        self._numbers[sequence_id] = number
+        self._ids[number] = sequence_id
         return number
 
-    def number(self, ident: str) -> int | None:
-        """Return the number of a sequence, or None where it is forgotten."""
-        return self._numbers.get(ident)
+    def number(self, sequence_id: str) -> int | None:
+        """Return the number of a sequence, None once it is forgotten."""
+        return self._numbers.get(sequence_id)
 
-    def ident(self, number: int) -> str:
+    def id_of(self, number: int) -> str:
         """Return the id of a sequence."""
         return self._ids[number]
 
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -1,4 +1,4 @@
-"""One node of a simulation: its router, called with decoded events."""
+"""One simulated node: its router, called with decoded events."""
 
 from collections.abc import Iterable
 from zlib import crc32
@@ -10,22 +10,23 @@
 from myrtlehub.simulator.ids import EngineIds, SequenceIds
 from myrtlehub.simulator.wire import (
     ENGINE_ACTIONS,
+    MS_PER_SECOND,
     OUTCOMES,
     SEQUENCE_ACTIONS,
     STATES,
     WIRE_VERBS,
     Event,
     Order,
+    RequestOption,
     WireError,
-    further_fields,
+    fields_of,
 )
 
-OPTION_EXPECTED, OPTION_RETRY, OPTION_RESUMED = 1, 2, 16  # bits of a request's options
-RESERVED = 1  # what a note of a reservation says
+RESERVED = 1  # the value of a note that confirms a reservation
 
 
 class Node:
-    """One node: its router, and the ids of the wire against its indices."""
+    """A router, with the ids of the protocol that its indices stand for."""
 
     def __init__(self, name: str, event: Event, now: float) -> None:
         settings = event["Settings"]
@@ -53,7 +54,10 @@
         }
 
     def call(self, event: Event, now: float) -> list[Action]:
-        """Hand one event to the router."""
+        """Call the router with an event, and return its actions.
+
+        An event of a sequence that has been forgotten is ignored: it crossed the final answer on the wire.
+        """
         verb = event["verb"]
         if verb in self._node_events:
             return self._node_events[verb](event, now)
@@ -67,34 +71,31 @@
         if mode == "FAILED":
             return self.router.endpoint_list_failed(now)
         is_complete = mode != "INCREMENTAL"
-        updates = []
-        for entry in event.get("Entries") or []:
-            update = self._endpoint_update(entry)
-            if update is not None:
-                updates.append(update)
+        entries = [self._endpoint_update(entry) for entry in event.get("Entries") or []]
+        updates = [update for update in entries if update is not None]
         if is_complete:
-            self.engines.keep_only({update.engine for update in updates})
+            self.engines.remove_all_but({update.engine for update in updates})
         actions = self.router.update_endpoints(now, updates, is_complete)
-        self.engines.free_gone()
+        self.engines.free_removed()
         return actions
 
     def _endpoint_update(self, entry: Event) -> contract.EndpointUpdate | None:
-        """Read an entry of the endpoint list; None where it is of an engine that was gone before."""
-        ident = entry["Engine"]
+        """Decode an entry of the endpoint list; None if it removes an engine that is not listed."""
+        engine_id = entry["Engine"]
         state = STATES[entry.get("State", "SERVING")]
-        is_new = not self.engines.is_listed(ident)
+        is_new = not self.engines.is_listed(engine_id)
         if is_new and state == EngineState.REMOVED:
             return None
         return contract.EndpointUpdate(
-            engine=self.engines.list_engine(ident, state),
+            engine=self.engines.add_or_update(engine_id, state),
             is_new=is_new,
             state=state,
-            kind=self.kinds.get(entry.get("Type"), 0),
-            zone=self.zones.get(entry.get("Dc"), 0),
+            kind=_index_of(entry.get("Type"), self.kinds) or 0,
+            zone=_index_of(entry.get("Dc"), self.zones) or 0,
             cell=entry.get("Cluster", 0),
-            started_at=entry.get("StartTimeMs", 0.0) / 1e3,
+            started_at=entry.get("StartTimeMs", 0.0) / MS_PER_SECOND,
             weight=entry.get("Heft", 1.0),
-            hash_seed=crc32(ident.encode()),
+            hash_seed=crc32(engine_id.encode()),
         )
 
     def _request(self, event: Event, now: float) -> list[Action]:
@@ -102,46 +103,46 @@
         options = event.get("Options", 0)
         arrival = contract.Arrival(
             traffic=self.traffic[event["Grade"]],
-            tenant=self.tenants.get(event.get("ClientGroup")),
+            tenant=_index_of(event.get("ClientGroup"), self.tenants),
             prompt_tokens=event.get("InputLen", 0.0),
-            time_left=event["TimeBudgetMs"] / 1e3,
+            time_left=event["TimeBudgetMs"] / MS_PER_SECOND,
             session=event.get("Chat", 0),
             prefix=event.get("Prefix", 0),
             shared_tokens=event.get("SharedLen", 0.0),
             max_output_tokens=event.get("MaxTokens", 0.0),
-            expected_seconds=event.get("PredictedMs", 0.0) / 1e3 if options & OPTION_EXPECTED else 0.0,
-            is_resumed=bool(options & OPTION_RESUMED),
-            is_retry=bool(options & OPTION_RETRY),
+            expected_seconds=_expected_seconds(event, options),
+            is_resumed=bool(options & RequestOption.IS_RESUMED),
+            is_retry=bool(options & RequestOption.IS_RETRY),
         )
         return self.router.arrive(now, number, arrival)
 
     def _response(self, event: Event, now: float) -> list[Action]:
         engine = self.engines.index(event["Engine"])
-        self.engines.ended(engine)
+        self.engines.count_ended(engine)
         number = self.sequences.number(event["Rid"])
-        actions = []
+        actions: list[Action] = []
         if number is not None:
             actions = self.router.ended(
                 now,
                 number,
                 event.get("Copy", 0),
                 OUTCOMES[event["StateCode"]],
-                event.get("LatencyMs", 0.0) / 1e3,
+                _latency(event),
                 event.get("Settled", False),
                 event.get("Info", 0),
                 load_report_from_platform(event.get("Telemetry")),
             )
-        self.engines.free_if_gone(engine)
+        self.engines.free_if_removed(engine)
         return actions
 
     def _ping_result(self, event: Event, now: float) -> list[Action]:
         engine = self.engines.index(event["Engine"])
-        self.engines.ended(engine)
+        self.engines.count_ended(engine)
         is_answered = event.get("StateCode") == "ok"
-        latency = event.get("LatencyMs", 0.0) / 1e3
+        latency = _latency(event)
         load = load_report_from_platform(event.get("Telemetry"))
         actions = self.router.probe_ended(now, engine, is_answered, latency, load)
-        self.engines.free_if_gone(engine)
+        self.engines.free_if_removed(engine)
         return actions
 
     def _wakeup(self, event: Event, now: float) -> list[Action]:
@@ -151,7 +152,7 @@
         return self.router.gossip_received(now, event["Who"], event.get("Content", ""))
 
     def _established(self, event: Event, now: float, sequence: int) -> list[Action]:
-        return self.router.began(now, sequence, event.get("Copy", 0), event.get("LatencyMs", 0.0) / 1e3)
+        return self.router.began(now, sequence, event.get("Copy", 0), _latency(event))
 
     def _dropped(self, event: Event, now: float, sequence: int) -> list[Action]:
         return self.router.client_left(now, sequence)
@@ -162,19 +163,38 @@
         return self.router.reservation_answered(now, sequence, event.get("Copy", 0), engine, is_reserved)
 
     def encode(self, action: Action) -> Order | None:
-        """Return an action as the wire has it, or None where it is only for the adapter."""
+        """Return an action as an order of the protocol, None if it concerns the adapter alone."""
         if isinstance(action, contract.Forget):
             self.sequences.forget(action.sequence)
             return None
         order = {"verb": WIRE_VERBS[type(action)], "NodeId": self.name}
         if isinstance(action, SEQUENCE_ACTIONS):
-            order["Rid"] = self.sequences.ident(action.sequence)
+            order["Rid"] = self.sequences.id_of(action.sequence)
         if isinstance(action, ENGINE_ACTIONS):
-            order["Engine"] = self.engines.ident(action.engine)
+            order["Engine"] = self.engines.id_of(action.engine)
         if isinstance(action, (contract.Send, contract.Probe)):
-            self.engines.sent(action.engine)
-        return order | further_fields(action)
+            self.engines.count_sent(action.engine)
+        return order | fields_of(action)
 
 
 def _index_by(names: Iterable[str]) -> dict[str, int]:
     return {name: index for index, name in enumerate(names)}
+
+
+def _index_of(name: str | None, indices: dict[str, int]) -> int | None:
+    """Return the index of a name, None if it is absent or unknown."""
+    return None if name is None else indices.get(name)
+
+
+def _expected_seconds(event: Event, options: int) -> float:
+    """Return the predicted duration in a request in seconds, 0.0 if it has none."""
+    if not options & RequestOption.HAS_ESTIMATE:
+        return 0.0
+    predicted_ms: float = event.get("PredictedMs", 0.0)
+    return predicted_ms / MS_PER_SECOND
+
+
+def _latency(event: Event) -> float:
+    """Return the latency in an event in seconds, 0.0 if there is none."""
+    latency_ms: float = event.get("LatencyMs", 0.0)
+    return latency_ms / MS_PER_SECOND
--- a/myrtlehub/simulator/wire.py
+++ b/myrtlehub/simulator/wire.py
@@ -1,13 +1,16 @@
-"""The words of the simulator's wire, and how actions are encoded in them."""
+"""The names of the simulator's JSON protocol, and the encoding of actions in it."""
 
+from enum import IntFlag
 from typing import Any
 
 from myrtlehub.routing import contract
 from myrtlehub.routing.contract import Action, EngineState, Outcome
 
-Event = dict[str, Any]  # as decoded from JSON
-Order = dict[str, Any]  # to be encoded in JSON
+Event = dict[str, Any]  # a JSON object, as decoded; its values are of any JSON type
+Order = dict[str, Any]  # a JSON object, to be encoded
 
+MS_PER_SECOND = 1e3  # times are milliseconds on the wire
+ALL_NODES = "all"  # the receiver of gossip to all nodes
 OUTCOMES = {
     "ok": Outcome.GENERATED,
     "read": Outcome.READ,
@@ -52,23 +55,34 @@
 ENGINE_ACTIONS = (contract.Send, contract.Reserve, contract.Probe, contract.CloseIdle)
 
 
+class RequestOption(IntFlag):
+    """The bits of a request's options that the adapter reads."""
+
+    HAS_ESTIMATE = 1  # its predicted duration is set
+    IS_RETRY = 2
+    IS_RESUMED = 16
+
+
 class WireError(Exception):
-    """Input that the wire page does not allow."""
+    """The input violates the protocol; the message says how."""
+
 
+def fields_of(action: Action) -> Order:
+    """Return the fields of an action other than its verb, node, sequence and engine.
 
-def further_fields(action: Action) -> Order:
-    """Return the fields of an action besides its verb and those of its node, sequence and engine."""
+    A duration of 0.0 means that there is none, and is left out.
+    """
     match action:
         case contract.Send(_, _, timeout) if timeout:
-            return {"AllowForMs": timeout * 1e3}
+            return {"AllowForMs": timeout * MS_PER_SECOND}
         case contract.CancelAttempt(_, attempt):
             return {"Copy": attempt}
         case contract.Reject(_, retry_after) if retry_after:
-            return {"WaitMs": retry_after * 1e3}
+            return {"WaitMs": retry_after * MS_PER_SECOND}
         case contract.ScheduleWakeup(delay, token):
-            return {"SpanMs": delay * 1e3, "Name": str(token)}
+            return {"SpanMs": delay * MS_PER_SECOND, "Name": str(token)}
         case contract.Gossip(node, payload):
-            return {"NeighbourId": "all" if node is None else node, "Content": payload}
+            return {"NeighbourId": ALL_NODES if node is None else node, "Content": payload}
         case contract.WatchEndpoints(enabled):
             return {"Active": enabled}
         case contract.LogNote(text):
--- a/tests/test_routing_statistics.py
+++ b/tests/test_routing_statistics.py
@@ -64,13 +64,13 @@
 
 def test_an_engines_index_is_handed_on_once_nothing_of_it_is_out() -> None:
     ids = EngineIds()
-    old = ids.list_engine("old", EngineState.SERVING)
-    ids.sent(old)
-    ids.list_engine("old", EngineState.REMOVED)
-    ids.free_gone()
-    assert ids.list_engine("second", EngineState.SERVING) != old and ids.index("old") == old
-    ids.ended(old)
-    ids.free_if_gone(old)
+    old = ids.add_or_update("old", EngineState.SERVING)
+    ids.count_sent(old)
+    ids.add_or_update("old", EngineState.REMOVED)
+    ids.free_removed()
+    assert ids.add_or_update("second", EngineState.SERVING) != old and ids.index("old") == old
+    ids.count_ended(old)
+    ids.free_if_removed(old)
     with pytest.raises(WireError, match="old is not listed"):
         ids.index("old")
-    assert ids.list_engine("third", EngineState.SERVING) == old and ids.ident(old) == "third"
+    assert ids.add_or_update("third", EngineState.SERVING) == old and ids.id_of(old) == "third"
