--- a/benchmarks/compare_decisions.py
+++ b/benchmarks/compare_decisions.py
@@ -1,4 +1,4 @@
-"""Whether the router of the working tree decides as that of a commit does, to the last bit.
+"""Compares the decisions of the working tree's router with those of a commit's router, to the last bit.
 
     python benchmarks/compare_decisions.py cc6ab61 [--sequences 100000] [--seed 1] [--plant threshold]
 
@@ -24,15 +24,15 @@
 DRIVER = Path(__file__).resolve().with_name("driven_fleet.py")
 THRESHOLD = re.compile(r"^(\s*\w*split\w*\s*(?::\s*\w+\s*)?=\s*)600\.0\b", re.IGNORECASE | re.MULTILINE)
 PLANTED_THRESHOLD = r"\g<1>615.0"
-PLANTED_DRAW = "40"  # of each router's generator: this one is lost
+PLANTED_DRAW = "40"  # number of the draw that each router's generator loses
 
 
 class PlantError(Exception):
-    """The place where the fault belongs was not found exactly once."""
+    """The constant to change was not found exactly once."""
 
 
 def tree_of(commit: str, folder: Path) -> Path:
-    """The package at a commit; of the working tree for `.`."""
+    """Copy the package at a commit into a folder and return the folder; `.` is the working tree."""
     if commit == ".":
         shutil.copytree(
             ROOT / "myrtlehub", folder / "myrtlehub", ignore=shutil.ignore_patterns("__pycache__")
@@ -47,7 +47,7 @@
 
 
 def plant_threshold(tree: Path) -> None:
-    """Change one tuned value, the uncached tokens from which a prompt is read elsewhere."""
+    """Change one tuned value, the uncached tokens from which a prompt is split."""
     places = [path for path in tree.glob("myrtlehub/routing/**/*.py") if THRESHOLD.search(path.read_text())]
     if len(places) != 1:
         raise PlantError(f"the split threshold stands in {len(places)} files")
@@ -58,7 +58,7 @@
 
 
 def start(tree: Path, options: argparse.Namespace, *more: str) -> subprocess.Popen[str]:
-    """Start the driver on one tree."""
+    """Start the driver for one tree."""
     return subprocess.Popen(
         [
             sys.executable,
@@ -75,7 +75,7 @@
 
 
 def first_difference(one: Iterator[str], other: Iterator[str]) -> tuple[str, str, str] | None:
-    """Scenario and both lines where they part; None where they never do."""
+    """Return the scenario and both lines of the first difference, None if there is none."""
     scenario, last = "", ""
     for left, right in itertools.zip_longest(one, other, fillvalue="(nothing)\n"):
         if left != right:
@@ -90,7 +90,7 @@
 
 
 def compare(base: subprocess.Popen[str], present: subprocess.Popen[str]) -> int:
-    """Compare what both print; 0 if nothing differs."""
+    """Compare the output of both drivers, and return the exit status."""
     found = first_difference(base.stdout, present.stdout)
     for process in (base, present):
         if found is not None:
--- a/benchmarks/decision_speed.py
+++ b/benchmarks/decision_speed.py
@@ -1,7 +1,7 @@
-"""Seconds of processor that one sequence costs a router among 200 engines.
+"""Processor time in seconds that a router takes to decide one sequence among 200 engines.
 
-`python benchmarks/decision_speed.py TREE` prints it; `compare_speed.py` calls it for both of its trees. Each
-sequence is an arrival, the begin of an answer and its end.
+`python benchmarks/decision_speed.py TREE` prints it for the router of a tree; `compare_speed.py` calls it for
+both of its trees. Each sequence arrives, starts its answer and ends; a split one has a read before.
 """
 
 import sys
@@ -10,15 +10,17 @@
 
 from fleet_shape import READS, WRITES
 from router_dialects import Dialect, open_dialect
+from router_settings import ROUTER_SETTINGS
 
 ENGINES = 200
-WARM_UP = 300  # sequences that are not measured
+NODES = 40
+WARM_UP = 300  # sequences before the measurement
 SEQUENCES = 2000
 ANSWER_SECONDS = 0.4
 
 
 def make_router(dialect: Dialect) -> object:
-    """A router as in a fleet of 40 nodes, that knows 200 engines."""
+    """Return a router of a fleet of 40 nodes, with 200 engines in its endpoint list."""
     traffic = dialect.make(
         "TrafficType",
         retry_semantics="repeatable",
@@ -31,34 +33,13 @@
     )
     config = dialect.make(
         "RouterConfig",
-        seed=7,
-        node=0,
-        node_count=40,
-        zone=0,
+        **ROUTER_SETTINGS,
+        node_count=NODES,
         traffic=(traffic,),
         reads=READS,
         writes=WRITES,
         memory=(200000.0, 100000.0, 150000.0, 100000.0),
-        quotas=(),
-        writers_can_read=True,
-        may_reserve=False,
-        may_cancel=True,
-        may_migrate=False,
-        may_probe=False,
-        may_gossip=False,
         may_hedge=False,
-        max_attempts=5,
-        state_timeout=0.5,
-        drain_grace=0.25,
-        cold_share=0.25,
-        cold_time=12.0,
-        overload_multiple=2.5,
-        overload_window=1.0,
-        answer_slack=0.016,
-        tick=0.004,
-        max_retry_after=2.0,
-        over_quota_utility=0.1,
-        polls_endpoints=False,
     )
     router = dialect.router(config)
     dialect.call(router, "start", 100.0)
@@ -82,7 +63,7 @@
 
 
 def play(dialect: Dialect, router: object, first: int, count: int) -> None:
-    """Let sequences arrive, begin and end."""
+    """Play sequences from arrival to end."""
     random = Random(first)
     for ident in range(first, first + count):
         now = 101.0 + ident
@@ -114,14 +95,14 @@
 
 
 def main() -> None:
-    """Print seconds of processor for each sequence."""
+    """Print the seconds of processor time per sequence."""
     sys.path.insert(0, sys.argv[1])
     dialect = open_dialect()
     router = make_router(dialect)
     play(dialect, router, 0, WARM_UP)
-    begun = time.process_time()
+    started_at = time.process_time()
     play(dialect, router, WARM_UP, SEQUENCES)
-    sys.stdout.write(f"{(time.process_time() - begun) / SEQUENCES}\n")
+    sys.stdout.write(f"{(time.process_time() - started_at) / SEQUENCES}\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/router_dialects.py
+++ b/benchmarks/router_dialects.py
@@ -1,4 +1,4 @@
-"""One call interface to the routers of different commits, which differ in names alone.
+"""One interface to the routers of different commits, which differ only in names.
 
 Up to dbd88ee the router was `myrtlehub/decide.py`, with its types in `myrtlehub/interface.py` and actions
 as plain tuples; since then it is in `myrtlehub/routing`, with typed actions. `open_dialect` imports whichever
@@ -13,7 +13,7 @@
 ROUTER_MODULES = ("myrtlehub.routing.policy.router", "myrtlehub.routing.router", "myrtlehub.decide")
 CONTRACT_MODULES = ("myrtlehub.routing.contract", "myrtlehub.interface")
 
-# first word of a plain tuple -> class of the typed action; the fields and their order are the same
+# First item of a plain tuple: class of the typed action. The fields and their order are the same.
 ACTION_CLASSES = {
     "send": "Send",
     "hold": "Reserve",
@@ -31,7 +31,7 @@
     "note": "LogNote",
     "done": "Forget",
 }
-# present name -> name before dbd88ee, where it differs
+# Present name: name before dbd88ee, if it differs.
 CALLS = {
     "update_endpoints": "engines",
     "endpoint_list_failed": "list_failed",
@@ -74,7 +74,7 @@
     },
     "LoadReport": {},
 }
-# fields that an enumeration of the typed contract describes; the word itself is what the older one takes
+# Fields whose values are enumerations in the typed contract; the older one takes the bare values.
 ENUMERATIONS = {
     "retry_semantics": "RetrySemantics",
     "dedup_group": "DedupGroup",
@@ -83,7 +83,7 @@
 
 
 class UnknownTreeError(Exception):
-    """The tree has no router under any of the names that are known."""
+    """The tree has no router under any known name."""
 
 
 class Dialect:
@@ -113,11 +113,11 @@
         }
 
     def outcome(self, word: str) -> str:
-        """How an attempt ended, as the tree has it."""
+        """Return an outcome as the tree has it."""
         return self._contract.Outcome(word) if self.is_typed else word
 
     def router(self, config: Any) -> Any:  # noqa: ANN401 - of whichever tree
-        """A router with this configuration."""
+        """Return a router with a configuration."""
         return self._router_class(config)
 
     def call(self, router: Any, name: str, *arguments: Any) -> list[tuple]:  # noqa: ANN401
@@ -142,5 +142,5 @@
 
 
 def open_dialect() -> Dialect:
-    """The dialect of the tree that is first on `sys.path`."""
+    """Return the dialect of the tree that is first on `sys.path`."""
     return Dialect(_first_of(ROUTER_MODULES), _first_of(CONTRACT_MODULES))
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -216,7 +216,7 @@
 
         The rate of a kind is a median. With a mean, one late answer would make all engines of the kind look
         too slow to send to at a node with little traffic, which would then observe nothing more
-        (`test_one_slow_start_of_an_answer_does_not_make_all_engines_look_too_slow`).
+        (`test_one_late_answer_does_not_make_all_engines_look_too_slow`).
         """
         settings = self.settings
         if uncached_tokens < settings.min_sample_tokens or latency <= 0.0:
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -77,7 +77,7 @@
 
         It is at most the number of other nodes. Without the bound by quotas, a node with several times its
         even part of the traffic would expect as much from each other node, and estimate all writers full
-        (`test_a_node_with_more_than_its_even_part_does_not_take_the_fleet_to_be_full`).
+        (`test_a_node_with_more_than_its_even_part_does_not_estimate_the_fleet_full`).
         """
         others = self.config.node_count - 1.0
         own_rate = sum(self.arrivals.rate(tenant, self.now) for tenant in range(len(self.config.quotas)))
--- a/myrtlehub/simulator/ids.py
+++ b/myrtlehub/simulator/ids.py
@@ -9,7 +9,7 @@
 
     The index of a removed engine is reused once no attempt or probe of it is in flight. Reused earlier, the
     response to such an attempt would be attributed to the new engine
-    (`test_an_engines_index_is_handed_on_once_nothing_of_it_is_out`).
+    (`test_an_engines_index_is_reused_once_nothing_of_it_is_in_flight`).
     """
 
     def __init__(self) -> None:
--- a/tests/test_compare_decisions.py
+++ b/tests/test_compare_decisions.py
@@ -1,4 +1,4 @@
-"""The comparison of decisions finds no difference between a tree and itself, and finds planted ones."""
+"""The comparison of decisions finds none between a tree and its copy, and finds planted faults."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 
 
 def compare(*options: str) -> subprocess.CompletedProcess[str]:
-    """Compare the working tree with a copy of itself."""
+    """Run the comparison of the working tree with a copy of itself."""
     command = [sys.executable, str(SCRIPT), ".", "--sequences", "1500", *options]
     return subprocess.run(command, capture_output=True, text=True, timeout=120, check=False)
 
--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -1,4 +1,4 @@
-"""Engines that report load to probes alone, on emulated engines."""
+"""Load probing, on emulated engines that report load to probes only."""
 
 import re
 import signal
@@ -52,7 +52,7 @@
     )
     assert all(w[2].memory_share is not None and w[2].unread is not None for w in executor.probe_results)
     assert not f.what("load") and [c.answer for c in f.calls] == ["generated"]
-    f.stands["W0b"].model.resources.used_memory = 199000.0  # its memory is full of what others asked for
+    f.stands["W0b"].model.resources.used_memory = 199000.0  # full of sequences of other nodes
     for _ in range(8):
         f.ask(prompt=400)
         f.run(0.4)
@@ -71,7 +71,7 @@
     f.run(4.0)
     assert caller.answer == "generated"
     words = [w for w in f.nodes["n0"].executor.probe_results if w[0] == "W0b:1"]
-    assert words and not any(sound for _, sound, _ in words)  # timed out: a word too, and the only one
+    assert words and not any(sound for _, sound, _ in words)  # the timeout is a result too, and the only one
     assert_rules_kept(f)
     assert_nothing_left(f)
 
@@ -134,7 +134,7 @@
 
 
 def processes(folder: Path, shape: str, engines_tell: str) -> tuple[list[subprocess.Popen], str]:
-    """A node of a shape and two engines on loopback, and the node's address."""
+    """Start a node of a shape and two engines on loopback; return them and the node's address."""
     ports = free_ports(4)
     text = CHAT_ONLY.replace("127.0.0.1:7100", f"127.0.0.1:{ports[0]}").replace(
         "127.0.0.1:7101", f"127.0.0.1:{ports[1]}"
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Traces of decisions on the ordinary path: writer selection, read placement, and takeovers."""
+"""Writer selection, read placement and takeovers, partly as traces of decisions."""
 
 from router_bench import AT_MOST_ONCE, IDEMPOTENCY_KEY, PROBING, WRITER, RouterBench, arrival, benches
 
@@ -10,8 +10,8 @@
     return [action.engine for action in actions if isinstance(action, contract.Send)]
 
 
-def test_a_takeover_goes_on_with_a_read_state_and_a_possible_run() -> None:
-    """A state goes straight to a writer of its cell; what may have run stays in its group and window."""
+def test_a_takeover_uses_its_read_state_and_respects_a_possible_run() -> None:
+    """A held read state is written in its cell; a possible run is retried only in its group and window."""
     bench = RouterBench("R0 R0 W0 R1 W1")
     router, now = bench.router, bench.now
     taken = arrival(AT_MOST_ONCE, prompt=5000.0, state_held_by=3)
@@ -29,13 +29,13 @@
 def test_ordinary_path() -> None:
     bench = RouterBench("R0 R0 W0 R1")
     bench.arrive(prompt=300.0)
-    ident = bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)
+    sequence_id = bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)
     bench.now += 0.2
-    bench.ended(ident, 0, Outcome.READ)
-    bench.began(ident, 1)
-    bench.ended(ident, 1, Outcome.GENERATED, is_answered=True)
-    bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)  # the same reader has most cached
-    bench.arrive(prompt=4000.0)  # no one has it cached: the reader with fewest reads out
+    bench.ended(sequence_id, 0, Outcome.READ)
+    bench.began(sequence_id, 1)
+    bench.ended(sequence_id, 1, Outcome.GENERATED, is_answered=True)
+    bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)  # the same reader has the most tokens cached
+    bench.arrive(prompt=4000.0)  # cached nowhere: the reader with the fewest reads in flight
     bench.arrive(prompt=599.0)
     bench.arrive(prompt=600.0)
     bench.assert_matches_trace("ordinary_path")
@@ -77,8 +77,8 @@
 
 def test_an_idle_node_sets_no_timer() -> None:
     bench = RouterBench("R0 W0")
-    ident = bench.arrive(prompt=300.0)
-    bench.began(ident, 0)
+    sequence_id = bench.arrive(prompt=300.0)
+    bench.began(sequence_id, 0)
     actions = bench.router.wake(bench.now + 11.0, 0)
     timers = [action for action in actions if isinstance(action, contract.ScheduleWakeup)]
     bench.lines.append(f"timers while an answer streams: {timers}")
@@ -89,14 +89,14 @@
     chosen = set()
     for node in range(12):
         bench = RouterBench("R0 R0 R0 W0 W0 R1 R1 W1", node_count=80, node=node, seed=node)
-        ident = bench.arrive(prompt=4000.0, session=77, prefix=9, shared=3000.0)
-        chosen.add(bench.sends()[ident][0])
-    assert len(chosen) <= 2  # one in each cell
+        sequence_id = bench.arrive(prompt=4000.0, session=77, prefix=9, shared=3000.0)
+        chosen.add(bench.sends()[sequence_id][0])
+    assert len(chosen) <= 2  # one reader per cell
     homes = set()
-    for session in range(1, 12):  # sessions of one prefix stay with its few readers, not all with one
+    for session in range(1, 12):  # sessions of a prefix spread over its few readers
         bench = RouterBench("R0 R0 R0 W0")
-        ident = bench.arrive(prompt=4000.0, session=session, prefix=9, shared=3000.0)
-        homes.add(bench.sends()[ident][0])
+        sequence_id = bench.arrive(prompt=4000.0, session=session, prefix=9, shared=3000.0)
+        homes.add(bench.sends()[sequence_id][0])
     assert len(homes) > 1
 
 
@@ -104,9 +104,9 @@
     is_sent = []
     for changes in ({}, PROBING):
         bench = RouterBench("W0", **changes)
-        # 3.5 s, hoped to be half of that, of 2 s that are left
+        # the start is estimated at 3.5 s, times 0.5 for the usual error; 2 s are left
         bench.router.estimates.usual_backlog[WRITER] = 40000.0
-        ident = bench.arrive(prompt=500.0)
+        sequence_id = bench.arrive(prompt=500.0)
         bench.wait(0.1)
-        is_sent.append(ident in bench.sends())
+        is_sent.append(sequence_id in bench.sends())
     assert is_sent == [True, False]
--- a/tests/test_routing_statistics.py
+++ b/tests/test_routing_statistics.py
@@ -1,4 +1,4 @@
-"""The helpers outside the policy: statistics, the prompt cache table, and ids of the simulator adapter."""
+"""Statistics, the prompt cache table and the ids of the simulator adapter."""
 
 import pytest
 from router_bench import arrival
@@ -35,7 +35,7 @@
     assert [medians.add(0, sample) for sample in (200.0, 300.0, 400.0, 400.0)] == [200.0, 200.0, 300.0, 400.0]
 
 
-def test_an_estimates_error_fades_to_the_usual_factor() -> None:
+def test_an_estimates_error_decays_to_the_default_factor() -> None:
     error = EstimateError(0.5, 5.0)
     error.observe(1.0, 2.0, 0.3, 100.0)
     assert error.factor(100.0) == 2.0 and error.factor(105.0) == pytest.approx(1.25)
@@ -62,7 +62,7 @@
     assert list(cache.entries) == [3]
 
 
-def test_an_engines_index_is_handed_on_once_nothing_of_it_is_out() -> None:
+def test_an_engines_index_is_reused_once_nothing_of_it_is_in_flight() -> None:
     ids = EngineIds()
     old = ids.add_or_update("old", EngineState.SERVING)
     ids.count_sent(old)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""Wire lines through the real process of the simulator adapter."""
+"""The simulator adapter as a process: lines in, lines out."""
 
 import json
 import subprocess
@@ -65,7 +65,7 @@
 
 
 def play(*lines: str) -> tuple[int, list[list[str]], str]:
-    """Exit status, what each reply orders but for wake-ups, and the error output."""
+    """Return the exit status, the orders of each reply other than wake-ups, and the error output."""
     run = subprocess.run(
         [sys.executable, "-m", "myrtlehub.simulator"],
         input="\n".join(lines) + "\n",
@@ -92,7 +92,7 @@
         batch(3, request("c:a", 3000), request("c:b", 200)),
         batch(4, response("c:a", 0, "e-r", "read")),
         batch(5, response("c:b", 0, "e-w", "ok", True)),
-        batch(6, dropped("c:b")),  # ended a moment ago
+        batch(6, dropped("c:b")),  # its answer has just ended
         batch(7, dropped("c:a")),
         batch(
             8,
