--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -23,8 +23,8 @@
 EXPECTED_OUTPUT_SHARE = 0.25  # of the maximum output tokens, which an answer is expected to produce
 READ_TIMEOUT_SHARE = 0.6  # of the time left, for a first read, so that another attempt fits in the rest
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, to bound their cost
-PROBED_RETRY_INTERVAL = 0.4  # the same where load is known from probes only, as reports are fewer
+RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence; load reports are as frequent
+PROBED_RETRY_INTERVAL = 0.4  # the same where engines report load to probes only: reports are fewer
 MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
 
 
@@ -32,6 +32,7 @@
     """The routing decisions of one node."""
 
     def __init__(self, config: RouterConfig) -> None:
+        # The only source of randomness: with the same seed and events, a router decides the same.
         self.random = Random(config.seed).random
         self.estimates = EngineEstimates(config)
         super().__init__(self.estimates, WAKEUP_INTERVAL)
@@ -83,7 +84,7 @@
                 failed_placements += sequence.id in self.waiting
 
     def _may_place_again(self, sequence: Sequence, now: float) -> bool:
-        """Return whether engines were heard from since the last placement, and that was long enough ago."""
+        """Return whether there was feedback from engines since the last placement, and that was long ago."""
         interval = PROBED_RETRY_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
         last_placed_at = sequence.last_placed_at
         return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -26,7 +26,7 @@
 
 
 class Node:
-    """A router, with the ids of the protocol that its indices stand for."""
+    """A simulated node: its router, and the mapping between the protocol's ids and the router's indices."""
 
     def __init__(self, name: str, event: Event, now: float) -> None:
         settings = event["Settings"]
@@ -163,7 +163,7 @@
         return self.router.reservation_answered(now, sequence, event.get("Copy", 0), engine, is_reserved)
 
     def encode(self, action: Action) -> Order | None:
-        """Return an action as an order of the protocol, None if it concerns the adapter alone."""
+        """Return an action as an order of the protocol, None if it concerns the adapter only."""
         if isinstance(action, contract.Forget):
             self.sequences.forget(action.sequence)
             return None
--- a/tests/router_bench.py
+++ b/tests/router_bench.py
@@ -1,4 +1,4 @@
-"""A fleet of made-up engines, calls of a router for it, and the trace of the router's decisions."""
+"""A test bench: calls a router for a fictitious fleet, and compares traces of its decisions."""
 
 import difflib
 from pathlib import Path
--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 from fleet import Fleet
@@ -16,6 +17,7 @@
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.router_config import router_config_of
 from myrtlehub.records import read
+from myrtlehub.routing import contract
 
 PROBED = """
 engines_may: {probe: yes}
@@ -26,15 +28,23 @@
 CHAT_ONLY = re.sub(r"  - \{name: (vec|sort).*\n", "", SOUND)
 
 
+class ProbeResult(NamedTuple):
+    """The end of one probe."""
+
+    address: str
+    is_answered: bool
+    load: contract.LoadReport | None
+
+
 class ProbeRecordingExecutor(ActionExecutor):
     """An executor that records the result of each probe."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
-        self.probe_results: list[tuple] = []
+        self.probe_results: list[ProbeResult] = []
 
     def _probed(self, engine: int, since: float, sound: bool, load: object) -> None:
-        self.probe_results.append((self.decoder.engines.rows[engine].address, sound, load))
+        self.probe_results.append(ProbeResult(self.decoder.engines.rows[engine].address, sound, load))
         super()._probed(engine, since, sound, load)
 
 
@@ -47,10 +57,10 @@
     executor = f.nodes["n0"].executor
     f.ask(prompt=3000)
     f.run(2.0)
-    assert {w[0] for w in executor.probe_results} >= {"R0a:1", "W0b:1", "W0c:1"} and all(
-        w[1] for w in executor.probe_results
-    )
-    assert all(w[2].memory_share is not None and w[2].unread is not None for w in executor.probe_results)
+    results = executor.probe_results
+    assert {result.address for result in results} >= {"R0a:1", "W0b:1", "W0c:1"}
+    assert all(result.is_answered for result in results)
+    assert all(result.load.memory_share is not None and result.load.unread is not None for result in results)
     assert not f.what("load") and [c.answer for c in f.calls] == ["generated"]
     f.stands["W0b"].model.resources.used_memory = 199000.0  # full of sequences of other nodes
     for _ in range(8):
@@ -70,8 +80,9 @@
     caller = f.ask(prompt=3000)
     f.run(4.0)
     assert caller.answer == "generated"
-    words = [w for w in f.nodes["n0"].executor.probe_results if w[0] == "W0b:1"]
-    assert words and not any(sound for _, sound, _ in words)  # the timeout is a result too, and the only one
+    results = [result for result in f.nodes["n0"].executor.probe_results if result.address == "W0b:1"]
+    # The timeout is recorded as the only result.
+    assert results and not any(result.is_answered for result in results)
     assert_rules_kept(f)
     assert_nothing_left(f)
 
@@ -84,7 +95,7 @@
     f.run(0.01)
     f.tell("W0b", "gone")
     f.run(3.0)  # the probe times out after the engine has left the list
-    assert any(w[0] == "W0b:1" for w in f.nodes["n0"].executor.probe_results)
+    assert any(result.address == "W0b:1" for result in f.nodes["n0"].executor.probe_results)
     assert len(f.nodes["n0"].executor.decoder.engines.index_of) == 2
 
 
