--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -27,13 +27,10 @@
 INITIAL_TRANSFER_TIME = 1.0 / 24000.0  # seconds per token between cells, before any transfers were observed
 TRANSFER_WEIGHT = 0.2  # weight of one transfer in the average of its link
 MIN_TRANSFER_TOKENS = 500.0  # tokens that a transfer counts as at least; short ones are mostly fixed overhead
-OWN_READ_FACTOR = (
-    3.0  # multiple that a read by the writer itself counts, because it delays the writer's streams
-)
+OWN_READ_FACTOR = 3.0  # times that a read by the writer itself counts, because it delays the writer's streams
 TIE_TIME = 0.1  # seconds of random difference between readers, so that not all nodes send to the same one
-CELL_SLACK = (
-    1.3  # multiple of their even part of reads that a cell's readers get without a recent load report
-)
+# Multiple of their even part of all reads that a cell's readers get without recent load reports.
+CELL_SLACK = 1.3
 MAX_QUEUE_SHARE = 0.5  # of the time left to the latency objective, which a reader's queue and read may take
 MIN_QUEUE_TIME = 0.1  # seconds that they may take in any case
 REPORT_HALF_LIFE = 1.0  # seconds in which the weight of a reader's load report halves
