--- a/myrtlehub/routing/policy/writer_selection.py
+++ b/myrtlehub/routing/policy/writer_selection.py
@@ -36,7 +36,7 @@
 
     def select(self, sequence: Sequence, now: float) -> Engine | Refusal:
         """Return the writer of a sequence: the one selected before while it is usable, else the best one."""
-        if (writer := self._kept_writer(sequence, now)) is not None:
+        if (writer := self._retained_writer(sequence, now)) is not None:
             return writer
         # The writers ranked best before probing come first: only of these, load has just been reported.
         candidates = sequence.candidate_writers or self.estimates.writers
@@ -54,7 +54,7 @@
         sequence.writer = max(free or usable, key=score)
         return sequence.writer
 
-    def _kept_writer(self, sequence: Sequence, now: float) -> Engine | None:
+    def _retained_writer(self, sequence: Sequence, now: float) -> Engine | None:
         """Return the writer selected before, or None if there is none that is still usable."""
         writer = sequence.writer
         if writer is None or writer in sequence.failed_engines:
