--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -13,7 +13,7 @@
 _ROUTER_STATES = {
     EndpointState.SERVING.value: contract.EngineState.SERVING,
     EndpointState.DRAINING.value: contract.EngineState.DRAINING,
-    EndpointState.GONE.value: contract.EngineState.GONE,
+    EndpointState.GONE.value: contract.EngineState.REMOVED,
 }
 _KEY_SHIFT = 11  # bits cut off a 64-bit hash: a double represents integers up to 2^53 exactly
 
@@ -95,12 +95,12 @@
         state, index = _ROUTER_STATES[state_name], self.index_of.get(address)
         is_new = index is None
         if index is None:
-            if state == contract.EngineState.GONE:
+            if state == contract.EngineState.REMOVED:
                 return None
             index = self.index_of[address] = self._new_index(row)
         else:
             self.rows[index] = row
-        if state == contract.EngineState.GONE:
+        if state == contract.EngineState.REMOVED:
             self._removed.add(index)
         else:
             self._removed.discard(index)
--- a/tests/test_routing_statistics.py
+++ b/tests/test_routing_statistics.py
@@ -1,4 +1,4 @@
-"""The helpers outside the policy: statistics, the prompt cache table, and ids of the simulator adapter."""
+"""Statistics, the prompt cache table and the ids of the simulator adapter."""
 
 import pytest
 from router_bench import arrival
@@ -35,7 +35,7 @@
     assert [medians.add(0, sample) for sample in (200.0, 300.0, 400.0, 400.0)] == [200.0, 200.0, 300.0, 400.0]
 
 
-def test_an_estimates_error_fades_to_the_usual_factor() -> None:
+def test_an_estimates_error_decays_to_the_default_factor() -> None:
     error = EstimateError(0.5, 5.0)
     error.observe(1.0, 2.0, 0.3, 100.0)
     assert error.factor(100.0) == 2.0 and error.factor(105.0) == pytest.approx(1.25)
@@ -62,15 +62,15 @@
     assert list(cache.entries) == [3]
 
 
-def test_an_engines_index_is_handed_on_once_nothing_of_it_is_out() -> None:
+def test_an_engines_index_is_reused_once_nothing_of_it_is_in_flight() -> None:
     ids = EngineIds()
-    old = ids.list_engine("old", EngineState.SERVING)
-    ids.sent(old)
-    ids.list_engine("old", EngineState.GONE)
-    ids.free_gone()
-    assert ids.list_engine("second", EngineState.SERVING) != old and ids.index("old") == old
-    ids.ended(old)
-    ids.free_if_gone(old)
+    old = ids.add_or_update("old", EngineState.SERVING)
+    ids.count_sent(old)
+    ids.add_or_update("old", EngineState.REMOVED)
+    ids.free_removed()
+    assert ids.add_or_update("second", EngineState.SERVING) != old and ids.index("old") == old
+    ids.count_ended(old)
+    ids.free_if_removed(old)
     with pytest.raises(WireError, match="old is not listed"):
         ids.index("old")
-    assert ids.list_engine("third", EngineState.SERVING) == old and ids.ident(old) == "third"
+    assert ids.add_or_update("third", EngineState.SERVING) == old and ids.id_of(old) == "third"
