--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -5,8 +5,9 @@
 from twisted.internet.protocol import Factory
 
 from myrtlehub.http1.bounds import MIN_READ_GRACE_S, READ_GRACE_S
+from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.interfaces import Clock, Timer
-from myrtlehub.http1.server_connection import CloseReason, ServerConnection
+from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
 
 
@@ -129,7 +130,7 @@
                 if connection.closing:
                     self._drop(connection)
                 else:
-                    connection.linger(CloseReason.ROOM)
+                    connection.linger(CloseReason.CONNECTION_LIMIT)
         finally:
             if len(self.connections) > self.max_connections:
                 self._room_timer = self.clock.callLater(READ_GRACE_S, self._make_room)
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -1,7 +1,6 @@
 """One client's connection: reads requests, writes responses, closes in an orderly way."""
 
 import typing
-from enum import StrEnum
 from http import HTTPStatus
 
 import h11
@@ -20,6 +19,7 @@
     STALLED_WRITE_TIMEOUT_S,
 )
 from myrtlehub.http1.byte_arrivals import ByteArrivals
+from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.interfaces import Clock, Headers, Timer
 from myrtlehub.http1.request_assembler import RequestAssembler
 from myrtlehub.http1.server_exchange import ServerExchange
@@ -41,20 +41,6 @@
 }
 
 
-class CloseReason(StrEnum):
-    """Why this side closes a client's connection."""
-
-    UNUSED = "unused"  # for longer than connections are kept
-    LAST_RESPONSE = "last response"  # its response said that it closes, or the process ends
-    MALFORMED = "malformed"  # a request that cannot be read, or is not complete in time
-    STREAM_BROKE = "stream broke"  # its response is not complete
-    DRAINING = "draining"  # the process ends
-    ROOM = "room"  # for others
-    LINGERED = "lingered"  # its client did not take the last response, or did not close
-    STALLED = "stalled"  # its client took nothing of a stream
-    FLOOD = "flood"  # its client sent far too much
-
-
 class ConnectionSupervisor(typing.Protocol):
     """What a connection asks, and tells, whoever admitted it.
 
@@ -130,11 +116,11 @@
     def _on_deadline(self) -> None:
         """Act on an incomplete request, an unused connection, or a last response that does not leave."""
         if self.closing:
-            self._abort(CloseReason.LINGERED)
+            self._abort(CloseReason.LINGER_TIMEOUT)
         elif self._assembler.started or self._read_ahead:
             self.reject(HTTPStatus.REQUEST_TIMEOUT)
         else:
-            self.linger(CloseReason.DRAINING if self.listener.draining else CloseReason.UNUSED)
+            self.linger(CloseReason.DRAINING if self.listener.draining else CloseReason.IDLE_TIMEOUT)
 
     @property
     def unused(self) -> bool:
@@ -183,7 +169,7 @@
         """
         self._discarded += size
         if self._discarded > MAX_DISCARDED_BYTES:
-            self._abort(CloseReason.FLOOD)
+            self._abort(CloseReason.PIPELINE_FLOOD)
 
     def _read_requests(self) -> None:
         while self.exchange is None and not self.closing:
@@ -290,12 +276,12 @@
                 self._write_event(h11.EndOfMessage())
             except h11.LocalProtocolError:
                 pass  # nothing can be written on it any more; it is closed all the same
-        self.linger(CloseReason.MALFORMED)
+        self.linger(CloseReason.MALFORMED_REQUEST)
 
     def abort_response(self) -> None:
         """Close without the end of the response: it is not complete."""
         self.exchange = None
-        self.linger(CloseReason.STREAM_BROKE)
+        self.linger(CloseReason.STREAM_FAILED)
 
     def set_stalled(self, stalled: bool) -> None:
         """Note that the client takes nothing of its stream, or takes it again."""
@@ -307,7 +293,7 @@
             self._stall_timer = None
 
     def _on_stall_timeout(self) -> None:
-        self._abort(CloseReason.STALLED)
+        self._abort(CloseReason.WRITE_TIMEOUT)
 
     # -- closing ----------------------------------------------------------------------------------
 
@@ -334,7 +320,7 @@
 
     def drop(self) -> None:
         """Make room at once: no response is due on it."""
-        self.listener.connection_closing(CloseReason.ROOM, self.exchange)
+        self.listener.connection_closing(CloseReason.CONNECTION_LIMIT, self.exchange)
         self.closing = True
         self.dropped = True
         self.transport.abortConnection()
--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.listener import ConnectionListener
-from myrtlehub.http1.server_connection import CloseReason, ServerConnection
+from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.relay import state_release
--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.interfaces import Clock, Timer
-from myrtlehub.http1.server_connection import CloseReason
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
 from myrtlehub.node.protocols import Log
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 from relaymessages import COMPLETE_STREAM, LONG_PROMPT
 from relayrig import RelayRig, never_respond
 
-from myrtlehub.http1.server_connection import CloseReason
+from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import (
     Invariant,
@@ -101,7 +101,7 @@
     """Close a connection with an open request, for room."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
-    next(iter(rig.node.listener.connections)).linger(CloseReason.ROOM)
+    next(iter(rig.node.listener.connections)).linger(CloseReason.CONNECTION_LIMIT)
 
 
 def plant_late_answer(rig: RelayRig) -> None:
