--- a/myrtlehub/http1/client_connection.py
+++ b/myrtlehub/http1/client_connection.py
@@ -1,208 +1,133 @@
-"""One connection to a peer, with one request at a time on it."""
-
-import typing
-from contextlib import suppress
-from socket import SHUT_WR
-from typing import NamedTuple
+"""Connection to a peer that carries one request at a time."""
 
 import h11
-from twisted.internet.protocol import Protocol
 
 from myrtlehub.http1.bounds import MAX_CHUNK_BYTES, MAX_HEAD_BYTES, MAX_INFORMATIONAL_RESPONSES
-from myrtlehub.http1.interfaces import Clock, Headers, Transport
-
-
-class ClientRequest(NamedTuple):
-    """A request to a peer. `headers` lacks Host and Content-Length, which are added here."""
-
-    method: bytes
-    target: bytes
-    headers: Headers
-    body: bytes = b""
-
-
-class ResponseHandler:
-    """Receives a response. `on_complete`, `on_not_sent` or `on_failure` comes last, and once."""
-
-    def on_head(self, status: int, headers: Headers) -> None:
-        """Status and headers came, names in lower case."""
-
-    def on_data(self, data: bytes) -> None:
-        """A part of the body came."""
-
-    def on_complete(self) -> None:
-        """The response is complete, by its own framing."""
-
-    def on_not_sent(self) -> None:
-        """The request was not wanted any more, or no connection could be made here: no byte has left."""
-        self.on_failure(False)
-
-    def on_failure(self, request_sent: bool) -> None:
-        """No complete response comes; `request_sent`: the last byte had left, so that it may have run."""
-
-
-class OutstandingRequest(typing.Protocol):
-    """A request as its connection sees it."""
+from myrtlehub.http1.client_interfaces import ConnectionOwner, OutstandingRequest
+from myrtlehub.http1.client_request import ClientRequest, RequestFailure
+from myrtlehub.http1.headers import Header
+from myrtlehub.http1.tcp_transport import TcpProtocol, abortive_close
 
-    request: ClientRequest
-    address: str
-    handler: ResponseHandler
+_ParserEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
-    def mark_finished(self) -> None:
-        """Note that nothing more comes of it."""
 
+class ClientConnection(TcpProtocol):
+    """Connection to a peer; see `client_interfaces.PooledConnection` for its attributes.
 
-class ConnectionOwner(typing.Protocol):
-    """What a connection tells whoever made it."""
-
-    clock: Clock
-
-    def add_idle(self, connection: "ClientConnection") -> None:
-        """Keep it for reuse: its response is complete."""
-
-    def remove(self, connection: "ClientConnection") -> None:
-        """Forget it: it is closed or lost."""
-
-    def suspend_reuse(self) -> None:
-        """Use no idle connection for a while: one broke under its next request."""
-
-    def reuse_allowed(self) -> bool:
-        """Return whether connections are kept and used again."""
-
-
-def abortive_close(transport: Transport) -> None:
-    """End a connection so that its peer is told before anything that is written after this.
-
-    Guards against abortConnection alone: the reactor closes the socket a turn later, after what was written
-    meanwhile on other connections, and the peer would see a request go on while its next one comes.
+    It is a pull producer of its transport while it sends a request: the transport asks for more once all
+    written data has left the process, which tells when the last byte of the request was sent.
     """
-    handle = getattr(transport, "getHandle", None)
-    if handle is not None:
-        with suppress(OSError):  # it may be lost already
-            handle().shutdown(SHUT_WR)
-    transport.abortConnection()
-
 
-class ClientConnection(Protocol):
-    """One connection to a peer. `pool` is told when it is free again and when it is lost."""
-
-    def __init__(self, pool: ConnectionOwner, key: str) -> None:
+    def __init__(self, pool: ConnectionOwner, peer: str) -> None:
         self.pool = pool
-        self.key = key
+        self.peer = peer
         self.clock = pool.clock
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.pending: OutstandingRequest | None = None
         self.idle_since = 0.0
-        self.request_sent = False
-        self.lost = False
-        self.had_request = False  # before the present one
-        self._response_started = False
-        self._chunked = False
-        self._in_chunk = False
+        self.is_request_sent = False
+        self.is_closed = False
+        self.has_completed_request = False
+        self._has_response_begun = False
+        self._is_chunked = False
+        self._is_in_chunk = False
         self._informational_count = 0
         self._chunk_bytes = 0
         self._unwritten: bytes | None = None
 
-    def connectionMade(self) -> None:  # noqa: N802
-        """Send small writes at once."""
-        if hasattr(self.transport, "setTcpNoDelay"):
-            self.transport.setTcpNoDelay(True)
-
     def send_request(self, pending: OutstandingRequest) -> None:
-        """Send a request; the connection has to be free."""
+        """Send a request; the connection has to be idle."""
         self.pending = pending
-        self.request_sent = False
-        self._response_started = False
-        self._chunked = False
-        self._in_chunk = False
+        self.is_request_sent = False
+        self._has_response_begun = False
+        self._is_chunked = False
+        self._is_in_chunk = False
         self._informational_count = 0
         self._unwritten = self._serialize(pending.request, pending.address)
-        # As a producer that is pulled: called again once all of it has left this process.
         self.transport.registerProducer(self, False)
 
     def _serialize(self, request: ClientRequest, address: str) -> bytes:
-        headers = [(b"Host", address.encode()), *request.headers]
+        headers: list[tuple[bytes, bytes]] = [Header(b"Host", address.encode()), *request.headers]
         if request.body or request.method == b"POST":
-            headers.append((b"Content-Length", b"%d" % len(request.body)))
-        head = h11.Request(method=request.method, target=request.target, headers=headers)
-        parts = [self.http.send(head)]
+            headers.append(Header(b"Content-Length", b"%d" % len(request.body)))
+        events: list[h11.Event] = [h11.Request(method=request.method, target=request.target, headers=headers)]
         if request.body:
-            parts.append(self.http.send(h11.Data(data=request.body)))
-        parts.append(self.http.send(h11.EndOfMessage()))
-        return b"".join(parts)
+            events.append(h11.Data(data=request.body))
+        events.append(h11.EndOfMessage())
+        return b"".join([self.http.send(event) or b"" for event in events])
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the request; called again when its last byte has left this process."""
+        """Write the request, or note that its last byte has left this process."""
         if self._unwritten is not None:
             data, self._unwritten = self._unwritten, None
             self.transport.write(data)
         else:
-            self.request_sent = True
+            self.is_request_sent = True
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: connectionLost follows."""
+        """Do nothing: `connectionLost` is called as well."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read the response."""
-        if self.pending is None:  # no request is out: surplus bytes, so the connection has no further use
+        """Parse the response; surplus bytes on an idle connection close it."""
+        if self.pending is None:
             self.close()
             return
         try:
             self.http.receive_data(data)
-            while self.pending is not None:
+            while (pending := self.pending) is not None:
                 event = self.http.next_event()
-                if event is h11.NEED_DATA or event is h11.PAUSED or not self._handle_event(event):
+                if event is h11.NEED_DATA or event is h11.PAUSED or not self._handle_event(event, pending):
                     return
         except h11.RemoteProtocolError:
             self._fail()
 
-    def _handle_event(self, event: h11.Event) -> bool:
-        """Handle one event of h11; returns whether the response can go on."""
-        kind = type(event)
-        self._response_started = True
-        if kind is h11.Data:
+    def _handle_event(self, event: _ParserEvent, pending: OutstandingRequest) -> bool:
+        """Handle one event of the parser; return False if it has ended the request as failed."""
+        self._has_response_begun = True
+        if type(event) is h11.Data:
             self._chunk_bytes = len(event.data) + (0 if event.chunk_start else self._chunk_bytes)
-            self._in_chunk = self._chunked and not event.chunk_end
-            if self._chunked and self._chunk_bytes > MAX_CHUNK_BYTES:
+            self._is_in_chunk = self._is_chunked and not event.chunk_end
+            if self._is_chunked and self._chunk_bytes > MAX_CHUNK_BYTES:
                 self._fail()
                 return False
-            self.pending.handler.on_data(bytes(event.data))
-        elif kind is h11.Response:
-            self._chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
-            self.pending.handler.on_head(event.status_code, list(event.headers))
-        elif kind is h11.InformationalResponse:
+            pending.handler.on_data(bytes(event.data))
+        elif type(event) is h11.Response:
+            self._is_chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
+            headers = [Header(name, value) for name, value in event.headers]
+            pending.handler.on_head(event.status_code, headers)
+        elif type(event) is h11.InformationalResponse:
             self._informational_count += 1
             if self._informational_count > MAX_INFORMATIONAL_RESPONSES:
                 self._fail()
                 return False
-        elif kind is h11.EndOfMessage:
-            self._complete()
+        elif type(event) is h11.EndOfMessage:
+            self._complete(pending)
         else:
             self._fail()
             return False
         return True
 
     def has_partial_data(self) -> bool:
-        """Return whether the peer has begun a chunk, or its line, and has not sent the rest."""
-        return self._in_chunk or bool(self.http.trailing_data[0])
+        """Return whether the peer has sent a part of a chunk, or of its size line."""
+        return self._is_in_chunk or bool(self.http.trailing_data[0])
 
     def _is_reusable(self) -> bool:
         http = self.http
         return (
-            self.request_sent
+            self.is_request_sent
             and http.our_state is h11.DONE
             and http.their_state is h11.DONE
             and not http.trailing_data[0]
-            and not self.lost
-            and self.pool.reuse_allowed()
+            and not self.is_closed
+            and self.pool.is_reuse_allowed()
         )
 
-    def _complete(self) -> None:
-        pending, self.pending = self.pending, None
+    def _complete(self, pending: OutstandingRequest) -> None:
+        self.pending = None
         if self._is_reusable():
             self.http.start_next_cycle()
-            self.had_request = True
+            self.has_completed_request = True
             self.pool.add_idle(self)
         else:
             self.close()
@@ -213,21 +138,24 @@
         pending, self.pending = self.pending, None
         self.close()
         if pending is not None:
-            if self.had_request and not self._response_started:
+            if self.has_completed_request and not self._has_response_begun:
                 self.pool.suspend_reuse()
             pending.mark_finished()
-            pending.handler.on_failure(self.request_sent)
+            is_sent = self.is_request_sent
+            pending.handler.on_failure(
+                RequestFailure.RESPONSE_FAILED if is_sent else RequestFailure.SEND_FAILED
+            )
 
     def close(self) -> None:
-        """Close at once, whatever is on its way."""
-        if not self.lost:
-            self.lost = True
+        """Close the connection at once; data in transit is discarded."""
+        if not self.is_closed:
+            self.is_closed = True
             self.pool.remove(self)
             abortive_close(self.transport)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """Tell the pool and whoever waits for a response."""
-        self.lost = True
+        """Remove the connection from the pool, and fail its request, if any."""
+        self.is_closed = True
         self.pool.remove(self)
         if self.pending is not None:
             self._fail()
--- a/myrtlehub/http1/interfaces.py
+++ b/myrtlehub/http1/interfaces.py
@@ -1,10 +1,8 @@
-"""What this package needs of the reactor: a clock with timers, and transports."""
+"""What this package needs of the reactor: a clock with timers, and connection attempts."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
-Headers = list[tuple[bytes, bytes]]
-
 
 class Timer(Protocol):
     """A call that is due later."""
@@ -29,25 +27,18 @@
         """Make a call `delay` seconds from now."""
 
 
-class Transport(Protocol):
-    """As much of a TCP transport as an abortive close needs."""
-
-    def abortConnection(self) -> None:  # noqa: N802
-        """Close the connection at once; what was written may be lost."""
-
-
 class Connecting(Protocol):
-    """A connection that is being made: a deferred that fires with its protocol."""
+    """Connection attempt: a Deferred that fires with the protocol of the connection."""
 
     def addCallbacks(  # noqa: N802
         self,
-        callback: Callable,
-        errback: Callable,
+        callback: Callable[..., None],
+        errback: Callable[..., None],
         *,
-        callbackArgs: tuple,  # noqa: N803
-        errbackArgs: tuple,  # noqa: N803
+        callbackArgs: tuple[object, ...],  # noqa: N803
+        errbackArgs: tuple[object, ...],  # noqa: N803
     ) -> object:
-        """Say what to call when it is made, or when it fails."""
+        """Register what to call when the connection is made, and when the attempt fails."""
 
     def cancel(self) -> None:
-        """Give it up."""
+        """Abandon the attempt."""
--- a/myrtlehub/http1/pending_request.py
+++ b/myrtlehub/http1/pending_request.py
@@ -1,32 +1,39 @@
-"""A request to a peer from its coming to its end: waiting for a connection, on one, or finished."""
+"""Request to a peer, from its submission to its end."""
 
 from collections.abc import Callable
 
-from myrtlehub.http1.client_connection import (
-    ClientConnection,
-    ClientRequest,
-    ConnectionOwner,
-    ResponseHandler,
-)
+from myrtlehub.http1.client_interfaces import ConnectionOwner, PooledConnection
+from myrtlehub.http1.client_request import ClientRequest, ResponseHandler
 from myrtlehub.http1.interfaces import Connecting
 
-# Called just before the first byte: the request as it is written, or None where it is not wanted any more.
-AtFirstByte = Callable[[ClientRequest], ClientRequest | None]
+# Called just before the first byte is written; returns the request to write, or None to abandon it.
+FirstByteHook = Callable[[ClientRequest], ClientRequest | None]
 
 
 class PendingRequest:
-    """One request on its way; `local_failures` counts the tries that this machine had no resources for."""
+    """One request: waiting for a connection, on a connection, or finished.
+
+    Attributes:
+        peer: Name of the peer.
+        address: HOST:PORT of the peer.
+        connection: Connection that it has been given, if any.
+        connecting: Connection attempt that is under way, if any.
+        ready_since: Clock time in seconds at which it was submitted or, if later, its connection was made.
+        local_failures: Connection attempts that failed for lack of a local resource.
+        is_finished: It was completed, has failed or was cancelled.
+        is_paused: Reading of its response is paused.
+    """
 
     __slots__ = (
         "address",
         "at_first_byte",
         "connecting",
         "connection",
-        "finished",
         "handler",
-        "key",
+        "is_finished",
+        "is_paused",
         "local_failures",
-        "paused",
+        "peer",
         "pool",
         "ready_since",
         "request",
@@ -35,40 +42,40 @@
     def __init__(
         self,
         pool: ConnectionOwner,
-        key: str,
+        peer: str,
         address: str,
         request: ClientRequest,
         handler: ResponseHandler,
-        at_first_byte: AtFirstByte,
+        at_first_byte: FirstByteHook,
     ) -> None:
         self.pool = pool
-        self.key = key
+        self.peer = peer
         self.address = address
         self.request = request
         self.handler = handler
         self.at_first_byte = at_first_byte
-        self.connection: ClientConnection | None = None
+        self.connection: PooledConnection | None = None
         self.connecting: Connecting | None = None
-        self.ready_since = pool.clock.seconds()  # the later of its coming and its connection's
+        self.ready_since = pool.clock.seconds()
         self.local_failures = 0
-        self.finished = False
-        self.paused = False
+        self.is_finished = False
+        self.is_paused = False
 
     @property
     def is_sent(self) -> bool:
-        """Whether its last byte has left, and its response is still to come."""
-        return self.connection is not None and self.connection.request_sent
+        """Whether its last byte has been sent and its response is not complete yet."""
+        return self.connection is not None and self.connection.is_request_sent
 
     def mark_finished(self) -> None:
-        """Note that nothing more comes of it."""
-        self.finished = True
+        """Record that the request has ended, and drop the reference to its connection."""
+        self.is_finished = True
         self.connection = None
 
     def cancel(self) -> None:
-        """Give it up: its connection is closed, and its handler is not called any more."""
-        if self.finished:
+        """Cancel the request: close its connection if it was used, and call the handler no more."""
+        if self.is_finished:
             return
-        self.finished = True
+        self.is_finished = True
         if self.connecting is not None:
             connecting, self.connecting = self.connecting, None
             connecting.cancel()
@@ -81,13 +88,13 @@
                 connection.close()
 
     def pause(self) -> None:
-        """Read no more of the response for now."""
+        """Stop reading the response for now."""
         if self.connection is not None:
-            self.paused = True
+            self.is_paused = True
             self.connection.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
+        """Read the response again."""
         if self.connection is not None:
-            self.paused = False
+            self.is_paused = False
             self.connection.transport.resumeProducing()
--- a/myrtlehub/http1/request_assembler.py
+++ b/myrtlehub/http1/request_assembler.py
@@ -5,6 +5,7 @@
 import h11
 
 from myrtlehub.http1.bounds import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from myrtlehub.http1.headers import Header
 from myrtlehub.http1.server_exchange import ServerRequest
 
 MAX_LENGTH_DIGITS = 15  # of a Content-Length: beyond any body
@@ -61,7 +62,13 @@
         body = b"".join(self._parts)
         self._head = None
         self._parts = []
-        return ServerRequest(bytes(head.method), bytes(head.target), list(head.headers), body, received_at)
+        return ServerRequest(
+            bytes(head.method),
+            bytes(head.target),
+            [Header(name, value) for name, value in head.headers],
+            body,
+            received_at,
+        )
 
     def discard_body(self) -> None:
         """Free what has come of a body: its request is not read any further."""
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -20,7 +20,8 @@
 )
 from myrtlehub.http1.byte_arrivals import ByteArrivals
 from myrtlehub.http1.close_reason import CloseReason
-from myrtlehub.http1.interfaces import Clock, Headers, Timer
+from myrtlehub.http1.headers import Header, Headers
+from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.request_assembler import RequestAssembler
 from myrtlehub.http1.server_exchange import ServerExchange
 
@@ -223,7 +224,7 @@
 
     def _write_head(self, status: int, headers: Headers, close: bool) -> None:
         if close or self.listener.draining:
-            headers = [*headers, (b"Connection", b"close")]
+            headers = [*headers, Header(b"Connection", b"close")]
         self._write_event(h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b"")))
 
     def respond(self, status: int, headers: Headers, body: bytes, close: bool) -> None:
@@ -272,7 +273,7 @@
         """Respond with a client error, or a timeout, and close."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             try:
-                self._write_head(status, [(b"Content-Length", b"0")], True)
+                self._write_head(status, [Header(b"Content-Length", b"0")], True)
                 self._write_event(h11.EndOfMessage())
             except h11.LocalProtocolError:
                 pass  # nothing can be written on it any more; it is closed all the same
--- a/myrtlehub/http1/server_exchange.py
+++ b/myrtlehub/http1/server_exchange.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-from myrtlehub.http1.interfaces import Headers
+from myrtlehub.http1.headers import Header, Headers
 
 
 class ServerRequest(NamedTuple):
@@ -67,7 +67,7 @@
     def respond(
         self,
         status: int,
-        headers: Iterable[tuple[bytes, bytes]] = (),
+        headers: Iterable[Header] = (),
         body: bytes = b"",
         close: bool = False,
     ) -> None:
@@ -76,13 +76,13 @@
             return
         self.started = True
         self.finished = True
-        headers = [*headers, (b"Content-Length", b"%d" % len(body))]
-        self._connection.respond(status, headers, body, close)
+        all_headers = [*headers, Header(b"Content-Length", b"%d" % len(body))]
+        self._connection.respond(status, all_headers, body, close)
 
-    def start_stream(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
+    def start_stream(self, status: int, headers: Iterable[Header]) -> None:
         """Send the head of a streamed response."""
         self.started = True
-        self._connection.start_stream(self, status, [*headers, (b"Transfer-Encoding", b"chunked")])
+        self._connection.start_stream(self, status, [*headers, Header(b"Transfer-Encoding", b"chunked")])
 
     def write(self, data: bytes) -> None:
         """Send a part of the stream."""
--- /dev/null
+++ b/myrtlehub/http1/tcp_transport.py
@@ -0,0 +1,73 @@
+"""TCP transports of the reactor: their types, a protocol base class and the abortive close."""
+
+from collections.abc import Callable
+from contextlib import suppress
+from socket import SHUT_WR, socket
+from typing import Protocol
+
+from twisted.internet import protocol
+
+
+class AbortableTransport(Protocol):
+    """Transport that can be closed without a graceful shutdown."""
+
+    def abortConnection(self) -> None:  # noqa: N802
+        """Close the connection at once; data that was written but not sent yet is discarded."""
+
+
+class Producer(Protocol):
+    """Source of data that a transport pauses or pulls from; see `twisted.internet.interfaces`."""
+
+    def resumeProducing(self) -> None:  # noqa: N802
+        """Produce more data."""
+
+    def stopProducing(self) -> None:  # noqa: N802
+        """Stop for good: the connection is lost."""
+
+
+class Transport(AbortableTransport, Protocol):
+    """TCP transport, as far as this package uses it; see `twisted.internet.interfaces.ITCPTransport`."""
+
+    def write(self, data: bytes, /) -> None:
+        """Queue data to be sent."""
+
+    def registerProducer(self, producer: Producer, streaming: bool, /) -> None:  # noqa: N802
+        """Attach a push producer (`streaming`), or a pull producer."""
+
+    def unregisterProducer(self) -> None:  # noqa: N802
+        """Detach the producer, if any."""
+
+    def pauseProducing(self) -> None:  # noqa: N802
+        """Stop reading from the socket."""
+
+    def resumeProducing(self) -> None:  # noqa: N802
+        """Read from the socket again."""
+
+    def loseWriteConnection(self) -> None:  # noqa: N802
+        """Shut down the sending side once all queued data has been sent."""
+
+
+class TcpProtocol(protocol.Protocol):
+    """Protocol on a TCP transport that sends small writes without delay."""
+
+    transport: Transport  # type: ignore[assignment]  # zope's ITransport declares methods without `self`
+
+    def connectionMade(self) -> None:  # noqa: N802
+        """Disable Nagle's algorithm; transports in memory do not have it."""
+        set_no_delay: Callable[[bool], None] | None = getattr(self.transport, "setTcpNoDelay", None)
+        if set_no_delay is not None:
+            set_no_delay(True)
+
+
+def abortive_close(transport: AbortableTransport) -> None:
+    """Close a connection so that its peer sees the end before any data that is written afterwards.
+
+    `abortConnection` alone closes the socket one reactor turn later. Data written on other connections in the
+    meantime would arrive first: an engine would see the next request while it still runs the cancelled one.
+    Test: `test_an_abortive_close_is_seen_before_anything_written_later`.
+    """
+    get_handle: Callable[[], socket] | None = getattr(transport, "getHandle", None)
+    if get_handle is not None:
+        with suppress(OSError):  # the socket may be closed already
+            get_handle().shutdown(SHUT_WR)
+    transport.abortConnection()
--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 from myrtlehub.http1.close_reason import CloseReason
+from myrtlehub.http1.headers import Header
 from myrtlehub.http1.listener import ConnectionListener
 from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
@@ -64,7 +65,7 @@
         if request is None:
             return None
         told_ms = int((attempt.times_out_at - attempt.sequence.accepted_at) * 1000)
-        headers = [*request.headers[:-1], (b"x-remaining-ms", b"%d" % told_ms)]
+        headers = [*request.headers[:-1], Header(b"x-remaining-ms", b"%d" % told_ms)]
         return request._replace(headers=headers)
 
     EngineClient._at_first_byte = at_first_byte
--- a/myrtlehub/relay/attempt_response.py
+++ b/myrtlehub/relay/attempt_response.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from myrtlehub.http1.bounds import MAX_SMALL_RESPONSE_BYTES
-from myrtlehub.http1.client_connection import ResponseHandler
-from myrtlehub.http1.interfaces import Headers
+from myrtlehub.http1.client_request import RequestFailure, ResponseHandler
+from myrtlehub.http1.headers import Headers
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.action_executor import Attempt
 from myrtlehub.relay.errors import EventStreamError
@@ -117,7 +117,7 @@
 
     def check_progress(self, now: float) -> None:
         """End a stream that stopped in the middle of an event, or on which nothing comes any more."""
-        if self.pending.paused:
+        if self.pending.is_paused:
             self._incomplete_since = None
             self._last_event_at = now  # it is the client that takes nothing
         elif not self._is_incomplete():
@@ -158,15 +158,15 @@
         else:
             self._report(end_of_failure(True))  # a stream without an event answers nothing
 
-    def on_not_sent(self) -> None:
-        """End the attempt as not sent."""
-        self._report(AttemptEnd(contract.Outcome.UNSENT), reason=FailureReason.NOT_SENT)
-
-    def on_failure(self, request_sent: bool) -> None:
-        """End the attempt as possibly run, or as not run."""
-        if request_sent:
+    def on_failure(self, failure: RequestFailure) -> None:
+        """End the attempt as not sent, as not run or as possibly run."""
+        if failure is RequestFailure.NOT_SENT:
+            self._report(AttemptEnd(contract.Outcome.UNSENT), reason=FailureReason.NOT_SENT)
+            return
+        may_have_run = failure is RequestFailure.RESPONSE_FAILED
+        if may_have_run:
             self.client.uncertain_attempts.note(self.attempt.sequence.sequence_id)
-        self._report(end_of_failure(request_sent), reason=FailureReason.CONNECTION_FAILED)
+        self._report(end_of_failure(may_have_run), reason=FailureReason.CONNECTION_FAILED)
 
     def _report(
         self,
--- a/myrtlehub/relay/client_front.py
+++ b/myrtlehub/relay/client_front.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 
+from myrtlehub.http1.headers import Header
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
@@ -12,7 +13,7 @@
 
 READY_PATH = b"/up"
 CHAT_PATH = b"/v1/chat/completions"
-STREAM_HEADERS = ((b"Content-Type", b"text/event-stream"),)
+STREAM_HEADERS = (Header(b"Content-Type", b"text/event-stream"),)
 
 
 class ExchangeSink:
@@ -43,7 +44,7 @@
     def rejected(self, retry_after: float) -> None:
         """Respond that nothing ran, or that it may run again; `retry_after` in seconds, 0 for none."""
         self._detach_answered()
-        self.exchange.respond(503, ((b"Retry-After", b"%.3f" % retry_after),) if retry_after else ())
+        self.exchange.respond(503, (Header(b"Retry-After", b"%.3f" % retry_after),) if retry_after else ())
 
     def aborted(self, reason: str) -> None:
         """Respond without a promise, or end a stream that has begun."""
--- a/myrtlehub/relay/discovery_client.py
+++ b/myrtlehub/relay/discovery_client.py
@@ -4,9 +4,10 @@
 from random import Random
 from typing import Any
 
-from myrtlehub.http1.client_connection import ClientRequest, ResponseHandler
+from myrtlehub.http1.client_request import ClientRequest, RequestFailure, ResponseHandler
 from myrtlehub.http1.connection_pool import ConnectionPool
-from myrtlehub.http1.interfaces import Clock, Headers, Timer
+from myrtlehub.http1.headers import Headers
+from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.protocols import Log
 from myrtlehub.relay.endpoint_list import EndpointListDecoder, EndpointListUpdate
@@ -49,7 +50,7 @@
         usable = self.status == 200 and self.size <= MAX_LIST_BYTES
         self.on_body(b"".join(self.parts) if usable else None)
 
-    def on_failure(self, request_sent: bool) -> None:
+    def on_failure(self, failure: RequestFailure) -> None:
         self.on_body(None)
 
 
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engine_client.py
@@ -3,8 +3,9 @@
 from collections.abc import Callable
 from functools import partial
 
-from myrtlehub.http1.client_connection import ClientRequest
-from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
+from myrtlehub.http1.client_request import ClientRequest
+from myrtlehub.http1.connection_pool import ConnectionPool
+from myrtlehub.http1.headers import Header
 from myrtlehub.http1.interfaces import Clock
 from myrtlehub.node.action_executor import ActionExecutor, Attempt
 from myrtlehub.node.protocols import Log
@@ -89,8 +90,8 @@
             self.directory.dial_addresses[name],
             request,
             handler,
-            NEW_CONNECTION if self._needs_new_connection(attempt) else 0.0,
-            partial(self._at_first_byte, attempt),
+            may_reuse=not self._needs_new_connection(attempt),
+            at_first_byte=partial(self._at_first_byte, attempt),
         )
 
     def _at_first_byte(self, attempt: Attempt, request: ClientRequest) -> ClientRequest | None:
@@ -107,7 +108,7 @@
             self.log("withheld", seq=sequence_id, number=attempt.number, why=broken)
             return None
         told_ms = max(1, int((time_left - TOLD_TIME_MARGIN_S) * 1000))
-        return request._replace(headers=[*request.headers, (b"x-remaining-ms", b"%d" % told_ms)])
+        return request._replace(headers=[*request.headers, Header(b"x-remaining-ms", b"%d" % told_ms)])
 
     def _send_facts(self, attempt: Attempt, time_left: float) -> SendFacts:
         sequence = attempt.sequence
--- a/myrtlehub/relay/one_shot_response.py
+++ b/myrtlehub/relay/one_shot_response.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 from myrtlehub.http1.bounds import MAX_SMALL_RESPONSE_BYTES
-from myrtlehub.http1.client_connection import ResponseHandler
-from myrtlehub.http1.interfaces import Headers
+from myrtlehub.http1.client_request import RequestFailure, ResponseHandler
+from myrtlehub.http1.headers import Headers
 
 
 class OneShotResponse(ResponseHandler):
@@ -28,6 +28,6 @@
         """Pass on whether the status is one of success."""
         self.on_end(self.status // 100 == 2, self.body)
 
-    def on_failure(self, request_sent: bool) -> None:
+    def on_failure(self, failure: RequestFailure) -> None:
         """Pass on that no response came."""
         self.on_end(False, b"")
--- a/myrtlehub/relay/request_headers.py
+++ b/myrtlehub/relay/request_headers.py
@@ -1,6 +1,6 @@
 """Headers of clients' requests: which are read here, and which go on to engines."""
 
-from myrtlehub.http1.interfaces import Headers
+from myrtlehub.http1.headers import Headers
 from myrtlehub.relay.errors import RejectedRequestError
 
 MAX_NUMBER_DIGITS = 12  # of a whole number from outside: beyond any time or length
@@ -54,7 +54,7 @@
 def forwarded_headers(headers: Headers) -> Headers:
     """Return the headers that go on to engines: all but those of the client's connection."""
     own = _connection_headers(headers)
-    return [(name, value) for name, value in headers if name not in own]
+    return [header for header in headers if header.name not in own]
 
 
 def _connection_headers(headers: Headers) -> frozenset[bytes]:
--- a/myrtlehub/relay/state_release.py
+++ b/myrtlehub/relay/state_release.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from myrtlehub.http1.client_connection import ClientRequest
-from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
+from myrtlehub.http1.client_request import ClientRequest
+from myrtlehub.http1.connection_pool import ConnectionPool
 from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.action_executor import InFlightSequence
@@ -152,7 +152,7 @@
     def _send_to(self, target: ReleaseTarget) -> None:
         is_first = self._tries == 0
         self._tries += 1
-        self._pending = [pending for pending in self._pending if not pending.finished]
+        self._pending = [pending for pending in self._pending if not pending.is_finished]
         while len(self._pending) >= MAX_OUTSTANDING_TRIES:
             self._pending.pop(0).cancel()
         pending = self.releaser.pool.send(
@@ -160,7 +160,7 @@
             target.dial_address,
             self.request,
             OneShotResponse(self._on_end),
-            0.0 if is_first else NEW_CONNECTION,
+            may_reuse=is_first,
         )
         self._pending.append(pending)
         if is_first:
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -5,7 +5,7 @@
 from relaymessages import COMPLETE_STREAM, LAST_CHUNK, STREAM_HEAD, chat_request, chunk, stream_of
 from relayrig import RelayRig
 
-from myrtlehub.http1.client_connection import abortive_close
+from myrtlehub.http1.tcp_transport import abortive_close
 
 
 def test_connections_are_reused_for_the_next_request() -> None:
@@ -14,7 +14,7 @@
     rig.run(0.2)
     rig.request("a2", client=client)
     assert client.statuses == [200, 200]
-    assert len(rig.engines["w1"].connections) == 1 and rig.node.pool.reused == 1
+    assert len(rig.engines["w1"].connections) == 1 and rig.node.pool.reuse_count == 1
 
 
 def test_surplus_bytes_behind_a_response_are_never_another_requests_response() -> None:
@@ -58,7 +58,7 @@
         client.transport.other.protocol.connectionLost(None)
         rig.run(0.2)
         assert not rig.engines["w1"].chat_requests() and not rig.node.executor.in_flight, turns
-        assert rig.node.pool.count == sum(len(idle) for idle in rig.node.pool._idle.values())
+        assert rig.node.pool.count == len(rig.node.pool.idle)
 
 
 def test_reuse_is_suspended_after_a_reused_connection_broke() -> None:
@@ -72,17 +72,17 @@
     assert idle
     for connection in idle:
         connection.dataReceived = lambda data, connection=connection: connection.transport.abortConnection()
-    made, reused = rig.node.pool.made, rig.node.pool.reused
+    opened, reused = rig.node.pool.opened_count, rig.node.pool.reuse_count
     assert rig.request("b1").statuses == [200]  # the first breaks, and is retried on a new one
     for i in range(3):
         rig.run(0.2)
         assert rig.request(f"c{i}").statuses == [200]
-    assert rig.node.pool.reused == reused + 1 and rig.node.pool.made >= made + 4
+    assert rig.node.pool.reuse_count == reused + 1 and rig.node.pool.opened_count >= opened + 4
     rig.run(31.0)
     rig.request("d1")
     rig.run(0.2)
     rig.request("d2")
-    assert rig.node.pool.reused > reused + 1
+    assert rig.node.pool.reuse_count > reused + 1
 
 
 def test_an_at_most_once_request_uses_a_new_connection() -> None:
@@ -90,7 +90,7 @@
     for i in range(3):
         rig.request(f"a{i}", traffic="post")
         rig.run(0.2)
-    assert rig.node.pool.reused == 0 and len(rig.engines["w1"].connections) == 3
+    assert rig.node.pool.reuse_count == 0 and len(rig.engines["w1"].connections) == 3
 
 
 def test_an_abortive_close_is_seen_before_anything_written_later() -> None:
--- a/tests/test_relay_rearming.py
+++ b/tests/test_relay_rearming.py
@@ -96,9 +96,9 @@
     rig = RelayRig("w1")
     rig.request("a1")
     pool = rig.node.pool
-    connection = next(iter(pool._idle["w1"]))
+    connection = pool.idle.of_peer("w1")[0]
     connection.close = Failing(connection.close)
-    run(rig, pool.max_idle + 3.0)
+    run(rig, pool.idle.max_idle + 3.0)
     assert pool.count == 0
 
 
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -169,7 +169,7 @@
     node = rig.node
     assert not node.executor.in_flight and not node.front.open and not node.listener.connections
     assert not node.engine_client.stream_monitor.streams and not node.executor.router.sequences
-    assert node.pool.count == sum(len(idle) for idle in node.pool._idle.values())
+    assert node.pool.count == len(node.pool.idle)
 
 
 def _leads_to_a_writer(pipe: Pipe) -> bool:
@@ -214,7 +214,7 @@
     for name in ("r1", "r2"):
         rig.engines[name].script = never_respond
     rig.request("p1", LONG_PROMPT, traffic="post")
-    reused = rig.node.pool.reused
+    reused = rig.node.pool.reuse_count
     rig.run(3.0)  # the read is timed out and tried again
     assert len(rig.engines["r1"].chat_requests() + rig.engines["r2"].chat_requests()) == 4 + 2
-    assert rig.node.pool.reused == reused
+    assert rig.node.pool.reuse_count == reused
