--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -1,4 +1,4 @@
-"""Admission of clients' connections: how many there may be, and which is closed for another."""
+"""Admission of clients' connections: how many may be open, and which one is closed for another."""
 
 from collections.abc import Callable
 
@@ -9,34 +9,36 @@
 from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
+from myrtlehub.http1.server_interfaces import AdmittedConnection
 
 
-def _ignore_full(full: bool) -> None:
-    """Nobody listens."""
+def _ignore_full(is_full: bool) -> None:
+    """Do nothing: no callback is set."""
 
 
 def _ignore_close(reason: CloseReason, exchange: ServerExchange | None) -> None:
-    """Nobody listens."""
+    """Do nothing: no callback is set."""
 
 
-def _closing_order(connection: ServerConnection) -> tuple[bool, float]:
-    """Sort lingering connections before unused ones, in each part the longest so first."""
-    return (not connection.closing, connection.idle_since)
+def _eviction_order(connection: AdmittedConnection) -> tuple[bool, float]:
+    """Return the sort key for eviction: lingering before unused connections, the oldest of each first."""
+    return (not connection.is_closing, connection.idle_since)
 
 
 class ConnectionListener(Factory):
-    """All connections of clients: `max_connections` of them, and `burst` more for a moment.
+    """Factory and registry of all clients' connections.
 
-    Those that have just come may hold requests that are not read yet.
+    Up to `max_connections` stay open. `burst` more are admitted for a moment, so that requests which new
+    connections have sent already can be read before any of them is closed.
 
     Attributes:
-        connections: The connections, in the order of their coming.
-        total_read_ahead: Bytes of all connections that are not read as complete requests yet.
-        draining: The process ends: nothing new is wanted.
-        waiting_since: Since when those that are accepted now may have waited for that; None: not at all.
-        on_full: Called with whether to accept no more connections for a moment.
-        on_closing: Called with the reason for each close from this side, and the request that is open on the
-            connection, if any.
+        connections: The connections in the order of their admission; a dict serves as an ordered set.
+        total_read_ahead: Bytes of all connections that are not part of a complete request yet.
+        is_draining: A graceful shutdown is under way: idle connections close.
+        waiting_since: Clock time in seconds since which connections accepted now may have waited in the
+            accept queue; None if they have not. Set by the port.
+        on_full: Called with True to stop accepting connections, and with False to accept again.
+        on_closing: Called when the server closes a connection, with the reason and the open request, if any.
     """
 
     noisy = False
@@ -52,101 +54,107 @@
         self.on_request = on_request
         self.max_connections = max_connections
         self.burst = burst
-        self.connections: dict[ServerConnection, None] = {}
+        self.connections: dict[AdmittedConnection, None] = {}
         self.total_read_ahead = 0
-        self.draining = False
+        self.is_draining = False
         self.waiting_since: float | None = None
         self.on_full: Callable[[bool], None] = _ignore_full
         self.on_closing: Callable[[CloseReason, ServerExchange | None], None] = _ignore_close
-        self._dropped_count = 0  # that are still to be lost
-        self._paused = False
-        self._room_timer: Timer | None = None
+        self._dropped_count = 0  # connections that were dropped and are not lost yet
+        self._is_paused = False
+        self._eviction_timer: Timer | None = None
 
     def buildProtocol(self, addr: object) -> ServerConnection:  # noqa: N802
         """Return the protocol of a new connection."""
         return ServerConnection(self)
 
-    def connection_opened(self, connection: ServerConnection) -> None:
-        """Admit a connection; where there are too many, room is made once what these have sent was read."""
+    def connection_opened(self, connection: AdmittedConnection) -> None:
+        """Admit a connection, and evict another one now or soon if there are too many.
+
+        Connections accepted in this reactor turn are never evicted at once: the requests that they have sent
+        are not read yet. If all others have open requests, accepting stops, and new connections wait in the
+        kernel's accept queue. Tests: `test_a_request_amid_a_burst_of_silent_connections_is_read`,
+        `test_no_more_are_accepted_while_all_connections_have_requests_open`.
+        """
         self.connections[connection] = None
-        if self._count() > self.max_connections + self.burst:
-            # None that came this turn is closed for another: what it has sent is not read yet. Where all
-            # others have requests open, who comes next waits in the system's queue: none is closed unheard.
-            closable = self._closable(MIN_READ_GRACE_S)
-            if closable:
-                self._drop(min(closable, key=_closing_order))
+        if self._open_count() > self.max_connections + self.burst:
+            evictable = self._evictable(MIN_READ_GRACE_S)
+            if evictable:
+                self._drop(min(evictable, key=_eviction_order))
             else:
                 self._pause_accepting()
-        elif len(self.connections) > self.max_connections and not self._makes_room():
-            self._room_timer = self.clock.callLater(READ_GRACE_S, self._make_room)
+        elif len(self.connections) > self.max_connections and not self._is_eviction_scheduled():
+            self._eviction_timer = self.clock.callLater(READ_GRACE_S, self._evict_surplus)
 
-    def _makes_room(self) -> bool:
-        return self._room_timer is not None and self._room_timer.active()
+    def _is_eviction_scheduled(self) -> bool:
+        return self._eviction_timer is not None and self._eviction_timer.active()
 
     def _pause_accepting(self) -> None:
-        """Accept no more until the newest were read; who comes meanwhile waits in the system's queue."""
-        if not self._paused:
-            self._paused = True
+        """Stop accepting until the data of the newest connections was read."""
+        if not self._is_paused:
+            self._is_paused = True
             self.on_full(True)
             self.clock.callLater(MIN_READ_GRACE_S, self._try_to_resume)
 
     def _try_to_resume(self) -> None:
         try:
-            for connection in self._first_closable(MIN_READ_GRACE_S):
+            for connection in self._next_evicted(MIN_READ_GRACE_S):
                 self._drop(connection)
-        finally:  # whatever a transport raises: nobody would ever be accepted again
-            if self._count() > self.max_connections + self.burst:
+        finally:  # if a transport raises an exception here, connections must still be accepted again
+            if self._open_count() > self.max_connections + self.burst:
                 self.clock.callLater(MIN_READ_GRACE_S, self._try_to_resume)
             else:
-                self._paused = False
+                self._is_paused = False
                 self.on_full(False)
 
-    def _count(self) -> int:
-        """Return how many connections have a descriptor for longer than this turn."""
+    def _open_count(self) -> int:
+        """Return how many connections keep their descriptor beyond this reactor turn."""
         return len(self.connections) - self._dropped_count
 
-    def _closable(self, min_age: float) -> list[ServerConnection]:
-        """Return those that may be closed: never one that had no time to be read, or has a request open."""
+    def _evictable(self, min_age: float) -> list[AdmittedConnection]:
+        """Return the connections without an open request that had at least `min_age` seconds to send one."""
         now = self.clock.seconds()
         return [
-            c
-            for c in self.connections
-            if (c.closing or c.unused) and not c.dropped and now - c.idle_since >= min_age
+            connection
+            for connection in self.connections
+            if (connection.is_closing or connection.is_unused)
+            and not connection.is_dropped
+            and now - connection.idle_since >= min_age
         ]
 
-    def _first_closable(self, min_age: float) -> list[ServerConnection]:
-        """Return as many of those as there are connections too many, in the order of their closing."""
-        surplus = max(0, self._count() - self.max_connections)
-        return sorted(self._closable(min_age), key=_closing_order)[:surplus] if surplus else []
+    def _next_evicted(self, min_age: float) -> list[AdmittedConnection]:
+        """Return the evictable connections that exceed the limit, in the order of their eviction."""
+        surplus = max(0, self._open_count() - self.max_connections)
+        return sorted(self._evictable(min_age), key=_eviction_order)[:surplus] if surplus else []
 
-    def _drop(self, connection: ServerConnection) -> None:
+    def _drop(self, connection: AdmittedConnection) -> None:
         self._dropped_count += 1
         connection.drop()
 
-    def _make_room(self) -> None:
-        """Drop lingering connections, and close the longest unused; those are dropped at the next look."""
+    def _evict_surplus(self) -> None:
+        """Drop lingering connections, and close unused ones gracefully; the next call drops the latter."""
         try:
-            for connection in self._first_closable(READ_GRACE_S):
-                if connection.closing:
+            for connection in self._next_evicted(READ_GRACE_S):
+                if connection.is_closing:
                     self._drop(connection)
                 else:
                     connection.linger(CloseReason.CONNECTION_LIMIT)
         finally:
             if len(self.connections) > self.max_connections:
-                self._room_timer = self.clock.callLater(READ_GRACE_S, self._make_room)
+                self._eviction_timer = self.clock.callLater(READ_GRACE_S, self._evict_surplus)
 
-    def connection_closed(self, connection: ServerConnection) -> None:
+    def connection_closed(self, connection: AdmittedConnection) -> None:
         """Forget a connection that is lost."""
         if connection in self.connections:
             del self.connections[connection]
-            self._dropped_count -= connection.dropped
+            self._dropped_count -= connection.is_dropped
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
-        """Pass on that this side closes a connection."""
+        """Report that the server closes a connection; `exchange` is its open request, if any."""
         self.on_closing(reason, exchange)
 
     def drain(self) -> None:
-        """Take nothing new: unused connections close now, the others after their response."""
-        self.draining = True
+        """Close unused connections now, and the others after their response."""
+        self.is_draining = True
         for connection in list(self.connections):
             connection.drain()
--- /dev/null
+++ b/myrtlehub/http1/partial_request.py
@@ -0,0 +1,61 @@
+"""Request whose body is still being received, and the checks that reject it."""
+
+from http import HTTPStatus
+
+import h11
+
+from myrtlehub.http1.bounds import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from myrtlehub.http1.headers import Header
+from myrtlehub.http1.server_request import ServerRequest
+
+MAX_LENGTH_DIGITS = 15  # of a Content-Length: a longer one exceeds any permitted body
+
+
+def head_error(head: h11.Request) -> HTTPStatus | None:
+    """Return the status with which to reject a head, or None if it is valid."""
+    if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > MAX_HEAD_BYTES:
+        return HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+    names = [name for name, _ in head.headers]
+    lengths = names.count(b"content-length")
+    if lengths > 1 or (lengths and b"transfer-encoding" in names):
+        return HTTPStatus.BAD_REQUEST  # ambiguous framing, the basis of request smuggling (RFC 9112, 6.3)
+    if lengths:
+        length = dict(head.headers)[b"content-length"]
+        if len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
+            return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+    return None
+
+
+class PartialRequest:
+    """Head and the body received so far of one request."""
+
+    __slots__ = ("_body_bytes", "_head", "_parts")
+
+    def __init__(self, head: h11.Request) -> None:
+        self._head = head
+        self._parts: list[bytes] = []
+        self._body_bytes = 0
+
+    def add(self, data: bytes) -> HTTPStatus | None:
+        """Add a part of the body; return the status with which to reject the request, if it is too large."""
+        self._body_bytes += len(data)
+        if self._body_bytes > MAX_BODY_BYTES:
+            return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        self._parts.append(bytes(data))
+        return None
+
+    def complete(self, received_at: float) -> ServerRequest:
+        """Return the complete request.
+
+        Args:
+            received_at: Clock time in seconds at which its last byte arrived.
+        """
+        head = self._head
+        headers = [Header(name, value) for name, value in head.headers]
+        return ServerRequest(
+            bytes(head.method), bytes(head.target), headers, b"".join(self._parts), received_at
+        )
+
+    def discard_body(self) -> None:
+        """Free the body received so far: the request is not read any further."""
+        self._parts = []
--- /dev/null
+++ b/myrtlehub/http1/request_reader.py
@@ -0,0 +1,149 @@
+"""Reads the requests of one client's connection, with bounds on what is buffered ahead of them."""
+
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import NamedTuple, Protocol
+
+import h11
+
+from myrtlehub.http1.bounds import MAX_DISCARDED_BYTES, MAX_READ_AHEAD_BYTES, MAX_TOTAL_READ_AHEAD_BYTES
+from myrtlehub.http1.byte_arrivals import ByteArrivals
+from myrtlehub.http1.partial_request import PartialRequest, head_error
+from myrtlehub.http1.server_request import ServerRequest
+
+
+class RequestRejection(NamedTuple):
+    """The client's data can't be a valid request: respond with `status` and close."""
+
+    status: int
+
+
+@dataclass(frozen=True, slots=True)
+class ContinueExpected:
+    """The client waits for `100 Continue` before it sends the body."""
+
+
+ReadEvent = ServerRequest | RequestRejection | ContinueExpected
+
+
+class ReadAheadAccount(Protocol):
+    """Counter that all connections of a listener share.
+
+    Attributes:
+        total_read_ahead: Bytes that were received but are not part of a complete request yet.
+    """
+
+    total_read_ahead: int
+
+
+class RequestReader:
+    """Turns received data into requests, one at a time.
+
+    Data behind an open request is buffered up to MAX_READ_AHEAD_BYTES, and up to MAX_TOTAL_READ_AHEAD_BYTES
+    for all connections. Data beyond that is discarded rather than left unread: the end of the connection lies
+    behind it, and the open request would go on long after its client has disconnected.
+    Test: `test_a_disconnect_behind_a_flood_of_bytes_is_noticed`.
+    """
+
+    def __init__(self, http: h11.Connection, account: ReadAheadAccount) -> None:
+        self._http = http
+        self._account = account
+        self._partial: PartialRequest | None = None
+        self._arrivals = ByteArrivals()
+        self._read_ahead_bytes = 0
+        self._discarded_bytes = 0
+
+    @property
+    def has_read_ahead(self) -> bool:
+        """Whether data was received that is not part of a complete request yet."""
+        return self._read_ahead_bytes > 0
+
+    @property
+    def has_partial_request(self) -> bool:
+        """Whether a request has begun that is not complete yet."""
+        return self._partial is not None or self._read_ahead_bytes > 0
+
+    @property
+    def is_discarding(self) -> bool:
+        """Whether data has been discarded, so that all that follows it has to be discarded as well."""
+        return self._discarded_bytes > 0
+
+    @property
+    def has_discarded_too_much(self) -> bool:
+        """Whether the client goes on sending without limit."""
+        return self._discarded_bytes > MAX_DISCARDED_BYTES
+
+    def may_buffer(self, size: int) -> bool:
+        """Return whether `size` more bytes are within the bounds of the read-ahead."""
+        return (
+            self._read_ahead_bytes + size <= MAX_READ_AHEAD_BYTES
+            and self._account.total_read_ahead + size <= MAX_TOTAL_READ_AHEAD_BYTES
+        )
+
+    def receive_data(self, data: bytes, arrived_at: float) -> None:
+        """Buffer data for `next_event`.
+
+        Args:
+            data: Bytes from the client.
+            arrived_at: Clock time in seconds at which they arrived.
+        """
+        self._set_read_ahead(self._read_ahead_bytes + len(data))
+        self._arrivals.add(len(data), arrived_at)
+        self._http.receive_data(data)
+
+    def discard(self, size: int) -> None:
+        """Count bytes that are discarded."""
+        self._discarded_bytes += size
+
+    def next_event(self) -> ReadEvent | None:
+        """Return the next event, or None if it takes more data."""
+        while True:
+            try:
+                event = self._http.next_event()
+            except h11.RemoteProtocolError as error:
+                return RequestRejection(error.error_status_hint or HTTPStatus.BAD_REQUEST)
+            if event is h11.NEED_DATA or event is h11.PAUSED:
+                # the rest of a request that is incomplete now was discarded
+                return RequestRejection(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) if self.is_discarding else None
+            read_event = self._handle_event(event)
+            if read_event is not None:
+                return read_event
+
+    def _handle_event(self, event: h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]) -> ReadEvent | None:
+        if type(event) is h11.Request:
+            return self._begin_request(event)
+        if self._partial is None:
+            return None
+        if type(event) is h11.Data:
+            status = self._partial.add(event.data)
+            return RequestRejection(status) if status else None
+        if type(event) is h11.EndOfMessage:
+            return self._complete_request(self._partial)
+        return None
+
+    def _begin_request(self, head: h11.Request) -> ReadEvent | None:
+        self._partial = PartialRequest(head)
+        status = head_error(head)
+        if status:
+            return RequestRejection(status)
+        return ContinueExpected() if self._http.they_are_waiting_for_100_continue else None
+
+    def _complete_request(self, partial: PartialRequest) -> ServerRequest:
+        self._partial = None
+        unread = len(self._http.trailing_data[0])
+        request = partial.complete(self._arrivals.consume(unread))
+        self._set_read_ahead(unread)
+        return request
+
+    def discard_body(self) -> None:
+        """Free the body received so far: nothing more is read from this connection."""
+        if self._partial is not None:
+            self._partial.discard_body()
+
+    def close(self) -> None:
+        """Remove this connection's bytes from the shared counter."""
+        self._set_read_ahead(0)
+
+    def _set_read_ahead(self, size: int) -> None:
+        self._account.total_read_ahead += size - self._read_ahead_bytes
+        self._read_ahead_bytes = size
--- a/myrtlehub/http1/server_exchange.py
+++ b/myrtlehub/http1/server_exchange.py
@@ -1,33 +1,21 @@
-"""One request of a client and the response to it, as whoever responds sees them."""
+"""One request of a client and the response to it, as seen by the code that responds."""
 
 from collections.abc import Callable, Iterable
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 from myrtlehub.http1.headers import Header, Headers
-
-
-class ServerRequest(NamedTuple):
-    """A complete request; header names are in lower case.
-
-    Attributes:
-        received_at: When its last byte came, by the connection's clock; it may have waited since.
-    """
-
-    method: bytes
-    target: bytes
-    headers: Headers
-    body: bytes
-    received_at: float
+from myrtlehub.http1.server_request import ServerRequest
+from myrtlehub.http1.tcp_transport import Producer
 
 
 class ResponseWriter(Protocol):
-    """The connection of a request, as its exchange writes to it."""
+    """Connection of a request, as its exchange writes to it."""
 
-    def respond(self, status: int, headers: Headers, body: bytes, close: bool) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes, must_close: bool) -> None:
         """Write a complete response."""
 
-    def start_stream(self, exchange: "ServerExchange", status: int, headers: Headers) -> None:
-        """Write the head of a streamed response."""
+    def start_stream(self, producer: Producer, status: int, headers: Headers) -> None:
+        """Write the head of a streamed response, and pause `producer` while the client reads nothing."""
 
     def write(self, data: bytes) -> None:
         """Write a part of a streamed response."""
@@ -36,80 +24,91 @@
         """End the response."""
 
     def abort_response(self) -> None:
-        """Close the connection without the end of the response."""
+        """Close the connection without ending the response."""
 
-    def set_stalled(self, stalled: bool) -> None:
-        """Note that the client takes nothing of its stream, or takes it again."""
+    def set_stalled(self, is_stalled: bool) -> None:
+        """Note that the client has stopped reading its stream, or reads it again."""
 
 
-def _ignore() -> None:
-    """Nobody listens."""
+def _do_nothing() -> None:
+    """Ignore the event: no callback is set."""
 
 
 class ServerExchange:
-    """One request and its response. Whoever responds sets `on_lost`, `on_pause` and `on_resume`."""
+    """One request and its response; a push producer of the transport while the response is streamed.
 
-    __slots__ = ("_connection", "finished", "on_lost", "on_pause", "on_resume", "request", "started")
+    Attributes:
+        request: The request.
+        is_started: The head of a response has been written.
+        is_finished: The response is complete or aborted, or the connection is lost.
+        on_lost: Called if the connection is lost before the response is finished.
+        on_pause: Called when the client has stopped reading the stream.
+        on_resume: Called when the client reads the stream again.
+    """
+
+    __slots__ = ("_connection", "is_finished", "is_started", "on_lost", "on_pause", "on_resume", "request")
 
     def __init__(self, connection: ResponseWriter, request: ServerRequest) -> None:
         self._connection = connection
         self.request = request
-        self.started = False
-        self.finished = False
+        self.is_started = False
+        self.is_finished = False
         self.clear_callbacks()
 
     def clear_callbacks(self) -> None:
-        """Call nobody any more, and refer to nobody."""
-        self.on_lost: Callable[[], None] = _ignore
-        self.on_pause: Callable[[], None] = _ignore
-        self.on_resume: Callable[[], None] = _ignore
+        """Remove all callbacks, and with them the references to their objects."""
+        self.on_lost: Callable[[], None] = _do_nothing
+        self.on_pause: Callable[[], None] = _do_nothing
+        self.on_resume: Callable[[], None] = _do_nothing
 
     def respond(
-        self,
-        status: int,
-        headers: Iterable[Header] = (),
-        body: bytes = b"",
-        close: bool = False,
+        self, status: int, headers: Iterable[Header] = (), body: bytes = b"", close: bool = False
     ) -> None:
-        """Send a complete response."""
-        if self.finished or self.started:
+        """Send a complete response; do nothing if a response has been started.
+
+        Args:
+            status: Status code.
+            headers: Header fields without Connection and Content-Length.
+            body: Body of the response.
+            close: Whether to close the connection afterwards.
+        """
+        if self.is_finished or self.is_started:
             return
-        self.started = True
-        self.finished = True
+        self.is_started = True
+        self.is_finished = True
         all_headers = [*headers, Header(b"Content-Length", b"%d" % len(body))]
         self._connection.respond(status, all_headers, body, close)
 
     def start_stream(self, status: int, headers: Iterable[Header]) -> None:
         """Send the head of a streamed response."""
-        self.started = True
-        self._connection.start_stream(self, status, [*headers, Header(b"Transfer-Encoding", b"chunked")])
+        self.is_started = True
+        all_headers = [*headers, Header(b"Transfer-Encoding", b"chunked")]
+        self._connection.start_stream(self, status, all_headers)
 
     def write(self, data: bytes) -> None:
         """Send a part of the stream."""
-        if not self.finished:
+        if not self.is_finished:
             self._connection.write(data)
 
     def finish(self) -> None:
         """Send the last chunk."""
-        if not self.finished:
-            self.finished = True
+        if not self.is_finished:
+            self.is_finished = True
             self._connection.finish()
 
     def abort(self) -> None:
-        """End the connection without a last chunk: the response is not complete."""
-        if not self.finished:
-            self.finished = True
+        """Close the connection without a last chunk, which marks the response as incomplete."""
+        if not self.is_finished:
+            self.is_finished = True
             self._connection.abort_response()
 
-    # As producer of the transport: the client's connection asks to wait.
-
     def pauseProducing(self) -> None:  # noqa: N802
-        """The client takes nothing at present."""
+        """Handle back-pressure: the client has stopped reading."""
         self._connection.set_stalled(True)
         self.on_pause()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """The client takes data again."""
+        """Handle the end of back-pressure: the client reads again."""
         self._connection.set_stalled(False)
         self.on_resume()
 
--- a/myrtlehub/relay/client_front.py
+++ b/myrtlehub/relay/client_front.py
@@ -32,7 +32,7 @@
 
     def tokens(self, message: bytes) -> None:
         """Pass events on to the client."""
-        if not self.exchange.started:
+        if not self.exchange.is_started:
             self.exchange.start_stream(200, STREAM_HEADERS)
         self.exchange.write(message)
 
@@ -49,7 +49,7 @@
     def aborted(self, reason: str) -> None:
         """Respond without a promise, or end a stream that has begun."""
         self._detach_answered()
-        if self.exchange.started:
+        if self.exchange.is_started:
             self.exchange.abort()
         else:
             self.exchange.respond(502)
--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -64,7 +64,7 @@
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
         """Check the close of a client's connection from this side."""
-        is_open = exchange is not None and not exchange.finished
+        is_open = exchange is not None and not exchange.is_finished
         self.log("closed", why=reason, is_open=is_open)
         self.counter.check(broken_by_close(is_open, client_has_closed=False))
 
--- a/myrtlehub/relay/request_decoder.py
+++ b/myrtlehub/relay/request_decoder.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from myrtlehub.http1.headers import Headers
-from myrtlehub.http1.server_exchange import ServerRequest
+from myrtlehub.http1.server_request import ServerRequest
 from myrtlehub.limits.event_loop_lag import LagMeter
 from myrtlehub.node.endpoint_index import EndpointIndex, hash_key
 from myrtlehub.relay.errors import RejectedRequestError
--- a/tests/test_relay_memory.py
+++ b/tests/test_relay_memory.py
@@ -7,7 +7,8 @@
 from relaymessages import EVENT, LONG_PROMPT, RELEASE_RESPONSE, STREAM_HEAD, chunk
 from relayrig import PeerConnection, RelayRig
 
-from myrtlehub.http1.server_exchange import ServerExchange, ServerRequest
+from myrtlehub.http1.server_exchange import ServerExchange
+from myrtlehub.http1.server_request import ServerRequest
 from myrtlehub.node.action_executor import Attempt, InFlightSequence
 from myrtlehub.relay.attempt_response import AttemptResponseHandler
 from myrtlehub.relay.client_front import ExchangeSink
