--- a/myrtlehub/http1/client_interfaces.py
+++ b/myrtlehub/http1/client_interfaces.py
@@ -2,8 +2,8 @@
 
 from typing import Protocol
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.client_request import ClientRequest, ResponseHandler
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.tcp_transport import Transport
 
 
--- a/myrtlehub/http1/idle_connections.py
+++ b/myrtlehub/http1/idle_connections.py
@@ -1,8 +1,8 @@
 """Idle connections to peers: which may be reused, and which have been idle for too long."""
 
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.bounds import MIN_IDLE_BEFORE_REUSE_S, REUSE_SUSPENSION_S
 from myrtlehub.http1.client_interfaces import PooledConnection
-from myrtlehub.http1.interfaces import Clock, Timer
 
 SWEEP_INTERVAL_S = 1.0  # between searches for connections that have been idle for too long
 
--- a/myrtlehub/http1/interfaces.py
+++ b/myrtlehub/http1/interfaces.py
@@ -1,30 +1,7 @@
 """What this package needs of the reactor: a clock with timers, and connection attempts."""
 
 from collections.abc import Callable
-from typing import Any, Protocol
-
-
-class Timer(Protocol):
-    """A call that is due later."""
-
-    def active(self) -> bool:
-        """Whether it is still due."""
-
-    def cancel(self) -> None:
-        """Do not make the call."""
-
-    def reset(self, delay: float, /) -> None:
-        """Make the call so many seconds from now."""
-
-
-class Clock(Protocol):
-    """Time in seconds, and timers."""
-
-    def seconds(self) -> float:
-        """Return the time now; it never goes back."""
-
-    def callLater(self, delay: float, call: Callable, /, *args: Any) -> Timer:  # noqa: ANN401, N802
-        """Make a call `delay` seconds from now."""
+from typing import Protocol
 
 
 class Connecting(Protocol):
--- a/myrtlehub/http1/server_interfaces.py
+++ b/myrtlehub/http1/server_interfaces.py
@@ -2,8 +2,8 @@
 
 from typing import Protocol
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.close_reason import CloseReason
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.server_exchange import ServerExchange
 
 
--- a/myrtlehub/http1/timeout.py
+++ b/myrtlehub/http1/timeout.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from myrtlehub.http1.interfaces import Clock, Timer
+from myrtlehub.clock import Clock, Timer
 
 
 class Timeout:
