--- a/myrtlehub/http1/__init__.py
+++ b/myrtlehub/http1/__init__.py
@@ -1,4 +1,6 @@
-"""HTTP/1.1 on Twisted and h11: connections of clients, connections to peers and their pool.
+"""HTTP/1.1 on Twisted and h11: a server, a client with a connection pool, and their limits.
 
-The package knows the protocol and its bounds; engines, routing and the operators' platform it does not.
+The server side is `listener`, `server_connection`, `request_reader` and `server_exchange`; the client side is
+`connection_pool`, `pending_request` and `client_connection`. The package is independent of engines, routing
+and the platform.
 """
--- a/myrtlehub/http1/bounds.py
+++ b/myrtlehub/http1/bounds.py
@@ -1,31 +1,44 @@
-"""Bounds of the HTTP/1.1 layer; each says why it is what it is."""
-
-MAX_HEAD_BYTES = 16 * 1024  # of a head or of a chunk's line: what servers commonly take
-MAX_BODY_BYTES = 256 * 1024  # of a request's body, as the platform states
-MAX_READ_AHEAD_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES  # kept behind an open request: the largest one
-MAX_TOTAL_READ_AHEAD_BYTES = 8 * 1024 * 1024  # of all connections together: hundreds may do so at once
-# Read and discarded beyond these, so that the client's end is seen. Whoever sends more, which takes a third
-# of a second of one core, is disconnected.
+"""Bounds of the HTTP/1.1 layer, each with its unit and its reason."""
+
+# Sizes
+
+MAX_HEAD_BYTES = 16 * 1024  # of a head or of a chunk's size line; a usual limit of servers
+MAX_BODY_BYTES = 256 * 1024  # of a request's body; the platform guarantees it
+# Buffered behind an open request of one connection: the largest possible request.
+MAX_READ_AHEAD_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES
+# Buffered behind the open requests of all connections: hundreds of clients may pipeline at once.
+MAX_TOTAL_READ_AHEAD_BYTES = 8 * 1024 * 1024
+# Read and discarded of one connection beyond the read-ahead, so that the end of the connection is noticed.
+# A client that sends more than this, which costs a third of a second of one core, is disconnected.
 MAX_DISCARDED_BYTES = 64 * 1024 * 1024
-REQUEST_TIMEOUT_S = 2.0  # for a request to be complete, and for a new connection to send: 3 s are allowed
-LINGER_TIMEOUT_S = (
-    3.0  # for a last response to leave and its client to close, before the connection is aborted
-)
-# For a new connection to send its first byte during a graceful shutdown: clients send as they connect.
+MAX_SMALL_RESPONSE_BYTES = 64 * 1024  # of a response without a stream: a load report or a token count
+MAX_CHUNK_BYTES = 256 * 1024  # of one chunk of a stream; an event is far smaller
+MAX_INFORMATIONAL_RESPONSES = 8  # 1xx before a response; a peer that sends more is faulty
+
+# Timeouts of clients' connections, in seconds
+
+# For a request to become complete, and for a new connection to send its first one. The platform allows 3 s.
+REQUEST_TIMEOUT_S = 2.0
+# For the client to read the last response and to close, before the connection is aborted.
+LINGER_TIMEOUT_S = 3.0
+# For a new connection to send its first byte during a graceful shutdown; clients send once they connect.
 DRAINING_FIRST_BYTE_TIMEOUT_S = 0.3
-IDLE_TIMEOUT_S = 5.0  # for which a client's connection may lie unused: idle ones cost memory
-STALLED_WRITE_TIMEOUT_S = 20.0  # for which a client may take nothing of a stream
-MAX_SMALL_RESPONSE_BYTES = 64 * 1024  # of an engine's response that is not a stream: a report or a count
-MAX_CHUNK_BYTES = 256 * 1024  # of one chunk of a stream: events are far smaller, so more is not an event
-MAX_INFORMATIONAL_RESPONSES = 8  # of 1xx before a response: a peer that goes on has nothing else to say
-# An idle connection lies this long before its next use, so that surplus bytes behind a response show.
+IDLE_TIMEOUT_S = 5.0  # for a connection without a request; each idle connection costs memory
+STALLED_WRITE_TIMEOUT_S = 20.0  # for a client that reads nothing of its stream
+
+# Admission of clients' connections, in seconds
+
+READ_GRACE_S = 0.05  # age from which the data that a new connection has sent is certain to have been read
+MIN_READ_GRACE_S = 0.02  # the same age when the connection limit is exceeded: a few reactor turns
+
+# Connections to peers, in seconds
+
+# Rest of an idle connection before it is reused, in which surplus bytes behind its last response arrive.
 MIN_IDLE_BEFORE_REUSE_S = 0.05
-READ_GRACE_S = 0.05  # in which what a new connection has sent is surely read
-MIN_READ_GRACE_S = 0.02  # the same where there is no room at all: some turns of the reactor
-# Without reuse after a reused connection broke under its next request: a new connection costs its peer a
-# millisecond or two, a request that may have run costs an attempt.
+# Pause in the reuse of connections after one failed under its next request. A new connection costs its peer a
+# millisecond or two; a request that may have run costs an attempt.
 REUSE_SUSPENSION_S = 30.0
-# From try to try of a connection that this machine has no resources for, doubled each time; with the retries
-# as many as a connection to a peer may take (0.3 s), after which whoever asked decides anew.
+# Backoff before a connection attempt that failed for lack of a local resource is repeated; it doubles each
+# time. All retries together take 0.3 s, as long as a connection to a peer may take.
 LOCAL_RETRY_DELAY_S = 0.02
 MAX_LOCAL_RETRIES = 4
--- a/myrtlehub/http1/byte_arrivals.py
+++ b/myrtlehub/http1/byte_arrivals.py
@@ -1,35 +1,36 @@
-"""When the bytes of a connection came: a request counts from its last byte, however late it is read."""
+"""Arrival times of received bytes: the deadline of a request counts from the arrival of its last byte."""
 
 from collections import deque
 from typing import NamedTuple
 
-MERGED_WITHIN_S = 0.01  # what comes that soon after other bytes counts as having come with them
+# Data that arrives this soon after other data counts as part of it, so that small pieces need no memory each.
+MERGE_INTERVAL_S = 0.01
 
 
-class _Piece(NamedTuple):
-    end: int  # position behind its last byte, in all that came
-    at: float
+class _Segment(NamedTuple):
+    end: int  # position behind its last byte, counted from the first byte of the connection
+    arrived_at: float  # clock time in seconds
 
 
 class ByteArrivals:
-    """Positions of bytes in what came, and when each came."""
+    """Arrival times of the bytes of one connection that are not consumed yet."""
 
-    __slots__ = ("_pieces", "_total")
+    __slots__ = ("_segments", "_total_bytes")
 
     def __init__(self) -> None:
-        self._total = 0
-        self._pieces: deque[_Piece] = deque()
+        self._total_bytes = 0
+        self._segments: deque[_Segment] = deque()
 
     def add(self, size: int, now: float) -> None:
-        """Take note that so many bytes came."""
-        self._total += size
-        if self._pieces and now - self._pieces[-1].at < MERGED_WITHIN_S:
-            now = self._pieces.pop().at
-        self._pieces.append(_Piece(self._total, now))
+        """Record that `size` bytes arrived at `now`, in seconds."""
+        self._total_bytes += size
+        if self._segments and now - self._segments[-1].arrived_at < MERGE_INTERVAL_S:
+            now = self._segments.pop().arrived_at
+        self._segments.append(_Segment(self._total_bytes, now))
 
     def consume(self, unread: int) -> float:
-        """Return when the last byte came before the last `unread` ones; those before it are forgotten."""
-        position = self._total - unread
-        while len(self._pieces) > 1 and self._pieces[0].end < position:
-            self._pieces.popleft()
-        return self._pieces[0].at
+        """Consume all bytes but the last `unread`; return the arrival time of the last consumed byte."""
+        position = self._total_bytes - unread
+        while len(self._segments) > 1 and self._segments[0].end < position:
+            self._segments.popleft()
+        return self._segments[0].arrived_at
--- a/myrtlehub/http1/client_interfaces.py
+++ b/myrtlehub/http1/client_interfaces.py
@@ -1,5 +1,6 @@
-"""Interfaces between client connections, their pool and the requests on them."""
+"""Interfaces between client connections, their pool, the requests on them and the reactor."""
 
+from collections.abc import Callable
 from typing import Protocol
 
 from myrtlehub.clock import Clock
@@ -71,3 +72,20 @@
 
     def is_reuse_allowed(self) -> bool:
         """Return whether idle connections may be reused now."""
+
+
+class Connecting(Protocol):
+    """Connection attempt: a Deferred that fires with the protocol of the connection."""
+
+    def addCallbacks(  # noqa: N802
+        self,
+        callback: Callable[..., None],
+        errback: Callable[..., None],
+        *,
+        callbackArgs: tuple[object, ...],  # noqa: N803
+        errbackArgs: tuple[object, ...],  # noqa: N803
+    ) -> object:
+        """Register what to call when the connection is made, and when the attempt fails."""
+
+    def cancel(self) -> None:
+        """Abandon the attempt."""
--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -8,10 +8,9 @@
 from myrtlehub.clock import Clock
 from myrtlehub.http1.bounds import LOCAL_RETRY_DELAY_S, MAX_LOCAL_RETRIES
 from myrtlehub.http1.client_connection import ClientConnection
-from myrtlehub.http1.client_interfaces import PooledConnection
+from myrtlehub.http1.client_interfaces import Connecting, PooledConnection
 from myrtlehub.http1.client_request import ClientRequest, RequestFailure, ResponseHandler
 from myrtlehub.http1.idle_connections import IdleConnections
-from myrtlehub.http1.interfaces import Connecting
 from myrtlehub.http1.local_errors import is_local_error
 from myrtlehub.http1.pending_request import FirstByteHook, PendingRequest
 
--- a/myrtlehub/http1/pending_request.py
+++ b/myrtlehub/http1/pending_request.py
@@ -2,9 +2,8 @@
 
 from collections.abc import Callable
 
-from myrtlehub.http1.client_interfaces import ConnectionOwner, PooledConnection
+from myrtlehub.http1.client_interfaces import Connecting, ConnectionOwner, PooledConnection
 from myrtlehub.http1.client_request import ClientRequest, ResponseHandler
-from myrtlehub.http1.interfaces import Connecting
 
 # Called just before the first byte is written; returns the request to write, or None to abandon it.
 FirstByteHook = Callable[[ClientRequest], ClientRequest | None]
--- a/tests/test_byte_arrivals.py
+++ b/tests/test_byte_arrivals.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from myrtlehub.http1.byte_arrivals import MERGED_WITHIN_S, ByteArrivals
+from myrtlehub.http1.byte_arrivals import MERGE_INTERVAL_S, ByteArrivals
 from myrtlehub.relay.start_patience import lacks_resources, with_patience
 
 
@@ -23,10 +23,10 @@
 def test_what_comes_within_a_moment_counts_from_its_begin_so_that_a_flood_of_bytes_takes_no_memory() -> None:
     arrivals = ByteArrivals()
     for number in range(10_000):
-        arrivals.add(1, number * MERGED_WITHIN_S / 100)
-    assert len(arrivals._pieces) <= 101
+        arrivals.add(1, number * MERGE_INTERVAL_S / 100)
+    assert len(arrivals._segments) <= 101
     received_at = arrivals.consume(unread=5_000)
-    assert 50 * MERGED_WITHIN_S - MERGED_WITHIN_S <= received_at <= 50 * MERGED_WITHIN_S
+    assert 50 * MERGE_INTERVAL_S - MERGE_INTERVAL_S <= received_at <= 50 * MERGE_INTERVAL_S
 
 
 def test_a_lack_of_resources_is_told_from_a_wrong_configuration() -> None:
@@ -37,14 +37,14 @@
 
 
 def test_a_start_is_tried_again_only_for_a_lack_of_resources() -> None:
-    tries: list[int] = []
+    attempts: list[int] = []
 
     def make() -> str:
-        tries.append(len(tries))
-        if len(tries) < 3:
+        attempts.append(len(attempts))
+        if len(attempts) < 3:
             raise OSError(errno.ENOMEM, "no memory")
         return "made"
 
-    assert with_patience(make) == "made" and len(tries) == 3
+    assert with_patience(make) == "made" and len(attempts) == 3
     with pytest.raises(FileNotFoundError):
         with_patience(Path("/nowhere/at/all").read_bytes)
