--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -73,7 +73,7 @@
 
         Connections accepted in this reactor turn are never evicted at once: the requests that they have sent
         are not read yet. If all others have open requests, accepting stops, and new connections wait in the
-        kernel's accept queue. Tests: `test_a_request_amid_a_burst_of_silent_connections_is_read`,
+        kernel's accept queue. Tests: `test_a_request_during_a_burst_of_silent_connections_is_read`,
         `test_no_more_are_accepted_while_all_connections_have_requests_open`.
         """
         self.connections[connection] = None
--- a/tests/test_byte_arrivals.py
+++ b/tests/test_byte_arrivals.py
@@ -1,4 +1,4 @@
-"""When bytes came, by their position, and patience at the start."""
+"""Arrival times of bytes, and retries of a process start that lacks resources."""
 
 import errno
 from pathlib import Path
@@ -11,8 +11,8 @@
 
 def test_a_message_counts_from_its_own_last_byte() -> None:
     arrivals = ByteArrivals()
-    arrivals.add(100, 1.0)  # the first message, and half of the second
-    arrivals.add(50, 2.0)  # its rest, and the third
+    arrivals.add(100, 1.0)  # the first message and half of the second
+    arrivals.add(50, 2.0)  # the rest of the second and the third
     assert arrivals.consume(unread=90) == 1.0
     assert arrivals.consume(unread=30) == 2.0
     assert arrivals.consume(unread=0) == 2.0
@@ -20,7 +20,7 @@
     assert arrivals.consume(unread=0) == 7.0
 
 
-def test_what_comes_within_a_moment_counts_from_its_begin_so_that_a_flood_of_bytes_takes_no_memory() -> None:
+def test_bytes_within_the_merge_interval_count_from_its_start_and_take_no_memory_each() -> None:
     arrivals = ByteArrivals()
     for number in range(10_000):
         arrivals.add(1, number * MERGE_INTERVAL_S / 100)
@@ -29,14 +29,14 @@
     assert 50 * MERGE_INTERVAL_S - MERGE_INTERVAL_S <= received_at <= 50 * MERGE_INTERVAL_S
 
 
-def test_a_lack_of_resources_is_told_from_a_wrong_configuration() -> None:
+def test_a_lack_of_resources_is_distinguished_from_a_wrong_configuration() -> None:
     wrapped = ValueError("settings")
     wrapped.__cause__ = OSError(errno.EMFILE, "too many open files")
     assert lacks_resources(OSError(errno.ENFILE, "")) and lacks_resources(wrapped)
     assert not lacks_resources(OSError(errno.EADDRINUSE, "")) and not lacks_resources(ValueError())
 
 
-def test_a_start_is_tried_again_only_for_a_lack_of_resources() -> None:
+def test_a_start_is_retried_only_for_a_lack_of_resources() -> None:
     attempts: list[int] = []
 
     def make() -> str:
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -48,7 +48,7 @@
 
 
 def test_a_connect_that_completes_as_it_is_cancelled_is_closed_with_nothing_written() -> None:
-    """The client leaves in the turn in which its connection to the engine is made, or in the one after."""
+    """The client disconnects within three reactor turns of the connection attempt to the engine."""
     for turns in (0, 1, 2, 3):
         rig = RelayRig("w1")
         client = rig.client()
@@ -94,7 +94,7 @@
 
 
 def test_an_abortive_close_is_seen_before_anything_written_later() -> None:
-    """On real sockets: the peer sees the end of one connection before the first byte on another."""
+    """On real sockets: the peer reads the end of the connection although the socket is still open."""
 
     class Transport:
         def __init__(self, near: socket.socket) -> None:
@@ -105,7 +105,7 @@
             return self.near
 
         def abortConnection(self) -> None:  # noqa: N802
-            self.aborted = True  # as the reactor does: the socket is closed a turn later
+            self.aborted = True  # the reactor closes the socket one turn later
 
     near, far = socket.socketpair()
     transport = Transport(near)
@@ -113,5 +113,5 @@
     far.setblocking(False)
     assert far.recv(1) == b"" and transport.aborted
     near.close()
-    abortive_close(transport)  # lost already: nothing is raised
+    abortive_close(transport)  # already closed: raises nothing
     far.close()
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -92,7 +92,7 @@
     assert not rig.node.listener.connections and not rig.node.executor.in_flight
 
 
-def test_pipelined_requests_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     rig = RelayRig("w1")
     client = rig.client()
     client.send(chat_request("a1") + chat_request("a2") + b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -120,7 +120,7 @@
     assert rig.node.listener.total_read_ahead == 0 and not rig.node.listener.connections
 
 
-def test_many_silent_connections_leave_room_for_a_request() -> None:
+def test_many_silent_connections_leave_capacity_for_a_request() -> None:
     rig = RelayRig("w1", descriptors=100)
     silent_clients = [rig.client() for _ in range(90)]
     rig.run(0.3)
@@ -130,18 +130,18 @@
     assert all(client.lost for client in silent_clients)
 
 
-def test_a_request_amid_a_burst_of_silent_connections_is_read() -> None:
-    """Seen on a crowded day: new connections were closed before what they had sent was read."""
+def test_a_request_during_a_burst_of_silent_connections_is_read() -> None:
+    """New connections were once closed for others before the requests that they had sent were read."""
     rig = RelayRig("w1", descriptors=100)
     rig.engines["w1"].script = never_respond
-    made: list[RawClient] = []
+    clients: list[RawClient] = []
     for i in range(400):
         if i % 50 == 0:
             rig.run(0.03)
-        rig.net.dialer("node")(RawClientFactory()).addCallback(made.append)
+        rig.net.dialer("node")(RawClientFactory()).addCallback(clients.append)
         if i % 50 == 25:
             rig.clock.advance(0)
-            made[-1].send(chat_request(f"a{i}"))
+            clients[-1].send(chat_request(f"a{i}"))
     rig.run(0.2)
     assert len(rig.node.front.open) == 8
     assert len(rig.node.listener.connections) <= rig.node.listener.max_connections
@@ -158,19 +158,19 @@
 
 
 def test_no_more_are_accepted_while_all_connections_have_requests_open() -> None:
-    """Crossing: who comes then would be taken beyond the bound, or closed though it may have asked."""
+    """Further connections would exceed the limit, or be closed although they may have sent a request."""
     rig = RelayRig("w1", descriptors=100)
     rig.engines["w1"].script = never_respond
     listener = rig.node.listener
-    paused: list[bool] = []
-    listener.on_full = paused.append
-    most = listener.max_connections + listener.burst
-    clients = [rig.request(f"a{number}", remaining_ms=9000) for number in range(most)]
-    assert not paused
+    full_states: list[bool] = []
+    listener.on_full = full_states.append
+    limit = listener.max_connections + listener.burst
+    clients = [rig.request(f"a{number}", remaining_ms=9000) for number in range(limit)]
+    assert not full_states
     late = rig.request("late", remaining_ms=9000)
     rig.run(0.5)
-    assert paused == [True] and not late.lost and len(rig.node.front.open) == most + 1
+    assert full_states == [True] and not late.lost and len(rig.node.front.open) == limit + 1
     clients[0].transport.loseConnection()
     clients[1].transport.loseConnection()
     rig.run(0.2)
-    assert paused == [True, False]
+    assert full_states == [True, False]
