--- a/myrtlehub/relay/invariant_monitor.py
+++ b/myrtlehub/relay/invariant_monitor.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from myrtlehub.clock import Clock, Timer
-from myrtlehub.http1.server_connection import CloseReason
+from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
@@ -65,7 +65,7 @@
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
         """Check the close of a client's connection from this side."""
-        is_open = exchange is not None and not exchange.finished
+        is_open = exchange is not None and not exchange.is_finished
         self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
         self.counter.check(broken_by_close(is_open))
 
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -5,7 +5,7 @@
 from relaymessages import COMPLETE_STREAM, LAST_CHUNK, STREAM_HEAD, chat_request, chunk, stream_of
 from relayrig import RelayRig
 
-from myrtlehub.http1.client_connection import abortive_close
+from myrtlehub.http1.tcp_transport import abortive_close
 
 
 def test_connections_are_reused_for_the_next_request() -> None:
@@ -14,7 +14,7 @@
     rig.run(0.2)
     rig.request("a2", client=client)
     assert client.statuses == [200, 200]
-    assert len(rig.engines["w1"].connections) == 1 and rig.node.pool.reused == 1
+    assert len(rig.engines["w1"].connections) == 1 and rig.node.pool.reuse_count == 1
 
 
 def test_surplus_bytes_behind_a_response_are_never_another_requests_response() -> None:
@@ -48,7 +48,7 @@
 
 
 def test_a_connect_that_completes_as_it_is_cancelled_is_closed_with_nothing_written() -> None:
-    """The client leaves in the turn in which its connection to the engine is made, or in the one after."""
+    """The client disconnects within three reactor turns of the connection attempt to the engine."""
     for turns in (0, 1, 2, 3):
         rig = RelayRig("w1")
         client = rig.client()
@@ -58,7 +58,7 @@
         client.transport.other.protocol.connectionLost(None)
         rig.run(0.2)
         assert not rig.engines["w1"].chat_requests() and not rig.node.executor.in_flight, turns
-        assert rig.node.pool.count == sum(len(idle) for idle in rig.node.pool._idle.values())
+        assert rig.node.pool.count == len(rig.node.pool.idle)
 
 
 def test_reuse_is_suspended_after_a_reused_connection_broke() -> None:
@@ -72,17 +72,17 @@
     assert idle
     for connection in idle:
         connection.dataReceived = lambda data, connection=connection: connection.transport.abortConnection()
-    made, reused = rig.node.pool.made, rig.node.pool.reused
+    opened, reused = rig.node.pool.opened_count, rig.node.pool.reuse_count
     assert rig.request("b1").statuses == [200]  # the first breaks, and is retried on a new one
     for i in range(3):
         rig.run(0.2)
         assert rig.request(f"c{i}").statuses == [200]
-    assert rig.node.pool.reused == reused + 1 and rig.node.pool.made >= made + 4
+    assert rig.node.pool.reuse_count == reused + 1 and rig.node.pool.opened_count >= opened + 4
     rig.run(31.0)
     rig.request("d1")
     rig.run(0.2)
     rig.request("d2")
-    assert rig.node.pool.reused > reused + 1
+    assert rig.node.pool.reuse_count > reused + 1
 
 
 def test_an_at_most_once_request_uses_a_new_connection() -> None:
@@ -90,11 +90,11 @@
     for i in range(3):
         rig.request(f"a{i}", traffic="post")
         rig.run(0.2)
-    assert rig.node.pool.reused == 0 and len(rig.engines["w1"].connections) == 3
+    assert rig.node.pool.reuse_count == 0 and len(rig.engines["w1"].connections) == 3
 
 
 def test_an_abortive_close_is_seen_before_anything_written_later() -> None:
-    """On real sockets: the peer sees the end of one connection before the first byte on another."""
+    """On real sockets: the peer reads the end of the connection although the socket is still open."""
 
     class Transport:
         def __init__(self, near: socket.socket) -> None:
@@ -105,7 +105,7 @@
             return self.near
 
         def abortConnection(self) -> None:  # noqa: N802
-            self.aborted = True  # as the reactor does: the socket is closed a turn later
+            self.aborted = True  # the reactor closes the socket one turn later
 
     near, far = socket.socketpair()
     transport = Transport(near)
@@ -113,5 +113,5 @@
     far.setblocking(False)
     assert far.recv(1) == b"" and transport.aborted
     near.close()
-    abortive_close(transport)  # lost already: nothing is raised
+    abortive_close(transport)  # already closed: raises nothing
     far.close()
