--- a/benchmarks/event_relay_cost.py
+++ b/benchmarks/event_relay_cost.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from myrtlehub.relay.event_stream import EventStreamParser
+from myrtlehub.relay.engines.event_stream import EventStreamParser
 
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"abcdabcdabcd"},"finish_reason":null}]}\n\n'
 COUNT = 20_000
--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -11,13 +11,13 @@
 from myrtlehub.http1.server_connection import CloseReason, ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.relay import state_release
 from myrtlehub.relay.__main__ import main as run_relay
-from myrtlehub.relay.discovery_client import DiscoveryClient
-from myrtlehub.relay.engine_client import EngineClient
-from myrtlehub.relay.engine_directory import EngineDirectory
-from myrtlehub.relay.invariant_monitor import InvariantMonitor
-from myrtlehub.relay.state_release import StateRelease, StateReleaser
+from myrtlehub.relay.discovery.discovery_client import DiscoveryClient
+from myrtlehub.relay.engines import state_release
+from myrtlehub.relay.engines.engine_client import EngineClient
+from myrtlehub.relay.engines.engine_directory import EngineDirectory
+from myrtlehub.relay.engines.state_release import StateRelease, StateReleaser
+from myrtlehub.relay.monitoring.invariant_monitor import InvariantMonitor
 from myrtlehub.routing.policy import admission, retries, router
 from myrtlehub.state import invariants
 
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -13,16 +13,16 @@
 from myrtlehub.http1.connection_pool import Dial
 from myrtlehub.node.clock import SteadyClock
 from myrtlehub.node.process import on_signal, on_term, settle_memory
-from myrtlehub.relay.bounded_port import BoundedPort
 from myrtlehub.relay.errors import SettingsError
-from myrtlehub.relay.event_log import EventLog
-from myrtlehub.relay.graceful_shutdown import GracefulShutdown
-from myrtlehub.relay.log_writer import LogWriter
+from myrtlehub.relay.monitoring.event_log import EventLog
+from myrtlehub.relay.monitoring.log_writer import LogWriter
+from myrtlehub.relay.monitoring.uncaught_errors import log_uncaught_errors
 from myrtlehub.relay.node import RelayNode
-from myrtlehub.relay.node_settings import MIN_DESCRIPTORS, NodeSettings, read_node_settings
-from myrtlehub.relay.settings_reload import reload_settings
-from myrtlehub.relay.start_patience import with_patience
-from myrtlehub.relay.uncaught_errors import log_uncaught_errors
+from myrtlehub.relay.process.bounded_port import BoundedPort
+from myrtlehub.relay.process.graceful_shutdown import GracefulShutdown
+from myrtlehub.relay.process.start_patience import with_patience
+from myrtlehub.relay.settings.node_settings import MIN_DESCRIPTORS, NodeSettings, read_node_settings
+from myrtlehub.relay.settings.settings_reload import reload_settings
 
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
--- a/myrtlehub/relay/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -5,9 +5,9 @@
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
+from myrtlehub.relay.clients.request_decoder import RequestDecoder
 from myrtlehub.relay.errors import RejectedRequestError
-from myrtlehub.relay.platform_limits import DEFAULT_MAX_IN_FLIGHT
-from myrtlehub.relay.request_decoder import RequestDecoder
+from myrtlehub.relay.settings.platform_limits import DEFAULT_MAX_IN_FLIGHT
 from myrtlehub.state.invariants import InvariantCounter, broken_by_answer
 
 READY_PATH = b"/up"
--- a/myrtlehub/relay/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -8,9 +8,9 @@
 from myrtlehub.http1.server_exchange import ServerRequest
 from myrtlehub.limits.event_loop_lag import LagMeter
 from myrtlehub.node.endpoint_index import EndpointIndex, hash_key
+from myrtlehub.relay.clients.request_headers import forwarded_headers, parse_labels, parse_number, read_fields
 from myrtlehub.relay.errors import RejectedRequestError
-from myrtlehub.relay.node_settings import NodeSettings
-from myrtlehub.relay.request_headers import forwarded_headers, parse_labels, parse_number, read_fields
+from myrtlehub.relay.settings.node_settings import NodeSettings
 from myrtlehub.routing import contract
 
 ID_CHARACTERS = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
--- a/myrtlehub/relay/discovery_client.py
+++ b/myrtlehub/relay/discovery/discovery_client.py
@@ -9,9 +9,9 @@
 from myrtlehub.http1.interfaces import Clock, Headers, Timer
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.protocols import Log
-from myrtlehub.relay.endpoint_list import EndpointListDecoder, EndpointListUpdate
+from myrtlehub.relay.discovery.endpoint_list import EndpointListDecoder, EndpointListUpdate
 from myrtlehub.relay.errors import EndpointListError, MalformedJsonError
-from myrtlehub.relay.event_log import no_log
+from myrtlehub.relay.monitoring.event_log import no_log
 from myrtlehub.relay.parsing import parse_json
 
 PATH = b"/discovery/hosts"
--- a/myrtlehub/relay/endpoint_list.py
+++ b/myrtlehub/relay/discovery/endpoint_list.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple, Self
 
-from myrtlehub.relay.engine_starts import EngineStarts
+from myrtlehub.relay.discovery.engine_starts import EngineStarts
 from myrtlehub.relay.errors import EndpointListError
 from myrtlehub.relay.parsing import parse_address
 
--- a/myrtlehub/relay/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -10,14 +10,14 @@
 from myrtlehub.http1.interfaces import Headers
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.action_executor import Attempt
+from myrtlehub.relay.engines.event_stream import EventStreamParser
+from myrtlehub.relay.engines.response_outcomes import AttemptEnd, end_of_failure, end_of_head
 from myrtlehub.relay.errors import EventStreamError
-from myrtlehub.relay.event_stream import EventStreamParser
 from myrtlehub.relay.parsing import parse_load_report
-from myrtlehub.relay.response_outcomes import AttemptEnd, end_of_failure, end_of_head
 from myrtlehub.routing import contract
 
 if TYPE_CHECKING:
-    from myrtlehub.relay.engine_client import EngineClient
+    from myrtlehub.relay.engines.engine_client import EngineClient
 
 # For the rest of an event or a chunk: engines write them whole, and the client's end is due within 5 s.
 INCOMPLETE_EVENT_TIMEOUT_S = 2.5
--- a/myrtlehub/relay/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -8,15 +8,15 @@
 from myrtlehub.http1.interfaces import Clock
 from myrtlehub.node.action_executor import ActionExecutor, Attempt
 from myrtlehub.node.protocols import Log
-from myrtlehub.relay.attempt_response import AttemptResponseHandler
-from myrtlehub.relay.engine_directory import EngineDirectory
-from myrtlehub.relay.event_log import no_log
-from myrtlehub.relay.one_shot_response import OneShotResponse
+from myrtlehub.relay.clients.request_decoder import RequestDecoder
+from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
+from myrtlehub.relay.engines.engine_directory import EngineDirectory
+from myrtlehub.relay.engines.one_shot_response import OneShotResponse
+from myrtlehub.relay.engines.state_release import StateReleaser
+from myrtlehub.relay.engines.stream_monitor import StreamMonitor
+from myrtlehub.relay.engines.uncertain_attempts import UncertainAttempts
+from myrtlehub.relay.monitoring.event_log import no_log
 from myrtlehub.relay.parsing import parse_load_report
-from myrtlehub.relay.request_decoder import RequestDecoder
-from myrtlehub.relay.state_release import StateReleaser
-from myrtlehub.relay.stream_monitor import StreamMonitor
-from myrtlehub.relay.uncertain_attempts import UncertainAttempts
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import InvariantCounter, SendFacts, broken_by_send
--- a/myrtlehub/relay/engine_directory.py
+++ b/myrtlehub/relay/engines/engine_directory.py
@@ -3,7 +3,7 @@
 from myrtlehub.http1.connection_pool import ConnectionPool
 from myrtlehub.http1.interfaces import Clock
 from myrtlehub.node.endpoint_index import EndpointIndex
-from myrtlehub.relay.endpoint_list import EndpointState
+from myrtlehub.relay.discovery.endpoint_list import EndpointState
 
 
 class EngineDirectory:
--- a/myrtlehub/relay/state_release.py
+++ b/myrtlehub/relay/engines/state_release.py
@@ -8,8 +8,8 @@
 from myrtlehub.http1.interfaces import Clock, Timer
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.node.action_executor import InFlightSequence
-from myrtlehub.relay.engine_directory import EngineDirectory
-from myrtlehub.relay.one_shot_response import OneShotResponse
+from myrtlehub.relay.engines.engine_directory import EngineDirectory
+from myrtlehub.relay.engines.one_shot_response import OneShotResponse
 
 SECOND_RELEASE_DELAY_S = 0.25  # to a second release where an attempt may have ended after the first
 # Between looks at whether a sequence is over whose release no engine has answered.
--- a/myrtlehub/relay/event_log.py
+++ b/myrtlehub/relay/monitoring/event_log.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from myrtlehub.relay.log_writer import LogWriter
+from myrtlehub.relay.monitoring.log_writer import LogWriter
 
 # Events that are too many to be logged, unless RELAY_LOG asks for all of them.
 DETAILED_EVENTS = frozenset(
--- a/myrtlehub/relay/uncaught_errors.py
+++ b/myrtlehub/relay/monitoring/uncaught_errors.py
@@ -4,7 +4,7 @@
 
 from twisted.logger import LogLevel, eventAsText, globalLogBeginner
 
-from myrtlehub.relay.log_writer import LogWriter
+from myrtlehub.relay.monitoring.log_writer import LogWriter
 
 
 def log_uncaught_errors(writer: LogWriter) -> None:
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -10,16 +10,16 @@
 from myrtlehub.limits.event_loop_lag import TICK_PERIOD
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.protocols import Log
-from myrtlehub.relay.client_front import ClientFront
-from myrtlehub.relay.discovery_client import CONNECT_TIMEOUT_S, DiscoveryClient
-from myrtlehub.relay.endpoint_list import EndpointListDecoder, EndpointListUpdate
-from myrtlehub.relay.engine_client import EngineClient
+from myrtlehub.relay.clients.client_front import ClientFront
+from myrtlehub.relay.clients.request_decoder import RequestDecoder
+from myrtlehub.relay.discovery.discovery_client import CONNECT_TIMEOUT_S, DiscoveryClient
+from myrtlehub.relay.discovery.endpoint_list import EndpointListDecoder, EndpointListUpdate
+from myrtlehub.relay.engines.engine_client import EngineClient
 from myrtlehub.relay.errors import EndpointListError
-from myrtlehub.relay.event_log import no_log
-from myrtlehub.relay.invariant_monitor import InvariantMonitor, RecurringTimer
-from myrtlehub.relay.node_settings import NodeSettings, router_config_of
-from myrtlehub.relay.platform_limits import platform_limits_of
-from myrtlehub.relay.request_decoder import RequestDecoder
+from myrtlehub.relay.monitoring.event_log import no_log
+from myrtlehub.relay.monitoring.invariant_monitor import InvariantMonitor, RecurringTimer
+from myrtlehub.relay.settings.node_settings import NodeSettings, router_config_of
+from myrtlehub.relay.settings.platform_limits import platform_limits_of
 from myrtlehub.routing.policy.router import Router
 
 # Connections to discovery: one in 120 ms while it is silent, each for 2 s at most.
--- /dev/null
+++ b/myrtlehub/relay/settings/__init__.py
@@ -0,0 +1,1 @@
+"""The node settings: reading, checking and reloading them."""
--- a/myrtlehub/relay/platform_limits.py
+++ b/myrtlehub/relay/settings/platform_limits.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from myrtlehub.relay.errors import SettingsError
-from myrtlehub.relay.node_settings import NodeSettings
+from myrtlehub.relay.settings.node_settings import NodeSettings
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_KEEPALIVE_MS = 30000.0
--- a/myrtlehub/relay/settings_reload.py
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -4,7 +4,7 @@
 
 from myrtlehub.node.protocols import Log
 from myrtlehub.relay.errors import SettingsError
-from myrtlehub.relay.node_settings import NodeSettings, read_node_settings
+from myrtlehub.relay.settings.node_settings import NodeSettings, read_node_settings
 
 
 def reload_settings(
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -12,8 +12,8 @@
 from twisted.internet.task import Clock
 
 from myrtlehub.relay.node import RelayNode
-from myrtlehub.relay.node_settings import NodeSettings
 from myrtlehub.relay.parsing import SocketAddress
+from myrtlehub.relay.settings.node_settings import NodeSettings
 
 
 class ReceivedRequest(NamedTuple):
--- a/tests/test_byte_arrivals.py
+++ b/tests/test_byte_arrivals.py
@@ -6,7 +6,7 @@
 import pytest
 
 from myrtlehub.http1.byte_arrivals import MERGED_WITHIN_S, ByteArrivals
-from myrtlehub.relay.start_patience import lacks_resources, with_patience
+from myrtlehub.relay.process.start_patience import lacks_resources, with_patience
 
 
 def test_a_message_counts_from_its_own_last_byte() -> None:
--- a/tests/test_engine_starts.py
+++ b/tests/test_engine_starts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from myrtlehub.relay.endpoint_list import EndpointListDecoder
+from myrtlehub.relay.discovery.endpoint_list import EndpointListDecoder
 
 NOW = 5000.0  # by the node's clock
 UNIX_NOW = 1_700_000_000.0
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from myrtlehub.relay.event_log import MAX_DUMPED_EVENTS, EventLog
-from myrtlehub.relay.log_writer import LogWriter
+from myrtlehub.relay.monitoring.event_log import MAX_DUMPED_EVENTS, EventLog
+from myrtlehub.relay.monitoring.log_writer import LogWriter
 
 LINE = b"x" * 1023 + b"\n"
 
--- a/tests/test_relay_memory.py
+++ b/tests/test_relay_memory.py
@@ -9,9 +9,9 @@
 
 from myrtlehub.http1.server_exchange import ServerExchange, ServerRequest
 from myrtlehub.node.action_executor import Attempt, InFlightSequence
-from myrtlehub.relay.attempt_response import AttemptResponseHandler
-from myrtlehub.relay.client_front import ExchangeSink
-from myrtlehub.relay.request_decoder import DecodedRequest, EngineRequest
+from myrtlehub.relay.clients.client_front import ExchangeSink
+from myrtlehub.relay.clients.request_decoder import DecodedRequest, EngineRequest
+from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
 
 # All that refers to a request; the classes themselves, so that a renamed one can't be missed.
 REQUEST_CLASSES = (
--- a/tests/test_relay_rearming.py
+++ b/tests/test_relay_rearming.py
@@ -6,7 +6,7 @@
 from relaymessages import LONG_PROMPT, STREAM_HEAD
 from relayrig import RawClientFactory, RelayRig, never_respond
 
-from myrtlehub.relay.graceful_shutdown import GracefulShutdown
+from myrtlehub.relay.process.graceful_shutdown import GracefulShutdown
 
 
 class PlantedError(Exception):
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -18,8 +18,8 @@
 )
 from relayrig import PeerConnection, RelayRig, never_respond
 
+from myrtlehub.relay.engines.response_outcomes import END_BY_HEAD, end_of_failure, end_of_head
 from myrtlehub.relay.parsing import parse_load_report
-from myrtlehub.relay.response_outcomes import END_BY_HEAD, end_of_failure, end_of_head
 from myrtlehub.routing import contract
 
 
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -10,8 +10,8 @@
 from relayrig import RelayRig
 
 from myrtlehub.relay.errors import SettingsError
-from myrtlehub.relay.node_settings import read_node_settings
-from myrtlehub.relay.settings_reload import reload_settings
+from myrtlehub.relay.settings.node_settings import read_node_settings
+from myrtlehub.relay.settings.settings_reload import reload_settings
 
 
 def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -13,7 +13,7 @@
 )
 from relayrig import PeerConnection, RelayRig, never_respond
 
-from myrtlehub.relay.graceful_shutdown import GracefulShutdown
+from myrtlehub.relay.process.graceful_shutdown import GracefulShutdown
 
 
 def test_sigterm_answers_accepted_and_late_requests_then_ends() -> None:
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -6,8 +6,8 @@
 from relaymessages import DONE, EVENT, LAST_CHUNK, STREAM_HEAD, USAGE, chunk, stream_of
 from relayrig import RelayRig
 
+from myrtlehub.relay.engines.event_stream import MAX_EVENT_BYTES, EventStreamParser
 from myrtlehub.relay.errors import EventStreamError
-from myrtlehub.relay.event_stream import MAX_EVENT_BYTES, EventStreamParser
 from myrtlehub.routing import contract
 
 
