--- a/myrtlehub/relay/__init__.py
+++ b/myrtlehub/relay/__init__.py
@@ -1,6 +1,13 @@
-"""A node on the operators' HTTP/1.1 platform, as `python -m myrtlehub.relay` runs it.
+"""A router node for the operators' HTTP/1.1 platform, run as `python -m myrtlehub.relay`.
 
-Here live the node settings, the decoders of endpoint lists and requests, the discovery client, the engine
-transport, the client front, and what signals do. Decisions are made by `myrtlehub.routing` and executed by
-`myrtlehub.node.action_executor`; the HTTP protocol itself is in `myrtlehub.http1`.
+- `settings`: the node settings and their reload on SIGHUP.
+- `discovery`: the endpoint list, followed at the platform's discovery service.
+- `clients`: requests of clients and the responses to them.
+- `engines`: attempts at engines, their streams, releases of read state and probes.
+- `monitoring`: the event log and the checks of invariants.
+- `process`: the listening port, start-up retries and graceful shutdown.
+- `node`: assembles these parts.
+
+Routing decisions are made by `myrtlehub.routing` and executed by `myrtlehub.node.action_executor`; the HTTP
+protocol is implemented in `myrtlehub.http1`.
 """
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m myrtlehub.relay`: one node on the platform's HTTP protocol, configured by $RELAY_CONFIG."""
+"""Command `python -m myrtlehub.relay`: run one node, with the settings file named by $RELAY_CONFIG."""
 
 import os
 import resource
@@ -6,7 +6,7 @@
 import sys
 import time
 from functools import partial
-from typing import Any
+from typing import Any, NoReturn
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
@@ -20,22 +20,23 @@
 from myrtlehub.relay.node import RelayNode
 from myrtlehub.relay.process.bounded_port import BoundedPort
 from myrtlehub.relay.process.graceful_shutdown import GracefulShutdown
-from myrtlehub.relay.process.start_patience import with_patience
+from myrtlehub.relay.process.startup_retry import retry_on_resource_shortage
 from myrtlehub.relay.settings.node_settings import MIN_DESCRIPTORS, NodeSettings, read_node_settings
 from myrtlehub.relay.settings.settings_reload import reload_settings
 
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
-LAST_FLUSH_S = 0.2  # for which the end of the process waits for a slow reader of its log
+EXIT_CONFIGURATION_ERROR = 2
+LAST_FLUSH_TIMEOUT_S = 0.2  # for which the process waits at its end for a slow reader of its log
 
 
-def _fail(text: str) -> None:
-    print(f"relay: {text}", file=sys.stderr)
-    sys.exit(2)
+def _fail(message: str) -> NoReturn:
+    print(f"relay: {message}", file=sys.stderr)
+    sys.exit(EXIT_CONFIGURATION_ERROR)
 
 
 def _within_process_limit(settings: NodeSettings) -> NodeSettings:
-    """Return the settings with as many descriptors as the system allows this process, if these are fewer."""
+    """Return the settings with `descriptors` reduced to the system's limit for this process."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit == resource.RLIM_INFINITY or limit >= settings.descriptors:
         return settings
@@ -45,18 +46,18 @@
 
 
 class Program:
-    """The process: a node, its port, and what signals do."""
+    """The process: a node, its port and its signal handlers."""
 
     def __init__(self, path: str, reactor: Any) -> None:  # noqa: ANN401
         self.path = path
         self.reactor = reactor
         clock = SteadyClock(reactor)
         self.log = EventLog(LogWriter(STANDARD_OUTPUT), clock.seconds, os.environ.get("RELAY_LOG") == "all")
-        # Before the file is read and the port bound: whoever writes a newer file meanwhile, or wants the
-        # process gone once clients wait, is heard as soon as the reactor runs.
+        # Registered before the file is read and the port bound: a signal that arrives in between is handled
+        # as soon as the reactor runs.
         on_signal(signal.SIGHUP, self._on_hangup, reactor)
         on_term(self._on_terminate, reactor)
-        self.settings = with_patience(partial(read_node_settings, path))
+        self.settings = retry_on_resource_shortage(partial(read_node_settings, path))
         self.node = RelayNode(
             _within_process_limit(self.settings),
             clock,
@@ -71,14 +72,14 @@
         )
 
     def _listen(self) -> BoundedPort:
-        """Bind the port, and accept nobody until the node lets clients in.
+        """Bind the port, without accepting connections until the node opens.
 
-        Guards against requests that are there before the list: what waited for a restarted node would be read
-        in the turn in which discovery's first answer comes, and be sent by an old list.
+        Otherwise a request that waited for a restarted node would be read in the same reactor turn as
+        discovery's first response, and be routed by the outdated fallback list.
         """
         listen = self.settings.listen
         port = BoundedPort(self.node.listener, self.node.clock, (listen.host, listen.port), self.reactor)
-        with_patience(port.startListening)
+        retry_on_resource_shortage(port.startListening)
         port.pause()
         self.node.on_open = port.resume
         self.node.listener.on_full = port.set_full
@@ -89,10 +90,11 @@
         return TCP4ClientEndpoint(self.reactor, host, int(port), timeout=timeout).connect
 
     def _on_hangup(self) -> None:
-        reload_settings(self.path, self.settings, self.node.discovery.move, self.log)
+        reload_settings(self.path, self.settings, self.node.discovery.change_address, self.log)
 
     def _on_terminate(self) -> None:
-        self.node.open()  # who waits to be accepted was taken by this machine, and an answer is due
+        # Clients in the system's accept queue are connected already, so they need a response.
+        self.node.open()
         self.shutdown.start()
 
     def _stop_listening(self) -> None:
@@ -100,14 +102,14 @@
         self.port.stopListening()
 
     def run(self) -> None:
-        """Run until SIGTERM and the end of all that is in flight."""
+        """Run until SIGTERM was received and nothing is in flight."""
         self.node.measure_lag()
         self.node.start()
         settle_memory()
         self.reactor.run(installSignalHandlers=False)
         self.node.monitor.log_counters()
         self.log("ended", **dict(sorted(self.node.executor.answer_counts.items())))
-        self.log.flush(LAST_FLUSH_S)
+        self.log.flush(LAST_FLUSH_TIMEOUT_S)
 
 
 def _install_reactor() -> Any:  # noqa: ANN401
@@ -117,13 +119,13 @@
 
 
 def main() -> None:
-    """Run until SIGTERM; exit 2 with a line where the configuration can't be used."""
+    """Run until SIGTERM; exit with status 2 and one line on standard error if the settings are invalid."""
     path = os.environ.get("RELAY_CONFIG", "")
     if not path:
         _fail("RELAY_CONFIG: is not set; name the configuration file by it")
     from twisted.internet.error import CannotListenError
 
-    reactor = with_patience(_install_reactor)
+    reactor = retry_on_resource_shortage(_install_reactor)
     log_uncaught_errors(LogWriter(STANDARD_ERROR))
     try:
         program = Program(path, reactor)
--- a/myrtlehub/relay/discovery/discovery_client.py
+++ b/myrtlehub/relay/discovery/discovery_client.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list at the platform's discovery: the complete list first, then a watch."""
+"""Client of the discovery service: fetches the complete endpoint list, then watches for changes."""
 
 from collections.abc import Callable
 from random import Random
@@ -15,21 +15,22 @@
 from myrtlehub.relay.parsing import parse_json
 
 PATH = b"/discovery/hosts"
-# A change has to count 6 s after discovery had it. At the worst a watch falls silent just after it was sent,
-# and the next connection is slow: WATCH_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S, CONNECT_TIMEOUT_S and
-# RESPONSE_TIMEOUT_S, in all 5.12 s.
-WATCH_S = 2.0  # that a watch may wait: an agent that went silent is noticed that soon
-RESPONSE_TIMEOUT_S = 1.0  # for a response beyond that wait
-CONNECT_TIMEOUT_S = 1.0  # for a connection to be made
-# From request to request while there is no list: what the agent has counts from the moment at which it has
-# it, a request that it took while it was silent is never answered, and the least grace is 250 ms.
+# A change has to take effect within 6 s. In the worst case a watch falls silent just after it was sent and
+# the next connection is slow, which takes WATCH_S + RESPONSE_TIMEOUT_S + RETRY_INTERVAL_S +
+# CONNECT_TIMEOUT_S + RESPONSE_TIMEOUT_S = 5.12 s.
+WATCH_S = 2.0  # time for which discovery may hold a watch without a change; bounds the time to notice silence
+RESPONSE_TIMEOUT_S = 1.0  # for a response, in addition to the time of the watch
+CONNECT_TIMEOUT_S = 1.0
+# Between requests while there is no current list. Requests that discovery received while it was silent are
+# never answered, and a draining engine accepts work for as little as 250 ms after discovery knows of it.
 RETRY_INTERVAL_S = 0.12
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of one response
-TIMER_TOLERANCE_S = 0.001  # by which a timer may come early
+MAX_LIST_BYTES = 4 * 1024 * 1024  # of one response body
+TIMER_TOLERANCE_S = 0.001  # by which a timer may fire early
+STATUS_OK = 200
 
 
 class _ListResponse(ResponseHandler):
-    """Collects one response; `on_body` is called with its body, or None where it can't be used."""
+    """Collects a response; `on_body` is called once, with the body or None if there is no usable response."""
 
     def __init__(self, on_body: Callable[[bytes | None], None]) -> None:
         self.on_body = on_body
@@ -46,20 +47,20 @@
             self.parts.append(data)
 
     def on_complete(self) -> None:
-        usable = self.status == 200 and self.size <= MAX_LIST_BYTES
-        self.on_body(b"".join(self.parts) if usable else None)
+        is_usable = self.status == STATUS_OK and self.size <= MAX_LIST_BYTES
+        self.on_body(b"".join(self.parts) if is_usable else None)
 
     def on_failure(self, request_sent: bool) -> None:
         self.on_body(None)
 
 
 class DiscoveryClient:
-    """Calls `on_update` with each complete list and each change, in order.
+    """Follows the endpoint list and calls `on_update` with each complete list and each change, in order.
 
     Attributes:
-        address: Where discovery is.
-        version: Of the list; None: the complete list is to be read next.
-        has_answered: Discovery has answered at least once.
+        address: HOST:PORT of the discovery service.
+        version: Version of the current list; None if the complete list has to be fetched next.
+        has_answered: Whether discovery has sent a valid list or change since the start.
     """
 
     def __init__(
@@ -81,36 +82,36 @@
         self.log = log
         self.version: int | None = None
         self.has_answered = False
-        self._failures = 0
+        self._failure_count = 0  # since the last valid response
         self._pending: list[PendingRequest] = []  # more than one only while discovery is silent
         self._timers: list[Timer] = []
-        self._closed = False
+        self._is_closed = False
 
     def start(self) -> None:
-        """Request the list, and go on from there."""
-        self._send()
+        """Fetch the complete list and follow it from then on."""
+        self._send_request()
 
-    def move(self, address: str) -> None:
-        """Follow discovery at another address: its first answer is the complete list."""
+    def change_address(self, address: str) -> None:
+        """Follow discovery at another address, beginning with the complete list."""
         if address == self.address:
             return
-        self._stop()
+        self._cancel_all()
         self.pool.close_idle(self.address)
         self.address = address
         self.version = None
-        self._failures = 0
-        self._send()
+        self._failure_count = 0
+        self._send_request()
 
     def is_armed(self) -> bool:
-        """Return whether something is due that goes on to follow the list."""
-        return self._closed or any(timer.active() for timer in self._timers)
+        """Return whether a timer is scheduled that will send the next request; True once closed."""
+        return self._is_closed or any(timer.active() for timer in self._timers)
 
     def close(self) -> None:
-        """Stop for good: the node ends."""
-        self._closed = True
-        self._stop()
+        """Stop following the list for good."""
+        self._is_closed = True
+        self._cancel_all()
 
-    def _stop(self) -> None:
+    def _cancel_all(self) -> None:
         """Cancel all requests and timers."""
         timers, self._timers = self._timers, []
         for timer in timers:
@@ -125,27 +126,29 @@
         self._timers = [*(other for other in self._timers if other.active()), timer]
         return timer
 
-    def _send(self) -> None:
+    def _send_request(self) -> None:
+        """Send a watch from the current version, or a request for the complete list."""
         watch_time = 0.0
         target = PATH
         if self.version is not None:
             watch_time = WATCH_S
             target += b"?since=%d&timeout_ms=%d" % (self.version, WATCH_S * 1000)
         response = _ListResponse(lambda body: self._on_body(pending, body))
-        # Before all that may raise: without it nothing would ever be heard of discovery again.
-        next_request = self._call_later(RETRY_INTERVAL_S, self._send)
+        # Scheduled before the send, which may raise: otherwise discovery would never be polled again.
+        next_request = self._call_later(RETRY_INTERVAL_S, self._send_request)
         pending = self.pool.send(self.address, self.address, ClientRequest(b"GET", target, []), response)
         self._pending.append(pending)
         self._call_later(watch_time + RESPONSE_TIMEOUT_S, self._on_timeout, pending, watch_time)
         if self.version is not None:
-            # Only without a list is one sent beside it: this process may itself be late to read.
+            # A watch runs alone; requests for the complete list overlap. If this process was suspended, the
+            # response to the watch may have arrived already.
             next_request.cancel()
 
     def _on_timeout(self, pending: PendingRequest, watch_time: float) -> None:
-        """Give a request up once its connection has been up for as long as a response may take.
+        """Cancel a request that was not answered within its time since its connection was established.
 
-        Guards against requests given up just as they are connected, again and again, where each takes almost
-        as long to connect as a response may.
+        The time counts from the connection, not from the request. Otherwise, if each connection took almost
+        RESPONSE_TIMEOUT_S, each request would be cancelled just after it was sent.
         """
         if pending not in self._pending:
             return
@@ -157,7 +160,7 @@
         self._on_body(pending, None)
 
     def _on_body(self, pending: PendingRequest, body: bytes | None) -> None:
-        if self._closed or pending not in self._pending:
+        if self._is_closed or pending not in self._pending:
             return
         self._pending.remove(pending)
         try:
@@ -165,18 +168,18 @@
         except (EndpointListError, MalformedJsonError) as error:
             self._on_failure(str(error))
             return
-        if self._failures:
-            self.log("discovery answers again", after=self._failures)
-        self._stop()
-        self._failures = 0
+        if self._failure_count:
+            self.log("discovery answers again", after=self._failure_count)
+        self._cancel_all()
+        self._failure_count = 0
         self.has_answered = True
-        # Where the update can't be applied, the complete list is read anew.
-        next_request = self._call_later(RETRY_INTERVAL_S, self._send)
+        # If on_update() raises, the complete list is fetched again after RETRY_INTERVAL_S.
+        next_request = self._call_later(RETRY_INTERVAL_S, self._send_request)
         self.version = None
-        if update.entries or update.complete:
+        if update.entries or update.is_complete:
             self.on_update(update)
         self.version = update.version
-        # a turn later, so that answers at once are no recursion; a watch is renewed well within its 200 ms
+        # The watch is renewed in the next reactor turn, as an immediate response would cause recursion.
         next_request.reset(0)
 
     def _decode(self, body: bytes | None) -> EndpointListUpdate:
@@ -184,16 +187,20 @@
             raise EndpointListError("no answer")
         now = self.clock.seconds()
         update = self.decoder.decode(parse_json(body), now)
-        self.decoder.starts.discovery_answered(now)  # not the fallback list, which may be old
-        if self.version is None and not update.complete:
+        # Not called for the fallback list, which may be old.
+        self.decoder.start_times.discovery_responded(now)
+        if self.version is None and not update.is_complete:
             raise EndpointListError("whole: the first answer has to be the whole list")
         return update
 
     def _on_failure(self, reason: str) -> None:
-        """Begin with the complete list, and request it again and again until it is there."""
-        self._failures += 1
+        """Fetch the complete list next, and retry until it has been received.
+
+        If there was no current list, the timer of the next request is scheduled already.
+        """
+        self._failure_count += 1
         if self.version is not None:
             self.version = None
-            self._call_later(RETRY_INTERVAL_S * (0.5 + 0.5 * self.random.random()), self._send)
-        if self._failures == 1:
+            self._call_later(RETRY_INTERVAL_S * (0.5 + 0.5 * self.random.random()), self._send_request)
+        if self._failure_count == 1:
             self.log("discovery does not answer", why=reason)
--- a/myrtlehub/relay/discovery/endpoint_list.py
+++ b/myrtlehub/relay/discovery/endpoint_list.py
@@ -1,30 +1,14 @@
-"""Endpoint lists as discovery writes them, decoded into endpoint entries."""
+"""Decoder for the endpoint lists of the discovery service."""
 
-from enum import StrEnum
 from typing import Any, NamedTuple, Self
 
-from myrtlehub.relay.discovery.engine_starts import EngineStarts
+from myrtlehub.membership.endpoint import EndpointFields, EndpointState
+from myrtlehub.relay.discovery.engine_start_times import EngineStartTimes
 from myrtlehub.relay.errors import EndpointListError
 from myrtlehub.relay.parsing import parse_address
 
-MIN_AGE_S = 1e-6  # of an engine that has just started: an age of 0 stands for long ago
-
-
-def _born_ms(host: Any) -> float:  # noqa: ANN401
-    """Return when an entry says that its engine started, in Unix milliseconds; 0: long ago, or unreadable."""
-    born_ms = host.get("born_ms") if isinstance(host, dict) else None
-    is_number = isinstance(born_ms, (int, float)) and not isinstance(born_ms, bool)
-    return born_ms if is_number and 0.0 < born_ms < float("inf") else 0.0
-
-
-class EndpointState(StrEnum):
-    """The state of an engine in the list; the values are those of `node.endpoint_index`."""
-
-    SERVING = "serving"
-    DRAINING = "draining"
-    GONE = "gone"
-
-
+# Least age of an engine whose start is stated, in seconds, since an age of 0 means that it is unknown.
+MIN_AGE_S = 1e-6
 STATE_BY_HEALTH = {
     "active": EndpointState.SERVING,
     "leaving": EndpointState.DRAINING,
@@ -34,75 +18,108 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One engine of the list. `address` is its name, `dial_address` where it is reached."""
+    """One engine of the endpoint list.
+
+    Attributes:
+        address: Name of the engine in the list.
+        kind: Machine type.
+        zone: Zone of the engine.
+        cell: Block of engines within the zone; its engines may share a memory of idempotency keys.
+        weight: Relative amount of work; an engine of weight 0 is treated as draining.
+        state: One of `EndpointState`.
+        age: Seconds since the engine started; 0 if unknown or long ago.
+        dial_address: HOST:PORT of the engine; may be empty for an engine that is gone.
+        model: Model that the engine serves; the platform does not state it.
+    """
 
     address: str
     kind: str
     zone: str
     cell: int
     weight: float
-    state: EndpointState
+    state: str
     age: float
     dial_address: str
     model: str = ""
 
     @property
-    def field_values(self) -> tuple:
-        """The fields that rows of all sources have."""
+    def field_values(self) -> EndpointFields:
+        """The fields that entries of all endpoint sources have."""
         return (*self[:7], self.model)
 
     def with_fields(self, **fields: Any) -> Self:  # noqa: ANN401
-        """Return the same with some fields replaced."""
+        """Return a copy with some fields replaced."""
         return self._replace(**fields)
 
 
 class EndpointListUpdate(NamedTuple):
-    """A complete list, or changes to it."""
+    """A complete endpoint list, or a change to it.
+
+    Attributes:
+        version: Version of the list after the update.
+        is_complete: `entries` is the whole list; otherwise it has only the changed entries.
+        entries: The valid entries.
+    """
 
     version: int
-    complete: bool
+    is_complete: bool
     entries: list[EndpointEntry]
 
 
 class EndpointListDecoder:
-    """Decodes lists and changes, and remembers the last entry of each engine.
+    """Decodes endpoint lists and changes, and caches the latest entry of each engine.
+
+    Args:
+        kinds: The machine types of the settings.
+        zones: The zones of the settings.
+        epoch: The Unix time in seconds at which the node's clock showed 0.
 
-    `kinds` and `zones` are the names that the settings allow; `epoch` is the Unix time when the node's clock
-    showed 0.
+    Attributes:
+        start_times: Start times of the engines.
+        entries: The latest entry of each engine that is not gone, by name.
     """
 
     def __init__(self, kinds: dict[str, int], zones: dict[str, int], epoch: float) -> None:
         self.kinds = kinds
         self.zones = zones
-        self.starts = EngineStarts(epoch)
-        self.entries: dict[str, EndpointEntry] = {}  # by name; engines that are gone are not kept
+        self.start_times = EngineStartTimes(epoch)
+        self.entries: dict[str, EndpointEntry] = {}
 
     def decode(self, message: Any, now: float) -> EndpointListUpdate:  # noqa: ANN401
-        """Decode what discovery wrote; EndpointListError where nothing of it can be read.
+        """Decode a message of discovery.
+
+        An invalid entry is skipped, unless it says that a known engine drains or is gone: then the rest is
+        taken from the engine's latest valid entry, because no work may be sent to it any more.
+
+        Args:
+            message: The message, parsed from JSON.
+            now: The time in seconds of the node's clock.
 
-        Entries that can't be read are left out alone. A notice that an engine drains or is gone is never left
-        out, whatever else of the entry can't be read: its last entry supplies the rest.
+        Raises:
+            EndpointListError: The message has no list of entries.
         """
         if not isinstance(message, dict) or not isinstance(message.get("hosts"), list):
             raise EndpointListError("hosts: is missing")
-        self.starts.correct(max(map(_born_ms, message["hosts"]), default=0.0), now)
+        self.start_times.correct_epoch(max(map(_stated_start_ms, message["hosts"]), default=0.0), now)
         decoded = (self._decode_entry(host, now) or self._leaving_notice(host) for host in message["hosts"])
         entries = [entry for entry in decoded if entry is not None]
-        if message.get("whole"):
+        is_complete = bool(message.get("whole"))
+        if is_complete:
             self.entries = {}
         for entry in entries:
-            if entry.state == EndpointState.GONE:
-                self.entries.pop(entry.address, None)
-                self.starts.forget(entry.address)
-            else:
-                self.entries[entry.address] = entry
+            self._cache(entry)
         version = message.get("seq")
-        return EndpointListUpdate(
-            version if isinstance(version, int) else 0, bool(message.get("whole")), entries
-        )
+        return EndpointListUpdate(version if isinstance(version, int) else 0, is_complete, entries)
+
+    def _cache(self, entry: EndpointEntry) -> None:
+        if entry.state == EndpointState.GONE:
+            self.entries.pop(entry.address, None)
+            self.start_times.forget(entry.address)
+        else:
+            self.entries[entry.address] = entry
 
     def _leaving_notice(self, host: Any) -> EndpointEntry | None:  # noqa: ANN401
-        """Read an unreadable entry as far as it is a notice that an engine drains or is gone."""
+        """Return the latest entry with its new state if an invalid entry says that the engine is leaving."""
         if not isinstance(host, dict) or not isinstance(host.get("host"), str):
             return None
         state = STATE_BY_HEALTH.get(str(host.get("health")))
@@ -112,10 +129,11 @@
         return entry._replace(state=state)
 
     def _decode_entry(self, host: Any, now: float) -> EndpointEntry | None:  # noqa: ANN401
+        """Return the entry; None if it is invalid."""
         try:
             state = STATE_BY_HEALTH[host["health"]]
-            born_ms = _born_ms(host)
-            if host.get("born_ms") and not born_ms:
+            stated_ms = _stated_start_ms(host)
+            if host.get("born_ms") and not stated_ms:
                 return None
             dial_address = host.get("dial", "")
             if state != EndpointState.GONE and parse_address(dial_address) is None:
@@ -128,9 +146,20 @@
                 return None
             if not (isinstance(host["host"], str) and host["host"] and isinstance(cell, int)):
                 return None
-            age = 0.0
-            if born_ms:
-                age = max(MIN_AGE_S, now - self.starts.started_at(host["host"], born_ms, now))
+            age = self._age(host["host"], stated_ms, now)
             return EndpointEntry(host["host"], kind, zone, cell, weight, state, age, dial_address)
         except (KeyError, TypeError, ValueError, AttributeError):
             return None
+
+    def _age(self, name: str, stated_ms: float, now: float) -> float:
+        if not stated_ms:
+            return 0.0
+        return max(MIN_AGE_S, now - self.start_times.started_at(name, stated_ms, now))
+
+
+def _stated_start_ms(host: Any) -> float:  # noqa: ANN401
+    """Return the start that an entry states, in Unix milliseconds; 0 if it states none or an invalid one."""
+    stated_ms = host.get("born_ms") if isinstance(host, dict) else None
+    if not isinstance(stated_ms, (int, float)) or isinstance(stated_ms, bool):
+        return 0.0
+    return stated_ms if 0.0 < stated_ms < float("inf") else 0.0
--- a/myrtlehub/relay/errors.py
+++ b/myrtlehub/relay/errors.py
@@ -1,31 +1,31 @@
-"""Errors of the relay."""
+"""Exceptions of the relay."""
 
 
 class RelayError(Exception):
-    """Any error of the relay."""
+    """Base class of the relay's exceptions."""
 
 
 class MalformedJsonError(RelayError, ValueError):
-    """Bytes that are not JSON, or are nested too deep."""
+    """The bytes are not JSON, or their nesting is too deep."""
 
 
 class SettingsError(RelayError, ValueError):
-    """Node settings that cannot be used. The text names the key and says what to do."""
+    """The node settings cannot be used. The message names the key, the fault and the remedy."""
 
 
 class EndpointListError(RelayError, ValueError):
-    """An endpoint list that cannot be used. The text names the key."""
+    """The endpoint list cannot be used. The message names the key."""
 
 
 class EventStreamError(RelayError, ValueError):
-    """A stream of an engine that is no stream of server-sent events."""
+    """An engine's response body is not a valid stream of server-sent events."""
 
 
 class RejectedRequestError(RelayError):
-    """A malformed request; nothing of it ran.
+    """A client's request is malformed. It has not been executed.
 
     Attributes:
-        status: The status of the response.
+        status: HTTP status of the response to the client.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/myrtlehub/relay/monitoring/event_log.py
+++ b/myrtlehub/relay/monitoring/event_log.py
@@ -1,4 +1,4 @@
-"""The log of events: one JSON object a line, and the last events in memory for when something goes wrong."""
+"""The event log: JSON lines, and a flight recorder with the latest events for the analysis of violations."""
 
 import itertools
 from collections import deque
@@ -9,14 +9,15 @@
 
 from myrtlehub.relay.monitoring.log_writer import LogWriter
 
-# Events that are too many to be logged, unless RELAY_LOG asks for all of them.
+# Events that are too frequent to be written, unless RELAY_LOG=all.
 DETAILED_EVENTS = frozenset(
     ("answer", "engine", "attempt", "broken", "request rejected", "withheld", "release", "closed")
 )
-MAX_RECORDED_EVENTS = 2000
-MAX_DUMPED_EVENTS = 300  # the latest: what came before a violation
-DUMP_INTERVAL_S = 10.0  # at least, from one dump to the next
-LOGGED = msgspec.json.Encoder(enc_hook=str)
+MAX_RECORDED_EVENTS = 2000  # size of the flight recorder
+MAX_DUMPED_EVENTS = 300  # the latest events written by one dump
+DUMP_INTERVAL_S = 10.0  # least time between two dumps, so that repeated violations do not flood the log
+TIME_DIGITS = 4  # decimal places of the seconds in a dump
+_line_encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 def no_log(event: str, **fields: object) -> None:
@@ -24,7 +25,7 @@
 
 
 class RecordedEvent(NamedTuple):
-    """An event in memory; `at` in seconds of the node's clock."""
+    """An event in the flight recorder; `at` is in seconds of the node's clock."""
 
     at: float
     event: str
@@ -32,9 +33,14 @@
 
 
 class EventLog:
-    """Logs events, and keeps the last ones of all kinds in memory (a flight recorder).
+    """Writes events as JSON lines, and records the latest events of all kinds in memory.
 
-    It never raises: a node must not fail for lack of its log.
+    It never raises: a node must not fail because it cannot write its log.
+
+    Args:
+        writer: Writes the lines.
+        now: Returns the node's time in seconds.
+        log_all: Write detailed events too.
     """
 
     def __init__(self, writer: LogWriter, now: Callable[[], float], log_all: bool = False) -> None:
@@ -42,31 +48,32 @@
         self._now = now
         self._log_all = log_all
         self._recorded: deque[RecordedEvent] = deque(maxlen=MAX_RECORDED_EVENTS)
-        self._dumped_at = float("-inf")
+        self._last_dump_at = float("-inf")
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401
-        """Record an event, and write it unless it is a detail."""
+        """Record an event, and write it unless it is a detailed one."""
         self._recorded.append(RecordedEvent(self._now(), event, fields))
         if self._log_all or event not in DETAILED_EVENTS:
             self._write(event, fields)
 
     def _write(self, event: str, fields: dict[str, Any]) -> None:
         try:
-            line = LOGGED.encode({"event": event, **fields})
+            line = _line_encoder.encode({"event": event, **fields})
         except (TypeError, ValueError) as error:
-            line = LOGGED.encode({"event": "unreadable event", "why": type(error).__name__})
+            line = _line_encoder.encode({"event": "unreadable event", "why": type(error).__name__})
         self._writer.write_line(line + b"\n")
 
     def dump(self) -> None:
-        """Write the last events, details among them; once in a while at most."""
+        """Write the latest recorded events, detailed ones included, unless a dump was written recently."""
         now = self._now()
-        if self._log_all or now < self._dumped_at + DUMP_INTERVAL_S:
+        if self._log_all or now < self._last_dump_at + DUMP_INTERVAL_S:
             return
-        self._dumped_at = now
+        self._last_dump_at = now
         first = max(0, len(self._recorded) - MAX_DUMPED_EVENTS)
         for recorded in list(itertools.islice(self._recorded, first, None)):
-            self._write("recorded", {"at": round(recorded.at, 4), "of": recorded.event, **recorded.fields})
+            at = round(recorded.at, TIME_DIGITS)
+            self._write("recorded", {"at": at, "of": recorded.event, **recorded.fields})
 
-    def flush(self, patience: float) -> None:
-        """Write what waits as the log's reader was slow; wait so many seconds for it at most."""
-        self._writer.flush(patience)
+    def flush(self, timeout: float) -> None:
+        """Write buffered lines, waiting up to `timeout` seconds for a slow reader of the log."""
+        self._writer.flush(timeout)
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -1,9 +1,9 @@
-"""Checks the invariants of a running node, and writes its counters."""
+"""Periodic checks of a running node's invariants, and the periodic log line with its counters."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from myrtlehub.http1.interfaces import Clock, Timer
+from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.server_connection import CloseReason
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
@@ -20,56 +20,57 @@
 
 CHECK_INTERVAL_S = 0.1
 COUNTERS_INTERVAL_S = 10.0
-# By which an answer may be late before that is a violation: a client may get it 0.5 s after its time.
+# Lateness of an answer that is not yet a violation: a client accepts it up to 0.5 s after its deadline.
 LATE_ANSWER_TOLERANCE_S = 0.1
 
 
 class RecurringTimer(NamedTuple):
-    """Something that recurs, by its name; `is_armed` tells whether it is still due."""
+    """A periodic task; `is_armed` returns whether its next run is scheduled."""
 
     name: str
     is_armed: Callable[[], bool]
 
 
 class InvariantMonitor:
-    """Checks what no single path can: answers that are overdue, timers that are not due any more.
+    """Checks the invariants that no single code path can check: overdue answers and timers that have stopped.
 
     Attributes:
-        counter: What was withheld and violated so far.
-        timers: What has to recur for as long as the node runs.
+        counter: Counts withheld sends and violations.
+        timers: The periodic tasks that have to run for as long as the node does.
         on_violation: Called after a violation was logged.
-        worst_lag: Returns by how many seconds this process ran late at worst.
+        worst_lag: Returns the largest event loop lag so far, in seconds.
+        executor: Owns the sequences that are checked; set by `attach`.
     """
 
+    executor: ActionExecutor
+
     def __init__(self, clock: Clock, log: Log) -> None:
         self.clock = clock
         self.log = log
-        self.counter = InvariantCounter(self._violated)
+        self.counter = InvariantCounter(self._log_violation)
         self.timers: list[RecurringTimer] = []
         self.on_violation: Callable[[], None] = lambda: None
         self.worst_lag: Callable[[], float] = lambda: 0.0
-        self.executor: ActionExecutor | None = None
-        self._timer: Timer | None = None
-        self._late_before: set[int] = set()  # numbers of sequences that were late at the last look
-        self._counters_due = clock.seconds() + COUNTERS_INTERVAL_S
+        self._overdue_at_last_check: set[int] = set()  # by sequence number
+        self._next_counters_at = clock.seconds() + COUNTERS_INTERVAL_S
 
     def attach(self, executor: ActionExecutor) -> None:
         """Check the sequences of this executor."""
         self.executor = executor
-        executor.on_forgotten = self._forgotten
+        executor.on_forgotten = self._check_forgotten
 
     def start(self) -> None:
-        """Check from now on."""
-        self._timer = self.clock.callLater(CHECK_INTERVAL_S, self._check)
+        """Start the periodic check."""
+        self.clock.callLater(CHECK_INTERVAL_S, self._check)
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
-        """Check the close of a client's connection from this side."""
+        """Check a close of a client's connection by this side."""
         is_open = exchange is not None and not exchange.finished
         self.log("closed", why=reason, is_open=is_open)
         self.counter.check(broken_by_close(is_open, client_has_closed=False))
 
     def log_counters(self) -> None:
-        """Write the counters."""
+        """Log the counters of answers, withheld sends and violations."""
         self.log(
             "counters",
             answers=dict(sorted(self.executor.answer_counts.items())),
@@ -79,31 +80,39 @@
             violations=dict(sorted(self.counter.violations.items())),
         )
 
-    def _violated(self, invariant: Invariant, sequence_id: str) -> None:
+    def _log_violation(self, invariant: Invariant, sequence_id: str) -> None:
         self.log("invariant violated", invariant=invariant, seq=sequence_id)
         self.on_violation()
 
-    def _forgotten(self, sequence: InFlightSequence) -> None:
+    def _check_forgotten(self, sequence: InFlightSequence) -> None:
         broken = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(broken, sequence.sequence_id)
 
     def _check(self) -> None:
-        self._timer = self.clock.callLater(CHECK_INTERVAL_S, self._check)
+        self.clock.callLater(CHECK_INTERVAL_S, self._check)
         now = self.clock.seconds()
-        late = [sequence for sequence in self.executor.in_flight.values() if self._is_overdue(sequence, now)]
-        # Only at the second look: after a time in which this process was held up the router has its turn.
-        overdue = [sequence for sequence in late if sequence.number in self._late_before]
-        self._late_before = {sequence.number for sequence in late}
+        overdue = self._overdue_sequences(now)
         for sequence in overdue:
             broken = broken_by_waiting(now - sequence.deadline, LATE_ANSWER_TOLERANCE_S)
             self.counter.check(broken, sequence.sequence_id)
-        if now >= self._counters_due:
-            self._counters_due = now + COUNTERS_INTERVAL_S
+        if now >= self._next_counters_at:
+            self._next_counters_at = now + COUNTERS_INTERVAL_S
             for timer in self.timers:
                 self.counter.check(broken_by_timer(timer.is_armed()), timer.name)
             self.log_counters()
         for sequence in overdue:
-            self.executor.deadline_passed(sequence, "its time is over")
+            self.executor.deadline_passed(sequence, "its deadline has passed")
+
+    def _overdue_sequences(self, now: float) -> list[InFlightSequence]:
+        """Return the sequences that were unanswered after their deadline at this check and the last one.
+
+        If the process was suspended past a deadline, the first check may run before the router's own wake-up,
+        which answers the sequence.
+        """
+        late = [sequence for sequence in self.executor.in_flight.values() if self._is_overdue(sequence, now)]
+        overdue = [sequence for sequence in late if sequence.number in self._overdue_at_last_check]
+        self._overdue_at_last_check = {sequence.number for sequence in late}
+        return overdue
 
     @staticmethod
     def _is_overdue(sequence: InFlightSequence, now: float) -> bool:
--- a/myrtlehub/relay/monitoring/uncaught_errors.py
+++ b/myrtlehub/relay/monitoring/uncaught_errors.py
@@ -1,4 +1,4 @@
-"""Tracebacks of what nobody caught, written to standard error without ever blocking."""
+"""Output of the tracebacks of uncaught exceptions to standard error, without blocking."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 
 
 def log_uncaught_errors(writer: LogWriter) -> None:
-    """Have the reactor's critical events written, and no others.
+    """Write Twisted's critical log events, which hold the tracebacks, and discard all others.
 
-    Guards against Twisted's own way before its log has begun: it writes to standard error whatever becomes of
-    that, so that a pipe that nobody drains would stop the process, and keeps all other events in memory.
+    Until its log is begun, Twisted buffers all events and writes critical ones to standard error with
+    blocking calls, so that a pipe that is not read would stop the process.
     """
 
     def write(event: dict[str, Any]) -> None:
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -1,8 +1,7 @@
-"""A node on the platform's protocol, put together from its parts."""
+"""A relay node, assembled from its parts."""
 
 from collections.abc import Callable
 from random import Random
-from typing import NamedTuple
 
 from myrtlehub.http1.connection_pool import ConnectionPool, Dial
 from myrtlehub.http1.interfaces import Clock
@@ -18,51 +17,41 @@
 from myrtlehub.relay.errors import EndpointListError
 from myrtlehub.relay.monitoring.event_log import no_log
 from myrtlehub.relay.monitoring.invariant_monitor import InvariantMonitor, RecurringTimer
+from myrtlehub.relay.process.descriptor_budget import MAX_DISCOVERY_CONNECTIONS, DescriptorBudget
 from myrtlehub.relay.settings.node_settings import NodeSettings, router_config_of
 from myrtlehub.relay.settings.platform_limits import platform_limits_of
 from myrtlehub.routing.policy.router import Router
 
-# Connections to discovery: one in 120 ms while it is silent, each for 2 s at most.
-MAX_DISCOVERY_CONNECTIONS = 18
-DISCOVERY_MAX_IDLE_S = 5.0
-MAX_ACCEPTS_PER_TURN = 32  # until the next turn none of these connections can be closed
-# Standard streams, selector, wakers, port and its spare, settings file, modules read late.
-PROCESS_DESCRIPTORS = 14
-RESERVED_DESCRIPTORS = MAX_DISCOVERY_CONNECTIONS + MAX_ACCEPTS_PER_TURN + PROCESS_DESCRIPTORS
-# Shares of the descriptors beside these:
-CLIENT_SHARE = 0.47  # for clients' connections, lingering ones among them: a third may hold requests
-BURST_SHARE = 0.13  # for clients' connections that have just come, until room is made
-ENGINE_SHARE = 0.40  # for engines: a request has one attempt out, and releases come beside
-REUSE_SHARE = 0.4  # of the time after which engines close idle connections, for which ours are reused
-FALLBACK_DELAY_S = 1.0  # after the start, for which discovery is waited for before the fallback list is used
+DISCOVERY_MAX_IDLE_S = 5.0  # for which an idle connection to discovery is kept
+# Fraction of the engines' keep-alive time for which idle connections are reused: closer to its end, an engine
+# might close a connection while the next request is on its way.
+REUSE_SHARE = 0.4
+FALLBACK_DELAY_S = 1.0  # from the start, after which the fallback list is used if discovery is silent
 
-
-class DescriptorBudget(NamedTuple):
-    """File descriptors by what they are for."""
-
-    clients: int
-    client_burst: int
-    engines: int
-
-    @classmethod
-    def of(cls, descriptors: int) -> "DescriptorBudget":
-        """Divide what the process itself and discovery leave."""
-        free = descriptors - RESERVED_DESCRIPTORS
-        return cls(int(CLIENT_SHARE * free), int(BURST_SHARE * free), int(ENGINE_SHARE * free))
+Dialer = Callable[[str, float], Dial]
 
 
 class RelayNode:
     """One node.
 
-    `dialer(address, timeout)` returns what connects a factory to an address; `epoch` is the Unix time when
-    the clock showed 0.
+    Args:
+        settings: The node settings.
+        clock: The clock of the node and its timers.
+        dialer: Called with HOST:PORT and a timeout in seconds; returns a function that connects a protocol
+            factory to that address.
+        epoch: The Unix time in seconds at which the clock showed 0.
+        log: The event log.
+        executor_class: The class of the action executor.
+
+    Attributes:
+        on_open: Called once, when the node opens to clients.
     """
 
     def __init__(
         self,
         settings: NodeSettings,
         clock: Clock,
-        dialer: Callable[[str, float], Dial],
+        dialer: Dialer,
         epoch: float = 0.0,
         log: Log = no_log,
         executor_class: type[ActionExecutor] = ActionExecutor,
@@ -71,38 +60,52 @@
         self.clock = clock
         self.log = log
         self.config = router_config_of(settings)
-        limits = platform_limits_of(settings)
-        budget = DescriptorBudget.of(settings.descriptors)
+        self.limits = platform_limits_of(settings)
+        self.budget = DescriptorBudget.of(settings.descriptors)
         self.decoder = RequestDecoder(settings, self.config)
         self.endpoint_list = EndpointListDecoder(self.decoder.kinds, self.decoder.zones, epoch)
         self.pool = ConnectionPool(
             clock,
-            lambda address: dialer(address, limits.connect_timeout),
-            budget.engines,
-            REUSE_SHARE * limits.keepalive,
+            lambda address: dialer(address, self.limits.connect_timeout),
+            self.budget.engines,
+            REUSE_SHARE * self.limits.keepalive,
         )
         self.monitor = InvariantMonitor(clock, log)
         self.engine_client = EngineClient(clock, self.pool, self.decoder, self.monitor.counter, log)
-        self.executor = executor_class(
-            Router(self.config), self.decoder, self.config, clock, self.engine_client, "", log
-        )
-        self.engine_client.attach(self.executor)
-        self.monitor.attach(self.executor)
-        self.monitor.worst_lag = lambda: self.decoder.lag.worst
-        self.front = ClientFront(self.executor, self.decoder, self.monitor.counter, limits.max_in_flight)
-        self.front.is_ready = self._is_ready
-        self.listener = ConnectionListener(clock, self.front.on_request, budget.clients, budget.client_burst)
-        self.listener.on_closing = self.monitor.connection_closing
+        self.executor = self._make_executor(executor_class)
+        self.front = self._make_front()
+        self.listener = self._make_listener()
         self.discovery = self._make_discovery(dialer)
         self.monitor.timers = [
             RecurringTimer("discovery", self.discovery.is_armed),
             RecurringTimer("stream monitor", self.engine_client.stream_monitor.is_armed),
         ]
-        self.on_open: Callable[[], None] = lambda: None  # clients may come from now on
-        self._uses_fallback = False
-        self._opened = False
+        self.on_open: Callable[[], None] = lambda: None
+        self._uses_fallback_list = False
+        self._is_open = False
+
+    def _make_executor(self, executor_class: type[ActionExecutor]) -> ActionExecutor:
+        executor = executor_class(
+            Router(self.config), self.decoder, self.config, self.clock, self.engine_client, "", self.log
+        )
+        self.engine_client.attach(executor)
+        self.monitor.attach(executor)
+        self.monitor.worst_lag = lambda: self.decoder.lag.worst
+        return executor
+
+    def _make_front(self) -> ClientFront:
+        front = ClientFront(self.executor, self.decoder, self.monitor.counter, self.limits.max_in_flight)
+        front.is_ready = self._is_ready
+        return front
+
+    def _make_listener(self) -> ConnectionListener:
+        listener = ConnectionListener(
+            self.clock, self.front.on_request, self.budget.clients, self.budget.client_burst
+        )
+        listener.on_closing = self.monitor.connection_closing
+        return listener
 
-    def _make_discovery(self, dialer: Callable[[str, float], Dial]) -> DiscoveryClient:
+    def _make_discovery(self, dialer: Dialer) -> DiscoveryClient:
         pool = ConnectionPool(
             self.clock,
             lambda address: dialer(address, CONNECT_TIMEOUT_S),
@@ -120,37 +123,37 @@
         )
 
     def start(self) -> None:
-        """Follow discovery; clients are let in once it has answered, or after a while all the same."""
+        """Start following discovery; open once it has answered, or after FALLBACK_DELAY_S."""
         self.executor.start()
         self.monitor.start()
         self.discovery.start()
         self.clock.callLater(FALLBACK_DELAY_S, self._use_fallback_list)
 
     def _use_fallback_list(self) -> None:
-        """Use the settings' list if discovery is silent: that is better than nothing.
+        """Apply the fallback list of the settings if discovery has not answered, and open.
 
-        Not before: it may be from before this process was started, and what discovery has counts.
+        It is not applied earlier, because it may be older than discovery's list.
         """
         try:
             if not self.discovery.has_answered and self.settings.fallback_list is not None:
                 update = self.endpoint_list.decode(self.settings.fallback_list, self.clock.seconds())
-                self._uses_fallback = True
-                self._apply(update._replace(complete=True))
+                self._uses_fallback_list = True
+                self._apply(update._replace(is_complete=True))
         except EndpointListError as error:
             self.log("fallback endpoint list rejected", why=str(error))
         finally:
             self.open()
 
     def open(self) -> None:
-        """Let clients in, once."""
-        if not self._opened:
-            self._opened = True
+        """Open to clients. Further calls have no effect."""
+        if not self._is_open:
+            self._is_open = True
             self.on_open()
             self.log("ready", name=self.settings.name, engines=len(self.decoder.engines.rows))
 
     def _is_ready(self) -> bool:
-        """Return whether a list is there: the present one, or after a while the fallback."""
-        return self.discovery.has_answered or self._uses_fallback
+        """Return whether there is an endpoint list, from discovery or from the settings."""
+        return self.discovery.has_answered or self._uses_fallback_list
 
     def _on_update(self, update: EndpointListUpdate) -> None:
         self._apply(update)
@@ -160,14 +163,14 @@
         for entry in update.entries:
             if entry.dial_address:
                 self.engine_client.directory.set_address(entry.address, entry.dial_address)
-        self.executor.update_endpoints(update.entries, update.complete, update.version)
+        self.executor.update_endpoints(update.entries, update.is_complete, update.version)
 
     def is_busy(self) -> bool:
-        """Return whether anything is due to a client, or to an engine.
+        """Return whether a client, an engine or a connection still needs this process.
 
-        Of clients' connections each counts until it is lost: half a request may become complete yet, a last
-        response may not have left, and bytes that come as the process ends would reset what its client has
-        not read.
+        Each connection of a client counts until it is lost: a partial request may still be completed, a last
+        response may not have been sent, and data that arrives after the process has ended would reset the
+        connection before the client has read its response.
         """
         return (
             bool(self.executor.in_flight)
@@ -176,10 +179,10 @@
         )
 
     def measure_lag(self) -> None:
-        """Beat from here on, so that the decoder knows how late this process runs."""
+        """Measure the event loop lag now and periodically; the decoder subtracts it from clients' time."""
         now = self.clock.seconds()
-        due = now + TICK_PERIOD
+        next_tick_at = now + TICK_PERIOD
         try:
-            due = self.decoder.lag.tick(now)
+            next_tick_at = self.decoder.lag.tick(now)
         finally:
-            self.clock.callLater(max(0.0, due - now), self.measure_lag)
+            self.clock.callLater(max(0.0, next_tick_at - now), self.measure_lag)
--- a/myrtlehub/relay/parsing.py
+++ b/myrtlehub/relay/parsing.py
@@ -1,4 +1,4 @@
-"""Parsing that settings, endpoint lists, requests and engines' responses share."""
+"""Parsers shared by settings, endpoint lists, client requests and engine responses."""
 
 from typing import Any, NamedTuple
 
@@ -8,18 +8,18 @@
 from myrtlehub.relay.errors import MalformedJsonError
 from myrtlehub.routing import contract
 
-PORT_LIMIT = 65536
+PORT_LIMIT = 65536  # exclusive upper bound of TCP port numbers
 
 
 class SocketAddress(NamedTuple):
-    """Where something listens."""
+    """Host and TCP port of a socket."""
 
     host: str
     port: int
 
 
 def parse_address(text: Any) -> SocketAddress | None:  # noqa: ANN401
-    """Read HOST:PORT; None if it is no such text."""
+    """Parse HOST:PORT; return None if `text` is not a string of that form."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < PORT_LIMIT):
         return None
@@ -27,7 +27,11 @@
 
 
 def parse_json(data: bytes) -> Any:  # noqa: ANN401
-    """Read JSON; MalformedJsonError where it can't be read, however deep it is nested."""
+    """Parse JSON.
+
+    Raises:
+        MalformedJsonError: `data` is not JSON, or its nesting exceeds the recursion limit.
+    """
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -35,7 +39,7 @@
 
 
 def parse_load_report(text: bytes) -> contract.LoadReport | None:
-    """Read a load report; one that can't be read is none."""
+    """Parse an engine's load report; return None if it is malformed."""
     try:
         report = msgspec.json.decode(text, type=dict[str, float])
     except (msgspec.DecodeError, ValueError, RecursionError):
--- a/myrtlehub/relay/process/bounded_port.py
+++ b/myrtlehub/relay/process/bounded_port.py
@@ -1,4 +1,4 @@
-"""The port of clients: so many connections a turn, and none is accepted in order to be closed."""
+"""The listening port for clients, with a bound on the connections accepted per reactor turn."""
 
 import socket
 
@@ -7,18 +7,18 @@
 
 from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.listener import ConnectionListener
-from myrtlehub.relay.node import MAX_ACCEPTS_PER_TURN
+from myrtlehub.relay.process.descriptor_budget import MAX_ACCEPTS_PER_TURN
 
-BACKLOG = 511  # connections that may wait to be accepted: bursts come by hundreds
-RETRY_DELAY_S = 0.02  # after accept failed for lack of a resource: it fails again at once
+BACKLOG = 511  # length of the system's accept queue: connections arrive in bursts of hundreds
+RETRY_DELAY_S = 0.02  # after accept() failed for lack of a resource, as an immediate retry would fail too
 
 
 class BoundedPort(Port):
-    """Accepts so many connections a turn at most, whatever the reactor has seen of late.
+    """A port that accepts at most MAX_ACCEPTS_PER_TURN connections per reactor turn.
 
-    Guards against descriptors that run out before the first of a rush is closed for another. Twisted's own
-    port accepts a connection for which there is no descriptor in order to close it: a request that was sent
-    on it would be lost, where in the system's queue it waits.
+    Twisted's own port adapts this number to the recent load. A burst can then exhaust the descriptors before
+    the listener closes an unused connection, and for lack of a descriptor Twisted accepts the next connection
+    only to close it, so that a request already sent on it is lost. Here it stays in the system's queue.
     """
 
     def __init__(
@@ -26,51 +26,56 @@
     ) -> None:
         host, port = address
         super().__init__(port, listener, BACKLOG, host, reactor)
+        self._listener = listener
         self._clock = clock
-        self._stalled_since: float | None = None  # since when who came may have had to wait
+        # Since when connections may have been waiting in the accept queue; None if it was empty.
+        self._stalled_since: float | None = None
 
     def doRead(self) -> None:  # noqa: N802
-        """Accept those who wait; the listener is told since when they may have waited."""
-        self.factory.waiting_since = self._stalled_since
+        """Accept pending connections and tell the listener since when they may have been waiting."""
+        self._listener.waiting_since = self._stalled_since
         try:
             for _ in range(MAX_ACCEPTS_PER_TURN):
                 accepted, peer = self.socket.accept()
                 self._open(accepted, peer)
         except BlockingIOError:
-            self._stalled_since = None  # nobody waits any more
+            self._stalled_since = None  # the accept queue is empty
         except OSError:
             self.pause()
             self._clock.callLater(RETRY_DELAY_S, self.resume)
         finally:
-            self.factory.waiting_since = None
+            self._listener.waiting_since = None
 
     def _open(self, accepted: socket.socket, peer: tuple[str, int]) -> None:
-        protocol = self.factory.buildProtocol(IPv4Address("TCP", *peer))
+        protocol = self._listener.buildProtocol(IPv4Address("TCP", *peer))
         self.sessionno += 1
         transport = self.transport(accepted, protocol, peer, self, self.sessionno, self.reactor)
         protocol.makeConnection(transport)
 
-    def set_full(self, full: bool) -> None:
-        """Accept no more for a moment, or go on, unless it was closed meanwhile."""
-        if full:
+    def set_full(self, is_full: bool) -> None:
+        """Pause or resume accepting, as the listener has reached its limit or has capacity again."""
+        if is_full:
             self.pause()
         else:
             self.resume()
 
     def pause(self) -> None:
-        """Accept nobody until `resume`."""
+        """Stop accepting until `resume` is called. No effect on a closed port."""
         if self.connected:
             self.stopReading()
             if self._stalled_since is None:
                 self._stalled_since = self._clock.seconds()
 
     def resume(self) -> None:
-        """Accept again; who came meanwhile counts from then, for as long as anybody waits."""
+        """Accept again. No effect on a closed port.
+
+        Connections accepted until the queue is empty count as waiting since the pause.
+        """
         if self.connected:
             self.startReading()
             self.doRead()
 
     def accept_all(self) -> None:
-        """Accept all who wait: they were taken by this machine, and an answer is due to them."""
+        """Accept the whole accept queue: its clients are connected, so their requests need a response."""
         for _ in range(BACKLOG // MAX_ACCEPTS_PER_TURN + 1):
             self.doRead()
--- a/myrtlehub/relay/settings/node_settings.py
+++ b/myrtlehub/relay/settings/node_settings.py
@@ -1,4 +1,4 @@
-"""The node settings: the file that $RELAY_CONFIG names, read and checked as far as a node needs it."""
+"""The node settings: the JSON file named by $RELAY_CONFIG, parsed and validated."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -8,8 +8,9 @@
 from myrtlehub.relay.parsing import SocketAddress, parse_address, parse_json
 from myrtlehub.routing import contract
 
-MIN_DESCRIPTORS = 96  # with which a node still has some for clients and some for engines
+MIN_DESCRIPTORS = 96  # fewest file descriptors that leave some for clients and some for engines
 DEFAULT_DESCRIPTORS = 1024
+SEED_BASE = 16  # the seed is written in hexadecimal
 REQUIRED_KEYS = ("listen", "discovery", "settings")
 
 
@@ -18,12 +19,12 @@
 
     Attributes:
         name: Name of the node.
-        listen: Where clients connect.
-        discovery: HOST:PORT of the discovery.
-        seed: Seed of the node's random draws.
-        descriptors: File descriptors that the process may use.
-        platform: The platform's settings, as the simulator's first message has them.
-        fallback_list: An endpoint list for a silent discovery.
+        listen: Address of the port for clients.
+        discovery: HOST:PORT of the discovery service.
+        seed: Seed of the node's random generators.
+        descriptors: Number of file descriptors that the process may use.
+        platform: The platform's settings, in the form of the simulator's first message.
+        fallback_list: The endpoint list to use if discovery does not answer at the start, if any.
     """
 
     name: str
@@ -36,7 +37,11 @@
 
 
 def read_node_settings(path: str) -> NodeSettings:
-    """Read the file; SettingsError names the key and says what to do."""
+    """Read and validate the settings file.
+
+    Raises:
+        SettingsError: The file is unreadable or invalid.
+    """
     fields = _read_object(path)
     for key in REQUIRED_KEYS:
         if key not in fields:
@@ -45,8 +50,8 @@
     for key, value in (("settings", fields["settings"]), ("limits", limits)):
         if not isinstance(value, dict):
             raise SettingsError(f"{key}: is no object; write it as the platform does")
-    _check_address(fields, "discovery")
-    seed = _read_seed(fields)
+    _parse_address(fields, "discovery")
+    seed = _parse_seed(fields)
     descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
     if not isinstance(descriptors, int) or descriptors < MIN_DESCRIPTORS:
         raise SettingsError(
@@ -55,7 +60,7 @@
     fallback_list = fields.get("known")
     return NodeSettings(
         name=str(fields.get("name", "")),
-        listen=_check_address(fields, "listen"),
+        listen=_parse_address(fields, "listen"),
         discovery=fields["discovery"],
         seed=seed,
         descriptors=descriptors,
@@ -76,22 +81,26 @@
     return fields
 
 
-def _check_address(fields: dict[str, Any], key: str) -> SocketAddress:
+def _parse_address(fields: dict[str, Any], key: str) -> SocketAddress:
     address = parse_address(fields[key])
     if address is None:
         raise SettingsError(f"{key}: {fields[key]!r} is no address; write it as HOST:PORT")
     return address
 
 
-def _read_seed(fields: dict[str, Any]) -> int:
+def _parse_seed(fields: dict[str, Any]) -> int:
     try:
-        return int(str(fields.get("seed", "0")), 16)
+        return int(str(fields.get("seed", "0")), SEED_BASE)
     except ValueError as error:
         raise SettingsError(f"seed: {fields['seed']!r} is no number; write it in hexadecimal") from error
 
 
 def router_config_of(settings: NodeSettings) -> contract.RouterConfig:
-    """Return the router's configuration; SettingsError where the settings lack a key that it needs."""
+    """Return the router configuration that the platform's settings describe.
+
+    Raises:
+        SettingsError: The settings lack a required key or have one of the wrong type.
+    """
     platform = settings.platform
     for key in ("Caps", "Invariants", "Specifics"):
         if not isinstance(platform.get(key, {}), dict):
--- a/myrtlehub/relay/settings/platform_limits.py
+++ b/myrtlehub/relay/settings/platform_limits.py
@@ -1,4 +1,4 @@
-"""What the platform allows of connections and sequences."""
+"""Limits that the platform sets for connections and in-flight sequences."""
 
 from typing import NamedTuple
 
@@ -7,16 +7,16 @@
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_KEEPALIVE_MS = 30000.0
-DEFAULT_MAX_IN_FLIGHT = 20000  # sequences that a node accepts, unless the settings say fewer
+DEFAULT_MAX_IN_FLIGHT = 20000  # sequences; used unless the settings state a limit
 
 
 class PlatformLimits(NamedTuple):
-    """Limits of the platform; times in seconds.
+    """Limits of the platform.
 
     Attributes:
-        connect_timeout: For a connection to an engine to be made.
-        keepalive: After which engines close idle connections.
-        max_in_flight: Sequences that are in flight at most.
+        connect_timeout: Seconds within which a connection to an engine has to be established.
+        keepalive: Seconds after which engines close idle connections.
+        max_in_flight: Largest number of in-flight sequences.
     """
 
     connect_timeout: float
@@ -25,7 +25,11 @@
 
 
 def platform_limits_of(settings: NodeSettings) -> PlatformLimits:
-    """Read the limits; SettingsError names the one that is no number above 0."""
+    """Return the limits that the platform's settings state, or their defaults.
+
+    Raises:
+        SettingsError: A limit is not a number above 0.
+    """
     caps = settings.platform.get("Caps", {})
     limits = {
         "ConnectTimeoutMs": DEFAULT_CONNECT_TIMEOUT_MS,
@@ -37,5 +41,7 @@
         if not isinstance(value, (int, float)) or value <= 0:
             raise SettingsError(f"settings.Caps.{key}: {value!r} is no number above 0; write one")
     return PlatformLimits(
-        limits["ConnectTimeoutMs"] / 1e3, limits["KeepaliveMs"] / 1e3, int(limits["MostHeld"])
+        connect_timeout=limits["ConnectTimeoutMs"] / 1e3,
+        keepalive=limits["KeepaliveMs"] / 1e3,
+        max_in_flight=int(limits["MostHeld"]),
     )
--- a/myrtlehub/relay/settings/settings_reload.py
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -8,18 +8,25 @@
 
 
 def reload_settings(
-    path: str, current: NodeSettings, move_discovery: Callable[[str], None], log: Log
+    path: str, current: NodeSettings, follow_discovery_at: Callable[[str], None], log: Log
 ) -> None:
-    """Follow the discovery that the file names; a file that can't be used changes nothing.
+    """Read the settings file again and apply the address of discovery.
 
-    All but discovery's address needs a restart: the log names what differs from `current`.
+    All other settings take effect at the next start; those that differ from `current` are logged. If the file
+    is invalid, nothing changes.
+
+    Args:
+        path: The settings file.
+        current: The settings that the node was started with.
+        follow_discovery_at: Called with the HOST:PORT of discovery.
+        log: The event log.
     """
     try:
         settings = read_node_settings(path)
     except SettingsError as error:
         log("configuration kept", why=str(error))
         return
-    changed = {
+    is_changed = {
         "name": settings.name != current.name,
         "listen": settings.listen != current.listen,
         "limits": settings.descriptors != current.descriptors,
@@ -28,6 +35,6 @@
     log(
         "configuration read",
         discovery=settings.discovery,
-        not_applied=sorted(key for key, differs in changed.items() if differs),
+        not_applied=sorted(key for key, differs in is_changed.items() if differs),
     )
-    move_discovery(settings.discovery)
+    follow_discovery_at(settings.discovery)
--- a/tests/test_byte_arrivals.py
+++ b/tests/test_byte_arrivals.py
@@ -6,7 +6,7 @@
 import pytest
 
 from myrtlehub.http1.byte_arrivals import MERGED_WITHIN_S, ByteArrivals
-from myrtlehub.relay.process.start_patience import lacks_resources, with_patience
+from myrtlehub.relay.process.startup_retry import is_resource_shortage, retry_on_resource_shortage
 
 
 def test_a_message_counts_from_its_own_last_byte() -> None:
@@ -32,8 +32,8 @@
 def test_a_lack_of_resources_is_told_from_a_wrong_configuration() -> None:
     wrapped = ValueError("settings")
     wrapped.__cause__ = OSError(errno.EMFILE, "too many open files")
-    assert lacks_resources(OSError(errno.ENFILE, "")) and lacks_resources(wrapped)
-    assert not lacks_resources(OSError(errno.EADDRINUSE, "")) and not lacks_resources(ValueError())
+    assert is_resource_shortage(OSError(errno.ENFILE, "")) and is_resource_shortage(wrapped)
+    assert not is_resource_shortage(OSError(errno.EADDRINUSE, "")) and not is_resource_shortage(ValueError())
 
 
 def test_a_start_is_tried_again_only_for_a_lack_of_resources() -> None:
@@ -45,6 +45,6 @@
             raise OSError(errno.ENOMEM, "no memory")
         return "made"
 
-    assert with_patience(make) == "made" and len(tries) == 3
+    assert retry_on_resource_shortage(make) == "made" and len(tries) == 3
     with pytest.raises(FileNotFoundError):
-        with_patience(Path("/nowhere/at/all").read_bytes)
+        retry_on_resource_shortage(Path("/nowhere/at/all").read_bytes)
--- a/tests/test_engine_starts.py
+++ b/tests/test_engine_start_times.py
@@ -34,7 +34,7 @@
 ) -> list[float]:
     """Return the ages that a list has."""
     update = decoder.decode({"seq": 1, "whole": whole, "hosts": list(hosts)}, now)
-    decoder.starts.discovery_answered(now)
+    decoder.start_times.discovery_responded(now)
     return [round(entry.age, 3) for entry in update.entries]
 
 
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -23,7 +23,7 @@
         reload_settings(
             str(path),
             rig.node.settings,
-            rig.node.discovery.move,
+            rig.node.discovery.change_address,
             lambda event, **fields: logged.append(event),
         )
 
