--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -99,7 +99,7 @@
 
     def _stop_listening(self) -> None:
         self.port.accept_all()
-        self.port.stopListening()
+        self.port.stopListening()  # type: ignore[no-untyped-call] # Twisted has no annotation
 
     def run(self) -> None:
         """Run until SIGTERM was received and nothing is in flight."""
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -1,10 +1,12 @@
-"""The front for clients: requests become arrivals, final answers become responses. It decides nothing."""
+"""The front for clients: requests become arrivals at the action executor, final answers become responses."""
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.http1.server_exchange import ServerExchange
-from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
+from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.relay.clients.request_decoder import RequestDecoder
 from myrtlehub.relay.errors import RejectedRequestError
 from myrtlehub.relay.settings.platform_limits import DEFAULT_MAX_IN_FLIGHT
@@ -16,7 +18,11 @@
 
 
 class ExchangeSink:
-    """The action executor's response sink of one sequence: writes to the client's exchange."""
+    """The action executor's response sink for one sequence, which writes to the client's exchange.
+
+    Attributes:
+        sequence: The sequence; None before it was accepted and after its final answer.
+    """
 
     __slots__ = ("exchange", "front", "sequence", "sequence_id")
 
@@ -30,9 +36,9 @@
         exchange.on_resume = self._on_resume
 
     def tokens(self, message: bytes) -> None:
-        """Pass events on to the client."""
+        """Send events to the client."""
         if not self.exchange.started:
-            self.exchange.start_stream(200, STREAM_HEADERS)
+            self.exchange.start_stream(HTTPStatus.OK, STREAM_HEADERS)
         self.exchange.write(message)
 
     def generated(self, tokens: int) -> None:
@@ -41,31 +47,32 @@
         self.exchange.finish()
 
     def rejected(self, retry_after: float) -> None:
-        """Respond that nothing ran, or that it may run again; `retry_after` in seconds, 0 for none."""
+        """Respond 503, with Retry-After in seconds unless `retry_after` is 0."""
         self._detach_answered()
-        self.exchange.respond(503, ((b"Retry-After", b"%.3f" % retry_after),) if retry_after else ())
+        headers = ((b"Retry-After", b"%.3f" % retry_after),) if retry_after else ()
+        self.exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE, headers)
 
     def aborted(self, reason: str) -> None:
-        """Respond without a promise, or end a stream that has begun."""
+        """Respond 502, or close the connection without a last chunk if the stream has begun."""
         self._detach_answered()
         if self.exchange.started:
             self.exchange.abort()
         else:
-            self.exchange.respond(502)
+            self.exchange.respond(HTTPStatus.BAD_GATEWAY)
 
     def _detach_answered(self) -> None:
-        """Pass nothing more on, as this is the final answer."""
-        has_final_answer = self.sequence_id not in self.front.open
+        """Detach from the sequence as it gets its final answer, and check that it is the only one."""
+        has_final_answer = self.sequence_id not in self.front.open_sinks
         self.front.invariants.check(broken_by_answer(has_final_answer), self.sequence_id)
         self._detach()
 
     def _detach(self) -> InFlightSequence | None:
-        """Pass nothing more on; returns the sequence.
+        """Break the references between exchange, sink and sequence, and return the sequence.
 
-        Guards against memory that only the collector would free, seconds to minutes later: exchange, this and
-        the sequence refer to one another, with the whole request.
+        Otherwise this cycle would keep the whole request in memory until the next full garbage collection,
+        seconds to minutes later (test_answered_requests_are_freed_without_the_garbage_collector).
         """
-        self.front.open.pop(self.sequence_id, None)
+        self.front.open_sinks.pop(self.sequence_id, None)
         sequence, self.sequence = self.sequence, None
         self.exchange.clear_callbacks()
         return sequence
@@ -76,28 +83,30 @@
             self.front.executor.client_left(sequence)
 
     def _on_pause(self) -> None:
-        request = self._outstanding_request()
+        request = self._streaming_request()
         if request is not None:
             request.pause()
 
     def _on_resume(self) -> None:
-        request = self._outstanding_request()
+        request = self._streaming_request()
         if request is not None:
             request.resume()
 
-    def _outstanding_request(self) -> PendingRequest | None:
-        """Return the request whose response streams to the client, if it has not ended."""
+    def _streaming_request(self) -> PendingRequest | None:
+        """Return the request whose response is streamed to the client; None if there is none outstanding."""
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
-        return attempt.call if attempt is not None and attempt.is_outstanding else None
+        if attempt is None or not attempt.is_outstanding:
+            return None
+        return attempt.call if isinstance(attempt.call, PendingRequest) else None
 
 
 class ClientFront:
-    """Takes the requests of all clients' connections.
+    """Handles the requests of all clients' connections.
 
     Attributes:
-        open: Sinks of the sequences that are in flight, by the client's id.
-        is_ready: Whether a list is there.
-        rejected_count: Malformed requests so far.
+        open_sinks: Sinks of the sequences without a final answer, by sequence id.
+        is_ready: Returns whether there is an endpoint list.
+        rejected_count: Number of malformed requests so far.
     """
 
     def __init__(
@@ -111,7 +120,7 @@
         self.executor = executor
         self.decoder = decoder
         self.max_in_flight = max_in_flight
-        self.open: dict[str, ExchangeSink] = {}
+        self.open_sinks: dict[str, ExchangeSink] = {}
         self.is_ready: Callable[[], bool] = lambda: True
         self.rejected_count = 0
 
@@ -121,18 +130,18 @@
         path = request.target.partition(b"?")[0]
         if path == READY_PATH:
             if request.method != b"GET":
-                self._reject(exchange, 405)
+                self._reject(exchange, HTTPStatus.METHOD_NOT_ALLOWED)
             else:
-                exchange.respond(200 if self.is_ready() else 503)
+                exchange.respond(HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE)
         elif path != CHAT_PATH:
-            self._reject(exchange, 404)
+            self._reject(exchange, HTTPStatus.NOT_FOUND)
         elif request.method != b"POST":
-            self._reject(exchange, 405)
+            self._reject(exchange, HTTPStatus.METHOD_NOT_ALLOWED)
         else:
             self._accept(exchange)
 
     def _reject(self, exchange: ServerExchange, status: int, reason: str = "") -> None:
-        """Respond with a client error at once; the connection is closed."""
+        """Respond to a malformed request with a 4xx status and close the connection."""
         self.rejected_count += 1
         self.executor.log("request rejected", status=status, why=reason)
         exchange.respond(status, close=True)
@@ -140,17 +149,17 @@
     def _accept(self, exchange: ServerExchange) -> None:
         try:
             decoded = self.decoder.decode(exchange.request, self.executor.clock.seconds())
-            if decoded.sequence_id in self.open:
-                raise RejectedRequestError(409, "X-Txn is that of an open request")
+            if decoded.sequence_id in self.open_sinks:
+                raise RejectedRequestError(HTTPStatus.CONFLICT, "X-Txn is that of an open request")
         except RejectedRequestError as error:
             self._reject(exchange, error.status, str(error))
             return
         sequence_id = decoded.sequence_id
         sink = ExchangeSink(self, exchange, sequence_id)
-        self.open[sequence_id] = sink
+        self.open_sinks[sequence_id] = sink
         if len(self.executor.in_flight) >= self.max_in_flight:
-            sink.rejected(self.executor.config.max_retry_after)  # not accepted: nothing ran
+            sink.rejected(self.executor.config.max_retry_after)
             return
         sequence = self.executor.accept(decoded.engine_request, decoded.arrival, sink, sequence_id)
-        if sequence_id in self.open:  # else it was answered at once
+        if sequence_id in self.open_sinks:  # otherwise it was answered within accept()
             sink.sequence = sequence
--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -1,5 +1,6 @@
-"""Decodes clients' requests: names from outside become indices, and what is malformed is rejected."""
+"""Decoder for clients' requests: validates them and maps names of the platform to dense indices."""
 
+from http import HTTPStatus
 from typing import NamedTuple
 
 import msgspec
@@ -8,19 +9,32 @@
 from myrtlehub.http1.server_exchange import ServerRequest
 from myrtlehub.limits.event_loop_lag import LagMeter
 from myrtlehub.node.endpoint_index import EndpointIndex, hash_key
-from myrtlehub.relay.clients.request_headers import forwarded_headers, parse_labels, parse_number, read_fields
+from myrtlehub.relay.clients.request_headers import (
+    forwarded_headers,
+    interpreted_headers,
+    parse_labels,
+    parse_number,
+)
 from myrtlehub.relay.errors import RejectedRequestError
 from myrtlehub.relay.settings.node_settings import NodeSettings
 from myrtlehub.routing import contract
 
+# The unreserved characters of RFC 3986, since a sequence id becomes a part of a path.
 ID_CHARACTERS = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-MAX_ID_BYTES = 128  # it becomes a part of a path
-BYTES_PER_TOKEN = 4  # of a body, where the client does not say how long its prompt is
-RESUMED = b"again"  # value of X-Resent of a resumed sequence; any other is a retry
+MAX_ID_BYTES = 128
+ESTIMATED_BYTES_PER_TOKEN = 4  # of a body, if the client does not state the length of its prompt
+RESUMED = b"again"  # value of X-Resent for a resumed sequence; any other value means a retry
+NO_TENANT = -1  # in `contract.Arrival`
 
 
 class TrafficRow(NamedTuple):
-    """A traffic type, as the action executor and the engine transport need it."""
+    """A traffic type, as the action executor and the engine client need it.
+
+    Attributes:
+        name: Name in the settings.
+        at_most_once: A request of this type must not be executed twice.
+        front: Kind of front; the relay has only the one for chat.
+    """
 
     name: str
     at_most_once: bool
@@ -28,7 +42,7 @@
 
 
 class EngineRequest(NamedTuple):
-    """What goes on to engines of a request."""
+    """The part of a client's request that is forwarded to engines."""
 
     target: bytes
     headers: Headers
@@ -36,7 +50,13 @@
 
 
 class DecodedRequest(NamedTuple):
-    """A request as its id, what goes on of it, and what the router is told."""
+    """A valid request.
+
+    Attributes:
+        sequence_id: The client's id of the sequence.
+        engine_request: The part that is forwarded to engines.
+        arrival: The description for the router.
+    """
 
     sequence_id: str
     engine_request: EngineRequest
@@ -44,19 +64,31 @@
 
 
 class _PromptSize(NamedTuple):
+    """Numbers of tokens: in the prompt, in the part shared with other prompts, and at most in the answer."""
+
     prompt: int
     shared: int
     max_output: int
 
 
 class _ChatBody(msgspec.Struct):
-    """As much of a body as every engine needs."""
+    """The part of a body that every engine requires."""
 
     messages: list[msgspec.Raw]
 
 
 class RequestDecoder:
-    """Names of the platform's settings against indices, and requests against what they allow."""
+    """Decodes requests by the platform's settings.
+
+    Attributes:
+        rows: The traffic types, by index.
+        traffic: Indices of the traffic types, by name.
+        tenants: Indices of the tenants, by name.
+        kinds: Indices of the machine types, by name.
+        zones: Indices of the zones, by name.
+        engines: The engines of the endpoint list.
+        lag: Measures the event loop lag, which is subtracted from clients' time.
+    """
 
     def __init__(self, settings: NodeSettings, config: contract.RouterConfig) -> None:
         platform = settings.platform
@@ -72,67 +104,82 @@
         self.lag = LagMeter()
 
     def decode(self, request: ServerRequest, now: float) -> DecodedRequest:
-        """Decode a request; RejectedRequestError if it is malformed."""
-        fields = read_fields(request.headers)
+        """Decode a request.
+
+        Args:
+            request: The request.
+            now: The time in seconds of the node's clock.
+
+        Raises:
+            RejectedRequestError: The request is malformed.
+        """
+        fields = interpreted_headers(request.headers)
         sequence_id = _parse_id(fields)
         traffic = self.traffic.get(fields.get(b"x-lane", b"").decode("latin-1"))
         if traffic is None:
-            raise RejectedRequestError(400, "X-Lane is none of ours")
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Lane is none of ours")
         tenant = self._tenant(fields)
         stated_time = parse_number(fields.get(b"x-remaining-ms", b""), "X-Remaining-Ms") / 1e3
         labels = parse_labels(fields.get(b"x-labels", b""))
         size = _prompt_size(labels, request.body)
         _check_body(request.body)
         resent = fields.get(b"x-resent", b"")
-        expected = 0.0
-        if b"x-estimate" in fields:
-            expected = parse_number(fields[b"x-estimate"], "X-Estimate") / 1e3
+        expected_seconds = _expected_seconds(fields)
         arrival = contract.Arrival(
             traffic=traffic,
             tenant=tenant,
             prompt_tokens=float(size.prompt),
-            # It may have waited here behind another request of its connection.
+            # The client's time counts from the last byte of its request, which may have waited here behind
+            # another request on its connection.
             time_left=self.lag.time_left(now, stated_time - (now - request.received_at)),
             session=hash_key(fields.get(b"x-entity", b"").decode("latin-1")),
             prefix=hash_key(labels.get(b"prefix", b"").decode("latin-1")),
             shared_tokens=float(size.shared),
             max_output_tokens=float(size.max_output),
-            expected_seconds=expected,
+            expected_seconds=expected_seconds,
             is_resumed=resent == RESUMED,
             is_retry=bool(resent) and resent != RESUMED,
         )
-        passed = EngineRequest(request.target, forwarded_headers(request.headers), request.body)
-        return DecodedRequest(sequence_id, passed, arrival)
+        engine_request = EngineRequest(request.target, forwarded_headers(request.headers), request.body)
+        return DecodedRequest(sequence_id, engine_request, arrival)
 
     def _tenant(self, fields: dict[bytes, bytes]) -> int:
         name = fields.get(b"x-org", b"").decode("latin-1")
         if not name:
-            return -1
-        tenant = self.tenants.get(name, -1)
-        if tenant < 0 and self.tenants:
-            raise RejectedRequestError(400, "X-Org is none of ours")
+            return NO_TENANT
+        tenant = self.tenants.get(name, NO_TENANT)
+        if tenant == NO_TENANT and self.tenants:
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Org is none of ours")
         return tenant
 
 
 def _parse_id(fields: dict[bytes, bytes]) -> str:
     text = fields.get(b"x-txn", b"")
     if not 0 < len(text) <= MAX_ID_BYTES or not ID_CHARACTERS.issuperset(text):
-        raise RejectedRequestError(400, "X-Txn is missing or no id")
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Txn is missing or no id")
     return text.decode()
 
 
+def _expected_seconds(fields: dict[bytes, bytes]) -> float:
+    """Return the client's estimate of the duration in seconds; 0 if it states none."""
+    if b"x-estimate" not in fields:
+        return 0.0
+    return parse_number(fields[b"x-estimate"], "X-Estimate") / 1e3
+
+
 def _prompt_size(labels: dict[bytes, bytes], body: bytes) -> _PromptSize:
-    guess = b"%d" % (len(body) // BYTES_PER_TOKEN)
-    prompt = parse_number(labels.get(b"prompt_len", guess), "prompt_len")
+    estimate = b"%d" % (len(body) // ESTIMATED_BYTES_PER_TOKEN)
+    prompt = parse_number(labels.get(b"prompt_len", estimate), "prompt_len")
     shared = parse_number(labels.get(b"prefix_len", b"0"), "prefix_len")
     max_output = parse_number(labels.get(b"max_out", b"0"), "max_out")
     if shared > prompt:
-        raise RejectedRequestError(400, "prefix_len is more than prompt_len")
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "prefix_len is more than prompt_len")
     return _PromptSize(prompt, shared, max_output)
 
 
 def _check_body(body: bytes) -> None:
+    """Raise RejectedRequestError if the body is not a chat request, or its nesting is too deep."""
     try:
         msgspec.json.decode(body, type=_ChatBody)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RejectedRequestError(400, "the body is no chat request") from error
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "the body is no chat request") from error
--- a/myrtlehub/relay/clients/request_headers.py
+++ b/myrtlehub/relay/clients/request_headers.py
@@ -1,12 +1,14 @@
-"""Headers of clients' requests: which are read here, and which go on to engines."""
+"""Headers of clients' requests: those interpreted by the relay, and those forwarded to engines."""
+
+from http import HTTPStatus
 
 from myrtlehub.http1.interfaces import Headers
 from myrtlehub.relay.errors import RejectedRequestError
 
-MAX_NUMBER_DIGITS = 12  # of a whole number from outside: beyond any time or length
+MAX_NUMBER_DIGITS = 12  # of a number in a header: more than any time in ms or length in tokens needs
 
-# Headers of a request that are read here: each may be there once.
-READ_HEADERS = frozenset(
+# Headers that the relay interprets. Each may occur once.
+INTERPRETED_HEADERS = frozenset(
     (
         b"x-txn",
         b"x-lane",
@@ -19,7 +21,8 @@
         b"x-estimate",
     )
 )
-# Headers that are between two ends of a connection, by RFC 9110 (7.6.1), or written anew: all others go on.
+# Headers that are not forwarded: they concern one connection only (RFC 9110, section 7.6.1), or the relay
+# sends its own. All others are forwarded.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -40,47 +43,60 @@
 )
 
 
-def read_fields(headers: Headers) -> dict[bytes, bytes]:
-    """Return the headers that are read here, by name; RejectedRequestError where one is there twice."""
+def interpreted_headers(headers: Headers) -> dict[bytes, bytes]:
+    """Return the interpreted headers by name.
+
+    Raises:
+        RejectedRequestError: One of them occurs twice.
+    """
     fields: dict[bytes, bytes] = {}
     for name, value in headers:
-        if name in READ_HEADERS:
+        if name in INTERPRETED_HEADERS:
             if name in fields:
-                raise RejectedRequestError(400, f"{name.decode()} is there twice")
+                raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name.decode()} is there twice")
             fields[name] = value
     return fields
 
 
 def forwarded_headers(headers: Headers) -> Headers:
-    """Return the headers that go on to engines: all but those of the client's connection."""
+    """Return the headers that are forwarded to engines.
+
+    Headers unknown to the relay are included, since engines interpret more of them: an engine that does not
+    get the Idempotency-Key executes a retry as a new request.
+    """
     own = _connection_headers(headers)
     return [(name, value) for name, value in headers if name not in own]
 
 
 def _connection_headers(headers: Headers) -> frozenset[bytes]:
-    """Return the names that don't go on to engines, with those that the client's Connection names.
-
-    Guards against dropping what an engine acts on: by Idempotency-Key it knows a repeat of what it has done.
-    """
+    """Return the names of the headers that are not forwarded, with those listed in a Connection header."""
     named = [
         part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
     ]
     return CONNECTION_HEADERS.union(named) if named else CONNECTION_HEADERS
 
 
-def parse_number(text: bytes, what: str) -> int:
-    """Read a whole number; RejectedRequestError names `what`."""
+def parse_number(text: bytes, name: str) -> int:
+    """Parse a non-negative integer.
+
+    Raises:
+        RejectedRequestError: `text` is not one; the message has `name`.
+    """
     if not (0 < len(text) <= MAX_NUMBER_DIGITS and text.isdigit()):
-        raise RejectedRequestError(400, f"{what} is no number")
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name} is no number")
     return int(text)
 
 
 def parse_labels(text: bytes) -> dict[bytes, bytes]:
-    """Read X-Labels: NAME=VALUE parts with commas between them."""
-    labels = {}
+    """Parse the value of X-Labels: comma-separated NAME=VALUE pairs.
+
+    Raises:
+        RejectedRequestError: A part is not such a pair, or a name occurs twice.
+    """
+    labels: dict[bytes, bytes] = {}
     for part in text.split(b",") if text else ():
         name, equals, value = part.strip().partition(b"=")
         if not equals or name in labels:
-            raise RejectedRequestError(400, "X-Labels can't be read")
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Labels can't be read")
         labels[name] = value
     return labels
--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -1,7 +1,7 @@
-"""The response to an attempt: what it says is passed on to the action executor."""
+"""Handler for the response to an attempt, which reports tokens and the outcome to the action executor."""
 
 from enum import StrEnum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
@@ -9,23 +9,26 @@
 from myrtlehub.http1.client_connection import ResponseHandler
 from myrtlehub.http1.interfaces import Headers
 from myrtlehub.http1.pending_request import PendingRequest
-from myrtlehub.node.action_executor import Attempt
+from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.protocols import Log
+from myrtlehub.node.sequences import Attempt
+from myrtlehub.relay.engines.engine_directory import EngineDirectory
 from myrtlehub.relay.engines.event_stream import EventStreamParser
-from myrtlehub.relay.engines.response_outcomes import AttemptEnd, end_of_failure, end_of_head
-from myrtlehub.relay.errors import EventStreamError
+from myrtlehub.relay.engines.response_outcomes import AttemptEnd, end_by_failure, end_by_response
+from myrtlehub.relay.engines.stream_monitor import StreamMonitor
+from myrtlehub.relay.engines.uncertain_attempts import UncertainAttempts
+from myrtlehub.relay.errors import AttemptEndedError, EventStreamError
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
-if TYPE_CHECKING:
-    from myrtlehub.relay.engines.engine_client import EngineClient
-
-# For the rest of an event or a chunk: engines write them whole, and the client's end is due within 5 s.
+# A client's stream has to end within 5 s of an engine's fault; both timeouts leave time to detect it.
+# Time for the rest of an event, a chunk or the end of a stream: engines write each at once.
 INCOMPLETE_EVENT_TIMEOUT_S = 2.5
-SILENCE_TIMEOUT_S = 4.2  # without an event, until a stream is ended: the client's end is due within 5 s
+SILENCE_TIMEOUT_S = 4.2  # time without an event
 
 
 class FailureReason(StrEnum):
-    """Why an attempt failed, as the log has it."""
+    """Why an attempt failed, as logged."""
 
     NO_EVENT = "no event"
     LONG_BODY = "a long body"
@@ -43,62 +46,72 @@
 _read_result_decoder = msgspec.json.Decoder(_ReadResult)
 
 
+class AttemptClient(Protocol):
+    """The parts of the engine client that the handlers of its attempts share."""
+
+    executor: ActionExecutor
+    directory: EngineDirectory
+    uncertain_attempts: UncertainAttempts
+    stream_monitor: StreamMonitor
+    log: Log
+
+
 class AttemptResponseHandler(ResponseHandler):
     """Handles the response to one attempt.
 
     Attributes:
         pending: The request; None once the attempt has ended.
-        longest_gap: The longest pause between two events, in seconds.
+        longest_gap: The longest time between two events, in seconds.
     """
 
-    def __init__(self, client: "EngineClient", attempt: Attempt) -> None:
+    def __init__(self, client: AttemptClient, attempt: Attempt) -> None:
         self.client = client
         self.executor = client.executor
         self.attempt = attempt
         self.pending: PendingRequest | None = None
         self.longest_gap = 0.0
-        self._end: AttemptEnd | None = None
-        self._events: EventStreamParser | None = None
+        self._end: AttemptEnd | None = None  # None until the head was received
+        self._events: EventStreamParser | None = None  # None unless the response is a stream
         self._load: contract.LoadReport | None = None
         self._body = b""
         self._last_event_at = 0.0
-        self._incomplete_since: float | None = None  # since when the rest of an event, chunk or stream is due
+        self._incomplete_since: float | None = None  # since when an event, chunk or stream end is incomplete
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """Decide by the table of outcomes what the response means."""
+        """Determine the outcome that the head announces."""
         fields = dict(headers)
-        self.client.directory.note_heard(self.attempt.engine)
-        self._end = end_of_head(self.attempt.reads, status, fields.get(b"x-turned-away") == b"1")
+        self.client.directory.record_contact(self.attempt.engine)
+        end = self._end = end_by_response(self.attempt.reads, status, fields.get(b"x-turned-away") == b"1")
         if b"x-pressure" in fields:
             self._load = parse_load_report(fields[b"x-pressure"])
-        if self._end.outcome == contract.Outcome.GENERATED:
+        if end.outcome == contract.Outcome.GENERATED:
             self._events = EventStreamParser()
             self._last_event_at = self.executor.clock.seconds()
             self.client.stream_monitor.add(self)
-        elif self._end.outcome != contract.Outcome.READ:
-            self._report(self._end)  # the body says no more; its connection ends by itself
+        elif end.outcome != contract.Outcome.READ:
+            self._report(end)  # the rest of the response is ignored
 
     def on_data(self, data: bytes) -> None:
-        """Pass on complete events, or collect a small body."""
+        """Pass on complete events of a stream, or collect a small body."""
         if self.pending is None:
-            return  # the head has ended the attempt
+            return  # the attempt ended with the head
         if self._events is not None:
-            self._on_stream_data(data)
+            self._on_stream_data(self._events, data)
         else:
             self._body += data
             if len(self._body) > MAX_SMALL_RESPONSE_BYTES:
                 self.fail(FailureReason.LONG_BODY)
 
-    def _on_stream_data(self, data: bytes) -> None:
+    def _on_stream_data(self, parser: EventStreamParser, data: bytes) -> None:
         try:
-            events = self._events.feed(data)
+            events = parser.feed(data)
         except EventStreamError:
             self.fail(FailureReason.NO_EVENT)
             return
         if events:
             now = self.executor.clock.seconds()
             attempt = self.attempt
-            self.client.directory.note_heard(attempt.engine)
+            self.client.directory.record_contact(attempt.engine)
             self.longest_gap = max(self.longest_gap, now - self._last_event_at)
             self._last_event_at = now
             if attempt.is_streaming:
@@ -106,67 +119,84 @@
             elif attempt.is_outstanding:
                 self.executor.began(attempt, events)
 
+    def _outstanding_request(self) -> PendingRequest:
+        if self.pending is None:
+            raise AttemptEndedError(self.attempt.sequence.sequence_id, self.attempt.number)
+        return self.pending
+
     def _is_incomplete(self) -> bool:
-        """Return whether the engine has begun an event, a chunk or its end, and has not finished it."""
-        connection = self.pending.connection
-        return (
-            bool(self._events.incomplete)
-            or self._events.done
-            or (connection is not None and connection.has_partial_data())
+        """Return whether the received part of the stream ends within an event, a chunk or its end mark."""
+        events = self._events
+        connection = self._outstanding_request().connection
+        return (events is not None and (bool(events.incomplete) or events.is_done)) or (
+            connection is not None and connection.has_partial_data()
         )
 
     def check_progress(self, now: float) -> None:
-        """End a stream that stopped in the middle of an event, or on which nothing comes any more."""
-        if self.pending.paused:
+        """Fail the attempt if its stream stopped within an event, or if there was no event for too long.
+
+        An engine that sends bytes which never complete an event makes no progress either
+        (test_an_endless_chunk_ends_the_stream_within_5_s).
+        """
+        if self._outstanding_request().paused:
             self._incomplete_since = None
-            self._last_event_at = now  # it is the client that takes nothing
+            self._last_event_at = now  # the client, not the engine, delays the stream
         elif not self._is_incomplete():
             self._incomplete_since = None
         elif self._incomplete_since is None:
             self._incomplete_since = now
         if self._incomplete_since is not None and now - self._incomplete_since > INCOMPLETE_EVENT_TIMEOUT_S:
-            # Guards against bytes that go on and never become an event: they are no sign of life.
             self.fail(FailureReason.INCOMPLETE_EVENT)
         elif now - self._last_event_at > SILENCE_TIMEOUT_S:
             self.fail(FailureReason.SILENCE)
 
     def fail(self, reason: FailureReason) -> None:
-        """End the attempt as possibly run: what comes can't be used, nor its connection any further."""
-        self.pending.cancel()
-        self._report(end_of_failure(True), reason=reason)
+        """Close the connection and end the attempt; the engine may have executed the request."""
+        self._outstanding_request().cancel()
+        self._report(end_by_failure(True), reason=reason)
+
+    def cancel(self) -> None:
+        """Close the connection, without a report to the executor."""
+        self.client.stream_monitor.remove(self)
+        if self.pending is not None:
+            self.pending.cancel()
 
     def on_complete(self) -> None:
-        """End the attempt as the complete response says."""
+        """End the attempt after a complete response."""
+        if self._end is None:
+            return
         if self._events is not None:
-            self._complete_stream()
-        elif self._end is not None and self._end.outcome == contract.Outcome.READ:
-            try:
-                cached_tokens = _read_result_decoder.decode(self._body).cached_tokens
-            except (msgspec.DecodeError, ValueError, RecursionError):
-                cached_tokens = 0.0
-            self._report(self._end, cached_tokens, self._load)
-
-    def _complete_stream(self) -> None:
-        events = self._events
+            self._complete_stream(self._end, self._events)
+        elif self._end.outcome == contract.Outcome.READ:
+            self._complete_read(self._end)
+
+    def _complete_read(self, end: AttemptEnd) -> None:
+        try:
+            cached_tokens = _read_result_decoder.decode(self._body).cached_tokens
+        except (msgspec.DecodeError, ValueError, RecursionError):
+            cached_tokens = 0.0
+        self._report(end, cached_tokens, self._load)
+
+    def _complete_stream(self, end: AttemptEnd, events: EventStreamParser) -> None:
         try:
             events.end()
         except EventStreamError:
-            self._report(end_of_failure(True), reason=FailureReason.INCOMPLETE_AT_END)
+            self._report(end_by_failure(True), reason=FailureReason.INCOMPLETE_AT_END)
             return
         if self.attempt.is_streaming:
-            self._report(self._end, events.cached_tokens, events.load or self._load, events.token_count)
+            self._report(end, events.cached_tokens, events.load or self._load, events.token_count)
         else:
-            self._report(end_of_failure(True))  # a stream without an event answers nothing
+            self._report(end_by_failure(True))  # a stream without an event is no answer
 
     def on_not_sent(self) -> None:
         """End the attempt as not sent."""
         self._report(AttemptEnd(contract.Outcome.UNSENT), reason=FailureReason.NOT_SENT)
 
     def on_failure(self, request_sent: bool) -> None:
-        """End the attempt as possibly run, or as not run."""
+        """End the attempt; the engine may have executed the request if all of it was sent."""
         if request_sent:
-            self.client.uncertain_attempts.note(self.attempt.sequence.sequence_id)
-        self._report(end_of_failure(request_sent), reason=FailureReason.CONNECTION_FAILED)
+            self.client.uncertain_attempts.add(self.attempt.sequence.sequence_id)
+        self._report(end_by_failure(request_sent), reason=FailureReason.CONNECTION_FAILED)
 
     def _report(
         self,
@@ -181,6 +211,7 @@
             self.client.log(
                 "broken", seq=self.attempt.sequence.sequence_id, number=self.attempt.number, why=reason
             )
-        cached_tokens = cached_tokens or float(end.no_state)
+        # The executor takes a value above 0 for a write that failed as "the reader had no state".
+        cached_tokens = cached_tokens or float(end.is_state_missing)
         handle = True if end.outcome == contract.Outcome.READ else None
         self.executor.ended(self.attempt, end.outcome, cached_tokens, load or self._load, handle, token_count)
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -1,4 +1,4 @@
-"""The action executor's engine transport over HTTP/1.1: attempts, releases and probes."""
+"""The action executor's engine transport over HTTP/1.1: attempts, releases of read state and probes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -6,15 +6,18 @@
 from myrtlehub.http1.client_connection import ClientRequest
 from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
 from myrtlehub.http1.interfaces import Clock
-from myrtlehub.node.action_executor import ActionExecutor, Attempt
+from myrtlehub.http1.pending_request import PendingRequest
+from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.protocols import Log
-from myrtlehub.relay.clients.request_decoder import RequestDecoder
+from myrtlehub.node.sequences import Attempt, InFlightSequence
+from myrtlehub.relay.clients.request_decoder import EngineRequest, RequestDecoder
 from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
 from myrtlehub.relay.engines.engine_directory import EngineDirectory
-from myrtlehub.relay.engines.one_shot_response import OneShotResponse
+from myrtlehub.relay.engines.small_response import SmallResponseHandler
 from myrtlehub.relay.engines.state_release import StateReleaser
 from myrtlehub.relay.engines.stream_monitor import StreamMonitor
 from myrtlehub.relay.engines.uncertain_attempts import UncertainAttempts
+from myrtlehub.relay.errors import UnknownRequestTypeError
 from myrtlehub.relay.monitoring.event_log import no_log
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
@@ -22,13 +25,23 @@
 from myrtlehub.state.invariants import InvariantCounter, SendFacts, broken_by_send
 
 LOAD_PATH = b"/metrics/load"
-# By which an engine is told less than is left. It may be told 0.15 s too much, all of which this process may
-# be held up between reading its clock and writing; the way here and there and a turn or two take the rest.
-TOLD_TIME_MARGIN_S = 0.02
+# Subtracted from the remaining time that is stated to an engine, for the transit and a reactor turn or two.
+# The statement may be 0.15 s too long, which covers a delay of this process between clock and write.
+REMAINING_TIME_MARGIN_S = 0.02
 
 
 class EngineClient:
-    """Carries attempts, releases and probes to engines; `attach` gives it the executor that it reports to."""
+    """Sends attempts, releases and probes to engines.
+
+    Attributes:
+        executor: The executor that outcomes are reported to; set by `attach` before any attempt is started.
+        directory: Addresses of the engines.
+        uncertain_attempts: Sequences with an attempt that may still be running at its engine.
+        releaser: Sends releases of read state.
+        stream_monitor: Ends streams without progress.
+    """
+
+    executor: ActionExecutor
 
     def __init__(
         self,
@@ -43,21 +56,20 @@
         self.pool = pool
         self.decoder = decoder
         self.log = log
-        self.executor: ActionExecutor | None = None
         self.directory = EngineDirectory(clock, pool, decoder.engines)
         self.uncertain_attempts = UncertainAttempts(clock)
         self.releaser = StateReleaser(clock, pool, self.directory)
         self.stream_monitor = StreamMonitor(clock)
 
     def attach(self, executor: ActionExecutor) -> None:
-        """Report to this executor, and hear from it of each attempt that has ended."""
+        """Report outcomes to this executor, and be notified by it of each attempt that has ended."""
         self.executor = executor
         self.releaser.in_flight = executor.in_flight
         executor.on_attempt_ended = self.attempt_ended
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Log an attempt's end, whoever caused it, and free its response."""
-        handler = attempt.call.handler if attempt.call is not None else None
+        """Log the end of an attempt and release its response handler."""
+        handler = _response_handler(attempt)
         now = self.clock.seconds()
         self.log(
             "attempt",
@@ -72,15 +84,15 @@
             gap=round(handler.longest_gap, 2) if handler is not None else 0.0,
         )
         if handler is not None:
-            # they refer to one another, and to the whole request: only the collector would free them
+            # Breaks the reference cycle of attempt, request and handler, which would keep the whole client
+            # request in memory until the next full garbage collection.
             attempt.call = handler.pending = None
 
     # -- EngineTransport of the action executor ---------------------------------------------------
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt; see `EngineTransport`."""
-        sequence = attempt.sequence
-        passed = sequence.request
+        passed = _engine_request(attempt.sequence)
         name = self.directory.name(attempt.engine)
         request = ClientRequest(b"POST", passed.target, passed.headers, passed.body)
         handler = AttemptResponseHandler(self, attempt)
@@ -94,10 +106,11 @@
         )
 
     def _at_first_byte(self, attempt: Attempt, request: ClientRequest) -> ClientRequest | None:
-        """Return the request with the time left now; None if sending it now would break a rule.
+        """Return the request with the time left now; None if sending it now would break an invariant.
 
-        Guards against what has changed since the decision: a connection may take longer to come up than the
-        grace of a draining engine, and this process may have been delayed.
+        The decision may be outdated: establishing a connection can take longer than the grace period of a
+        draining engine, and this process may have been suspended in between
+        (test_an_engine_that_drains_between_a_decision_and_its_first_byte_gets_nothing).
         """
         time_left = attempt.times_out_at - self.clock.seconds()
         broken = broken_by_send(self._send_facts(attempt, time_left))
@@ -106,8 +119,8 @@
             sequence_id = attempt.sequence.sequence_id
             self.log("withheld", seq=sequence_id, number=attempt.number, why=broken)
             return None
-        told_ms = max(1, int((time_left - TOLD_TIME_MARGIN_S) * 1000))
-        return request._replace(headers=[*request.headers, (b"x-remaining-ms", b"%d" % told_ms)])
+        remaining_ms = max(1, int((time_left - REMAINING_TIME_MARGIN_S) * 1000))
+        return request._replace(headers=[*request.headers, (b"x-remaining-ms", b"%d" % remaining_ms)])
 
     def _send_facts(self, attempt: Attempt, time_left: float) -> SendFacts:
         sequence = attempt.sequence
@@ -121,12 +134,16 @@
         )
 
     def _needs_new_connection(self, attempt: Attempt) -> bool:
-        """Return whether no idle connection may be used.
-
-        Guards against an idle connection that its peer closed unseen: what may not run twice would be lost.
-        Against one whose engine was cut off unseen: a write on it never arrives, and all the while the state
-        that it is to fetch would stay at its reader. And against a next attempt that is there before the end
-        of a cancelled one: a new connection takes longer.
+        """Return whether the attempt must not reuse an idle connection.
+
+        - A write that fetches a read state: if the engine was cut off unnoticed, a request on an idle
+          connection never arrives, and its reader keeps the state meanwhile
+          (test_a_state_is_released_in_time_though_its_writers_were_cut_off_unseen).
+        - An at-most-once write: if the engine has closed the idle connection unnoticed, the request fails as
+          possibly executed and may not be retried.
+        - An at-most-once read after an attempt that may still be running: over an idle connection it could
+          arrive before the close of the former attempt's connection
+          (test_a_retried_at_most_once_read_uses_a_new_connection).
         """
         if attempt.fetched_state is not None:
             return True
@@ -136,11 +153,11 @@
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up; see `EngineTransport`."""
-        self.uncertain_attempts.note(attempt.sequence.sequence_id)
-        if attempt.call is not None:
-            self.stream_monitor.remove(attempt.call.handler)
-            attempt.call.cancel()
+        """Cancel an attempt; see `EngineTransport`."""
+        self.uncertain_attempts.add(attempt.sequence.sequence_id)
+        handler = _response_handler(attempt)
+        if handler is not None:
+            handler.cancel()
 
     def release(self, engine: int, sequence_id: str) -> None:
         """Release read state; see `EngineTransport`."""
@@ -149,7 +166,7 @@
     def probe(
         self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
-        """Ask an engine for its load; see `EngineTransport`."""
+        """Request a load report from an engine; see `EngineTransport`."""
         name = self.directory.name(engine)
 
         def on_end(succeeded: bool, body: bytes) -> None:
@@ -166,7 +183,7 @@
             name,
             self.directory.dial_addresses[name],
             ClientRequest(b"GET", LOAD_PATH, []),
-            OneShotResponse(on_end),
+            SmallResponseHandler(on_end),
         )
 
     def close_idle(self, engine: int) -> None:
@@ -174,5 +191,20 @@
         self.pool.close_idle(self.directory.name(engine))
 
     def forget(self, address: str) -> None:
-        """Forget an engine; see `EngineTransport`."""
+        """Remove an engine; see `EngineTransport`."""
         self.directory.forget(address)
+
+
+def _engine_request(sequence: InFlightSequence) -> EngineRequest:
+    """Return the request of a sequence, which the executor stores as an opaque object."""
+    if not isinstance(sequence.request, EngineRequest):
+        raise UnknownRequestTypeError(sequence.sequence_id)
+    return sequence.request
+
+
+def _response_handler(attempt: Attempt) -> AttemptResponseHandler | None:
+    """Return the handler of an attempt's response; None if it was not started or has ended."""
+    if not isinstance(attempt.call, PendingRequest):
+        return None
+    handler = attempt.call.handler
+    return handler if isinstance(handler, AttemptResponseHandler) else None
--- a/myrtlehub/relay/engines/engine_directory.py
+++ b/myrtlehub/relay/engines/engine_directory.py
@@ -1,17 +1,17 @@
-"""Where engines are reached, and when each was last heard of."""
+"""Addresses of the engines, and the time of the latest contact with each."""
 
 from myrtlehub.http1.connection_pool import ConnectionPool
 from myrtlehub.http1.interfaces import Clock
+from myrtlehub.membership.endpoint import EndpointState
 from myrtlehub.node.endpoint_index import EndpointIndex
-from myrtlehub.relay.discovery.endpoint_list import EndpointState
 
 
 class EngineDirectory:
-    """Engines of the list by their dense index, and by name: their addresses.
+    """The engines of the endpoint list, by dense index or by name.
 
     Attributes:
-        dial_addresses: HOST:PORT by name.
-        last_heard: When an engine last sent something, by name.
+        dial_addresses: HOST:PORT of each engine, by name.
+        last_contact_at: Time at which each engine last sent something, by name, in seconds of the clock.
     """
 
     def __init__(self, clock: Clock, pool: ConnectionPool, index: EndpointIndex) -> None:
@@ -19,32 +19,32 @@
         self.pool = pool
         self.index = index
         self.dial_addresses: dict[str, str] = {}
-        self.last_heard: dict[str, float] = {}
+        self.last_contact_at: dict[str, float] = {}
 
     def name(self, engine: int) -> str:
-        """Return an engine's name in the list."""
+        """Return the name of the engine in the endpoint list."""
         return self.index.rows[engine].address
 
     def is_serving(self, engine: int) -> bool:
-        """Return whether the list has it for new work."""
+        """Return whether the endpoint list allows new work for the engine."""
         return not self.index.is_gone(engine) and self.index.rows[engine].state == EndpointState.SERVING
 
     def serving_names(self) -> list[str]:
-        """Return the names of all engines that take new work."""
+        """Return the names of all engines that accept new work."""
         return [row.address for row in self.index.rows if row.state == EndpointState.SERVING]
 
-    def note_heard(self, engine: int) -> None:
-        """Note that an engine sends something: it can be reached."""
-        self.last_heard[self.name(engine)] = self.clock.seconds()
+    def record_contact(self, engine: int) -> None:
+        """Record that the engine has just sent something, and so can be reached."""
+        self.last_contact_at[self.name(engine)] = self.clock.seconds()
 
     def set_address(self, name: str, dial_address: str) -> None:
-        """Reach an engine at this address from now on."""
+        """Set the HOST:PORT of an engine; if it has changed, close idle connections to the former one."""
         if self.dial_addresses.get(name, dial_address) != dial_address:
             self.pool.close_idle(name)
         self.dial_addresses[name] = dial_address
 
     def forget(self, name: str) -> None:
-        """Forget an engine that is off the list and unused."""
+        """Remove an engine that has left the endpoint list and has no outstanding attempt or probe."""
         self.pool.close_idle(name)
         self.dial_addresses.pop(name, None)
-        self.last_heard.pop(name, None)
+        self.last_contact_at.pop(name, None)
--- a/myrtlehub/relay/engines/event_stream.py
+++ b/myrtlehub/relay/engines/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events of an engine's stream: complete ones go on unchanged, all else is an error. Pure."""
+"""Parser for the server-sent events of an engine's stream. It does no I/O."""
 
 import msgspec
 
@@ -6,8 +6,8 @@
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
-MAX_EVENT_BYTES = 128 * 1024  # events hold a few tokens
-FIELD_NAMES = (b"data:", b":", b"event:", b"id:", b"retry:")  # with what an event, or a comment, begins
+MAX_EVENT_BYTES = 128 * 1024  # an event holds a few tokens, so that a longer one is malformed
+EVENT_PREFIXES = (b"data:", b":", b"event:", b"id:", b"retry:")  # fields, and the colon of a comment
 DONE = b"[DONE]"
 LOAD_COMMENT = b": X-Pressure:"
 
@@ -32,11 +32,11 @@
     """Parses one stream.
 
     Attributes:
-        incomplete: The bytes of an event whose end has not come yet.
-        cached_tokens: Prompt tokens that the engine had cached, as its usage event says.
-        token_count: Tokens of the answer, as its usage event says.
-        load: The last load report of the stream.
-        done: The last event has come.
+        incomplete: The received part of an event that is not complete yet.
+        cached_tokens: Number of prompt tokens that the engine had cached, from the usage event.
+        token_count: Number of generated tokens, from the usage event.
+        load: The latest load report in the stream, if any.
+        is_done: The final event `[DONE]` was received.
     """
 
     def __init__(self) -> None:
@@ -44,10 +44,14 @@
         self.cached_tokens = 0.0
         self.token_count = 0
         self.load: contract.LoadReport | None = None
-        self.done = False
+        self.is_done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Return complete events, as they came; EventStreamError where something is no event."""
+        """Add received data and return the events that it completes, unchanged.
+
+        Raises:
+            EventStreamError: The data is not a stream of events, or an event is too long.
+        """
         data = self.incomplete + data if self.incomplete else data
         end = data.rfind(b"\n\n")
         complete, self.incomplete = (data[: end + 2], data[end + 2 :]) if end >= 0 else (b"", data)
@@ -56,17 +60,20 @@
                 self._inspect(event.lstrip(b"\n"))
         if len(self.incomplete) > MAX_EVENT_BYTES:
             raise EventStreamError("an event is too long")
-        if self.incomplete and not self._may_begin(self.incomplete.lstrip(b"\n")):
+        if self.incomplete and not self._may_become_event(self.incomplete.lstrip(b"\n")):
             raise EventStreamError("no event begins like this")
         return complete
 
     @staticmethod
-    def _may_begin(text: bytes) -> bool:
-        """Return whether it can still become an event."""
-        return not text or any(text.startswith(name) or name.startswith(text) for name in FIELD_NAMES)
+    def _may_become_event(text: bytes) -> bool:
+        """Return whether more data can complete the text to an event."""
+        return not text or any(
+            text.startswith(prefix) or prefix.startswith(text) for prefix in EVENT_PREFIXES
+        )
 
     def _inspect(self, event: bytes) -> None:
-        if not event.startswith(FIELD_NAMES):
+        """Validate an event, and read its usage, load report or end mark."""
+        if not event.startswith(EVENT_PREFIXES):
             raise EventStreamError("no event begins like this")
         if event.startswith(b":"):
             if event.startswith(LOAD_COMMENT):
@@ -74,7 +81,7 @@
         elif b'"usage"' in event:
             self._read_usage(event)
         elif event.endswith(DONE):
-            self.done = True
+            self.is_done = True
 
     def _read_load(self, comment: bytes) -> None:
         self.load = parse_load_report(comment[len(LOAD_COMMENT) :].strip()) or self.load
@@ -90,7 +97,11 @@
                 self.cached_tokens = usage.prompt_tokens_details.cached_tokens
 
     def end(self) -> None:
-        """Note that the stream is over; EventStreamError if half an event is left."""
+        """Process the end of the stream.
+
+        Raises:
+            EventStreamError: The last event is incomplete. A comment needs no blank line behind it.
+        """
         incomplete = self.incomplete.strip(b"\n")
         if incomplete.startswith(LOAD_COMMENT):
             self._read_load(incomplete)
--- a/myrtlehub/relay/engines/one_shot_response.py
+++ b/myrtlehub/relay/engines/small_response.py
@@ -1,4 +1,4 @@
-"""The response to a small request: a release or a probe."""
+"""Handler for the small responses to releases and probes."""
 
 from collections.abc import Callable
 
@@ -6,9 +6,15 @@
 from myrtlehub.http1.client_connection import ResponseHandler
 from myrtlehub.http1.interfaces import Headers
 
+SUCCESS_CLASS = 2  # of status codes 200 to 299
 
-class OneShotResponse(ResponseHandler):
-    """Collects a small response; `on_end(succeeded, body)` is called once."""
+
+class SmallResponseHandler(ResponseHandler):
+    """Collects a small response.
+
+    Args:
+        on_end: Called once, with whether the request succeeded and with the body of the response.
+    """
 
     def __init__(self, on_end: Callable[[bool, bytes], None]) -> None:
         self.on_end = on_end
@@ -16,18 +22,18 @@
         self.status = 0
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """Keep the status."""
+        """Store the status."""
         self.status = status
 
     def on_data(self, data: bytes) -> None:
-        """Keep the body, up to its bound."""
+        """Store the body, up to MAX_SMALL_RESPONSE_BYTES."""
         if len(self.body) < MAX_SMALL_RESPONSE_BYTES:
             self.body += data
 
     def on_complete(self) -> None:
-        """Pass on whether the status is one of success."""
-        self.on_end(self.status // 100 == 2, self.body)
+        """Report success if the status is 2xx."""
+        self.on_end(self.status // 100 == SUCCESS_CLASS, self.body)
 
     def on_failure(self, request_sent: bool) -> None:
-        """Pass on that no response came."""
+        """Report a failure."""
         self.on_end(False, b"")
--- a/myrtlehub/relay/engines/stream_monitor.py
+++ b/myrtlehub/relay/engines/stream_monitor.py
@@ -1,4 +1,4 @@
-"""Looks at engines' streams from time to time, and ends those that make no progress."""
+"""Periodic check of the engines' streams, which ends those without progress."""
 
 from typing import Protocol
 
@@ -11,11 +11,15 @@
     """A stream of an engine."""
 
     def check_progress(self, now: float) -> None:
-        """End it if it makes none."""
+        """End the stream if it makes no progress."""
 
 
 class StreamMonitor:
-    """All streams that are open at present, in the order of their beginning."""
+    """Checks the progress of all open streams.
+
+    Attributes:
+        streams: The open streams, in the order in which they began.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -23,15 +27,15 @@
         self._timer = clock.callLater(CHECK_INTERVAL_S, self._check)
 
     def is_armed(self) -> bool:
-        """Return whether the next look is due."""
+        """Return whether the next check is scheduled."""
         return self._timer.active()
 
     def add(self, stream: Stream) -> None:
-        """Look at this stream from now on."""
+        """Check this stream from now on."""
         self.streams[stream] = None
 
     def remove(self, stream: Stream) -> None:
-        """Look at it no more, if it is there."""
+        """Stop checking this stream. No effect if it was not added."""
         self.streams.pop(stream, None)
 
     def _check(self) -> None:
@@ -39,7 +43,7 @@
         self._check_each(list(self.streams), self.clock.seconds())
 
     def _check_each(self, streams: list[Stream], now: float) -> None:
-        """Look at all of them, whatever a look at one of them raises."""
+        """Check all streams; if a check raises, continue with the others in the next reactor turn."""
         while streams:
             stream = streams.pop(0)
             try:
--- a/myrtlehub/relay/errors.py
+++ b/myrtlehub/relay/errors.py
@@ -31,3 +31,17 @@
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
+
+
+class AttemptEndedError(RelayError):
+    """An operation needs an attempt's request, but the attempt has ended."""
+
+    def __init__(self, sequence_id: str, attempt_number: int) -> None:
+        super().__init__(f"attempt {attempt_number} of sequence {sequence_id} has ended")
+
+
+class UnknownRequestTypeError(RelayError, TypeError):
+    """The request of a sequence was not made by the relay's request decoder."""
+
+    def __init__(self, sequence_id: str) -> None:
+        super().__init__(f"the request of sequence {sequence_id} is not an EngineRequest")
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -6,8 +6,9 @@
 from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.server_connection import CloseReason
 from myrtlehub.http1.server_exchange import ServerExchange
-from myrtlehub.node.action_executor import ActionExecutor, InFlightSequence
+from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.protocols import Log
+from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.state.answer import AnswerState
 from myrtlehub.state.invariants import (
     Invariant,
@@ -57,7 +58,7 @@
     def attach(self, executor: ActionExecutor) -> None:
         """Check the sequences of this executor."""
         self.executor = executor
-        executor.on_forgotten = self._check_forgotten
+        executor.on_forgotten = self._forgotten
 
     def start(self) -> None:
         """Start the periodic check."""
@@ -84,7 +85,7 @@
         self.log("invariant violated", invariant=invariant, seq=sequence_id)
         self.on_violation()
 
-    def _check_forgotten(self, sequence: InFlightSequence) -> None:
+    def _forgotten(self, sequence: InFlightSequence) -> None:
         broken = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(broken, sequence.sequence_id)
 
--- a/myrtlehub/relay/monitoring/uncaught_errors.py
+++ b/myrtlehub/relay/monitoring/uncaught_errors.py
@@ -18,4 +18,9 @@
         if event.get("log_level") is LogLevel.critical:
             writer.write_line(eventAsText(event, includeSystem=False).encode(errors="replace") + b"\n")
 
-    globalLogBeginner.beginLoggingTo([write], discardBuffer=True, redirectStandardIO=False)
+    observers = [write]
+    globalLogBeginner.beginLoggingTo(
+        observers,  # type: ignore[arg-type] # ILogObserver is a zope interface, unknown to mypy
+        discardBuffer=True,
+        redirectStandardIO=False,
+    )
--- a/myrtlehub/relay/process/bounded_port.py
+++ b/myrtlehub/relay/process/bounded_port.py
@@ -25,7 +25,13 @@
         self, listener: ConnectionListener, clock: Clock, address: tuple[str, int], reactor: object
     ) -> None:
         host, port = address
-        super().__init__(port, listener, BACKLOG, host, reactor)
+        super().__init__(
+            port,
+            listener,  # type: ignore[arg-type] # IProtocolFactory is a zope interface, unknown to mypy
+            BACKLOG,
+            host,
+            reactor,
+        )
         self._listener = listener
         self._clock = clock
         # Since when connections may have been waiting in the accept queue; None if it was empty.
@@ -49,8 +55,15 @@
     def _open(self, accepted: socket.socket, peer: tuple[str, int]) -> None:
         protocol = self._listener.buildProtocol(IPv4Address("TCP", *peer))
         self.sessionno += 1
-        transport = self.transport(accepted, protocol, peer, self, self.sessionno, self.reactor)
-        protocol.makeConnection(transport)
+        transport = self.transport(
+            accepted,
+            protocol,  # type: ignore[arg-type] # IProtocol is a zope interface, unknown to mypy
+            peer,
+            self,
+            self.sessionno,
+            self.reactor,
+        )
+        protocol.makeConnection(transport)  # type: ignore[no-untyped-call] # Twisted has no annotation
 
     def set_full(self, is_full: bool) -> None:
         """Pause or resume accepting, as the listener has reached its limit or has capacity again."""
@@ -62,7 +75,7 @@
     def pause(self) -> None:
         """Stop accepting until `resume` is called. No effect on a closed port."""
         if self.connected:
-            self.stopReading()
+            self.stopReading()  # type: ignore[no-untyped-call] # Twisted has no annotation
             if self._stalled_since is None:
                 self._stalled_since = self._clock.seconds()
 
@@ -72,7 +85,7 @@
         Connections accepted until the queue is empty count as waiting since the pause.
         """
         if self.connected:
-            self.startReading()
+            self.startReading()  # type: ignore[no-untyped-call] # Twisted has no annotation
             self.doRead()
 
     def accept_all(self) -> None:
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -143,7 +143,7 @@
             rig.clock.advance(0)
             made[-1].send(chat_request(f"a{i}"))
     rig.run(0.2)
-    assert len(rig.node.front.open) == 8
+    assert len(rig.node.front.open_sinks) == 8
     assert len(rig.node.listener.connections) <= rig.node.listener.max_connections
 
 
@@ -169,7 +169,7 @@
     assert not paused
     late = rig.request("late", remaining_ms=9000)
     rig.run(0.5)
-    assert paused == [True] and not late.lost and len(rig.node.front.open) == most + 1
+    assert paused == [True] and not late.lost and len(rig.node.front.open_sinks) == most + 1
     clients[0].transport.loseConnection()
     clients[1].transport.loseConnection()
     rig.run(0.2)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -74,7 +74,7 @@
     """Answer a sequence twice."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
-    sink = rig.node.front.open["a1"]
+    sink = rig.node.front.open_sinks["a1"]
     sink.rejected(0.0)
     sink.generated(1)
 
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -18,7 +18,7 @@
 )
 from relayrig import PeerConnection, RelayRig, never_respond
 
-from myrtlehub.relay.engines.response_outcomes import END_BY_HEAD, end_of_failure, end_of_head
+from myrtlehub.relay.engines.response_outcomes import END_BY_RESPONSE, end_by_failure, end_by_response
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
@@ -84,17 +84,17 @@
 
 
 def test_outcomes_of_the_table_and_of_responses_outside_of_it() -> None:
-    for head, end in END_BY_HEAD.items():
-        assert end_of_head(*head) == end
+    for head, end in END_BY_RESPONSE.items():
+        assert end_by_response(*head) == end
     for reads in (True, False):
         for status in (201, 204, 301, 400, 404, 410, 429, 500, 502, 503, 504):
             # without the header of a rejection it proves nothing
-            assert end_of_head(reads, status, False).outcome == contract.Outcome.ERROR
-        assert end_of_head(reads, 500, True).outcome == contract.Outcome.ERROR
-    assert end_of_head(True, 200, False).outcome == contract.Outcome.ERROR
-    assert end_of_head(False, 202, False).outcome == contract.Outcome.ERROR
-    assert end_of_failure(False).outcome == contract.Outcome.UNREACHED
-    assert end_of_failure(True).outcome == contract.Outcome.RESET
+            assert end_by_response(reads, status, False).outcome == contract.Outcome.ERROR
+        assert end_by_response(reads, 500, True).outcome == contract.Outcome.ERROR
+    assert end_by_response(True, 200, False).outcome == contract.Outcome.ERROR
+    assert end_by_response(False, 202, False).outcome == contract.Outcome.ERROR
+    assert end_by_failure(False).outcome == contract.Outcome.UNREACHED
+    assert end_by_failure(True).outcome == contract.Outcome.RESET
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
         rig.request(f"a{i}", LONG_PROMPT if i % 3 == 0 else 100).transport.loseConnection()
     rig.run(1.0)
     node = rig.node
-    assert not node.executor.in_flight and not node.front.open and not node.listener.connections
+    assert not node.executor.in_flight and not node.front.open_sinks and not node.listener.connections
     assert not node.engine_client.stream_monitor.streams and not node.executor.router.sequences
     assert node.pool.count == sum(len(idle) for idle in node.pool._idle.values())
 
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -85,7 +85,7 @@
         out += events.feed(text[at : at + cut])
         at += cut
     events.end()
-    assert out == text and events.cached_tokens == 64.0 and events.done
+    assert out == text and events.cached_tokens == 64.0 and events.is_done
     assert events.load == contract.LoadReport(memory_share=0.5)
 
 
