--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -116,7 +116,7 @@
 
 def plant_dead_timer(rig: RelayRig) -> None:
     """Stop to follow discovery."""
-    rig.node.discovery._stop()
+    rig.node.discovery._cancel_all()
     rig.run(11.0)
 
 
