--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -138,7 +138,7 @@
 
         - A write that fetches a read state: if the engine was cut off unnoticed, a request on an idle
           connection never arrives, and its reader keeps the state meanwhile
-          (test_a_state_is_released_in_time_though_its_writers_were_cut_off_unseen).
+          (test_a_state_is_released_in_time_although_its_writers_were_cut_off_unnoticed).
         - An at-most-once write: if the engine has closed the idle connection unnoticed, the request fails as
           possibly executed and may not be retried.
         - An at-most-once read after an attempt that may still be running: over an idle connection it could
--- a/myrtlehub/relay/engines/state_release.py
+++ b/myrtlehub/relay/engines/state_release.py
@@ -77,7 +77,7 @@
         Any engine forwards a release to all others, which helps if the reader drained and ended while its
         state was being transferred to a writer. The others are sorted by their latest contact, in case a
         network partition separates the reader and its neighbours in the endpoint list
-        (test_a_state_behind_a_partition_is_released_through_the_engine_last_heard).
+        (test_a_state_behind_a_partition_is_released_through_the_engine_of_latest_contact).
         """
         directory = self.directory
         sequence = next(self._sequences(sequence_id), None)
--- a/tests/test_engine_start_times.py
+++ b/tests/test_engine_start_times.py
@@ -42,7 +42,7 @@
     assert ages(decoder(), NOW, host("w1", 3.0), host("w2", None), host("w3", 500.0)) == [3.0, 0.0, 500.0]
 
 
-def test_a_clock_set_back_by_an_hour_makes_no_engine_start_in_the_future() -> None:
+def test_a_wall_clock_set_back_by_an_hour_lets_no_engine_start_in_the_future() -> None:
     """Each would be taken for cold for an hour; now just the newest is, for its usual time."""
     back = decoder(-HOUR)
     first = ages(back, NOW, host("w1", 30.0), host("w2", 500.0), host("w3", None))
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("error", [HOUR, -HOUR, 5.0, -5.0])
-def test_an_engine_that_appears_while_a_node_watches_is_new_whatever_the_clock_says(error: float) -> None:
+def test_an_engine_that_appears_during_a_watch_is_new_whatever_the_wall_clock_says(error: float) -> None:
     watching = decoder(error)
     ages(watching, NOW, host("w1", None))
     (age,) = ages(watching, NOW + 2.0, host("w2", 1.0, NOW + 2.0), whole=False)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("error", [HOUR, -HOUR])
-def test_an_engine_that_restarts_while_a_node_watches_is_new(error: float) -> None:
+def test_an_engine_that_restarts_during_a_watch_is_new(error: float) -> None:
     watching = decoder(error)
     ages(watching, NOW, host("w1", 900.0))
     (age,) = ages(watching, NOW + 2.0, host("w1", 0.5, NOW + 2.0), whole=False)
@@ -78,7 +78,7 @@
     assert NOW + 9.0 - watching.entries["w1"].age == pytest.approx(before)
 
 
-def test_an_engine_that_has_started_this_moment_is_not_one_of_long_ago() -> None:
+def test_an_engine_that_has_just_started_has_an_age_above_0() -> None:
     exact = decoder()
     ages(exact, NOW, host("w1", 0.0))
     assert exact.entries["w1"].age > 0.0
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -38,7 +38,7 @@
     os.close(pipe.writing)
 
 
-def test_lines_are_whole_and_in_order_whatever_the_reader_takes(pipe: Pipe) -> None:
+def test_lines_are_complete_and_in_order_however_much_is_read_at_once(pipe: Pipe) -> None:
     writer = LogWriter(pipe.writing, max_bytes=1 << 20)
     lines = [b"%05d" % number + b"y" * (number % 5000) + b"\n" for number in range(200)]
     read = b""
@@ -52,7 +52,7 @@
     assert read == b"".join(lines) and writer.dropped_count == 0
 
 
-def test_what_a_full_pipe_does_not_take_is_dropped_and_reported_once(pipe: Pipe) -> None:
+def test_lines_that_a_full_pipe_does_not_accept_are_dropped_and_reported_once(pipe: Pipe) -> None:
     writer = LogWriter(pipe.writing, max_bytes=8 * len(LINE))
     for _ in range(200):
         writer.write_line(LINE)
@@ -94,7 +94,7 @@
     assert len(lines) == 3 and all(b"unreadable event" in line for line in lines[:2])
 
 
-def test_details_stay_in_memory_until_a_dump_which_is_bounded_and_rare(pipe: Pipe) -> None:
+def test_detailed_events_stay_in_memory_until_a_dump_which_is_bounded_and_rate_limited(pipe: Pipe) -> None:
     now = [100.0]
     log = EventLog(LogWriter(pipe.writing, max_bytes=1 << 20), lambda: now[0])
     for number in range(5000):
--- a/tests/test_message_boundaries.py
+++ b/tests/test_message_boundaries.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("traffic", ["post", "ask", "note"])
 @pytest.mark.parametrize("way", WAYS)
-def test_rules_are_kept_with_a_fault_at_each_message_boundary(traffic: str, way: str) -> None:
+def test_all_rules_hold_with_a_fault_at_each_message_boundary(traffic: str, way: str) -> None:
     count = crossings(traffic)
     assert count > 15
     answers: Counter[str] = Counter()
--- a/tests/test_relay_discovery.py
+++ b/tests/test_relay_discovery.py
@@ -104,7 +104,7 @@
     assert rig.request("a1").statuses == [200]
 
 
-def test_the_return_of_a_silent_discovery_is_noticed_within_the_grace() -> None:
+def test_the_return_of_a_silent_discovery_is_noticed_within_the_drain_grace() -> None:
     """It answers no request that it took while it was silent, and what it has counts at once."""
     for silence in (3.3, 4.0, 5.21, 6.77, 8.05):
         rig = RelayRig("w1 w2")
@@ -225,7 +225,7 @@
     assert len(opened) == 1 and early.statuses == [200]
 
 
-def test_a_wall_clock_set_back_makes_no_engine_cold_for_an_hour() -> None:
+def test_a_wall_clock_set_back_keeps_no_engine_in_slow_start_for_an_hour() -> None:
     """Crossing: the process starts after the step, and an engine's start seems to lie in the future."""
     rig = RelayRig("w1")
     rig.update_list(w1=rig.entry("w1", born_ms=(rig.clock.seconds() + 3600.0) * 1000))
--- a/tests/test_relay_first_byte.py
+++ b/tests/test_relay_first_byte.py
@@ -34,7 +34,7 @@
     return rig
 
 
-def test_the_time_told_is_what_is_left_as_the_first_byte_leaves() -> None:
+def test_the_remaining_time_stated_to_an_engine_is_that_at_the_first_byte() -> None:
     rig = slow_rig()
     rig.request("a1", remaining_ms=CLIENT_TIME_MS)
     rig.run(0.5)
@@ -43,7 +43,7 @@
     assert left - 60 <= told <= left
 
 
-def test_nothing_is_sent_after_the_deadline_though_its_timer_is_late() -> None:
+def test_nothing_is_sent_after_the_deadline_although_its_timer_is_late() -> None:
     rig = slow_rig()
     client = rig.request("a1", remaining_ms=150)
     for sequence in rig.node.executor.in_flight.values():
@@ -56,7 +56,7 @@
     assert client.statuses == [503]
 
 
-def test_nothing_is_sent_to_an_engine_that_turns_out_cold() -> None:
+def test_nothing_is_sent_to_an_engine_that_is_found_to_be_in_slow_start() -> None:
     """Crossing: its restart is told while a connection to it comes up, and this one is not of its share."""
     rig = slow_rig("w1 w2")
     rig.engines["w1"].script = rig.engines["w2"].script = never_respond
@@ -91,7 +91,7 @@
     assert rig.node.monitor.counter.withheld["may run"] == (not is_sent)
 
 
-def test_a_pipelined_request_counts_from_its_own_last_byte() -> None:
+def test_the_time_of_a_pipelined_request_counts_from_its_own_last_byte() -> None:
     """Crossing: it waits here behind the stream of the request before it, while its client's time runs on."""
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
@@ -105,7 +105,7 @@
     assert int(second.headers[b"x-remaining-ms"]) <= 2000
 
 
-def test_a_pipelined_request_whose_time_is_over_is_refused_unsent() -> None:
+def test_a_pipelined_request_past_its_deadline_is_rejected_unsent() -> None:
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
     client = rig.client()
--- a/tests/test_relay_local_failures.py
+++ b/tests/test_relay_local_failures.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("name", LOCAL_ERRORS)
-def test_an_at_most_once_request_outlasts_a_local_error_of_connect(
+def test_an_at_most_once_request_survives_a_local_error_of_connect(
     rig: SocketRig, faults: FaultControlFile, name: str
 ) -> None:
     """It surely has not run, and no engine is to blame."""
@@ -66,7 +66,7 @@
     assert len(rig.engines["w1"].sequence_ids() + rig.engines["w2"].sequence_ids()) == 1
 
 
-def test_a_socket_that_cannot_be_made_is_no_fault_of_the_engine(
+def test_a_socket_that_cannot_be_created_is_not_attributed_to_the_engine(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
     node = rig.start("w1", argv=faults.argv())
@@ -101,7 +101,7 @@
     assert statuses == [200] * 4
 
 
-def test_a_log_on_a_full_device_costs_no_answer_and_no_change(rig: SocketRig) -> None:
+def test_a_log_on_a_full_device_delays_no_answer_and_no_list_change(rig: SocketRig) -> None:
     """Crossing: the device is full as the node opens, and as discovery fails."""
     with Path("/dev/full").open("wb") as full:
         node = rig.start("w1", stdout=full.fileno())
@@ -124,7 +124,7 @@
     os.close(writing)
 
 
-def test_a_log_that_nobody_drains_costs_no_answer(rig: SocketRig, full_pipe: int) -> None:
+def test_a_log_pipe_that_is_not_read_delays_no_answer(rig: SocketRig, full_pipe: int) -> None:
     node: RelayProcess = rig.start("w1", stdout=full_pipe)
     statuses = []
     for number in range(60):
@@ -136,7 +136,7 @@
     assert node.exit_code() == 0
 
 
-def test_a_log_whose_reader_is_gone_costs_no_answer(rig: SocketRig) -> None:
+def test_a_log_pipe_without_a_reader_delays_no_answer(rig: SocketRig) -> None:
     reading, writing = os.pipe()
     os.close(reading)
     node = rig.start("w1", stdout=writing)
@@ -146,7 +146,7 @@
     assert node.exit_code() == 0
 
 
-def test_a_request_that_waited_to_be_accepted_counts_from_its_coming(
+def test_the_time_of_a_request_includes_its_wait_to_be_accepted(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
     """Found by the fault soak: accept failed for a while, and engines were told the client's whole time."""
@@ -164,7 +164,7 @@
     assert int(rig.engines["w1"].next_request(b"POST").headers[b"x-remaining-ms"]) >= 3500
 
 
-def test_a_node_starts_though_sockets_cannot_be_made_for_a_moment(
+def test_a_node_starts_after_sockets_briefly_could_not_be_created(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
     """Found by the fault soak: a node that restarted in such a moment refused to start."""
--- a/tests/test_relay_process.py
+++ b/tests/test_relay_process.py
@@ -166,7 +166,7 @@
     node.assert_clean_exit()
 
 
-def test_sighup_moves_discovery_and_names_what_needs_a_restart(rig: SocketRig) -> None:
+def test_sighup_changes_the_address_of_discovery_and_logs_what_needs_a_restart(rig: SocketRig) -> None:
     node = rig.start("w1")
     former_discovery = rig.discovery
     rig.start("w2")
--- a/tests/test_relay_rearming.py
+++ b/tests/test_relay_rearming.py
@@ -39,7 +39,7 @@
         return
 
 
-def test_a_list_that_could_not_be_applied_is_read_again() -> None:
+def test_a_list_that_could_not_be_applied_is_polled_again() -> None:
     rig = RelayRig("w1 w2")
     rig.node.discovery.on_update = failing = Failing(rig.node.discovery.on_update)
     with pytest.raises(PlantedError):
@@ -52,7 +52,7 @@
     assert rig.node.discovery.is_armed()
 
 
-def test_a_list_that_can_never_be_applied_is_asked_for_in_turns() -> None:
+def test_a_list_that_can_never_be_applied_is_polled_at_the_retry_interval() -> None:
     rig = RelayRig("w1")
     rig.node.discovery.on_update = Failing(rig.node.discovery.on_update, count=10_000)
     with pytest.raises(PlantedError):
@@ -62,7 +62,7 @@
     assert 5 <= len(rig.discovery.requests) - before <= 10
 
 
-def test_discovery_is_asked_again_where_a_request_could_not_be_sent() -> None:
+def test_discovery_is_polled_again_after_a_send_that_raised() -> None:
     rig = RelayRig("w1")
     rig.node.discovery.pool.send = failing = Failing(rig.node.discovery.pool.send, count=3)
     rig.discovery.connections[-1].transport.abortConnection()
@@ -70,7 +70,7 @@
     assert failing.raised == 3 and rig.open_watches and rig.node.discovery.is_armed()
 
 
-def test_a_discovery_that_cannot_be_logged_is_asked_again() -> None:
+def test_discovery_is_polled_again_after_a_log_call_that_raised() -> None:
     rig = RelayRig("w1")
     rig.node.discovery.log = Failing(rig.node.discovery.log)
     rig.discovery.connections[-1].transport.abortConnection()
@@ -78,7 +78,7 @@
     assert rig.node.discovery.version == 1 and rig.node.discovery.is_armed()
 
 
-def test_streams_are_looked_at_beside_and_after_one_whose_look_raises() -> None:
+def test_all_streams_are_checked_although_one_check_raises() -> None:
     rig = RelayRig("w1")
     rig.engines["w1"].script = lambda connection, head, body: connection.send(STREAM_HEAD)
     rig.request("a1")
@@ -92,7 +92,7 @@
     assert len(looks) >= 7 and monitor.is_armed()
 
 
-def test_idle_connections_are_swept_after_one_that_raised() -> None:
+def test_idle_connections_are_closed_after_one_whose_close_raised() -> None:
     rig = RelayRig("w1")
     rig.request("a1")
     pool = rig.node.pool
@@ -111,7 +111,7 @@
     assert failing.raised == 1 and lag.age(rig.clock.seconds()) == 0.0
 
 
-def test_a_release_is_sent_after_one_that_could_not_be() -> None:
+def test_a_release_is_retried_after_a_send_that_raised() -> None:
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
@@ -147,7 +147,7 @@
     assert ended
 
 
-def test_a_request_whose_send_raised_goes_again() -> None:
+def test_a_request_whose_send_raised_is_retried() -> None:
     rig = RelayRig("w1 w2")
     rig.node.engine_client.start = Failing(rig.node.engine_client.start)
     with pytest.raises(PlantedError):
@@ -157,7 +157,7 @@
     assert not rig.node.executor.in_flight
 
 
-def test_a_deadline_is_kept_though_an_action_before_its_timer_raised() -> None:
+def test_a_deadline_is_kept_although_an_action_before_its_wakeup_raised() -> None:
     """The wake-up is the last action of a call: lost once, it would never be asked for again."""
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
@@ -171,7 +171,7 @@
     assert client.statuses == [503] and not executor.in_flight
 
 
-def test_an_answer_that_the_router_does_not_give_is_given_in_time_and_counted() -> None:
+def test_a_sequence_that_the_router_leaves_unanswered_is_aborted_and_counted_as_a_violation() -> None:
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
     rig.node.executor.router._place_waiting = lambda now: None  # its wake-ups do nothing any more
--- a/tests/test_relay_releases.py
+++ b/tests/test_relay_releases.py
@@ -50,7 +50,7 @@
     assert not rig.node.engine_client.releaser.has_outstanding_attempt("a1")
 
 
-def test_a_state_whose_reader_is_gone_is_released_through_another_engine() -> None:
+def test_a_state_whose_reader_has_ended_is_released_through_another_engine() -> None:
     """Seen on a day of replacements: the reader drained and ended while the writer waited for its state."""
     rig = RelayRig("r1 w1 w2")
     for name in ("w1", "w2"):
@@ -63,7 +63,7 @@
     assert b"/state/a1" in rig.engines["w1"].released_paths() + rig.engines["w2"].released_paths()
 
 
-def test_a_state_behind_a_partition_is_released_through_the_engine_last_heard() -> None:
+def test_a_state_behind_a_partition_is_released_through_the_engine_of_latest_contact() -> None:
     """Seen on split+brink: the reader and the next three engines of the list were behind the partition."""
     for heard in ("w2", "w5", "w6"):
         rig = RelayRig("r1 w1 w2 w3 w4 w5 w6")
@@ -143,7 +143,7 @@
     assert not rig.node.engine_client.releaser.is_busy()
 
 
-def test_a_release_outlasts_a_lack_of_connections() -> None:
+def test_a_release_survives_a_lack_of_connections() -> None:
     """Crossing: the client leaves while all connections to engines are taken."""
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
@@ -159,7 +159,7 @@
     assert b"/state/a1" in rig.engines["r1"].released_paths()
 
 
-def test_a_release_that_nobody_ever_takes_is_given_up_after_10_s() -> None:
+def test_a_release_that_all_engines_refuse_expires_after_10_s() -> None:
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
@@ -172,7 +172,7 @@
     assert not rig.node.engine_client.releaser.is_busy()
 
 
-def test_a_state_is_released_in_time_though_its_writers_were_cut_off_unseen() -> None:
+def test_a_state_is_released_in_time_although_its_writers_were_cut_off_unnoticed() -> None:
     """Found by the fault soak: a send that has not arrived does not stop the clock of what is held."""
     rig = RelayRig("r1 w1 w2")
     for number in range(4):
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -14,7 +14,7 @@
 from myrtlehub.relay.settings.settings_reload import reload_settings
 
 
-def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_changes_the_address_of_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     rig = RelayRig("w1")
     logged: list[str] = []
     path = tmp_path / "c.json"
