--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -5,6 +5,7 @@
 
 from myrtlehub.http1.pending_request import PendingRequest
 from myrtlehub.http1.server_exchange import ServerExchange
+from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.relay.clients.request_decoder import RequestDecoder
@@ -143,7 +144,7 @@
     def _reject(self, exchange: ServerExchange, status: int, reason: str = "") -> None:
         """Respond to a malformed request with a 4xx status and close the connection."""
         self.rejected_count += 1
-        self.executor.log("request rejected", status=status, why=reason)
+        self.executor.log(LogEvent.REQUEST_REJECTED, status=status, reason=reason)
         exchange.respond(status, close=True)
 
     def _accept(self, exchange: ServerExchange) -> None:
--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -9,8 +9,8 @@
 from myrtlehub.http1.client_connection import ResponseHandler
 from myrtlehub.http1.interfaces import Headers
 from myrtlehub.http1.pending_request import PendingRequest
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import Log
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.relay.engines.engine_directory import EngineDirectory
 from myrtlehub.relay.engines.event_stream import EventStreamParser
@@ -209,7 +209,10 @@
         self.client.stream_monitor.remove(self)
         if reason is not None:
             self.client.log(
-                "broken", seq=self.attempt.sequence.sequence_id, number=self.attempt.number, why=reason
+                LogEvent.ATTEMPT_FAILED,
+                sequence_id=self.attempt.sequence.sequence_id,
+                attempt=self.attempt.number,
+                reason=reason,
             )
         # The executor takes a value above 0 for a write that failed as "the reader had no state".
         cached_tokens = cached_tokens or float(end.is_state_missing)
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 from functools import partial
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.client_connection import ClientRequest
 from myrtlehub.http1.connection_pool import NEW_CONNECTION, ConnectionPool
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.pending_request import PendingRequest
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import Log
 from myrtlehub.node.sequences import Attempt, InFlightSequence
 from myrtlehub.relay.clients.request_decoder import EngineRequest, RequestDecoder
 from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
@@ -18,7 +18,6 @@
 from myrtlehub.relay.engines.stream_monitor import StreamMonitor
 from myrtlehub.relay.engines.uncertain_attempts import UncertainAttempts
 from myrtlehub.relay.errors import UnknownRequestTypeError
-from myrtlehub.relay.monitoring.event_log import no_log
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import AnswerState
@@ -72,16 +71,16 @@
         handler = _response_handler(attempt)
         now = self.clock.seconds()
         self.log(
-            "attempt",
-            seq=attempt.sequence.sequence_id,
-            number=attempt.number,
+            LogEvent.ATTEMPT_ENDED,
+            sequence_id=attempt.sequence.sequence_id,
+            attempt=attempt.number,
             engine=self.directory.name(attempt.engine),
-            kind=attempt.kind,
-            reads=attempt.reads,
+            engine_kind=attempt.kind,
+            is_read=attempt.reads,
             state=attempt.state_machine.state,
-            took=round(now - attempt.sent_at, 4),
-            timed=now >= attempt.times_out_at,
-            gap=round(handler.longest_gap, 2) if handler is not None else 0.0,
+            duration_s=round(now - attempt.sent_at, 4),
+            timed_out=now >= attempt.times_out_at,
+            longest_gap_s=round(handler.longest_gap, 2) if handler is not None else 0.0,
         )
         if handler is not None:
             # Breaks the reference cycle of attempt, request and handler, which would keep the whole client
@@ -117,7 +116,7 @@
         if broken is not None:
             self.invariants.note_withheld(broken)
             sequence_id = attempt.sequence.sequence_id
-            self.log("withheld", seq=sequence_id, number=attempt.number, why=broken)
+            self.log(LogEvent.SEND_WITHHELD, sequence_id=sequence_id, attempt=attempt.number, reason=broken)
             return None
         remaining_ms = max(1, int((time_left - REMAINING_TIME_MARGIN_S) * 1000))
         return request._replace(headers=[*request.headers, (b"x-remaining-ms", b"%d" % remaining_ms)])
--- a/myrtlehub/relay/engines/engine_directory.py
+++ b/myrtlehub/relay/engines/engine_directory.py
@@ -1,7 +1,7 @@
 """Addresses of the engines, and the time of the latest contact with each."""
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.connection_pool import ConnectionPool
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.membership.endpoint import EndpointState
 from myrtlehub.node.endpoint_index import EndpointIndex
 
--- a/myrtlehub/relay/engines/uncertain_attempts.py
+++ b/myrtlehub/relay/engines/uncertain_attempts.py
@@ -1,6 +1,6 @@
 """Sequences with an attempt that may still be running at its engine although it has ended here."""
 
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.clock import Clock
 
 RETENTION_S = 60.0  # longer than any sequence is in flight
 
--- a/myrtlehub/relay/monitoring/event_log.py
+++ b/myrtlehub/relay/monitoring/event_log.py
@@ -3,15 +3,24 @@
 import itertools
 from collections import deque
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.monitoring.log_writer import LogWriter
 
 # Events that are too frequent to be written, unless RELAY_LOG=all.
 DETAILED_EVENTS = frozenset(
-    ("answer", "engine", "attempt", "broken", "request rejected", "withheld", "release", "closed")
+    (
+        LogEvent.SEQUENCE_ANSWERED,
+        LogEvent.ENGINE_STATE_CHANGED,
+        LogEvent.ATTEMPT_ENDED,
+        LogEvent.ATTEMPT_FAILED,
+        LogEvent.REQUEST_REJECTED,
+        LogEvent.SEND_WITHHELD,
+        LogEvent.CONNECTION_CLOSED,
+    )
 )
 MAX_RECORDED_EVENTS = 2000  # size of the flight recorder
 MAX_DUMPED_EVENTS = 300  # the latest events written by one dump
@@ -20,16 +29,12 @@
 _line_encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-def no_log(event: str, **fields: object) -> None:
-    """Write nothing."""
-
-
 class RecordedEvent(NamedTuple):
     """An event in the flight recorder; `at` is in seconds of the node's clock."""
 
     at: float
-    event: str
-    fields: dict[str, Any]
+    event: LogEvent
+    fields: dict[str, object]
 
 
 class EventLog:
@@ -50,17 +55,19 @@
         self._recorded: deque[RecordedEvent] = deque(maxlen=MAX_RECORDED_EVENTS)
         self._last_dump_at = float("-inf")
 
-    def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401
+    def __call__(self, event: LogEvent, /, **fields: object) -> None:
         """Record an event, and write it unless it is a detailed one."""
         self._recorded.append(RecordedEvent(self._now(), event, fields))
         if self._log_all or event not in DETAILED_EVENTS:
             self._write(event, fields)
 
-    def _write(self, event: str, fields: dict[str, Any]) -> None:
+    def _write(self, event: LogEvent, fields: dict[str, object]) -> None:
         try:
             line = _line_encoder.encode({"event": event, **fields})
         except (TypeError, ValueError) as error:
-            line = _line_encoder.encode({"event": "unreadable event", "why": type(error).__name__})
+            line = _line_encoder.encode(
+                {"event": LogEvent.EVENT_NOT_ENCODABLE, "reason": type(error).__name__}
+            )
         self._writer.write_line(line + b"\n")
 
     def dump(self) -> None:
@@ -72,7 +79,10 @@
         first = max(0, len(self._recorded) - MAX_DUMPED_EVENTS)
         for recorded in list(itertools.islice(self._recorded, first, None)):
             at = round(recorded.at, TIME_DIGITS)
-            self._write("recorded", {"at": at, "of": recorded.event, **recorded.fields})
+            self._write(
+                LogEvent.EVENT_RECORDED,
+                {"recorded_at_s": at, "recorded": recorded.event, **recorded.fields},
+            )
 
     def flush(self, timeout: float) -> None:
         """Write buffered lines, waiting up to `timeout` seconds for a slow reader of the log."""
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -3,19 +3,18 @@
 from collections.abc import Callable
 from random import Random
 
+from myrtlehub.clock import Clock
 from myrtlehub.http1.connection_pool import ConnectionPool, Dial
-from myrtlehub.http1.interfaces import Clock
 from myrtlehub.http1.listener import ConnectionListener
 from myrtlehub.limits.event_loop_lag import TICK_PERIOD
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import Log
 from myrtlehub.relay.clients.client_front import ClientFront
 from myrtlehub.relay.clients.request_decoder import RequestDecoder
 from myrtlehub.relay.discovery.discovery_client import CONNECT_TIMEOUT_S, DiscoveryClient
 from myrtlehub.relay.discovery.endpoint_list import EndpointListDecoder, EndpointListUpdate
 from myrtlehub.relay.engines.engine_client import EngineClient
 from myrtlehub.relay.errors import EndpointListError
-from myrtlehub.relay.monitoring.event_log import no_log
 from myrtlehub.relay.monitoring.invariant_monitor import InvariantMonitor, RecurringTimer
 from myrtlehub.relay.process.descriptor_budget import MAX_DISCOVERY_CONNECTIONS, DescriptorBudget
 from myrtlehub.relay.settings.node_settings import NodeSettings, router_config_of
@@ -140,7 +139,7 @@
                 self._uses_fallback_list = True
                 self._apply(update._replace(is_complete=True))
         except EndpointListError as error:
-            self.log("fallback endpoint list rejected", why=str(error))
+            self.log(LogEvent.FALLBACK_LIST_REJECTED, reason=str(error))
         finally:
             self.open()
 
@@ -149,7 +148,7 @@
         if not self._is_open:
             self._is_open = True
             self.on_open()
-            self.log("ready", name=self.settings.name, engines=len(self.decoder.engines.rows))
+            self.log(LogEvent.READY, name=self.settings.name, engines=len(self.decoder.engines.rows))
 
     def _is_ready(self) -> bool:
         """Return whether there is an endpoint list, from discovery or from the settings."""
--- a/myrtlehub/relay/process/graceful_shutdown.py
+++ b/myrtlehub/relay/process/graceful_shutdown.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from myrtlehub.http1.interfaces import Clock
+from myrtlehub.clock import Clock
 
 # Time after SIGTERM during which connections are still accepted: the load balancer in front needs as long to
 # stop sending new ones.
--- a/myrtlehub/relay/settings/settings_reload.py
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from myrtlehub.node.protocols import Log
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.relay.errors import SettingsError
 from myrtlehub.relay.settings.node_settings import NodeSettings, read_node_settings
 
@@ -24,7 +24,7 @@
     try:
         settings = read_node_settings(path)
     except SettingsError as error:
-        log("configuration kept", why=str(error))
+        log(LogEvent.SETTINGS_RELOAD_FAILED, reason=str(error))
         return
     is_changed = {
         "name": settings.name != current.name,
@@ -33,7 +33,7 @@
         "settings": settings.platform != current.platform,
     }
     log(
-        "configuration read",
+        LogEvent.SETTINGS_RELOADED,
         discovery=settings.discovery,
         not_applied=sorted(key for key, differs in is_changed.items() if differs),
     )
