--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -151,7 +151,7 @@
         try:
             decoded = self.decoder.decode(exchange.request, self.executor.clock.seconds())
             if decoded.sequence_id in self.open_sinks:
-                raise RejectedRequestError(HTTPStatus.CONFLICT, "X-Txn is that of an open request")
+                raise RejectedRequestError(HTTPStatus.CONFLICT, "X-Txn is the id of an open request")
         except RejectedRequestError as error:
             self._reject(exchange, error.status, str(error))
             return
--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -117,7 +117,7 @@
         sequence_id = _parse_id(fields)
         traffic = self.traffic.get(fields.get(b"x-lane", b"").decode("latin-1"))
         if traffic is None:
-            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Lane is none of ours")
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Lane is not a traffic type of the settings")
         tenant = self._tenant(fields)
         stated_time = parse_number(fields.get(b"x-remaining-ms", b""), "X-Remaining-Ms") / 1e3
         labels = parse_labels(fields.get(b"x-labels", b""))
@@ -149,14 +149,14 @@
             return NO_TENANT
         tenant = self.tenants.get(name, NO_TENANT)
         if tenant == NO_TENANT and self.tenants:
-            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Org is none of ours")
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Org is not a tenant of the settings")
         return tenant
 
 
 def _parse_id(fields: dict[bytes, bytes]) -> str:
     text = fields.get(b"x-txn", b"")
     if not 0 < len(text) <= MAX_ID_BYTES or not ID_CHARACTERS.issuperset(text):
-        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Txn is missing or no id")
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Txn is missing or not a valid id")
     return text.decode()
 
 
@@ -182,4 +182,4 @@
     try:
         msgspec.json.decode(body, type=_ChatBody)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "the body is no chat request") from error
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "the body is not a chat request") from error
--- a/myrtlehub/relay/clients/request_headers.py
+++ b/myrtlehub/relay/clients/request_headers.py
@@ -53,7 +53,7 @@
     for name, value in headers:
         if name in INTERPRETED_HEADERS:
             if name in fields:
-                raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name.decode()} is there twice")
+                raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name.decode()} occurs twice")
             fields[name] = value
     return fields
 
@@ -83,7 +83,7 @@
         RejectedRequestError: `text` is not one; the message has `name`.
     """
     if not (0 < len(text) <= MAX_NUMBER_DIGITS and text.isdigit()):
-        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name} is no number")
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name} is not a non-negative integer")
     return int(text)
 
 
@@ -97,6 +97,6 @@
     for part in text.split(b",") if text else ():
         name, equals, value = part.strip().partition(b"=")
         if not equals or name in labels:
-            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Labels can't be read")
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Labels is malformed")
         labels[name] = value
     return labels
--- a/myrtlehub/relay/engines/event_stream.py
+++ b/myrtlehub/relay/engines/event_stream.py
@@ -59,9 +59,9 @@
             if event:
                 self._inspect(event.lstrip(b"\n"))
         if len(self.incomplete) > MAX_EVENT_BYTES:
-            raise EventStreamError("an event is too long")
+            raise EventStreamError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
         if self.incomplete and not self._may_become_event(self.incomplete.lstrip(b"\n")):
-            raise EventStreamError("no event begins like this")
+            raise EventStreamError("the data is not the beginning of an event")
         return complete
 
     @staticmethod
@@ -74,7 +74,7 @@
     def _inspect(self, event: bytes) -> None:
         """Validate an event, and read its usage, load report or end mark."""
         if not event.startswith(EVENT_PREFIXES):
-            raise EventStreamError("no event begins like this")
+            raise EventStreamError("the data is not the beginning of an event")
         if event.startswith(b":"):
             if event.startswith(LOAD_COMMENT):
                 self._read_load(event)
@@ -106,4 +106,4 @@
         if incomplete.startswith(LOAD_COMMENT):
             self._read_load(incomplete)
         elif incomplete and not incomplete.startswith(b":"):
-            raise EventStreamError("half an event is left at the end")
+            raise EventStreamError("the stream ends within an event")
