--- a/tests/relaymessages.py
+++ b/tests/relaymessages.py
@@ -1,6 +1,6 @@
-"""Settings, requests and responses for tests of the relay, as bytes."""
+"""Settings, requests and responses for tests of the relay."""
 
-LONG_PROMPT = 2000  # tokens from which a reader is used
+LONG_PROMPT = 2000  # tokens; long enough for the router to use a reader
 
 SETTINGS = {
     "Balancers": 2,
@@ -72,7 +72,7 @@
 
 
 def response(status: int, rejected: bool = False, headers: bytes = b"") -> bytes:
-    """Return a response without a body; `rejected`: with the header by which engines reject."""
+    """Return a response without a body; if `rejected`, with the header of a rejection."""
     marker = b"X-Turned-Away: 1\r\n" * rejected
     return b"HTTP/1.1 %d X\r\n%s%sContent-Length: 0\r\n\r\n" % (status, marker, headers)
 
@@ -95,7 +95,7 @@
 
 
 def stream_of(received: bytes) -> bytes:
-    """Return the body of one chunked response, with a mark for its last chunk."""
+    """Return the decoded body of a chunked response, with `<end>` in place of its last chunk."""
     body = received.partition(b"\r\n\r\n")[2]
     out = b""
     while body:
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -1,4 +1,4 @@
-"""A relay node with scripted engines, discovery and clients, on a network in memory and a driven clock."""
+"""A relay node with scripted engines, discovery and clients, on an in-memory network and a fake clock."""
 
 import json
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A complete request, as a peer read it."""
+    """A complete request that a scripted peer received."""
 
     method: bytes
     target: bytes
@@ -27,7 +27,7 @@
 
 
 class PeerConnection(Protocol):
-    """One connection to a scripted peer; requests are parsed by h11, responses are raw bytes."""
+    """A connection to a scripted peer, which parses requests with h11 and sends raw bytes."""
 
     def __init__(self, peer: "ScriptedPeer") -> None:
         self.peer = peer
@@ -37,7 +37,7 @@
         self.body = b""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read one request, and follow the peer's script."""
+        """Parse a request and run the peer's script."""
         self.http.receive_data(data)
         while True:
             event = self.http.next_event()
@@ -53,7 +53,7 @@
                 return
 
     def _complete(self) -> None:
-        # the next request on this connection is read afresh, whatever was answered raw
+        # A new parser for the next request, as h11 does not know of the raw response.
         self.http = h11.Connection(h11.SERVER)
         head = self.head
         self.last_headers = list(head.headers)
@@ -67,7 +67,7 @@
         self.transport.write(data)
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Note it."""
+        """Record the loss."""
         self.lost = True
 
 
@@ -75,7 +75,7 @@
 
 
 class ScriptedPeer(Factory):
-    """A peer of the node; `script(connection, head, body)` is called with each complete request."""
+    """A peer of the node; `script(connection, head, body)` is called for each complete request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -88,33 +88,33 @@
         return self.connections[-1]
 
     def chat_requests(self) -> list[ReceivedRequest]:
-        """Return the attempts that came."""
+        """Return the attempts received."""
         return [request for request in self.requests if request.method == b"POST"]
 
     def released_paths(self) -> list[bytes]:
-        """Return the paths of the releases that came."""
+        """Return the paths of the releases received."""
         return [request.target for request in self.requests if request.method == b"DELETE"]
 
 
 def never_respond(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
-    """Be an engine that takes work and never responds to it."""
+    """Script of an engine that accepts attempts and never responds to them."""
     if head.method == b"DELETE":
         connection.send(RELEASE_RESPONSE)
 
 
 class RawClient(Protocol):
-    """A client's connection: what it received, raw."""
+    """A connection of a client, which stores the received bytes."""
 
     def __init__(self) -> None:
         self.received = b""
         self.lost = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keep it."""
+        """Store the bytes."""
         self.received += data
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Note it."""
+        """Record the loss."""
         self.lost = True
 
     def send(self, data: bytes) -> None:
@@ -123,12 +123,12 @@
 
     @property
     def statuses(self) -> list[int]:
-        """The statuses of the responses that came."""
+        """The statuses of the responses received."""
         return [int(part[:3]) for part in self.received.split(b"HTTP/1.1 ")[1:]]
 
 
 class RawClientFactory(Factory):
-    """Makes clients' connections."""
+    """Factory of clients' connections."""
 
     def buildProtocol(self, addr: object) -> RawClient:  # noqa: N802
         """Return the protocol of a new connection."""
@@ -136,7 +136,10 @@
 
 
 class RelayRig:
-    """Engines are named by kind and number: r1, w1, m1; each is at "NAME:1"."""
+    """A relay node and its peers.
+
+    Engines are named by kind and number, such as r1, w1 and m1, and listen at "NAME:1".
+    """
 
     def __init__(
         self,
@@ -194,7 +197,7 @@
         }
 
     def complete_list(self) -> dict[str, Any]:
-        """Return the complete list, as its first version."""
+        """Return the complete endpoint list, as version 1."""
         return {"seq": 1, "whole": True, "hosts": list(self.entries.values())}
 
     def _discovery_script(self, connection: PeerConnection, head: h11.Request, body: bytes) -> None:
@@ -205,12 +208,12 @@
             self.send_list(connection, {**self.complete_list(), "seq": self.version})
 
     def send_list(self, connection: PeerConnection, message: dict[str, Any]) -> None:
-        """Answer a request of the discovery client."""
+        """Respond to a request of the discovery client."""
         body = json.dumps(message).encode()
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def update_list(self, **entries: dict[str, Any]) -> None:
-        """Answer the watch with changed entries."""
+        """Respond to the open watch with changed entries."""
         self.entries.update(entries)
         self.version += 1
         changes = {"seq": self.version, "whole": False, "hosts": list(entries.values())}
@@ -218,7 +221,7 @@
         self.run(0.02)
 
     def resume_discovery(self) -> None:
-        """Let discovery answer again: with the complete list, on the requests that still wait."""
+        """Make discovery respond again, with the complete list also to the requests that are still open."""
         self.discovery_is_silent = False
         watches, self.open_watches = self.open_watches, []
         for connection in watches:
@@ -226,7 +229,7 @@
                 self.send_list(connection, {**self.complete_list(), "seq": self.version})
 
     def default_script(self, connection: PeerConnection, head: h11.Request, body: bytes) -> None:
-        """Be a sound engine."""
+        """Script of an engine without faults."""
         if head.method == b"DELETE":
             connection.send(RELEASE_RESPONSE)
         else:
@@ -234,11 +237,11 @@
             connection.send(READ_RESPONSE if name[0] == "r" else COMPLETE_STREAM)
 
     def run(self, seconds: float = 0.1) -> None:
-        """Let time pass."""
+        """Advance the clock and deliver what is due."""
         self.net.run(seconds)
 
     def client(self) -> RawClient:
-        """Return a new client's connection."""
+        """Connect a new client and return its connection."""
         made: list[RawClient] = []
         self.net.dialer("node")(RawClientFactory()).addCallback(made.append)
         self.run(0.0)
@@ -253,7 +256,7 @@
         client: RawClient | None = None,
         headers: bytes = b"",
     ) -> RawClient:
-        """Send a request, and return its client."""
+        """Send a request and return the client's connection."""
         client = client or self.client()
         client.send(chat_request(sequence_id, prompt, traffic, remaining_ms, headers))
         self.run(0.02)
--- a/tests/test_engine_start_times.py
+++ b/tests/test_engine_start_times.py
@@ -1,4 +1,4 @@
-"""When engines started, for a node whose wall clock was stepped before it began, or is right."""
+"""Start times of engines at a node whose wall clock is right, or was stepped before the node started."""
 
 import pytest
 
@@ -10,12 +10,12 @@
 
 
 def decoder(wall_clock_error: float = 0.0) -> EndpointListDecoder:
-    """Return that of a node that began just now, whose wall clock is so far ahead."""
+    """Return the decoder of a node that has just started, and whose wall clock is ahead by the error."""
     return EndpointListDecoder({"w": 0}, {"z": 0}, UNIX_NOW + wall_clock_error - NOW)
 
 
 def host(name: str, age: float | None, now: float = NOW, **fields: object) -> dict[str, object]:
-    """Return an entry of an engine that started `age` seconds before `now`; None: long ago."""
+    """Return the entry of an engine that started `age` seconds before `now`, or long ago if None."""
     born_ms = 0 if age is None else (UNIX_NOW + (now - NOW) - age) * 1000
     return {
         "host": name,
@@ -32,7 +32,7 @@
 def ages(
     decoder: EndpointListDecoder, now: float, *hosts: dict[str, object], whole: bool = True
 ) -> list[float]:
-    """Return the ages that a list has."""
+    """Decode a list and return the ages of its engines."""
     update = decoder.decode({"seq": 1, "whole": whole, "hosts": list(hosts)}, now)
     decoder.start_times.discovery_responded(now)
     return [round(entry.age, 3) for entry in update.entries]
@@ -43,7 +43,7 @@
 
 
 def test_a_wall_clock_set_back_by_an_hour_lets_no_engine_start_in_the_future() -> None:
-    """Each would be taken for cold for an hour; now just the newest is, for its usual time."""
+    """Otherwise all engines would be in slow start for an hour; only the newest is, for its usual time."""
     back = decoder(-HOUR)
     first = ages(back, NOW, host("w1", 30.0), host("w2", 500.0), host("w3", None))
     assert first == [0.0, 470.0, 0.0] and back.entries["w1"].age > 0.0
@@ -70,7 +70,7 @@
 
 
 def test_a_start_is_always_the_same_moment() -> None:
-    """Guards against an engine that seems to have restarted, and whose cache is forgotten, at each list."""
+    """Otherwise each list would make an engine seem restarted, with an empty prefix cache."""
     watching = decoder(-HOUR)
     ages(watching, NOW, host("w1", 400.0))
     before = NOW - watching.entries["w1"].age
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""The log writer: bounded, never blocking, never raising, and what it drops is counted."""
+"""The log writer is bounded, neither blocks nor raises, and counts the lines that it drops."""
 
 import os
 from collections.abc import Iterator
@@ -14,14 +14,14 @@
 
 
 class Pipe:
-    """A pipe whose reading end is read on demand."""
+    """A pipe that is read on demand only."""
 
     def __init__(self) -> None:
         self.reading, self.writing = os.pipe()
         os.set_blocking(self.reading, False)
 
     def read_all(self) -> bytes:
-        """Return what lies in it."""
+        """Read and return all bytes in the pipe."""
         parts = []
         try:
             while part := os.read(self.reading, 65536):
@@ -75,12 +75,12 @@
         for _ in range(4):
             writer.write_line(LINE)
     assert writer.dropped_count == 2
-    writer.write_line(LINE)  # its descriptor is closed now
+    writer.write_line(LINE)  # the descriptor is closed now
     assert writer.dropped_count == 3
 
 
 class Unreadable:
-    """A field that cannot be written as text."""
+    """A field value that cannot be converted to text."""
 
     def __str__(self) -> str:
         raise ValueError
@@ -102,7 +102,7 @@
         log(LogEvent.ATTEMPT_ENDED, number=number)
     assert pipe.read_all() == b""
     log.dump()
-    log.dump()  # at once: nothing more
+    log.dump()  # too soon after the first: writes nothing
     lines = pipe.read_all().splitlines()
     assert len(lines) == MAX_DUMPED_EVENTS and b'"number":4999' in lines[-1] and b'"at":100.0' in lines[-1]
     now[0] += 11.0
--- a/tests/test_message_boundaries.py
+++ b/tests/test_message_boundaries.py
@@ -1,4 +1,4 @@
-"""A fault at each message boundary of one sequence's whole exchange, enumerated: reset, stall and crash."""
+"""A fault at each message boundary of one sequence: connection reset, stalled link, crash of a process."""
 
 from collections import Counter
 
@@ -9,126 +9,148 @@
 
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-WAYS = ("reset", "stall", "crash")
+FAULTS = ("reset", "stall", "crash")
+READER_STATE_TIMEOUT = 3.0  # seconds after which a reader frees a state that nobody has released
 
 
-def begin(traffic: str) -> tuple[Fleet, Caller]:
-    """A split sequence about to be asked; connections stand, so that boundaries are its own messages."""
-    f = Fleet("R0 W0 W0", read_rate=30000.0)
-    warm = f.ask("ask", prompt=3000, output=10)
-    f.run(1.5)
-    assert warm.answer == "generated"
-    f.net.crossed = 0
-    return f, f.ask(traffic, prompt=3000, output=24, left=2.0, timeout=6.0)
+def start_sequence(traffic: str) -> tuple[Fleet, Caller]:
+    """Send a sequence that needs reader and writer, over connections that are established already.
 
+    So only its own messages are counted as boundaries.
+    """
+    fleet = Fleet("R0 W0 W0", read_rate=30000.0)
+    first = fleet.ask("ask", prompt=3000, output=10)
+    fleet.run(1.5)
+    assert first.answer == "generated"
+    fleet.net.crossed = 0
+    return fleet, fleet.ask(traffic, prompt=3000, output=24, left=2.0, timeout=6.0)
 
-def strike(f: Fleet, caller: Caller, way: str, pipe: Pipe) -> str:
-    """Do it to the connection that this message crosses, or to whom it is for."""
-    ends = {pipe.host, pipe.other.host}
-    client = "client" in ends
-    if way == "crash" and pipe.other.host != "client":
-        f.kill(pipe.other.host[:-2])
-    elif way == "stall":
+
+def inject(fleet: Fleet, caller: Caller, fault: str, pipe: Pipe) -> str:
+    """Apply the fault to the connection that the message uses, or to the message's receiver."""
+    hosts = {pipe.host, pipe.other.host}
+    if fault == "crash" and pipe.other.host != "client":
+        fleet.kill(pipe.other.host[:-2])
+    elif fault == "stall":
         pipe.stalled = pipe.other.stalled = True
     else:
-        f.net.cut(pipe)
-    if (client and way != "crash") or pipe.other.host == "client":
-        f.client.note("left", call=caller.name)  # nothing that a node does can reach this client now
+        fleet.net.cut(pipe)
+    if ("client" in hosts and fault != "crash") or pipe.other.host == "client":
+        # A node can no longer reach this client, so the rules require no answer.
+        fleet.client.note("left", call=caller.name)
     return f"{pipe.host} to {pipe.other.host}"
 
 
-def play(traffic: str, way: str, at: int) -> tuple[Fleet, Caller, list[str]]:
-    f, caller = begin(traffic)
-    struck: list[str] = []
-    f.net.fault_at, f.net.fault = at, lambda pipe: struck.append(strike(f, caller, way, pipe))
-    f.run(9.0 if way != "stall" else 45.0)
-    return f, caller, struck
+def run_with_fault(traffic: str, fault: str, boundary: int) -> tuple[Fleet, Caller, list[str]]:
+    """Run a sequence with a fault at one boundary; return also the links to which it was applied."""
+    fleet, caller = start_sequence(traffic)
+    links: list[str] = []
+    fleet.net.fault_at = boundary
+    fleet.net.fault = lambda pipe: links.append(inject(fleet, caller, fault, pipe))
+    fleet.run(9.0 if fault != "stall" else 45.0)
+    return fleet, caller, links
+
+
+def count_boundaries(traffic: str) -> int:
+    """Return the number of messages of a sequence without a fault."""
+    fleet, caller = start_sequence(traffic)
+    fleet.run(8.0)
+    assert caller.answer == "generated" and len(fleet.what("held")) == 2
+    return fleet.net.crossed
 
 
-def crossings(traffic: str) -> int:
-    f, caller = begin(traffic)
-    f.run(8.0)
-    assert caller.answer == "generated" and len(f.what("held")) == 2
-    return f.net.crossed
+def assert_nothing_is_left(fleet: Fleet, place: str) -> None:
+    """Assert that no node has a sequence in flight, and that no engine has work or read state."""
+    for node in fleet.nodes.values():
+        assert not node.executor.in_flight and not node.executor.attempts_out(), place
+    for name, engine in fleet.stands.items():
+        model = engine.model
+        assert model.has_crashed or not (
+            model.prefill.read_states or model.decode.running or model.prefill.running or model.decode.queue
+        ), (place, name)
 
 
 @pytest.mark.parametrize("traffic", ["post", "ask", "note"])
-@pytest.mark.parametrize("way", WAYS)
-def test_all_rules_hold_with_a_fault_at_each_message_boundary(traffic: str, way: str) -> None:
-    count = crossings(traffic)
+@pytest.mark.parametrize("fault", FAULTS)
+def test_all_rules_hold_with_a_fault_at_each_message_boundary(traffic: str, fault: str) -> None:
+    count = count_boundaries(traffic)
     assert count > 15
     answers: Counter[str] = Counter()
     places: Counter[str] = Counter()
-    for at in range(1, count + 1):
-        f, caller, struck = play(traffic, way, at)
-        if not struck:
+    for boundary in range(1, count + 1):
+        fleet, caller, links = run_with_fault(traffic, fault, boundary)
+        if not links:
             continue
-        places[struck[0]] += 1
+        places[links[0]] += 1
         answers[caller.answer or "none"] += 1
-        where = f"{way} at {at}, {struck[0]}"
+        place = f"{fault} at {boundary}, {links[0]}"
         breaches = [
-            b
-            for b in check_rules(f).breaches
-            if not (way == "stall" and b.rule == 5 and "client" not in struck[0])
+            breach
+            for breach in check_rules(fleet).breaches
+            if not (fault == "stall" and breach.rule == 5 and "client" not in links[0])
         ]
-        assert not breaches, (where, [b.text for b in breaches])
-        # Over a stalled link a release cannot come: then the reader's own bound, 3 s, lets go.
-        holds = {r.more["seq"]: r.at for r in f.what("held")}
-        assert all(r.at - holds[r.more["seq"]] < 3.1 for r in f.what("freed")), where
+        assert not breaches, (place, [breach.text for breach in breaches])
+        # A release cannot cross a stalled link; then the reader's own timeout frees the state.
+        held_at = {record.more["seq"]: record.at for record in fleet.what("held")}
+        assert all(
+            record.at - held_at[record.more["seq"]] < READER_STATE_TIMEOUT + 0.1
+            for record in fleet.what("freed")
+        ), place
         if traffic == "post":
-            ran = [r for r in f.what("ran") if r.more["mark"] == caller.mark]
-            assert len(ran) <= 1, where
-        for node in f.nodes.values():
-            assert not node.executor.in_flight and not node.executor.attempts_out(), where
-        for name, stand in f.stands.items():
-            m = stand.model
-            assert m.has_crashed or not (
-                m.prefill.read_states or m.decode.running or m.prefill.running or m.decode.queue
-            ), (where, name)
+            runs = [record for record in fleet.what("ran") if record.more["mark"] == caller.mark]
+            assert len(runs) <= 1, place
+        assert_nothing_is_left(fleet, place)
     assert sum(places.values()) >= count - 2 and len(places) >= 6, places
-    assert answers["generated"] and (answers["aborted"] or way != "reset" or traffic != "post"), answers
+    assert answers["generated"] and (answers["aborted"] or fault != "reset" or traffic != "post"), answers
 
 
 def test_keepalive_closes_a_silent_connection_within_30_seconds() -> None:
-    bounds = TransportLimits()
-    assert bounds.keepalive_interval + bounds.keepalive_timeout <= 30.0
-
-
-def bytes_of_stream(cut_at: int) -> tuple[Fleet, Caller, int]:
-    """Run a post without a reader whose writer dies once `cut_at` bytes of its stream have crossed."""
-    f = Fleet("W0", step="10ms")
-    warm = f.ask("ask", prompt=10, output=10)
-    f.run(0.5)
-    assert warm.answer == "generated"
-    caller = f.ask("post", prompt=10, output=10, left=1.0, timeout=3.0)
-    link = next(p for p in f.net.pipes if p.host == "W0a:1")
-    crossed, deliver = 0, link.other.protocol.dataReceived
-
-    def some(data: bytes) -> None:
-        nonlocal crossed
-        left = cut_at - crossed
-        crossed += len(data)
-        if left < len(data):
-            if left > 0:
-                deliver(data[:left])
-            if not f.stands["W0a"].model.has_crashed:
-                f.kill("W0a")
+    limits = TransportLimits()
+    assert limits.keepalive_interval + limits.keepalive_timeout <= 30.0
+
+
+def run_with_writer_crash(crash_at: int) -> tuple[Fleet, Caller, int]:
+    """Run an at-most-once sequence whose writer crashes after `crash_at` bytes of its stream.
+
+    Returns:
+        The fleet, the caller and the number of bytes that the writer sent.
+    """
+    fleet = Fleet("W0", step="10ms")
+    first = fleet.ask("ask", prompt=10, output=10)
+    fleet.run(0.5)
+    assert first.answer == "generated"
+    caller = fleet.ask("post", prompt=10, output=10, left=1.0, timeout=3.0)
+    link = next(pipe for pipe in fleet.net.pipes if pipe.host == "W0a:1")
+    sent, deliver = 0, link.other.protocol.dataReceived
+
+    def deliver_until_crash(data: bytes) -> None:
+        nonlocal sent
+        remaining = crash_at - sent
+        sent += len(data)
+        if remaining < len(data):
+            if remaining > 0:
+                deliver(data[:remaining])
+            if not fleet.stands["W0a"].model.has_crashed:
+                fleet.kill("W0a")
             return
         deliver(data)
 
-    link.other.protocol.dataReceived = some
-    f.run(4.0)
-    return f, caller, crossed
+    link.other.protocol.dataReceived = deliver_until_crash
+    fleet.run(4.0)
+    return fleet, caller, sent
 
 
 def test_writer_lost_at_any_byte_never_repeats_an_at_most_once_sequence() -> None:
-    _, caller, total = bytes_of_stream(10**6)
+    _, caller, total = run_with_writer_crash(10**6)
     assert caller.answer == "generated" and 100 < total < 2000
     answers: Counter[str] = Counter()
-    for cut in range(total + 1):
-        f, caller, _ = bytes_of_stream(cut)
-        assert not check_rules(f).breaches, (cut, [b.text for b in check_rules(f).breaches])
+    for crash_at in range(total + 1):
+        fleet, caller, _ = run_with_writer_crash(crash_at)
+        assert not check_rules(fleet).breaches, (
+            crash_at,
+            [breach.text for breach in check_rules(fleet).breaches],
+        )
         answers[caller.answer] += 1
-        assert sum(r.more["mark"] == caller.mark for r in f.what("ran")) <= 1
-        assert not f.nodes["n0"].executor.in_flight
+        assert sum(record.more["mark"] == caller.mark for record in fleet.what("ran")) <= 1
+        assert not fleet.nodes["n0"].executor.in_flight
     assert set(answers) == {"aborted", "generated"} and answers["aborted"] > 80, answers
--- a/tests/test_relay_discovery.py
+++ b/tests/test_relay_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: changes, unreadable entries, silence, and the start of a node."""
+"""The discovery client: changes, invalid entries, silence, and the start of a node."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
 def test_a_change_is_applied_and_the_watch_renewed_at_once() -> None:
     rig = RelayRig("w1 w2")
     rig.update_list(w1=rig.entry("w1", "leaving"))
-    assert len(rig.open_watches) == 1  # the next watch is there
+    assert len(rig.open_watches) == 1  # the next watch was sent
     for i in range(6):
         rig.request(f"a{i}")
     assert not rig.engines["w1"].chat_requests() and len(rig.engines["w2"].chat_requests()) == 6
@@ -60,7 +60,7 @@
         assert rig.request(f"a{i}").statuses == [200]
     assert not rig.engines["w1"].chat_requests() and len(rig.engines["w2"].chat_requests()) == 6
     connection = rig.open_watches.pop()
-    # no notice of leaving: left out alone
+    # Not a notice that the engine is leaving: only this entry is skipped.
     rig.send_list(connection, {"seq": 9, "whole": False, "hosts": [rig.entry("w2", **unreadable)]})
     rig.run(0.02)
     assert rig.request("b").statuses == [200]
@@ -73,7 +73,7 @@
     dialer = rig.net.dialer
 
     def slow_dialer(address: str, who: str = "client") -> Dial:
-        """Take 0.2 s for a connection to whichever engine is chosen first."""
+        """Delay connections to the engine that is chosen first by 0.2 s."""
         dial = dialer(address, who)
         if address[0] != "w" or (delayed and delayed[0] != address):
             return dial
@@ -91,7 +91,7 @@
     assert not client.statuses and not rig.engines[first].chat_requests()
     rig.update_list(**{first: rig.entry(first, health)})
     rig.run(0.4)
-    assert client.statuses == [200]  # known not to have run: it went to the other one
+    assert client.statuses == [200]  # not sent to the first engine, so retried at the other one
     assert not rig.engines[first].chat_requests() and rig.node.executor.router.estimates.engines
     other = next(name for name in ("w1", "w2") if name != first)
     assert len(rig.engines[other].chat_requests()) == 1
@@ -109,7 +109,7 @@
 
 
 def test_the_return_of_a_silent_discovery_is_noticed_within_the_drain_grace() -> None:
-    """It answers no request that it took while it was silent, and what it has counts at once."""
+    """It never answers requests received while it was silent, and its changes count from then on."""
     for silence in (3.3, 4.0, 5.21, 6.77, 8.05):
         rig = RelayRig("w1 w2")
         rig.discovery_is_silent = True
@@ -121,7 +121,7 @@
         engines = rig.node.decoder.engines
         assert engines.rows[engines.index_of["w1"]].state == "draining", silence
         count = len(rig.discovery.requests)
-        assert count < 10 + 9 * silence  # a request in 120 ms
+        assert count < 10 + 9 * silence  # one request each 120 ms
         rig.run(1.0)
         assert len(rig.discovery.requests) == count  # one watch, and no request beside it
 
@@ -157,10 +157,10 @@
 def test_a_change_is_applied_within_6_s_in_the_worst_phase_of_a_watch(
     fault: str, connect_time: float
 ) -> None:
-    """The watch goes wrong just after it was sent, and connections to discovery take long to be made."""
+    """The watch fails just after it was sent, and connections to discovery are slow."""
     for phase in (0.0, 0.7, 1.9):
         rig = RelayRig("w1 w2")
-        rig.update_list(w2=rig.entry("w2"))  # the next watch has just been sent
+        rig.update_list(w2=rig.entry("w2"))  # the next watch was sent just now
         dialer = rig.net.dialer
 
         def slow_dialer(
@@ -179,12 +179,12 @@
             rig.clock.callLater(0.05, answer, connection, head, body)
         )
         rig.run(phase)
-        rig.entries["w1"] = rig.entry("w1", "leaving")  # from now on discovery has it
+        rig.entries["w1"] = rig.entry("w1", "leaving")  # discovery knows of the change from now on
         rig.version += 1
         watch = rig.open_watches.pop()
         for connection in rig.discovery.connections:
             if connection is not watch and not connection.lost:
-                connection.transport.abortConnection()  # none is idle beside it
+                connection.transport.abortConnection()  # leaves no idle connection
         WATCH_FAULTS[fault](rig, watch)
         at, engines = rig.clock.seconds(), rig.node.decoder.engines
         while engines.rows[engines.index_of["w1"]].state != "draining":
@@ -210,7 +210,7 @@
     rig = RelayRig("w1 w2", silent_discovery=True)
     opened = []
     rig.node.on_open = lambda: opened.append(rig.clock.seconds())
-    early = rig.request("a1")  # it waited for the node to accept it
+    early = rig.request("a1")  # waits until the node opens
     rig.run(0.3)
     assert not opened and not rig.engines["w1"].chat_requests() and not rig.engines["w2"].chat_requests()
     rig.entries["w1"] = rig.entry("w1", "leaving")
@@ -230,8 +230,8 @@
 
 
 def test_a_wall_clock_set_back_keeps_no_engine_in_slow_start_for_an_hour() -> None:
-    """Crossing: the process starts after the step, and an engine's start seems to lie in the future."""
+    """The process starts after the clock was stepped, and an engine seems to start in the future."""
     rig = RelayRig("w1")
     rig.update_list(w1=rig.entry("w1", born_ms=(rig.clock.seconds() + 3600.0) * 1000))
-    rig.run(15.0)  # cold engines are warm after 10 s
+    rig.run(15.0)  # slow start ends after 10 s
     assert [rig.request(f"a{number}", remaining_ms=500).statuses for number in range(6)] == [[200]] * 6
--- a/tests/test_relay_first_byte.py
+++ b/tests/test_relay_first_byte.py
@@ -1,4 +1,4 @@
-"""What is checked and told just before the first byte of an attempt, however long its connection took."""
+"""Checks and headers that are due just before the first byte of an attempt, after a slow connect."""
 
 import pytest
 from relaymessages import COMPLETE_STREAM, SETTINGS, chat_request
@@ -15,7 +15,7 @@
 
 
 def slow_rig(engines: str = "w1", delay: float = SLOW_CONNECT_S, **settings: object) -> RelayRig:
-    """Return a rig whose connections to engines take so long."""
+    """Return a rig whose connections to engines take `delay` seconds to be established."""
     rig = RelayRig(engines, **settings)
     dialer = rig.net.dialer
 
@@ -48,7 +48,7 @@
     client = rig.request("a1", remaining_ms=150)
     for sequence in rig.node.executor.in_flight.values():
         sequence.attempts[0].stop_timer()
-    rig.node.executor.router._place_waiting = lambda now: None  # its wake-ups come late as well
+    rig.node.executor.router._place_waiting = lambda now: None  # its wake-ups have no effect
     rig.run(SLOW_CONNECT_S + 0.02)
     assert not rig.engines["w1"].chat_requests()
     assert rig.node.monitor.counter.withheld == {"time left": 1}
@@ -57,7 +57,7 @@
 
 
 def test_nothing_is_sent_to_an_engine_that_is_found_to_be_in_slow_start() -> None:
-    """Crossing: its restart is told while a connection to it comes up, and this one is not of its share."""
+    """Discovery reports the restart while a connection to the engine is being established."""
     rig = slow_rig("w1 w2")
     rig.engines["w1"].script = rig.engines["w2"].script = never_respond
     for number in range(12):
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize(("held_up", "is_sent"), [(0.0, True), (0.6, False)])
 def test_a_retry_is_not_sent_once_its_dedup_window_is_over(held_up: float, is_sent: bool) -> None:
-    """Crossing: the process is held up between the decision and the connection."""
+    """The process is suspended between the decision and the connection."""
     ask = {**SETTINGS["Classes"][0], **KEYED}
     rig = slow_rig("w1 w2", delay=0.01, Classes=[ask, SETTINGS["Classes"][1]])
     engines = [rig.engines["w1"], rig.engines["w2"]]
@@ -83,7 +83,7 @@
     rig.run(0.3)
     first = next(engine for engine in engines if engine.chat_requests())
     first.connections[-1].transport.abortConnection()
-    rig.clock.advance(0)  # the reset is read, and the retry decided
+    rig.clock.advance(0)  # the node reads the reset and decides to retry
     rig.clock.rightNow += held_up
     rig.run(0.1)
     sent = sum(len(engine.chat_requests()) for engine in engines)
@@ -92,7 +92,7 @@
 
 
 def test_the_time_of_a_pipelined_request_counts_from_its_own_last_byte() -> None:
-    """Crossing: it waits here behind the stream of the request before it, while its client's time runs on."""
+    """It waits at the node behind the stream of the request before it."""
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
     client = rig.client()
--- a/tests/test_relay_local_failures.py
+++ b/tests/test_relay_local_failures.py
@@ -1,4 +1,4 @@
-"""Failures of the relay's own machine, on real sockets: no port, no descriptor, a log that takes nothing."""
+"""Failures of the relay's machine, on real sockets: no free port or descriptor, a log that is not read."""
 
 import fcntl
 import os
@@ -22,7 +22,7 @@
 
 
 def wait_for_watch(rig: SocketRig, since: float) -> None:
-    """Wait for a watch that begins after that: the list as it was then has been applied."""
+    """Wait for a watch sent after `since`: the list of that time has been applied."""
     while True:
         request = rig.discovery.next_request()
         if request.received_at > since and b"since" in request.target:
@@ -30,13 +30,13 @@
 
 
 def read_and_close(connection: PeerConnection, request: ReceivedRequest) -> None:
-    """Be a reader that keeps no connection."""
+    """Script of a reader that closes each connection after its response."""
     connection.send(READ_RESPONSE if request.method == b"POST" else RELEASE_RESPONSE)
     connection.close()
 
 
 def test_a_state_is_released_after_connects_failed_locally(rig: SocketRig, faults: FaultControlFile) -> None:
-    """Crossing: the client leaves while no local port is free."""
+    """The client disconnects while no local port is free."""
     node = rig.start("r1 w1", argv=faults.argv())
     rig.engines["r1"].script = read_and_close
     rig.engines["w1"].script = never_respond
@@ -44,7 +44,7 @@
     rig.engines["w1"].next_request(b"POST")
     faults.set(connect="EADDRNOTAVAIL")
     client.close()
-    # as many as all tries of both releases came to, at once, and discovery's calls beside them
+    # As many as one round of both releases has requests, and those of discovery.
     faults.wait_for_injected("connect", 12)
     assert not rig.engines["r1"].sequence_ids(b"DELETE")
     faults.set()
@@ -57,7 +57,7 @@
 def test_an_at_most_once_request_survives_a_local_error_of_connect(
     rig: SocketRig, faults: FaultControlFile, name: str
 ) -> None:
-    """It surely has not run, and no engine is to blame."""
+    """It has not run, and the failure is not attributed to an engine."""
     node = rig.start("w1 w2", argv=faults.argv())
     faults.set(connect=name)
     client = Client(node.address).send(chat_request("a1", traffic="post"))
@@ -106,7 +106,7 @@
 
 
 def test_a_log_on_a_full_device_delays_no_answer_and_no_list_change(rig: SocketRig) -> None:
-    """Crossing: the device is full as the node opens, and as discovery fails."""
+    """The device is full when the node opens and when discovery fails."""
     with Path("/dev/full").open("wb") as full:
         node = rig.start("w1", stdout=full.fileno())
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
@@ -120,7 +120,7 @@
 
 @pytest.fixture(name="full_pipe")
 def undrained_pipe() -> Iterator[int]:
-    """Return the end to write to of a small pipe that nobody drains."""
+    """Return the writing end of a small pipe that is not read."""
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     yield writing
@@ -153,7 +153,7 @@
 def test_the_time_of_a_request_includes_its_wait_to_be_accepted(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
-    """Found by the fault soak: accept failed for a while, and engines were told the client's whole time."""
+    """Found by the fault soak: accept() failed, and engines were sent the client's whole time."""
     node = rig.start("w1", argv=faults.argv())
     faults.set(accept="ENFILE")
     client = Client(node.address).send(chat_request("a1", remaining_ms=4000))
@@ -163,7 +163,7 @@
     assert client.read_status() == 200
     assert int(rig.engines["w1"].next_request(b"POST").headers[b"x-remaining-ms"]) <= 3150
     client.close()
-    # who comes later has not waited
+    # A later client has not waited.
     assert Client(node.address).send(chat_request("a2", remaining_ms=4000)).read_status() == 200
     assert int(rig.engines["w1"].next_request(b"POST").headers[b"x-remaining-ms"]) >= 3500
 
@@ -171,7 +171,7 @@
 def test_a_node_starts_after_sockets_briefly_could_not_be_created(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
-    """Found by the fault soak: a node that restarted in such a moment refused to start."""
+    """Found by the fault soak: a node that was restarted at such a moment exited."""
     rig.start("w1")
     faults.set(socket="ENFILE")
     node = rig.start_relay(argv=faults.argv())
--- a/tests/test_relay_memory.py
+++ b/tests/test_relay_memory.py
@@ -1,4 +1,4 @@
-"""Memory of a relay node: what was answered is freed at once."""
+"""Memory of a relay node: the objects of answered requests are freed at once."""
 
 import gc
 from collections import Counter
@@ -13,7 +13,7 @@
 from myrtlehub.relay.clients.request_decoder import DecodedRequest, EngineRequest
 from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
 
-# All that refers to a request; the classes themselves, so that a renamed one can't be missed.
+# Classes whose instances refer to a request. Not their names, so that a renamed class is not missed.
 REQUEST_CLASSES = (
     InFlightSequence,
     ExchangeSink,
@@ -28,7 +28,7 @@
 
 
 def test_answered_requests_are_freed_without_the_garbage_collector() -> None:
-    """Each refers to a whole request: between two full collections tens of MB would come together."""
+    """Each refers to a whole request: between two full collections they would add up to tens of MB."""
     rig = RelayRig("r1 w1 w2")
 
     def malformed_stream(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
--- a/tests/test_relay_memory_process.py
+++ b/tests/test_relay_memory_process.py
@@ -1,4 +1,4 @@
-"""Memory of the relay as a process on real sockets: what the reactor keeps must not refer to requests."""
+"""Memory of the relay process: objects that the reactor keeps must not refer to requests."""
 
 import sys
 from pathlib import Path
@@ -6,7 +6,7 @@
 from relaymessages import LAST_CHUNK, LONG_PROMPT, chat_request
 from socketrig import Client, SocketRig
 
-# Classes of objects that belong to one request, to be freed with its end.
+# Classes of objects that belong to one request and are freed with its end.
 REQUEST_CLASSES = (
     "Attempt",
     "AttemptResponseHandler",
@@ -19,19 +19,19 @@
     "ServerExchange",
     "ServerRequest",
 )
-# Classes of connections, which are freed as they close.
+# Classes of connections, which are freed when they close.
 CONNECTION_CLASSES = ("ServerConnection",)
 REQUEST_COUNT = 60
-MAX_LEFT = 12  # watches of discovery, idle connections and what was sent in the last turns
+MAX_LEFT = 12  # watches, idle connections and requests of the last reactor turns
 
 
 def test_a_request_is_freed_with_its_end_though_its_connection_stays_open(rig: SocketRig) -> None:
-    """Seen on a day of 45 minutes: 84 of 96 MB, as a connection's factory referred to its first request."""
+    """Seen in a run of 45 minutes: 84 of 96 MB, as a connection's factory referred to its first request."""
     launcher = str(Path(__file__).parent / "object_counter.py")
     node = rig.start("r1 w1 w2", argv=[sys.executable, launcher])
     for number in range(REQUEST_COUNT):
         client = Client(node.address)
-        # at-most-once: each takes a new connection to its engine
+        # At-most-once requests use new connections to their engines.
         prompt = LONG_PROMPT if number % 2 else 100
         client.send(chat_request(f"a{number}", prompt, "post"))
         client.read_until(LAST_CHUNK)
--- a/tests/test_relay_process.py
+++ b/tests/test_relay_process.py
@@ -28,13 +28,13 @@
 
 
 def test_half_a_request_at_sigterm_is_still_answered(rig: SocketRig) -> None:
-    """Crossing: its first bytes were read before the signal, its last one comes after the port has closed."""
+    """Its first bytes are read before the signal, and its last ones are sent after the port has closed."""
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a1")[:-5])
     node.wait_for_unread(client, 0)
     node.signal("TERM")
     node.wait_for_closed_port()
-    # it would have exited 0.3 s after its port closed; half of 2 s are left
+    # Without the partial request it would have exited 0.3 s after its port was closed.
     assert node.exit_code(timeout=0.45) is None
     client.send(chat_request("a1")[-5:])
     assert client.read_status() == 200
@@ -43,7 +43,7 @@
 
 
 def test_clients_accepted_as_the_port_closes_are_answered(rig: SocketRig) -> None:
-    """Crossing: it connects while the node is stopped, and is accepted in the turn that closes the port."""
+    """They connect while the node is stopped, and are accepted in the reactor turn that closes the port."""
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0", remaining_ms=3000))
     first.read_until(LAST_CHUNK)
@@ -59,7 +59,7 @@
 
 
 def test_releases_are_tried_to_their_end_before_the_process_exits(rig: SocketRig) -> None:
-    """Crossing: the last client leaves after the port has closed, and no engine answers the release."""
+    """The last client disconnects after the port has closed, and no engine answers the release."""
     node = rig.start("r1 w1")
     releases: list[ReceivedRequest] = []
     rig.engines["w1"].script = lambda connection, request: (
@@ -75,7 +75,7 @@
     node.wait_for_closed_port()
     client.close()
     node.assert_clean_exit()
-    # at the reader twice and then at the writer, and all of it again: the first may have come early
+    # Twice to the reader and once to the writer, and the second release in the same way.
     assert len(releases) == 6 and {request.target for request in releases} == {b"/state/a1"}
 
 
@@ -94,7 +94,7 @@
 
 
 def test_a_slow_client_gets_the_end_of_its_response(rig: SocketRig) -> None:
-    """Crossing: its stream is whole at the node and lies in the process, as SIGTERM comes."""
+    """Its stream is complete and buffered in the node when SIGTERM arrives."""
     node = rig.start("w1")
     big = b'data: {"choices":[{"delta":{"content":"' + b"y" * 60_000 + b'"}}]}\n\n'
     rig.engines["w1"].script = lambda connection, request: connection.send(
@@ -120,14 +120,14 @@
     node.wait_for_closed_port()
     for _ in range(3):
         rig.engines["w1"].connections[0].send(chunk(EVENT))
-        client.read_until(EVENT)  # each is there before the next is written: nothing is held back or lumped
+        client.read_until(EVENT)  # forwarded before the next event is written: not delayed or merged
     rig.engines["w1"].connections[0].send(chunk(DONE) + LAST_CHUNK)
     assert client.read_rest().endswith(LAST_CHUNK)
     node.assert_clean_exit()
 
 
 def test_sigterm_before_the_first_list_answers_waiting_clients(rig: SocketRig) -> None:
-    """Crossing: nobody was accepted yet, as discovery is silent."""
+    """No client was accepted yet, as discovery is silent."""
     node = rig.start("w1", silent=True)
     wait_for_file(
         lambda: "/proc/net/tcp", lambda text: f":{int(node.address.rpartition(':')[2]):04X} " in text
@@ -158,7 +158,7 @@
 
 
 def test_sighup_to_a_process_that_has_just_started_does_not_end_it(rig: SocketRig) -> None:
-    """Crossing: it comes before any line of ours has run."""
+    """It arrives before any line of the program has run."""
     rig.start("w1")
     node = rig.start_relay(argv=deployed_argv())
     wait_for_file(lambda: f"/proc/{node.process.pid}/cmdline", lambda text: not text.startswith("/bin/sh"))
@@ -227,11 +227,11 @@
         cwd=ROOT,
     )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1, done.stderr
-    assert f"{path}: {key}" in done.stderr and "; " in done.stderr  # where, what, and what to do
+    assert f"{path}: {key}" in done.stderr and "; " in done.stderr  # file, key, fault and remedy
 
 
 def test_the_return_of_discovery_is_noticed_while_idle_clients_fill_the_descriptors(rig: SocketRig) -> None:
-    """Crossing: as many connections as the process may have descriptors, and more that wait, all silent."""
+    """Silent connections use all descriptors of the process, and more of them wait to be accepted."""
     node = rig.start("w1 w2", descriptors=128)
     rig.discovery.fall_silent()
     node.wait_for_log(LogEvent.DISCOVERY_UNREACHABLE)
--- a/tests/test_relay_races.py
+++ b/tests/test_relay_races.py
@@ -1,4 +1,4 @@
-"""Rare moments of the relay on real sockets: each test forces two things to cross, and says which."""
+"""Races in the relay on real sockets: each test forces two events to cross, and names them."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 def test_a_disconnect_behind_a_flood_of_bytes_is_noticed(rig: SocketRig) -> None:
-    """Crossing: its end lies behind bytes that wait for an open request."""
+    """Its FIN arrives behind bytes that are buffered for an open request."""
     node = rig.start("w1 w2")
     rig.discovery.change(w1="leaving", w2="leaving")
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="draining")
@@ -42,7 +42,7 @@
 
 
 def test_a_client_that_left_while_the_node_was_stopped_gets_no_attempt(rig: SocketRig) -> None:
-    """Crossing: its request and its end lie in the kernel together, beside an idle connection."""
+    """Its request and its FIN wait in the kernel together, and an idle connection could be reused at once."""
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0"))
     first.read_until(LAST_CHUNK)
@@ -59,7 +59,7 @@
 
 
 def test_an_engine_that_drains_between_a_decision_and_its_first_byte_gets_nothing(rig: SocketRig) -> None:
-    """Crossing: the notice that it drains lies in the kernel, older than the grace, beside a request."""
+    """Its draining notice, older than the grace period, waits in the kernel together with a request."""
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a0"))
     client.read_until(LAST_CHUNK)
@@ -73,7 +73,7 @@
 
 
 def test_a_deadline_that_passed_while_the_node_was_stopped_is_answered_at_once(rig: SocketRig) -> None:
-    """Crossing: its deadline passes while the process is stopped."""
+    """The deadline passes while the process is stopped."""
     node = rig.start("w1")
     rig.engines["w1"].script = never_respond
     client = Client(node.address).send(chat_request("a1", remaining_ms=600))
@@ -83,11 +83,11 @@
     at = time.monotonic()
     node.go_on()
     assert client.read_status() == 503
-    assert time.monotonic() - at < 0.5  # half a second after its deadline a request is lost
+    assert time.monotonic() - at < 0.5  # the client gives up 0.5 s after its deadline
 
 
 def test_a_client_that_still_sends_can_read_the_last_response(rig: SocketRig) -> None:
-    """Crossing: bytes lie unread, and more come, as the connection is closed."""
+    """There are unread bytes, and more arrive, while the connection is closed."""
     node = rig.start("w1")
     client = Client(node.address)
     node.stop()
@@ -97,27 +97,27 @@
     node.go_on()
     assert client.read_status() == 413
     client.send(b"x" * 100_000)
-    assert client.read_rest(keep_open=True) == b""  # an end, and no reset
+    assert client.read_rest(keep_open=True) == b""  # a FIN, not a reset
     client.send(b"x" * 1000)
-    assert client.socket_error() == 0  # SOL_SOCKET, SO_ERROR: nor after it
+    assert client.socket_error() == 0  # no reset afterwards either (SO_ERROR)
 
 
 def test_a_request_on_a_draining_connection_is_never_forwarded(rig: SocketRig) -> None:
-    """Crossing: it is written after the node's end of a resting connection was read, before it closed."""
+    """It is sent after the client has read the node's FIN on an unused connection."""
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a1"))
     client.read_until(LAST_CHUNK)
     node.signal("TERM")
     assert client.read_rest(keep_open=True) == b""
     client.send(chat_request("a2"))
-    assert client.socket_error() == 0  # no reset: what was answered before stays readable
+    assert client.socket_error() == 0  # no reset, so that earlier responses stay readable
     client.close()
     node.assert_clean_exit()
     assert rig.engines["w1"].sequence_ids() == ["a1"]
 
 
 def test_lingering_connections_count_and_close(rig: SocketRig) -> None:
-    """Crossing: clients that were rejected keep their ends open, as many as there are descriptors."""
+    """Rejected clients keep their side open, as many as there are descriptors."""
     node = rig.start("w1", descriptors=128)
     base = node.descriptor_count()
     bad = []
@@ -135,7 +135,7 @@
 
 
 def test_an_at_most_once_request_whose_last_byte_left_is_not_retried(rig: SocketRig) -> None:
-    """Crossing: the engine has read all of it, and breaks the connection without a response."""
+    """The engine has read the complete request, and resets the connection without a response."""
     node = rig.start("w1 w2")
     for name in ("w1", "w2"):
         rig.engines[name].script = lambda connection, request: connection.reset()
@@ -145,7 +145,7 @@
 
 
 def test_a_late_second_response_is_never_the_next_requests_response(rig: SocketRig) -> None:
-    """Crossing: it comes while the connection lies unused, and the next request comes in the same turn."""
+    """It arrives on an idle connection in the same reactor turn as the next request."""
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0"))
     first.read_until(LAST_CHUNK)
@@ -192,6 +192,6 @@
             client.close()
         good.close()
     wait_for_file(lambda: "/proc/self/stat", lambda text: node.descriptor_count() <= base + 2)
-    assert node.memory_mb() < memory + 12.0  # what a thousand of the largest leave is freed
+    assert node.memory_mb() < memory + 12.0  # the memory of all rejected requests is freed
     node.signal("TERM")
     node.assert_clean_exit()
--- a/tests/test_relay_rearming.py
+++ b/tests/test_relay_rearming.py
@@ -1,4 +1,4 @@
-"""Whatever recurs in a relay node goes on to do so, whatever one of its turns raises."""
+"""Periodic tasks and retries of a relay node continue after one of their runs has raised."""
 
 from collections.abc import Callable
 
@@ -11,11 +11,11 @@
 
 
 class PlantedError(Exception):
-    """Raised by tests in the middle of something."""
+    """Raised by a replaced callable."""
 
 
 class Failing:
-    """Stands in for a callable: raises the first `count` times, then calls it."""
+    """Replaces a callable: raises for the first `count` calls, then forwards them."""
 
     def __init__(self, call: Callable, count: int = 1) -> None:
         self.call = call
@@ -30,7 +30,7 @@
 
 
 def run(rig: RelayRig, seconds: float) -> None:
-    """Let time pass, as the reactor does: what a call raises ends that call alone."""
+    """Advance the clock as the reactor does: an exception ends only the call that raised it."""
     until = rig.clock.seconds() + seconds
     while True:
         try:
@@ -159,7 +159,7 @@
 
 
 def test_a_deadline_is_kept_although_an_action_before_its_wakeup_raised() -> None:
-    """The wake-up is the last action of a call: lost once, it would never be asked for again."""
+    """The wake-up is the last action of a router call; if it is lost once, it is never scheduled again."""
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
     executor = rig.node.executor
@@ -175,7 +175,7 @@
 def test_a_sequence_that_the_router_leaves_unanswered_is_aborted_and_counted_as_a_violation() -> None:
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
-    rig.node.executor.router._place_waiting = lambda now: None  # its wake-ups do nothing any more
+    rig.node.executor.router._place_waiting = lambda now: None  # its wake-ups have no effect
     client = rig.request("a1", remaining_ms=500)
     attempt = next(iter(rig.node.executor.in_flight.values())).attempts[0]
     attempt.stop_timer()
--- a/tests/test_relay_releases.py
+++ b/tests/test_relay_releases.py
@@ -1,4 +1,4 @@
-"""Releases of read state: to whom, how often, and through whom."""
+"""Releases of read state: to which engines they are sent, and how often."""
 
 import h11
 from relaymessages import COMPLETE_STREAM, LONG_PROMPT, READ_RESPONSE, RELEASE_RESPONSE
@@ -16,8 +16,8 @@
     client = rig.request("a1", LONG_PROMPT)
     client.transport.loseConnection()
     rig.run(0.3)
-    assert rig.engines["r1"].chat_requests()[0].connection.lost  # cancelled by closing its connection
-    # twice, as the read may have ended well after the first release
+    assert rig.engines["r1"].chat_requests()[0].connection.lost  # closing the connection cancels the read
+    # Twice, because the read may have completed after the first release.
     assert rig.engines["r1"].released_paths() == [b"/state/a1"] * 2
     assert not rig.node.executor.in_flight
 
@@ -51,7 +51,7 @@
 
 
 def test_a_state_whose_reader_has_ended_is_released_through_another_engine() -> None:
-    """Seen on a day of replacements: the reader drained and ended while the writer waited for its state."""
+    """Seen in a run with replaced engines: the reader ended before the writer fetched its state."""
     rig = RelayRig("r1 w1 w2")
     for name in ("w1", "w2"):
         rig.engines[name].script = never_respond
@@ -64,7 +64,7 @@
 
 
 def test_a_state_behind_a_partition_is_released_through_the_engine_of_latest_contact() -> None:
-    """Seen on split+brink: the reader and the next three engines of the list were behind the partition."""
+    """Seen in split+brink: the reader and the next three engines of the list were behind the partition."""
     for heard in ("w2", "w5", "w6"):
         rig = RelayRig("r1 w1 w2 w3 w4 w5 w6")
         for peer in rig.engines.values():
@@ -90,7 +90,7 @@
 
 
 def test_a_release_unanswered_before_the_next_attempt_is_sent_again_at_the_end() -> None:
-    """A state is released for lack of a writer; its reader does not answer, and the sequence is read anew."""
+    """A state is released for lack of a writer, its reader does not respond, and a second read follows."""
     rig = RelayRig("r1 w1")
     answers_releases = [False]
 
@@ -108,7 +108,7 @@
     while not rig.engines["r1"].released_paths():
         rig.run(0.01)
     rig.update_list(w1=rig.entry("w1"))
-    rig.run(0.5)  # its write is out while the tries of the release would be
+    rig.run(0.5)  # the write is outstanding, which holds the release back
     rig.engines["w1"].chat_requests()[0].connection.send(COMPLETE_STREAM)
     rig.run(0.01)
     assert client.statuses == [200] and len(rig.engines["r1"].chat_requests()) == 2
@@ -120,7 +120,7 @@
 
 
 def engines_that_refuse(rig: RelayRig, *names: str) -> dict[str, object]:
-    """Have these engines refuse all connections; returns what to listen with again."""
+    """Make these engines refuse all connections; return their hosts, to be restored later."""
     hosts = {f"{name}:1": rig.net.hosts[f"{name}:1"] for name in names}
     for host in hosts:
         rig.net.kill(host)
@@ -128,7 +128,7 @@
 
 
 def test_a_release_that_all_engines_refuse_for_a_moment_is_sent_again() -> None:
-    """Crossing: the client leaves while all engines restart; refusals take no time, and no try is left."""
+    """The client disconnects while all engines restart and refuse each connection at once."""
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
@@ -144,7 +144,7 @@
 
 
 def test_a_release_survives_a_lack_of_connections() -> None:
-    """Crossing: the client leaves while all connections to engines are taken."""
+    """The client disconnects while all connections to engines are in use."""
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
@@ -173,23 +173,23 @@
 
 
 def test_a_state_is_released_in_time_although_its_writers_were_cut_off_unnoticed() -> None:
-    """Found by the fault soak: a send that has not arrived does not stop the clock of what is held."""
+    """Found by the fault soak: a write that never arrives must not delay the release beyond its limit."""
     rig = RelayRig("r1 w1 w2")
     for number in range(4):
         rig.request(f"a{number}")
     rig.run(0.1)
-    for pipe in rig.net.pipes:  # idle connections to writers fall silent, with no error
+    for pipe in rig.net.pipes:  # idle connections to writers are cut off without an error
         pipe.stalled = pipe.host == "client" and pipe.other.host in ("w1:1", "w2:1")
     dialer = rig.net.dialer
 
     def cut_off_dialer(address: str, who: str = "client") -> Dial:
-        """Let no new connection to a writer come up."""
+        """Let all new connections to writers fail after 0.25 s."""
         if address[0] != "w":
             return dialer(address, who)
         return lambda factory: task.deferLater(rig.clock, 0.25, Failure(ConnectError()).raiseException)
 
     rig.net.dialer = cut_off_dialer
     rig.request("b", LONG_PROMPT)
-    rig.run(0.8)  # as the settings say, and 0.3 s
+    rig.run(0.8)  # LetGoByMs of the settings, and 0.3 s
     assert rig.engines["r1"].chat_requests()
     assert b"/state/b" in rig.engines["r1"].released_paths()
--- a/tests/test_relay_requests.py
+++ b/tests/test_relay_requests.py
@@ -37,7 +37,7 @@
 
 
 def test_all_but_connection_headers_are_forwarded_to_engines() -> None:
-    """Seen at ribeira-alta: an engine recognises a retry by its Idempotency-Key, which was left out."""
+    """Seen at ribeira-alta: the Idempotency-Key, by which engines recognise a retry, was not forwarded."""
     rig = RelayRig()
     rig.request(
         "a1",
@@ -88,7 +88,7 @@
         assert end_by_response(*head) == end
     for reads in (True, False):
         for status in (201, 204, 301, 400, 404, 410, 429, 500, 502, 503, 504):
-            # without the header of a rejection it proves nothing
+            # Without the header of a rejection, the request may have been executed.
             assert end_by_response(reads, status, False).outcome == contract.Outcome.ERROR
         assert end_by_response(reads, 500, True).outcome == contract.Outcome.ERROR
     assert end_by_response(True, 200, False).outcome == contract.Outcome.ERROR
@@ -100,14 +100,14 @@
 @pytest.mark.parametrize(
     ("traffic", "first_response", "status"),
     [
-        ("ask", response(500), 200),  # idempotent: it is retried
-        ("post", response(500), 502),  # may have run: no promise
-        ("post", response(503, rejected=True), 200),  # did not run: it is retried
-        ("post", response(503), 502),  # without the header of a rejection it proves nothing
+        ("ask", response(500), 200),  # idempotent: retried
+        ("post", response(500), 502),  # may have run: aborted
+        ("post", response(503, rejected=True), 200),  # did not run: retried
+        ("post", response(503), 502),  # without the header of a rejection it may have run
         ("post", b"\x00\x01noise\r\n\r\n", 502),
         ("ask", b"\x00\x01noise\r\n\r\n", 200),
-        ("post", b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000, 502),  # a head that does not end
-        ("post", STREAM_HEAD + b"zz\r\n" + EVENT, 502),  # a chunk's size that can't be read
+        ("post", b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000, 502),  # a head without an end
+        ("post", STREAM_HEAD + b"zz\r\n" + EVENT, 502),  # a malformed chunk size
         ("post", STREAM_HEAD + chunk(b"\x8a\x93 noise"), 502),
         ("post", STREAM_HEAD + LAST_CHUNK, 502),  # a stream without an event
     ],
@@ -136,7 +136,7 @@
     rig.net.kill("w2:1")
     client = rig.request("a1", traffic="post")
     rig.run(5.0)
-    assert client.statuses == [503]  # a rejection is true: nothing ran
+    assert client.statuses == [503]  # rejected, as nothing has run
 
 
 def test_a_writer_without_the_read_state_is_distinguished_from_a_full_one() -> None:
@@ -177,7 +177,7 @@
 
 
 def test_an_at_most_once_request_whose_last_byte_never_left_is_retried_elsewhere() -> None:
-    """In memory: a system takes 256 KiB whole, so that on sockets the last byte always leaves."""
+    """In memory, because the socket buffer of a real system accepts 256 KiB at once."""
     rig = RelayRig("w1 w2")
     client = rig.client()
     client.send(chat_request("a1", traffic="post"))
@@ -186,7 +186,7 @@
         rig.run(0.0)
         near = [pipe for pipe in rig.net.pipes if _leads_to_a_writer(pipe)]
         for pipe in near:
-            pipe.stalled = True  # its bytes stay with the node
+            pipe.stalled = True  # no byte leaves the node
     rig.run(0.1)
     rig.net.cut(near[0])
     rig.run(0.3)
@@ -198,9 +198,9 @@
     rig = RelayRig("w1 w2")
     rig.node.pool.max_connections = 0
     client = rig.request("a1", traffic="post")
-    assert not client.statuses  # it waits for a connection of its own, for each of five attempts
+    assert not client.statuses  # each of five attempts waits for a connection
     rig.run(2.0)
-    assert client.statuses == [503]  # known not to have run
+    assert client.statuses == [503]  # rejected, as nothing has run
     estimates = rig.node.executor.router.estimates
     assert all(not estimates.is_outlier(engine) for engine in estimates.engines[:2])
     assert not any(engine.failures.value for engine in estimates.engines)
@@ -215,6 +215,6 @@
         rig.engines[name].script = never_respond
     rig.request("p1", LONG_PROMPT, traffic="post")
     reused = rig.node.pool.reused
-    rig.run(3.0)  # the read is timed out and tried again
+    rig.run(3.0)  # the read times out and is retried
     assert len(rig.engines["r1"].chat_requests() + rig.engines["r2"].chat_requests()) == 4 + 2
     assert rig.node.pool.reused == reused
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -1,4 +1,4 @@
-"""Node settings: what is invalid, what a reload applies, and what the program imports."""
+"""Node settings: invalid files, what a reload applies, and which modules the program imports."""
 
 import json
 import subprocess
--- a/tests/test_relay_shutdown.py
+++ b/tests/test_relay_shutdown.py
@@ -35,7 +35,7 @@
     shutdown.start()
     rig.run(0.2)
     assert idle.lost and not accepted.lost
-    late = rig.request("a2")  # the balancer in front has not noticed yet
+    late = rig.request("a2")  # the load balancer in front has not noticed the shutdown yet
     rig.run(2.0)
     assert stopped and stopped[0] - at >= 0.5 and not ended
     for connection in rig.engines["w1"].connections:
@@ -46,7 +46,7 @@
 
 
 def test_a_stream_that_ends_after_sigterm_closes_its_connection() -> None:
-    """Its head went out before and said nothing of closing: what the client sends next must go elsewhere."""
+    """Its head was sent without `Connection: close`, so the client may send its next request."""
     rig = RelayRig("w1")
     streams: list[PeerConnection] = []
 
@@ -69,7 +69,7 @@
     rig.run(1.5)
     streams[0].send(chunk(EVENT) + chunk(DONE) + LAST_CHUNK)
     rig.run(0.01)
-    client.send(chat_request("a2"))  # at once: it crosses the close, or finds it closed
+    client.send(chat_request("a2"))  # crosses the close, or arrives after it
     rig.run(1.0)
     assert stream_of(client.received).endswith(DONE + b"<end>") and client.lost
     assert len(streams) == 1 and ended and rig.node.executor.accepted_count == 1
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""Engines' streams through a relay node: malformed, endless, silent and paused ones."""
+"""Streams of engines through a relay node: malformed, endless, silent and paused ones."""
 
 import pytest
 from hypothesis import given
@@ -35,7 +35,7 @@
     client = rig.request("a1")
     connection = rig.engines["w1"].connections[0]
     for _ in range(9):
-        connection.send(b"data: xxxx")  # bytes that never become an event are no sign of life
+        connection.send(b"data: xxxx")  # never completes an event, so it is no progress
         rig.run(0.5)
     assert client.lost and connection.lost
 
@@ -54,7 +54,7 @@
     rig = RelayRig("w1")
     rig.engines["w1"].script = lambda connection, head, body: connection.send(STREAM_HEAD + chunk(EVENT))
     client = rig.request("a1")
-    rig.run(4.9)  # due within 5 s of the last event
+    rig.run(4.9)  # the limit is 5 s after the last event
     assert client.lost and not rig.node.executor.in_flight
 
 
@@ -67,7 +67,7 @@
     engine = rig.engines["w1"].connections[0]
     engine.send(chunk(EVENT))
     rig.run(0.05)
-    assert engine.transport.other.paused  # no more is read of the engine's stream
+    assert engine.transport.other.paused  # the node has stopped reading the engine's stream
     near.stalled = False
     near.producer.resumeProducing()
     engine.send(chunk(USAGE + DONE) + LAST_CHUNK)
