--- a/tests/test_message_boundaries.py
+++ b/tests/test_message_boundaries.py
@@ -10,7 +10,7 @@
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 FAULTS = ("reset", "stall", "crash")
-READER_STATE_TIMEOUT = 3.0  # seconds after which a reader frees a state that nobody has released
+READER_STATE_TIMEOUT = 3.0  # seconds after which a reader frees an unreleased state
 
 
 def start_sequence(traffic: str) -> tuple[Fleet, Caller]:
--- a/tests/test_relay_first_byte.py
+++ b/tests/test_relay_first_byte.py
@@ -38,9 +38,9 @@
     rig = slow_rig()
     rig.request("a1", remaining_ms=CLIENT_TIME_MS)
     rig.run(0.5)
-    told = int(rig.engines["w1"].chat_requests()[0].headers[b"x-remaining-ms"])
+    stated_ms = int(rig.engines["w1"].chat_requests()[0].headers[b"x-remaining-ms"])
     left = CLIENT_TIME_MS - SLOW_CONNECT_S * 1000
-    assert left - 60 <= told <= left
+    assert left - 60 <= stated_ms <= left
 
 
 def test_nothing_is_sent_after_the_deadline_although_its_timer_is_late() -> None:
