--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -88,7 +88,8 @@
 
     def _dial(self, address: str, timeout: float) -> Dial:
         host, port = address.rsplit(":", 1)
-        return TCP4ClientEndpoint(self.reactor, host, int(port), timeout=timeout).connect
+        endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=timeout)
+        return endpoint.connect  # type: ignore[return-value] # zope interfaces are unknown to mypy
 
     def _on_hangup(self) -> None:
         reload_settings(self.path, self.settings, self.node.discovery.change_address, self.log)
