--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -1,5 +1,6 @@
 """Decoder for clients' requests: validates them and maps names of the platform to dense indices."""
 
+from collections.abc import Iterable, Mapping
 from http import HTTPStatus
 from typing import NamedTuple
 
@@ -32,12 +33,12 @@
 
     Attributes:
         name: Name in the settings.
-        at_most_once: A request of this type must not be executed twice.
+        is_at_most_once: A request of this type must not be executed twice.
         front: Kind of front; the relay has only the one for chat.
     """
 
     name: str
-    at_most_once: bool
+    is_at_most_once: bool
     front: str = "chat"
 
 
@@ -96,10 +97,10 @@
             TrafficRow(row["Name"], traffic.retry_semantics == contract.RetrySemantics.AT_MOST_ONCE)
             for row, traffic in zip(platform["Classes"], config.traffic, strict=True)
         ]
-        self.traffic = {row.name: index for index, row in enumerate(self.rows)}
-        self.tenants = {row["Name"]: index for index, row in enumerate(platform.get("Orgs") or [])}
-        self.kinds = {name: index for index, name in enumerate(platform.get("MachineTypes") or [""])}
-        self.zones = {name: index for index, name in enumerate(platform.get("Zones") or [""])}
+        self.traffic = _index_by_name(row.name for row in self.rows)
+        self.tenants = _index_by_name(row["Name"] for row in platform.get("Orgs") or [])
+        self.kinds: Mapping[str, int] = _index_by_name(platform.get("MachineTypes") or [""])
+        self.zones: Mapping[str, int] = _index_by_name(platform.get("Zones") or [""])
         self.engines = EndpointIndex()
         self.lag = LagMeter()
 
@@ -153,6 +154,10 @@
         return tenant
 
 
+def _index_by_name(names: Iterable[str]) -> dict[str, int]:
+    return {name: index for index, name in enumerate(names)}
+
+
 def _parse_id(fields: dict[bytes, bytes]) -> str:
     text = fields.get(b"x-txn", b"")
     if not 0 < len(text) <= MAX_ID_BYTES or not ID_CHARACTERS.issuperset(text):
--- a/myrtlehub/relay/discovery/endpoint_list.py
+++ b/myrtlehub/relay/discovery/endpoint_list.py
@@ -1,5 +1,6 @@
 """Decoder for the endpoint lists of the discovery service."""
 
+from collections.abc import Mapping
 from typing import Any, NamedTuple, Self
 
 from myrtlehub.membership.endpoint import EndpointFields, EndpointState
@@ -79,7 +80,7 @@
         entries: The latest entry of each engine that is not gone, by name.
     """
 
-    def __init__(self, kinds: dict[str, int], zones: dict[str, int], epoch: float) -> None:
+    def __init__(self, kinds: Mapping[str, int], zones: Mapping[str, int], epoch: float) -> None:
         self.kinds = kinds
         self.zones = zones
         self.start_times = EngineStartTimes(epoch)
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -147,7 +147,7 @@
         if attempt.fetched_state is not None:
             return True
         sequence = attempt.sequence
-        return self.decoder.rows[sequence.arrival.traffic].at_most_once and (
+        return self.decoder.rows[sequence.arrival.traffic].is_at_most_once and (
             not attempt.reads or sequence.sequence_id in self.uncertain_attempts
         )
 
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -11,6 +11,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import Clock
 
+from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.node import RelayNode
 from myrtlehub.relay.parsing import SocketAddress
 from myrtlehub.relay.settings.node_settings import NodeSettings
@@ -26,6 +27,13 @@
     connection: "PeerConnection"
 
 
+class LoggedEvent(NamedTuple):
+    """An event that the node has logged."""
+
+    event: LogEvent
+    fields: dict[str, Any]
+
+
 class PeerConnection(Protocol):
     """A connection to a scripted peer, which parses requests with h11 and sends raw bytes."""
 
@@ -170,13 +178,13 @@
             platform={**SETTINGS, **settings},
             fallback_list=self.complete_list() if with_fallback_list else None,
         )
-        self.logged: list[tuple[str, dict[str, Any]]] = []
+        self.logged: list[LoggedEvent] = []
         self.node = RelayNode(
             node_settings,
             self.clock,
             lambda address, timeout: self.net.dialer(address),
             0.0,
-            lambda event, **fields: self.logged.append((event, fields)),
+            lambda event, **fields: self.logged.append(LoggedEvent(event, fields)),
         )
         self.net.listen("node", self.node.listener)
         self.node.start()
