--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -22,10 +22,21 @@
 class Endpoint(Protocol):
     """One engine of the endpoint list."""
 
-    address: str
-    kind: str
-    weight: float
-    state: str
+    @property
+    def address(self) -> str:
+        """The engine's address, `host:port`; unique within a list."""
+
+    @property
+    def kind(self) -> str:
+        """The name of the engine kind, which says what the engine can run."""
+
+    @property
+    def weight(self) -> float:
+        """The engine's share of load relative to others of its kind; 0 drains it."""
+
+    @property
+    def state(self) -> str:
+        """The value of an `EndpointState`."""
 
     @property
     def field_values(self) -> EndpointFields:
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from typing import TYPE_CHECKING, Protocol, TypeAlias
+from typing import TYPE_CHECKING, Any, Protocol, TypeAlias
 
 if TYPE_CHECKING:
     from myrtlehub.node.endpoint_index import EndpointIndex
@@ -16,7 +16,7 @@
 
 # Types that the executor passes on without looking into them:
 RequestPayload: TypeAlias = object  # what the transport sends to engines
-TokenMessage: TypeAlias = object  # tokens as an engine sent them, for the response sink
+TokenMessage: TypeAlias = Any  # tokens as an engine sent them; transport and response sink agree on the type
 StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
 TransportCall: TypeAlias = object  # the transport's own object for one attempt
 
@@ -40,14 +40,22 @@
 class TrafficTypeRow(Protocol):
     """What the executor reads of the settings of a traffic type."""
 
-    name: str
-    front: str
+    @property
+    def name(self) -> str:
+        """The name of the traffic type in the settings."""
+
+    @property
+    def front(self) -> str:
+        """The kind of front that serves it."""
 
 
 class Decoder(Protocol):
     """Maps names from outside to dense indices."""
 
-    rows: Sequence[TrafficTypeRow]  # by traffic type
+    @property
+    def rows(self) -> Sequence[TrafficTypeRow]:
+        """The traffic types, by index."""
+
     kinds: Mapping[str, int]
     zones: Mapping[str, int]
     engines: EndpointIndex
--- /dev/null
+++ b/myrtlehub/relay/clients/request_headers.py
@@ -0,0 +1,102 @@
+"""Headers of clients' requests: those interpreted by the relay, and those forwarded to engines."""
+
+from http import HTTPStatus
+
+from myrtlehub.http1.headers import Headers
+from myrtlehub.relay.errors import RejectedRequestError
+
+MAX_NUMBER_DIGITS = 12  # of a number in a header: more than any time in ms or length in tokens needs
+
+# Headers that the relay interprets. Each may occur once.
+INTERPRETED_HEADERS = frozenset(
+    (
+        b"x-txn",
+        b"x-lane",
+        b"x-org",
+        b"x-entity",
+        b"x-labels",
+        b"x-resent",
+        b"content-type",
+        b"x-remaining-ms",
+        b"x-estimate",
+    )
+)
+# Headers that are not forwarded: they concern one connection only (RFC 9110, section 7.6.1), or the relay
+# sends its own. All others are forwarded.
+CONNECTION_HEADERS = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"te",
+        b"trailer",
+        b"proxy-authorization",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"host",
+        b"content-length",
+        b"x-remaining-ms",
+        b"x-estimate",
+    )
+)
+
+
+def interpreted_headers(headers: Headers) -> dict[bytes, bytes]:
+    """Return the interpreted headers by name.
+
+    Raises:
+        RejectedRequestError: One of them occurs twice.
+    """
+    fields: dict[bytes, bytes] = {}
+    for name, value in headers:
+        if name in INTERPRETED_HEADERS:
+            if name in fields:
+                raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name.decode()} occurs twice")
+            fields[name] = value
+    return fields
+
+
+def forwarded_headers(headers: Headers) -> Headers:
+    """Return the headers that are forwarded to engines.
+
+    Headers unknown to the relay are included, since engines interpret more of them: an engine that does not
+    get the Idempotency-Key executes a retry as a new request.
+    """
+    own = _connection_headers(headers)
+    return [header for header in headers if header.name not in own]
+
+
+def _connection_headers(headers: Headers) -> frozenset[bytes]:
+    """Return the names of the headers that are not forwarded, with those listed in a Connection header."""
+    named = [
+        part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
+    ]
+    return CONNECTION_HEADERS.union(named) if named else CONNECTION_HEADERS
+
+
+def parse_number(text: bytes, name: str) -> int:
+    """Parse a non-negative integer.
+
+    Raises:
+        RejectedRequestError: `text` is not one; the message has `name`.
+    """
+    if not (0 < len(text) <= MAX_NUMBER_DIGITS and text.isdigit()):
+        raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name} is not a non-negative integer")
+    return int(text)
+
+
+def parse_labels(text: bytes) -> dict[bytes, bytes]:
+    """Parse the value of X-Labels: comma-separated NAME=VALUE pairs.
+
+    Raises:
+        RejectedRequestError: A part is not such a pair, or a name occurs twice.
+    """
+    labels: dict[bytes, bytes] = {}
+    for part in text.split(b",") if text else ():
+        name, equals, value = part.strip().partition(b"=")
+        if not equals or name in labels:
+            raise RejectedRequestError(HTTPStatus.BAD_REQUEST, "X-Labels is malformed")
+        labels[name] = value
+    return labels
--- /dev/null
+++ b/myrtlehub/relay/monitoring/event_log.py
@@ -0,0 +1,89 @@
+"""The event log: JSON lines, and a flight recorder with the latest events for the analysis of violations."""
+
+import itertools
+from collections import deque
+from collections.abc import Callable
+from typing import NamedTuple
+
+import msgspec
+
+from myrtlehub.log_events import LogEvent
+from myrtlehub.relay.monitoring.log_writer import LogWriter
+
+# Events that are too frequent to be written, unless RELAY_LOG=all.
+DETAILED_EVENTS = frozenset(
+    (
+        LogEvent.SEQUENCE_ANSWERED,
+        LogEvent.ENGINE_STATE_CHANGED,
+        LogEvent.ATTEMPT_ENDED,
+        LogEvent.ATTEMPT_FAILED,
+        LogEvent.REQUEST_REJECTED,
+        LogEvent.SEND_WITHHELD,
+        LogEvent.CONNECTION_CLOSED,
+    )
+)
+MAX_RECORDED_EVENTS = 2000  # size of the flight recorder
+MAX_DUMPED_EVENTS = 300  # the latest events written by one dump
+DUMP_INTERVAL_S = 10.0  # least time between two dumps, so that repeated violations do not flood the log
+TIME_DIGITS = 4  # decimal places of the seconds in a dump
+_line_encoder = msgspec.json.Encoder(enc_hook=str)
+
+
+class RecordedEvent(NamedTuple):
+    """An event in the flight recorder; `at` is in seconds of the node's clock."""
+
+    at: float
+    event: LogEvent
+    fields: dict[str, object]
+
+
+class EventLog:
+    """Writes events as JSON lines, and records the latest events of all kinds in memory.
+
+    It never raises: a node must not fail because it cannot write its log.
+
+    Args:
+        writer: Writes the lines.
+        now: Returns the node's time in seconds.
+        log_all: Write detailed events too.
+    """
+
+    def __init__(self, writer: LogWriter, now: Callable[[], float], log_all: bool = False) -> None:
+        self._writer = writer
+        self._now = now
+        self._log_all = log_all
+        self._recorded: deque[RecordedEvent] = deque(maxlen=MAX_RECORDED_EVENTS)
+        self._last_dump_at = float("-inf")
+
+    def __call__(self, event: LogEvent, /, **fields: object) -> None:
+        """Record an event, and write it unless it is a detailed one."""
+        self._recorded.append(RecordedEvent(self._now(), event, fields))
+        if self._log_all or event not in DETAILED_EVENTS:
+            self._write(event, fields)
+
+    def _write(self, event: LogEvent, fields: dict[str, object]) -> None:
+        try:
+            line = _line_encoder.encode({"event": event, **fields})
+        except (TypeError, ValueError) as error:
+            line = _line_encoder.encode(
+                {"event": LogEvent.EVENT_NOT_ENCODABLE, "reason": type(error).__name__}
+            )
+        self._writer.write_line(line + b"\n")
+
+    def dump(self) -> None:
+        """Write the latest recorded events, detailed ones included, unless a dump was written recently."""
+        now = self._now()
+        if self._log_all or now < self._last_dump_at + DUMP_INTERVAL_S:
+            return
+        self._last_dump_at = now
+        first = max(0, len(self._recorded) - MAX_DUMPED_EVENTS)
+        for recorded in list(itertools.islice(self._recorded, first, None)):
+            at = round(recorded.at, TIME_DIGITS)
+            self._write(
+                LogEvent.EVENT_RECORDED,
+                {"recorded_at_s": at, "recorded": recorded.event, **recorded.fields},
+            )
+
+    def flush(self, timeout: float) -> None:
+        """Write buffered lines, waiting up to `timeout` seconds for a slow reader of the log."""
+        self._writer.flush(timeout)
--- /dev/null
+++ b/myrtlehub/relay/process/bounded_port.py
@@ -0,0 +1,94 @@
+"""The listening port for clients, with a bound on the connections accepted per reactor turn."""
+
+import socket
+
+from twisted.internet.address import IPv4Address
+from twisted.internet.tcp import Port
+
+from myrtlehub.clock import Clock
+from myrtlehub.http1.listener import ConnectionListener
+from myrtlehub.relay.process.descriptor_budget import MAX_ACCEPTS_PER_TURN
+
+BACKLOG = 511  # length of the system's accept queue: connections arrive in bursts of hundreds
+RETRY_DELAY_S = 0.02  # after accept() failed for lack of a resource, as an immediate retry would fail too
+
+
+class BoundedPort(Port):
+    """A port that accepts at most MAX_ACCEPTS_PER_TURN connections per reactor turn.
+
+    Twisted's own port adapts this number to the recent load. A burst can then exhaust the descriptors before
+    the listener closes an unused connection, and for lack of a descriptor Twisted accepts the next connection
+    only to close it, so that a request already sent on it is lost. Here it stays in the system's queue.
+    """
+
+    def __init__(
+        self, listener: ConnectionListener, clock: Clock, address: tuple[str, int], reactor: object
+    ) -> None:
+        host, port = address
+        super().__init__(
+            port,
+            listener,  # type: ignore[arg-type] # IProtocolFactory is a zope interface, unknown to mypy
+            BACKLOG,
+            host,
+            reactor,
+        )
+        self._listener = listener
+        self._clock = clock
+        # Since when connections may have been waiting in the accept queue; None if it was empty.
+        self._stalled_since: float | None = None
+
+    def doRead(self) -> None:  # noqa: N802
+        """Accept pending connections and tell the listener since when they may have been waiting."""
+        self._listener.waiting_since = self._stalled_since
+        try:
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                accepted, peer = self.socket.accept()
+                self._open(accepted, peer)
+        except BlockingIOError:
+            self._stalled_since = None  # the accept queue is empty
+        except OSError:
+            self.pause()
+            self._clock.callLater(RETRY_DELAY_S, self.resume)
+        finally:
+            self._listener.waiting_since = None
+
+    def _open(self, accepted: socket.socket, peer: tuple[str, int]) -> None:
+        protocol = self._listener.buildProtocol(IPv4Address("TCP", *peer))
+        self.sessionno += 1
+        transport = self.transport(
+            accepted,
+            protocol,  # type: ignore[arg-type] # IProtocol is a zope interface, unknown to mypy
+            peer,
+            self,
+            self.sessionno,
+            self.reactor,
+        )
+        protocol.makeConnection(transport)  # type: ignore[no-untyped-call] # Twisted has no annotation
+
+    def set_full(self, is_full: bool) -> None:
+        """Pause or resume accepting, as the listener has reached its limit or has capacity again."""
+        if is_full:
+            self.pause()
+        else:
+            self.resume()
+
+    def pause(self) -> None:
+        """Stop accepting until `resume` is called. No effect on a closed port."""
+        if self.connected:
+            self.stopReading()  # type: ignore[no-untyped-call] # Twisted has no annotation
+            if self._stalled_since is None:
+                self._stalled_since = self._clock.seconds()
+
+    def resume(self) -> None:
+        """Accept again. No effect on a closed port.
+
+        Connections accepted until the queue is empty count as waiting since the pause.
+        """
+        if self.connected:
+            self.startReading()  # type: ignore[no-untyped-call] # Twisted has no annotation
+            self.doRead()
+
+    def accept_all(self) -> None:
+        """Accept the whole accept queue: its clients are connected, so their requests need a response."""
+        for _ in range(BACKLOG // MAX_ACCEPTS_PER_TURN + 1):
+            self.doRead()
--- /dev/null
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -0,0 +1,40 @@
+"""Reload of the node settings on SIGHUP."""
+
+from collections.abc import Callable
+
+from myrtlehub.log_events import Log, LogEvent
+from myrtlehub.relay.errors import SettingsError
+from myrtlehub.relay.settings.node_settings import NodeSettings, read_node_settings
+
+
+def reload_settings(
+    path: str, current: NodeSettings, follow_discovery_at: Callable[[str], None], log: Log
+) -> None:
+    """Read the settings file again and apply the address of discovery.
+
+    All other settings take effect at the next start; those that differ from `current` are logged. If the file
+    is invalid, nothing changes.
+
+    Args:
+        path: The settings file.
+        current: The settings that the node was started with.
+        follow_discovery_at: Called with the HOST:PORT of discovery.
+        log: The event log.
+    """
+    try:
+        settings = read_node_settings(path)
+    except SettingsError as error:
+        log(LogEvent.SETTINGS_RELOAD_FAILED, reason=str(error))
+        return
+    is_changed = {
+        "name": settings.name != current.name,
+        "listen": settings.listen != current.listen,
+        "limits": settings.descriptors != current.descriptors,
+        "settings": settings.platform != current.platform,
+    }
+    log(
+        LogEvent.SETTINGS_RELOADED,
+        discovery=settings.discovery,
+        not_applied=sorted(key for key, differs in is_changed.items() if differs),
+    )
+    follow_discovery_at(settings.discovery)
--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -4,6 +4,7 @@
 """
 
 from abc import ABC, abstractmethod
+from collections.abc import Iterable
 
 from myrtlehub.routing import contract
 from myrtlehub.routing.contract import Action, Arrival, LoadReport, Outcome
@@ -72,7 +73,7 @@
         return self.start(now)
 
     def update_endpoints(
-        self, now: float, updates: list[contract.EndpointUpdate], is_complete: bool
+        self, now: float, updates: Iterable[contract.EndpointUpdate], is_complete: bool
     ) -> list[Action]:
         """Apply the complete endpoint list, or a change to it."""
         self._record_feedback(now)
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -6,6 +6,7 @@
 """
 
 from collections import Counter
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from myrtlehub.routing.contract import EndpointUpdate, EngineState, LoadReport, Outcome, RouterConfig
@@ -78,7 +79,7 @@
         self.waits: dict[int, float] = {}  # seconds, by index of the engine
         self.free_shares: dict[int, float] = {}  # by index of the writer
 
-    def update(self, updates: list[EndpointUpdate], is_complete: bool) -> None:
+    def update(self, updates: Iterable[EndpointUpdate], is_complete: bool) -> None:
         """Apply the complete endpoint list, or a change to it."""
         for update in updates:
             while len(self.engines) <= update.engine:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -84,7 +84,7 @@
     """Answer a sequence twice."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
-    sink = rig.node.front.open["a1"]
+    sink = rig.node.front.open_sinks["a1"]
     sink.rejected(0.0)
     sink.generated(1)
 
@@ -125,8 +125,8 @@
 
 
 def plant_dead_timer(rig: RelayRig) -> None:
-    """Stop following discovery."""
-    rig.node.discovery._stop()
+    """Stop to follow discovery."""
+    rig.node.discovery._cancel_all()
     rig.run(11.0)
 
 
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""The log writer: bounded, never blocking, never raising, and what it drops is counted."""
+"""The log writer is bounded, neither blocks nor raises, and counts the lines that it drops."""
 
 import os
 from collections.abc import Iterator
@@ -7,21 +7,21 @@
 import pytest
 
 from myrtlehub.log_events import LogEvent
-from myrtlehub.relay.event_log import MAX_DUMPED_EVENTS, EventLog
-from myrtlehub.relay.log_writer import LogWriter
+from myrtlehub.relay.monitoring.event_log import MAX_DUMPED_EVENTS, EventLog
+from myrtlehub.relay.monitoring.log_writer import LogWriter
 
 LINE = b"x" * 1023 + b"\n"
 
 
 class Pipe:
-    """A pipe whose reading end is read on demand."""
+    """A pipe that is read on demand only."""
 
     def __init__(self) -> None:
         self.reading, self.writing = os.pipe()
         os.set_blocking(self.reading, False)
 
     def read_all(self) -> bytes:
-        """Return what lies in it."""
+        """Read and return all bytes in the pipe."""
         parts = []
         try:
             while part := os.read(self.reading, 65536):
@@ -39,7 +39,7 @@
     os.close(pipe.writing)
 
 
-def test_lines_are_whole_and_in_order_whatever_the_reader_takes(pipe: Pipe) -> None:
+def test_lines_are_complete_and_in_order_however_much_is_read_at_once(pipe: Pipe) -> None:
     writer = LogWriter(pipe.writing, max_bytes=1 << 20)
     lines = [b"%05d" % number + b"y" * (number % 5000) + b"\n" for number in range(200)]
     read = b""
@@ -53,7 +53,7 @@
     assert read == b"".join(lines) and writer.dropped_count == 0
 
 
-def test_what_a_full_pipe_does_not_take_is_dropped_and_reported_once(pipe: Pipe) -> None:
+def test_lines_that_a_full_pipe_does_not_accept_are_dropped_and_reported_once(pipe: Pipe) -> None:
     writer = LogWriter(pipe.writing, max_bytes=8 * len(LINE))
     for _ in range(200):
         writer.write_line(LINE)
@@ -75,12 +75,12 @@
         for _ in range(4):
             writer.write_line(LINE)
     assert writer.dropped_count == 2
-    writer.write_line(LINE)  # its descriptor is closed now
+    writer.write_line(LINE)  # the descriptor is closed now
     assert writer.dropped_count == 3
 
 
 class Unreadable:
-    """A field that cannot be written as text."""
+    """A field value that cannot be converted to text."""
 
     def __str__(self) -> str:
         raise ValueError
@@ -95,14 +95,14 @@
     assert len(lines) == 3 and all(b"event_not_encodable" in line for line in lines[:2])
 
 
-def test_details_stay_in_memory_until_a_dump_which_is_bounded_and_rare(pipe: Pipe) -> None:
+def test_detailed_events_stay_in_memory_until_a_dump_which_is_bounded_and_rate_limited(pipe: Pipe) -> None:
     now = [100.0]
     log = EventLog(LogWriter(pipe.writing, max_bytes=1 << 20), lambda: now[0])
     for number in range(5000):
         log(LogEvent.ATTEMPT_ENDED, number=number)
     assert pipe.read_all() == b""
     log.dump()
-    log.dump()  # at once: nothing more
+    log.dump()  # too soon after the first: writes nothing
     lines = pipe.read_all().splitlines()
     assert len(lines) == MAX_DUMPED_EVENTS and b'"number":4999' in lines[-1] and b'"at":100.0' in lines[-1]
     now[0] += 11.0
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -1,4 +1,4 @@
-"""Node settings: what is invalid, what a reload applies, and what the program imports."""
+"""Node settings: invalid files, what a reload applies, and which modules the program imports."""
 
 import json
 import subprocess
@@ -11,11 +11,11 @@
 
 from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.errors import SettingsError
-from myrtlehub.relay.node_settings import read_node_settings
-from myrtlehub.relay.settings_reload import reload_settings
+from myrtlehub.relay.settings.node_settings import read_node_settings
+from myrtlehub.relay.settings.settings_reload import reload_settings
 
 
-def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_changes_the_address_of_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     rig = RelayRig("w1")
     logged: list[str] = []
     path = tmp_path / "c.json"
@@ -24,7 +24,7 @@
         reload_settings(
             str(path),
             rig.node.settings,
-            rig.node.discovery.move,
+            rig.node.discovery.change_address,
             lambda event, **fields: logged.append(event),
         )
 
--- a/tests/test_request_path.py
+++ b/tests/test_request_path.py
@@ -39,7 +39,8 @@
 def assert_nothing_left(fleet: Fleet) -> None:
     """Check that all running nodes and engines have released everything."""
     assert all(
-        not node.executor.in_flight and not node.executor.outstanding_attempt_count() for node in fleet.nodes.values()
+        not node.executor.in_flight and not node.executor.outstanding_attempt_count()
+        for node in fleet.nodes.values()
     )
     for stand in fleet.stands.values():
         model = stand.model
