--- a/myrtlehub/emulator/claims.py
+++ b/myrtlehub/emulator/claims.py
@@ -134,7 +134,7 @@
                 address = self.engine.config.listen
                 read_state = pb.State(engine=address, handle=job.work.sequence, tokens=int(tokens))
             else:
-                attempt_state = AttemptState.NEVER  # a read has no effect, and its state is gone
+                attempt_state = AttemptState.NEVER_RAN  # a read has no effect, and its state is gone
         return pb.Stood(
             number=job.work.attempt, says=attempt_state, tokens=len(job.token_ids), state=read_state
         )
--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -165,7 +165,7 @@
 
 
 def _fail(job: Job, what: str, error: RpcError) -> None:
-    job.close(AttemptState.NEVER)  # neither begun nor to be begun any more
+    job.close(AttemptState.NEVER_RAN)  # neither begun nor to be begun any more
     job.note(what)
     if job.reads:
         job.answer.errback(error)
--- a/myrtlehub/emulator/job.py
+++ b/myrtlehub/emulator/job.py
@@ -82,7 +82,7 @@
         self.note("stopped", why=why, ran=self.has_run)
         if self.fetch is not None:
             self.fetch.cancel()
-        self.close(AttemptState.STOPPED if self.has_run else AttemptState.NEVER)
+        self.close(AttemptState.STOPPED if self.has_run else AttemptState.NEVER_RAN)
         self.engine.act(self.engine.model.cancel(self.engine.clock.seconds(), self))
 
     def close(self, attempt_state: AttemptState) -> None:
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -41,7 +41,7 @@
         if row is None:
             # Of an attempt from before the time that the engine remembers, no report proves nothing.
             is_forgotten = now - intent.intended_at + CLOCK_SLACK > reply.age
-            return AttemptReport(intent, AttemptState.UNKNOWN if is_forgotten else AttemptState.NEVER)
+            return AttemptReport(intent, AttemptState.UNKNOWN if is_forgotten else AttemptState.NEVER_RAN)
         state = AttemptState(row.says)
         if state == AttemptState.HOLDS_READ_STATE and row.HasField("state"):
             self.read_states[intent.engine] = row.state
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -221,7 +221,7 @@
             self._publish(sequence_id)
             return
         self.cancel_waiting_send(sequence_id)
-        self.counters.never_sent += decision == SendDecision.NEVER
+        self.counters.never_sent += decision == SendDecision.ABANDON
         if waiting.attempt.is_outstanding:
             waiting.on_decision(decision)
 
@@ -262,7 +262,7 @@
         owned = published.owned
         record = owned.record
         if is_ended:
-            self.local_store.end(record.sequence_id, record.ownership)
+            self.local_store.complete(record.sequence_id, record.ownership)
             return
         reply = self.local_store.store(record)
         published.owned = owned.acknowledge(self.connections.node, incarnation, owned.version, reply)
--- a/myrtlehub/node/replication/replica_service.py
+++ b/myrtlehub/node/replication/replica_service.py
@@ -81,7 +81,7 @@
 
     def _update(self, message: pb.Record, now: float) -> ReplicaReply:
         if message.ended:
-            return self.store.end(message.sequence, Ownership(message.epoch, message.owner))
+            return self.store.complete(message.sequence, Ownership(message.epoch, message.owner))
         return self.store.store(decode_record(message, now))
 
     def _take(self, call: ServerCall, data: bytes) -> bytes:
--- a/myrtlehub/node/replication/replicated_transport.py
+++ b/myrtlehub/node/replication/replicated_transport.py
@@ -26,7 +26,7 @@
         decision = self.publisher.intend(self.transport.executor, attempt, partial(self._decided, attempt))
         if decision == SendDecision.SEND:
             self.transport.start(attempt)
-        elif decision == SendDecision.NEVER:
+        elif decision == SendDecision.ABANDON:
             self.replication.clock.callLater(0, self._decided, attempt, decision)
 
     def _decided(self, attempt: Attempt, decision: SendDecision) -> None:
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -156,7 +156,7 @@
             return
         self.record = merge_copies(copies)
         answers = dict(zip(replicas, replies, strict=True))
-        incarnations = {name: reply.run if reply is not None else "" for name, reply in answers.items()}
+        incarnations = {name: reply.run if reply is not None else None for name, reply in answers.items()}
         unreached = {name for name, reply in answers.items() if reply is None}
         self.publisher.adopt(self.executor, self.record, incarnations, unreached)
         self.machine.step(TakeoverEvent.RECORD_FOUND)
@@ -164,7 +164,7 @@
         self._collect(self.claims.send(self.engines_answer_claims), has_stream, self._engines_answered)
 
     def _recover_without_record(self) -> None:
-        decision = decide(self._retry_semantics(), [], self.request.client_tokens, is_complete=False)
+        decision = decide(self._retry_semantics(), [], self.request.client_tokens, is_record_complete=False)
         is_sent_again = decision.action == RecoveryAction.RETRY
         self.machine.step(TakeoverEvent.NO_RECORD if is_sent_again else TakeoverEvent.GIVE_UP)
         self._cancel_timer()
@@ -173,7 +173,7 @@
             # Nobody knows by what ownership engines had it: it is another sequence from here on.
             self.send_again("", self.request.arrival, 0, None)
         else:
-            self.client.aborted(decision.reason)
+            self.client.aborted(decision.abort_reason or "")
 
     def _engines_answered(self, replies: list[pb.ClaimReply | None]) -> None:
         if self.machine.is_final:
@@ -200,7 +200,7 @@
             self.machine.step(TakeoverEvent.GIVE_UP)
             self._cancel_timer()
             self.publisher.answered(self.request.sequence_id)
-            self.client.aborted(decision.reason)
+            self.client.aborted(decision.abort_reason or "")
         else:
             self.machine.step(TakeoverEvent.SEND_AGAIN)
             self._cancel_timer()
@@ -212,10 +212,10 @@
         arrival = self.request.arrival
         arrival = arrival._replace(time_left=max(0.0, arrival.time_left - (now - self.started_at)))
         handle = None
-        if decision.action == RecoveryAction.USE_READ_STATE and decision.engine in engine_indices:
-            arrival = arrival._replace(state_held_by=engine_indices[decision.engine])
-            handle = self.claims.read_states.get(decision.engine)
-        earlier = decision.may_have_run
+        if decision.action == RecoveryAction.USE_READ_STATE and decision.target.engine in engine_indices:
+            arrival = arrival._replace(state_held_by=engine_indices[decision.target.engine])
+            handle = self.claims.read_states.get(decision.target.engine)
+        earlier = decision.uncertain_attempt
         if earlier is not None and earlier.engine in engine_indices:
             arrival = arrival._replace(
                 may_have_run_at=engine_indices[earlier.engine], may_have_run_ago=now - earlier.intended_at
@@ -227,7 +227,7 @@
         self.client.named(sequence_id)
         work = pb.Work(
             sequence=sequence_id,
-            attempt=decision.attempt,
+            attempt=decision.target.attempt,
             epoch=self.record.ownership.epoch,
             owner=self.record.ownership.owner,
             traffic_type=self.request.request.traffic_type,
@@ -236,10 +236,10 @@
         attach = pb.Attach(**{"from": self.request.client_tokens})  # `from` is a keyword of the language
         metadata = (
             ("myrtle-seq", sequence_id),
-            ("myrtle-attempt", str(decision.attempt)),
+            ("myrtle-attempt", str(decision.target.attempt)),
             ("myrtle-node", self.transport.name),
         )
-        channel = self.transport.channel_to(decision.engine)
+        channel = self.transport.channel_to(decision.target.engine)
         self.call = channel.call(SERVICE + "Write", AttachedStream(self), metadata)
         self.call.send(pb.WriteRequest(work=work, attach=attach).SerializeToString())
         self.call.half_close()
@@ -250,10 +250,10 @@
             "takeover",
             seq=self.request.sequence_id,
             do=decision.action,
-            why=decision.reason,
+            why=decision.abort_reason or "",
             seen=self.request.client_tokens,
             epoch=self.record.ownership.epoch if self.record else 0,
-            engine=decision.engine,
+            engine=decision.target.engine if decision.target is not None else "",
             stood=[f"{report.intent.attempt} {report.state} {report.token_count}" for report in reports],
             asked=round(self.asked_at - self.started_at, 4),
             took=round(now - self.started_at, 4),
--- a/myrtlehub/node/replication/wire.py
+++ b/myrtlehub/node/replication/wire.py
@@ -22,7 +22,7 @@
             pb.Intent(
                 number=intent.attempt,
                 engine=intent.engine,
-                reads=intent.reads,
+                reads=intent.is_read,
                 age_ms=max(0, int((now - intent.intended_at) * 1000)),
             )
             for intent in record.intents
@@ -38,7 +38,7 @@
         message.repeats,
         now + message.left_ms / 1000.0,
         tuple(
-            AttemptIntent(intent.number, intent.engine, intent.reads, now - intent.age_ms / 1000.0)
+            AttemptIntent(intent.number, intent.engine, intent.is_read, now - intent.age_ms / 1000.0)
             for intent in message.intents
         ),
         message.streams,
--- a/myrtlehub/recovery/__init__.py
+++ b/myrtlehub/recovery/__init__.py
@@ -1,10 +1,14 @@
-"""Decisions of replication and takeover: work in hand survives the loss of its node.
+"""Decisions of replication and takeover: in-flight sequences survive the loss of their node.
 
-Here are the sequence records that nodes replicate, the store of one replica, which nodes are replicas of
-which, what an owner must have acknowledged before it sends, fencing tokens at engines, the failure
-detector, what becomes of a sequence that another node takes over, and a model of all this for the model
-checker (`model`).
+    sequence_records    records that nodes replicate, ownership by epoch, and how updates are merged
+    replica_store       the records that one replica holds for other nodes
+    replica_placement   which nodes are the replicas of a node
+    ownership           the owner's side: which acknowledgements a send has to wait for
+    fencing             fencing tokens at engines
+    failure_detector    heartbeats, and which nodes are suspected to have failed
+    recovery_decision   how a sequence that was taken over continues
+    model               a model of all this for the model checker
 
-Everything is pure: no sockets, no clock, no messages. Connections, timers and protobuf messages are in
+Everything here is pure: no sockets, no clock, no protobuf messages. Connections, timers and messages are in
 `myrtlehub.node.replication`.
 """
--- a/myrtlehub/recovery/failure_detector.py
+++ b/myrtlehub/recovery/failure_detector.py
@@ -1,28 +1,28 @@
-"""Failure detector: which nodes have fallen silent, as one node sees it.
+"""Failure detector: the nodes that one node suspects to have failed, by their missing heartbeats.
 
-A bound on silence that is the same for all: heartbeats come every `HEARTBEAT_INTERVAL` on an open
-connection, so that the usual gap is known and phi-accrual (Hayashibara and others 2004) would learn a
-constant, slowly, of each of two or three nodes. What goes wrong is the observer: a process that was itself
-paused, or has no core, sees all others late. So whoever checks late suspects nobody, and starts to wait
-anew.
+The timeout is fixed. Heartbeats arrive every `HEARTBEAT_INTERVAL` on an open connection, so a phi-accrual
+detector (Hayashibara and others, 2004) would only learn this constant.
+
+A check that runs late suspects no node: the observer itself was paused or had no processor time, so
+heartbeats may have arrived that it has not read yet.
 """
 
 from typing import NamedTuple
 
 HEARTBEAT_INTERVAL = 0.25  # seconds
-SILENCE_TIMEOUT = 1.5  # seconds until a node counts as failed: six heartbeats, and a pause of a busy process
-MAX_CHECK_DELAY = 0.2  # seconds by which a check may be late before what it sees counts for nothing
+SILENCE_TIMEOUT = 1.5  # seconds without a heartbeat: six intervals, longer than a busy process pauses
+MAX_CHECK_DELAY = 0.2  # seconds; a check that runs later than this suspects no node
 
 
 class Heartbeat(NamedTuple):
-    """The last sign of life of a node."""
+    """The last heartbeat of a node."""
 
     incarnation: str
-    received_at: float
+    received_at: float  # seconds on the observer's clock
 
 
 class SuspectedNode(NamedTuple):
-    """A node that fell silent, and the process that was there."""
+    """A node that is suspected to have failed, and the incarnation that sent its last heartbeat."""
 
     node: str
     incarnation: str
@@ -36,23 +36,29 @@
         self.heartbeats: dict[str, Heartbeat] = {}  # by node
         self.next_check_at = now + HEARTBEAT_INTERVAL
 
-    def record_heartbeat(self, node: str, incarnation: str, now: float) -> str:
-        """Take a heartbeat; return the former incarnation if it was another one, or an empty string."""
-        former = self.heartbeats.get(node)
+    def record_heartbeat(self, node: str, incarnation: str, now: float) -> str | None:
+        """Record a heartbeat.
+
+        Returns:
+            The incarnation that this one replaces; None if the node was unknown or has not restarted.
+        """
+        previous = self.heartbeats.get(node)
         self.heartbeats[node] = Heartbeat(incarnation, now)
-        return former.incarnation if former is not None and former.incarnation != incarnation else ""
+        if previous is None or previous.incarnation == incarnation:
+            return None
+        return previous.incarnation
 
     def is_alive(self, node: str, incarnation: str) -> bool:
-        """Return whether the node's last heartbeat is of this incarnation and not forgotten."""
+        """Return whether this incarnation sent the node's last heartbeat and has not been forgotten."""
         heartbeat = self.heartbeats.get(node)
         return heartbeat is not None and heartbeat.incarnation == incarnation
 
     def forget(self, node: str) -> None:
-        """Forget a node that is off the list, or whose failure was dealt with."""
+        """Remove a node, for example once its failure was handled."""
         self.heartbeats.pop(node, None)
 
     def check(self, now: float) -> list[SuspectedNode]:
-        """List the nodes that fell silent; each is listed until it is forgotten."""
+        """Return the suspected nodes; a node is returned by every check until it is forgotten."""
         delay = now - self.next_check_at
         self.next_check_at = now + HEARTBEAT_INTERVAL
         if delay > MAX_CHECK_DELAY:
@@ -65,6 +71,12 @@
         ]
 
     def _allow_two_more_intervals(self, now: float) -> None:
+        """Count each node as heard two intervals ago, unless it was heard later.
+
+        Protects against this sequence: the observer pauses for longer than the timeout, resumes, and checks
+        before it has read the heartbeats that arrived meanwhile
+        (`test_a_failure_detector_that_checks_late_suspects_no_node`).
+        """
         earliest = now - 2.0 * HEARTBEAT_INTERVAL
         self.heartbeats = {
             node: heartbeat._replace(received_at=max(heartbeat.received_at, earliest))
--- a/myrtlehub/recovery/fencing.py
+++ b/myrtlehub/recovery/fencing.py
@@ -1,10 +1,13 @@
-"""Fencing tokens at an engine: it remembers the highest ownership of each sequence and refuses lower ones.
+"""Fencing tokens at an engine.
 
-So a node that was only paused undoes, repeats and releases nothing when it wakes up.
+An engine remembers the highest ownership that it has seen of each sequence and refuses every message with a
+lower one. A former owner that was only paused can therefore repeat, cancel or release nothing after another
+node has claimed its sequence.
 
-A claim is one step at the engine: it raises the fence and reports what is there. Work carries its owner's
-ownership and raises the fence like any other message. A fence is closed once an owner gives a final answer
-by which nothing may run any more; a later claim is refused.
+A claim is atomic at the engine: it raises the fence and reports the attempts that are there. Every send,
+attach, cancel and release carries its owner's ownership and raises the fence in the same way. An owner
+closes a fence before a final answer that rules out any further execution; a closed fence refuses the claims
+of all other owners.
 """
 
 from enum import StrEnum
@@ -14,9 +17,9 @@
 
 
 class AttemptState(StrEnum):
-    """What an engine reports of an attempt; the values are those of the protocol (`Stood.says`)."""
+    """The state of an attempt, as an engine reports it; the values are those of `Stood.says`."""
 
-    NEVER = "never"
+    NEVER_RAN = "never"  # it was not received, or it ended without any effect
     READING = "reading"
     HOLDS_READ_STATE = "held"
     WAITING = "waiting"
@@ -28,7 +31,7 @@
 
     @classmethod
     def _missing_(cls, value: object) -> Self:
-        """Count a word that only a later version of an engine knows as unknown."""
+        """Return `UNKNOWN` for a value that only a later version of the protocol defines."""
         return cls.UNKNOWN
 
 
@@ -43,7 +46,7 @@
     """The fence after a claim, and whether the claim was granted."""
 
     fence: Fence
-    granted: bool
+    is_granted: bool
 
 
 def admits(fence: Fence, ownership: Ownership) -> bool:
@@ -52,32 +55,40 @@
 
 
 def claim_fence(fence: Fence, ownership: Ownership, close: bool = False) -> ClaimResult:
-    """Claim a sequence at an engine.
+    """Claim a sequence at an engine, and close its fence if `close` is set.
 
-    Whoever closed the fence may claim again; nobody else gets past a closed fence.
+    The owner that closed a fence may claim it again, for example if the first reply was lost; any other
+    owner is refused.
     """
     if ownership < fence.ownership or (fence.is_closed and ownership != fence.ownership):
-        return ClaimResult(fence, granted=False)
-    return ClaimResult(Fence(ownership, fence.is_closed or close), granted=True)
+        return ClaimResult(fence, is_granted=False)
+    return ClaimResult(Fence(ownership, fence.is_closed or close), is_granted=True)
 
 
 class FenceTable:
-    """All fences of one engine, for as long as a claim may still come.
+    """The fences of one engine, bounded in count.
 
-    An engine that restarted knows none, and says since when it knows.
+    An engine that restarted has lost its fences. `known_since` tells for which attempts the table is
+    complete.
     """
 
     def __init__(self, capacity: int, known_since: float) -> None:
+        """Make an empty table.
+
+        Args:
+            capacity: largest number of sequences.
+            known_since: when the engine started, in seconds on its clock.
+        """
         self.capacity = capacity
         self.known_since = known_since
-        self.fences: dict[str, Fence] = {}
+        self.fences: dict[str, Fence] = {}  # by sequence, the one that was raised longest ago first
 
     def fence_of(self, sequence_id: str) -> Fence:
         """Return the fence of a sequence."""
         return self.fences.get(sequence_id, Fence())
 
     def admit(self, sequence_id: str, ownership: Ownership) -> bool:
-        """Return whether work with this ownership is accepted; if so, the fence is raised to it."""
+        """Return whether a message with this ownership is accepted; if it is, raise the fence to it."""
         fence = self.fence_of(sequence_id)
         if not admits(fence, ownership):
             return False
@@ -85,15 +96,15 @@
         return True
 
     def claim(self, sequence_id: str, ownership: Ownership, close: bool = False) -> bool:
-        """Return whether a claim is granted."""
-        fence, granted = claim_fence(self.fence_of(sequence_id), ownership, close)
-        if granted:
+        """Claim a sequence and return whether the claim is granted; see `claim_fence`."""
+        fence, is_granted = claim_fence(self.fence_of(sequence_id), ownership, close)
+        if is_granted:
             self._put(sequence_id, fence)
-        return granted
+        return is_granted
 
     def _put(self, sequence_id: str, fence: Fence) -> None:
         self.fences.pop(sequence_id, None)
         self.fences[sequence_id] = fence
         if len(self.fences) > self.capacity:
-            # The oldest sequence is over; until then the engine knows of nothing before it.
+            # The capacity covers minutes of work, so the oldest sequence has ended.
             del self.fences[next(iter(self.fences))]
--- a/myrtlehub/recovery/model/__init__.py
+++ b/myrtlehub/recovery/model/__init__.py
@@ -1,15 +1,17 @@
-"""A model of a takeover for the model checker: one sequence, its owner, replicas, other nodes and engines.
+"""A model of a takeover for the model checker: one sequence, its owners, their replicas and engines.
 
-Two nodes may take the sequence over at once. Messages are late, lost and doubled; owners pause, replicas
-and engines restart.
+Several nodes may take the sequence over at once. Messages arrive late, twice or not at all; owners pause,
+replicas and engines restart.
 
-What each side does are the functions that the program runs (`sequence_records`, `ownership`, `fencing`,
-`recovery_decision`). Beside what they know the model has what is true: how often the sequence had its
-effect, and what a client was answered.
+Each process runs the functions that the program runs: those of `sequence_records`, `ownership`, `fencing`
+and `recovery_decision`. Beside what each process knows, the state has the facts that the rules are checked
+by: how often the sequence had its effect, and how its clients were answered.
 
-`state` has the state of the model and its parameters, `owner_steps` what an owner does, `takeover_steps`
-what a node does that takes over, `network_steps` messages, engines and faults, and `checker_model` all
-steps together.
+    state           the state, its parameters, and messages in transit
+    owner_steps     steps of an owner: it updates replicas, sends attempts and answers its client
+    takeover_steps  steps of a node that takes over
+    network_steps   delivery of messages, engines and faults
+    checker_model   all steps together, and the rules
 """
 
 from myrtlehub.recovery.model.checker_model import RecoveryModel
--- a/myrtlehub/recovery/model/checker_model.py
+++ b/myrtlehub/recovery/model/checker_model.py
@@ -1,4 +1,4 @@
-"""All steps of the model, and the rules that each state after them is checked by."""
+"""All steps of the model, and the rules that every reachable state has to keep."""
 
 from collections.abc import Iterator
 
@@ -16,22 +16,26 @@
 
 
 class RecoveryModel:
-    """The model as the model checker calls it: a state's labels, next states and violations."""
+    """The model as the model checker calls it."""
 
     def __init__(self, parameters: ModelParameters) -> None:
         self.parameters = parameters
 
     def __call__(self, state: ModelState) -> Iterator[tuple[str, ModelState, str]]:
-        """Yield all that can happen next."""
-        for label, after in self._steps(state):
-            yield label, after, self._violation(after)
+        """Yield the label, the next state and its violation (empty if there is none) of each step."""
+        for label, next_state in self._steps(state):
+            yield label, next_state, self._violation(next_state)
 
     def _violation(self, state: ModelState) -> str:
-        """Say which rule a state violates; empty if it violates none."""
-        if self.parameters.retry_semantics == RetrySemantics.AT_MOST_ONCE and state.effects > 1:
-            return f"rule 2: it ran {state.effects} times"
+        """Return which rule a state violates; empty if it violates none."""
+        if self.parameters.retry_semantics == RetrySemantics.AT_MOST_ONCE and state.effect_count > 1:
+            return f"rule 2: it ran {state.effect_count} times"
         was_rejected = any(owner.answer == Answer.REJECTED for owner in state.owners)
-        if was_rejected and state.effects and self.parameters.retry_semantics != RetrySemantics.IDEMPOTENT:
+        if (
+            was_rejected
+            and state.effect_count
+            and self.parameters.retry_semantics != RetrySemantics.IDEMPOTENT
+        ):
             return "rule 2: a client was told that nothing ran, and it ran"
         return ""
 
@@ -40,16 +44,16 @@
             yield from self._owner_steps(state, index, owner)
         yield from network_steps.deliver_messages(self.parameters, state)
         yield from network_steps.run_attempts(state)
-        if state.faults < self.parameters.faults:
+        if state.fault_count < self.parameters.faults:
             yield from network_steps.restart_processes(self.parameters, state)
 
     def _owner_steps(self, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
         match owner.phase:
-            case Phase.IDLE if not state.owners[FIRST_OWNER].answer:
-                after = state.with_owner(index, owner._replace(phase=Phase.ASKING_REPLICAS))
-                yield Step(f"client comes to {index}", after)
-            case Phase.ASKING_REPLICAS:
-                yield from takeover_steps.ask_replicas(self.parameters, state, index, owner)
+            case Phase.IDLE if state.owners[FIRST_OWNER].answer is None:
+                next_state = state.with_owner(index, owner._replace(phase=Phase.FETCHING_RECORD))
+                yield Step(f"the client reaches node {index}", next_state)
+            case Phase.FETCHING_RECORD:
+                yield from takeover_steps.query_replicas(self.parameters, state, index, owner)
             case Phase.CLAIMING_ENGINES:
                 yield from takeover_steps.claim_engines(self.parameters, state, index, owner)
             case Phase.INTENDING:
--- a/myrtlehub/recovery/model/owner_steps.py
+++ b/myrtlehub/recovery/model/owner_steps.py
@@ -1,4 +1,4 @@
-"""What an owner does: it updates its replicas, sends attempts and answers its client."""
+"""Steps of an owner: it updates its replicas, sends attempts and answers its client."""
 
 from collections.abc import Iterator
 
@@ -21,27 +21,29 @@
 
 
 def intend(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
-    """Intend to send an attempt to any engine: its replicas are told first."""
-    intents = owner.owned.record.intents
+    """Add the intent to send an attempt to any one engine, and update the replicas."""
+    intents = owner.sequence.record.intents
+    # The model has no clock: `intended_at` is the index of the owner that added the intent.
     own_intents = sum(intent.intended_at == index for intent in intents)
     if own_intents >= (parameters.attempts if index == FIRST_OWNER else 1):
         yield from give_up(parameters, state, index, owner)
         return
-    # Engines are alike: the first one of all is the first one here.
+    # All engines are alike, so the first attempt goes to the first engine without loss of generality.
     for engine in range(parameters.engines if intents else 1):
         attempt = len(intents)
-        owned = owner.owned.add_intent(AttemptIntent(attempt, engine_name(engine), False, float(index)))
-        after = update_replicas(parameters, state, index, owner._replace(owned=owned, phase=Phase.WAITING))
-        yield Step(f"{index} intends {attempt} at e{engine}", after)
+        intent = AttemptIntent(attempt, engine_name(engine), False, float(index))
+        waiting = owner._replace(owned=owner.sequence.add_intent(intent), phase=Phase.WAITING)
+        next_state = update_replicas(parameters, state, index, waiting)
+        yield Step(f"node {index} intends to send attempt {attempt} to engine {engine}", next_state)
 
 
 def update_replicas(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> ModelState:
-    """Tell all replicas; what may be sent now is sent in the same turn."""
-    owned = owner.owned
+    """Send the record to all replicas, and the waiting attempt with it if it may be sent already."""
+    owned = owner.sequence
     replicas = [index_of(replica.node) for replica in owned.replicas]
-    # An update goes to whichever process is there now, which need not be the one that was told first.
+    # The update reaches the present incarnation of a replica, which may not be the one that was told first.
     updates = frozenset(
         RecordUpdate(index, replica, str(state.incarnations[replica]), owned.record, owned.version)
         for replica in replicas
@@ -52,10 +54,11 @@
 def send_if_allowed(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> ModelState:
-    """Take over what an owner knows now: an attempt that waits is sent at once, if it may be."""
-    if owner.phase == Phase.WAITING and parameters.send_decision(owner.owned) == SendDecision.SEND:
-        intent = owner.owned.record.intents[-1]
-        sent = SentAttempt(index, index_of(intent.engine), intent.attempt, owner.owned.record.ownership)
+    """Replace an owner, and send its waiting attempt if the acknowledgements allow it."""
+    if owner.phase == Phase.WAITING and parameters.send_decision(owner.sequence) == SendDecision.SEND:
+        record = owner.sequence.record
+        intent = record.intents[-1]
+        sent = SentAttempt(index, index_of(intent.engine), intent.attempt, record.ownership)
         state = state._replace(sends=state.sends | {sent})
         owner = owner._replace(phase=Phase.SENT)
     return state.with_owner(index, owner)
@@ -64,21 +67,21 @@
 def wait_for_replicas(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Iterator[Step]:
-    """Wait before a send: it is given up where it may never go, and replicas may not answer."""
-    if parameters.send_decision(owner.owned) == SendDecision.NEVER:
+    """Abandon an attempt that may not be sent any more, or stop waiting for replicas that are late."""
+    if parameters.send_decision(owner.sequence) == SendDecision.ABANDON:
         yield from give_up(parameters, state, index, owner)
-    owned = owner.owned
+    owned = owner.sequence
     for replica in set(owned.lagging_replicas()) - owned.uncertain:
         owned = owned.mark_uncertain(replica)
-    if owned != owner.owned:
-        # It waited in vain: their replies may still come, or not.
-        after = send_if_allowed(parameters, state, index, owner._replace(owned=owned))
-        yield Step(f"{index} waits no longer", after)
+    if owned != owner.sequence:
+        # The late replies may still arrive.
+        next_state = send_if_allowed(parameters, state, index, owner._replace(owned=owned))
+        yield Step(f"node {index} stops waiting for replicas", next_state)
 
 
 def observe_attempt(state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
-    """Hear what became of the attempt that was sent last."""
-    record = owner.owned.record
+    """Observe how the attempt that was sent last ends."""
+    record = owner.sequence.record
     intent = record.intents[-1]
     engine = state.engines[index_of(intent.engine)]
     attempt_state = next(
@@ -90,27 +93,29 @@
         None,
     )
     if attempt_state == AttemptState.REFUSED:
-        after = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
-        yield Step(f"{index} hears that {intent.attempt} was refused", after)
+        next_state = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
+        yield Step(f"node {index} learns that attempt {intent.attempt} was refused", next_state)
     elif attempt_state == AttemptState.ENDED and engine.fence.ownership <= record.ownership:
-        yield Step(f"{index} generates", state.with_owner(index, owner.end(Answer.GENERATED)))
-    after = state.with_owner(index, owner.end(Answer.ABORTED))
-    yield Step(f"{index} loses sight of {intent.attempt}", after)
+        generated = state.with_owner(index, owner.finish(Answer.GENERATED))
+        yield Step(f"node {index} answers: generated", generated)
+    next_state = state.with_owner(index, owner.finish(Answer.ABORTED))
+    yield Step(f"node {index} loses the connection of attempt {intent.attempt}", next_state)
 
 
 def give_up(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
-    """Send nothing more, and reject only where it is certain that nothing ran.
+    """Answer without a further attempt: abort, or reject where it is certain that nothing ran.
 
-    The first owner's client may have gone to another node meanwhile; a node that took over closes all
-    engines first.
+    The first owner may reject only while its client has not resumed at another node. A successor closes the
+    fences of all engines before it rejects.
     """
-    yield Step(f"{index} aborts", state.with_owner(index, owner.end(Answer.ABORTED)))
+    yield Step(f"node {index} answers: aborted", state.with_owner(index, owner.finish(Answer.ABORTED)))
     if index != FIRST_OWNER:
         yield _close_engines(parameters, state, index, owner)
         return
     others_are_idle = all(other.phase == Phase.IDLE for other in state.owners[1:])
     if others_are_idle and _all_were_refused(state, owner):
-        yield Step(f"{index} rejects", state.with_owner(index, owner.end(Answer.REJECTED)))
+        rejected = state.with_owner(index, owner.finish(Answer.REJECTED))
+        yield Step(f"node {index} answers: rejected", rejected)
 
 
 def _all_were_refused(state: ModelState, owner: ModelOwner) -> bool:
@@ -119,20 +124,21 @@
             row.attempt == intent.attempt and row.state == AttemptState.REFUSED
             for row in state.engines[index_of(intent.engine)].attempts
         )
-        for intent in owner.owned.record.intents
+        for intent in owner.sequence.record.intents
     )
 
 
 def _close_engines(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
-    """Close the fences of all engines; reject if all of them prove that nothing ran."""
-    record = owner.owned.record
+    """Close the fences of all engines, and reject if every engine proves that nothing ran."""
+    record = owner.sequence.record
     nothing_ran = True
     for engine_index in sorted({index_of(intent.engine) for intent in record.intents}):
         engine = state.engines[engine_index]
-        fence, granted = parameters.claim_fence(engine.fence, record.ownership, True)
-        harmless = engine.report(engine_index).state in (AttemptState.NEVER, AttemptState.REFUSED)
-        nothing_ran = nothing_ran and granted and harmless
-        if granted:
+        fence, is_granted = parameters.claim_fence(engine.fence, record.ownership, True)
+        is_harmless = engine.report(engine_index).state in (AttemptState.NEVER_RAN, AttemptState.REFUSED)
+        nothing_ran = nothing_ran and is_granted and is_harmless
+        if is_granted:
             state = state.with_engine(engine_index, engine._replace(fence=fence))
     answer = Answer.REJECTED if nothing_ran else Answer.ABORTED
-    return Step(f"{index} closes", state.with_owner(index, owner.end(answer)))
+    label = f"node {index} closes all engines and answers: {answer}"
+    return Step(label, state.with_owner(index, owner.finish(answer)))
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -1,4 +1,4 @@
-"""The state of the model, its parameters, and messages that are on their way."""
+"""The state of the model, its parameters, and messages in transit."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -18,20 +18,20 @@
 
 Item = TypeVar("Item")
 
-FIRST_OWNER = 0  # index of the node that accepted the sequence; those that may take it over follow
+FIRST_OWNER = 0  # index of the node that accepted the sequence; the nodes that may take it over follow
 OWNER_NAMES = "ACD"
-NO_ATTEMPT = -1
+EXPIRES_AT = 9.0  # seconds; the model has no clock, so no record expires
 
 
 class ModelParameters(NamedTuple):
-    """How large the model is, which faults occur, and which functions its parts run."""
+    """The size of the model, the number of faults, and the functions that its processes run."""
 
     retry_semantics: RetrySemantics = RetrySemantics.AT_MOST_ONCE
-    takers: int = 2
+    successors: int = 2  # nodes that may take the sequence over
     replicas: int = 2
     engines: int = 2
-    attempts: int = 2  # by the first owner; a taker has one
-    faults: int = 1  # whom a taker does not reach, restarts of replicas and engines, in one history together
+    attempts: int = 2  # of the first owner; every successor makes one
+    faults: int = 1  # restarts, and nodes that a successor does not reach, in one history together
     merge_update: Callable[[SequenceRecord | None, SequenceRecord], MergeResult] = (
         sequence_records.merge_update
     )
@@ -47,57 +47,75 @@
     """What an owner does at present."""
 
     IDLE = "idle"
-    ASKING_REPLICAS = "asking replicas"
+    FETCHING_RECORD = "fetching record"  # from replicas
     CLAIMING_ENGINES = "claiming engines"
     INTENDING = "intending"
-    WAITING = "waiting"  # for replicas, before a send
+    WAITING = "waiting"  # for acknowledgements, before a send
     SENT = "sent"
     DONE = "done"
 
 
 class Answer(StrEnum):
-    """What an owner's client was answered."""
+    """How an owner answered its client."""
 
-    NONE = ""
     GENERATED = "generated"
     REJECTED = "rejected"
     ABORTED = "aborted"
     ATTACHED = "attached"
-    LOST = "lost"  # another node owns the sequence
+    SUPERSEDED = "superseded"  # no answer: another node owns the sequence
 
 
-class FoundRecord(NamedTuple):
-    """What a replica had when it was asked."""
+class NotAnOwnerError(Exception):
+    """The sequence of a node was read in a phase in which the node does not own it: the model is wrong."""
+
+    def __init__(self, phase: Phase) -> None:
+        super().__init__(f"a node in the phase {phase!r} does not own the sequence")
+        self.phase = phase
+
+
+class FetchedRecord(NamedTuple):
+    """What a replica returned to a successor."""
 
     replica: int
     record: SequenceRecord | None
 
 
 class EngineReport(NamedTuple):
-    """What an engine reported when it was claimed, and of which attempt."""
+    """What an engine reported when it was claimed."""
 
     engine: int
     state: AttemptState
-    attempt: int
+    attempt: int | None  # the attempt of this state; None if the engine knows of none
 
 
 class ModelOwner(NamedTuple):
-    """One node that has, had or may have the sequence."""
+    """A node that owns the sequence, owned it, or may take it over."""
 
     owned: OwnedSequence | None = None
     phase: Phase = Phase.IDLE
-    found: tuple[FoundRecord, ...] = ()
-    unreached: frozenset[int] = frozenset()  # replicas that did not answer
+    fetched: tuple[FetchedRecord, ...] = ()
+    unreached: frozenset[int] = frozenset()  # replicas that did not reply
     reports: tuple[EngineReport, ...] = ()
-    answer: Answer = Answer.NONE
+    answer: Answer | None = None
+
+    @property
+    def sequence(self) -> OwnedSequence:
+        """The sequence that the node owns.
+
+        Raises:
+            NotAnOwnerError: it owns none in its present phase.
+        """
+        if self.owned is None:
+            raise NotAnOwnerError(self.phase)
+        return self.owned
 
-    def end(self, answer: Answer) -> Self:
+    def finish(self, answer: Answer) -> Self:
         """Answer the client."""
         return self._replace(phase=Phase.DONE, answer=answer)
 
 
 class EngineAttempt(NamedTuple):
-    """An attempt that reached an engine, and by which ownership."""
+    """An attempt that reached an engine, and the ownership that it was sent with."""
 
     attempt: int
     state: AttemptState
@@ -105,26 +123,26 @@
 
 
 class ModelEngine(NamedTuple):
-    """One engine, and what is true there."""
+    """One engine."""
 
     fence: Fence = Fence()
     attempts: tuple[EngineAttempt, ...] = ()
-    restarted: bool = False
+    has_restarted: bool = False
 
     def report(self, engine: int) -> EngineReport:
-        """Say what the engine, by its index, knows of the sequence."""
-        if self.restarted:
-            return EngineReport(engine, AttemptState.UNKNOWN, NO_ATTEMPT)
+        """Return what this engine, whose index is `engine`, reports to a claim."""
+        if self.has_restarted:
+            return EngineReport(engine, AttemptState.UNKNOWN, None)
         accepted = [attempt for attempt in self.attempts if attempt.state != AttemptState.REFUSED]
         if accepted:
             return EngineReport(engine, accepted[-1].state, accepted[-1].attempt)
         if self.attempts:
             return EngineReport(engine, AttemptState.REFUSED, self.attempts[-1].attempt)
-        return EngineReport(engine, AttemptState.NEVER, NO_ATTEMPT)
+        return EngineReport(engine, AttemptState.NEVER_RAN, None)
 
 
 class RecordUpdate(NamedTuple):
-    """An update on its way from an owner to a replica."""
+    """An update in transit from an owner to a replica."""
 
     owner: int
     replica: int
@@ -134,7 +152,7 @@
 
 
 class UpdateReply(NamedTuple):
-    """A replica's reply on its way to the owner."""
+    """A replica's reply in transit to the owner."""
 
     owner: int
     replica: int
@@ -144,7 +162,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt on its way to an engine."""
+    """An attempt in transit to an engine."""
 
     owner: int
     engine: int
@@ -153,46 +171,47 @@
 
 
 class ModelState(NamedTuple):
-    """All of the model."""
+    """The state of all processes and of the network."""
 
     owners: tuple[ModelOwner, ...]
     records: tuple[SequenceRecord | None, ...]  # by replica
-    incarnations: tuple[int, ...]  # by replica: how often it restarted
+    incarnations: tuple[int, ...]  # by replica: its number of restarts
     engines: tuple[ModelEngine, ...]
     updates: frozenset[RecordUpdate] = frozenset()
     replies: frozenset[UpdateReply] = frozenset()
     sends: frozenset[SentAttempt] = frozenset()
-    effects: int = 0
-    faults: int = 0
+    effect_count: int = 0  # how often the sequence had its effect
+    fault_count: int = 0
 
     def with_owner(self, index: int, owner: ModelOwner) -> Self:
-        """Change an owner.
+        """Return the state with an owner replaced.
 
-        What it knew, and what is on its way to it, makes no difference once it is done.
+        States that can no longer be told apart are made equal, so that the checker visits them once: a node
+        that is done keeps its answer alone, and replies reach only a node that waits for them.
         """
         if owner.phase == Phase.DONE:
             owner = ModelOwner(phase=Phase.DONE, answer=owner.answer)
         replies = self.replies
         if owner.phase != Phase.WAITING:
             replies = frozenset(reply for reply in replies if reply.owner != index)
-        return self._replace(owners=_replaced(self.owners, index, owner), replies=replies)
+        return self._replace(owners=_with_item(self.owners, index, owner), replies=replies)
 
     def with_engine(self, index: int, engine: ModelEngine) -> Self:
-        """Change an engine."""
-        return self._replace(engines=_replaced(self.engines, index, engine))
+        """Return the state with an engine replaced."""
+        return self._replace(engines=_with_item(self.engines, index, engine))
 
     def with_record(self, replica: int, record: SequenceRecord | None) -> Self:
-        """Change what a replica holds."""
-        return self._replace(records=_replaced(self.records, replica, record))
+        """Return the state with the record of a replica replaced."""
+        return self._replace(records=_with_item(self.records, replica, record))
 
     def with_restarted_replica(self, replica: int) -> Self:
-        """Restart a replica: it holds nothing any more."""
-        incarnations = _replaced(self.incarnations, replica, self.incarnations[replica] + 1)
+        """Return the state after the restart of a replica, which loses its record."""
+        incarnations = _with_item(self.incarnations, replica, self.incarnations[replica] + 1)
         return self.with_record(replica, None)._replace(incarnations=incarnations)
 
 
 class Step(NamedTuple):
-    """One thing that can happen next, and the state after it."""
+    """A possible step, and the state after it."""
 
     label: str
     state: ModelState
@@ -200,7 +219,7 @@
 
 def replica_name(index: int) -> str:
     """Return the name of a replica."""
-    return f"k{index}"
+    return f"r{index}"
 
 
 def engine_name(index: int) -> str:
@@ -209,24 +228,24 @@
 
 
 def index_of(name: str) -> int:
-    """Return the index of a replica or an engine by its name."""
+    """Return the index of a replica or an engine from its name."""
     return int(name[1:])
 
 
 def initial_state(parameters: ModelParameters) -> ModelState:
-    """Return the state in which the first owner has accepted the sequence, and nothing was sent."""
+    """Return the state in which the first owner has accepted the sequence and sent nothing."""
     record = SequenceRecord(
-        "s", Ownership(FIRST_EPOCH, OWNER_NAMES[FIRST_OWNER]), parameters.retry_semantics, 9.0
+        "s", Ownership(FIRST_EPOCH, OWNER_NAMES[FIRST_OWNER]), parameters.retry_semantics, EXPIRES_AT
     )
-    incarnations = {replica_name(index): "0" for index in range(parameters.replicas)}
+    incarnations: dict[str, str | None] = {replica_name(index): "0" for index in range(parameters.replicas)}
     first = ModelOwner(OwnedSequence.begin(record, incarnations), Phase.INTENDING)
     return ModelState(
-        (first, *(ModelOwner(),) * parameters.takers),
+        (first, *(ModelOwner(),) * parameters.successors),
         (None,) * parameters.replicas,
         (0,) * parameters.replicas,
         (ModelEngine(),) * parameters.engines,
     )
 
 
-def _replaced(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
+def _with_item(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
     return (*items[:index], item, *items[index + 1 :])
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -1,14 +1,13 @@
-"""What a node does that takes over: it asks replicas, claims engines, and decides."""
+"""Steps of a node that takes over: it fetches the record from replicas, claims engines, and decides."""
 
 from collections.abc import Iterator
 
 from myrtlehub.recovery.fencing import AttemptState
 from myrtlehub.recovery.model.state import (
-    NO_ATTEMPT,
     OWNER_NAMES,
     Answer,
     EngineReport,
-    FoundRecord,
+    FetchedRecord,
     ModelOwner,
     ModelParameters,
     ModelState,
@@ -18,101 +17,130 @@
     replica_name,
 )
 from myrtlehub.recovery.ownership import OwnedSequence
-from myrtlehub.recovery.recovery_decision import AttemptReport, RecoveryAction
+from myrtlehub.recovery.recovery_decision import AttemptReport, RecoveryAction, RecoveryDecision
 from myrtlehub.recovery.sequence_records import AttemptIntent, RetrySemantics, merge_copies
 
 
-def ask_replicas(
+class UnsafeRetryError(Exception):
+    """The recovery decision would send a sequence again that may have run."""
+
+    def __init__(self, decision: RecoveryDecision) -> None:
+        super().__init__(f"without a record, a sequence that is not idempotent would continue: {decision}")
+        self.decision = decision
+
+
+def query_replicas(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Iterator[Step]:
-    """Ask the next replica for its record."""
-    asked = {found.replica for found in owner.found} | owner.unreached
-    remaining = [replica for replica in range(parameters.replicas) if replica not in asked]
+    """Query the next replica for its record; the request or the reply may be lost."""
+    queried = {fetched.replica for fetched in owner.fetched} | owner.unreached
+    remaining = [replica for replica in range(parameters.replicas) if replica not in queried]
     if not remaining:
         yield _take_ownership(parameters, state, index, owner)
         return
     replica = remaining[0]
     record = state.records[replica]
-    after = state
+    transferred = state
     if record is not None:
         record = parameters.transfer(record, OWNER_NAMES[index], 0)
-        after = state.with_record(replica, record)
-    found = owner._replace(found=(*owner.found, FoundRecord(replica, record)))
-    yield Step(f"{index} asks k{replica}", after.with_owner(index, found))
-    if state.faults < parameters.faults:
+        transferred = state.with_record(replica, record)
+    fetched = owner._replace(fetched=(*owner.fetched, FetchedRecord(replica, record)))
+    yield Step(f"node {index} queries replica {replica}", transferred.with_owner(index, fetched))
+    if state.fault_count < parameters.faults:
         unreached = owner._replace(unreached=owner.unreached | {replica})
-        faults = state.faults + 1
-        lost_request = state.with_owner(index, unreached)._replace(faults=faults)
-        yield Step(f"{index} does not reach k{replica}", lost_request)
-        lost_reply = after.with_owner(index, unreached)._replace(faults=faults)
-        yield Step(f"{index} hears nothing of k{replica}", lost_reply)
+        fault_count = state.fault_count + 1
+        lost_request = state.with_owner(index, unreached)._replace(fault_count=fault_count)
+        yield Step(f"node {index} does not reach replica {replica}", lost_request)
+        lost_reply = transferred.with_owner(index, unreached)._replace(fault_count=fault_count)
+        yield Step(f"node {index} gets no reply of replica {replica}", lost_reply)
 
 
 def _take_ownership(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
-    """Own the sequence by the record that the replicas had, or abort if there is none."""
-    records = [found.record for found in owner.found if found.record is not None]
+    """Own the sequence by the records of the replicas, or abort if there is none."""
+    records = [fetched.record for fetched in owner.fetched if fetched.record is not None]
     if not records:
-        decision = parameters.decide(parameters.retry_semantics, [], 0, False)
-        is_idempotent = parameters.retry_semantics == RetrySemantics.IDEMPOTENT
-        assert decision.action == RecoveryAction.ABORT or is_idempotent
-        return Step(f"{index} aborts", state.with_owner(index, owner.end(Answer.ABORTED)))
+        return _recover_without_record(parameters, state, index, owner)
     record = merge_copies(records)
-    incarnations = {
+    incarnations: dict[str, str | None] = {
         replica_name(replica): str(state.incarnations[replica]) for replica in range(parameters.replicas)
     }
     owned = OwnedSequence.begin(record, incarnations, was_taken_over=True)
     for replica in owner.unreached:
         owned = owned.mark_uncertain(replica_name(replica))
-    after = state.with_owner(index, owner._replace(owned=owned, phase=Phase.CLAIMING_ENGINES))
-    return Step(f"{index} claims as {record.ownership}", after)
+    next_state = state.with_owner(index, owner._replace(owned=owned, phase=Phase.CLAIMING_ENGINES))
+    return Step(f"node {index} claims as {record.ownership}", next_state)
+
+
+def _recover_without_record(
+    parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
+) -> Step:
+    """Abort, as no replica has a record.
+
+    The program sends an idempotent sequence again under another id, which the model does not follow.
+
+    Raises:
+        UnsafeRetryError: the decision is to send a sequence again that is not idempotent.
+    """
+    decision = parameters.decide(parameters.retry_semantics, [], 0, False)
+    is_idempotent = parameters.retry_semantics == RetrySemantics.IDEMPOTENT
+    if decision.action != RecoveryAction.ABORT and not is_idempotent:
+        raise UnsafeRetryError(decision)
+    return Step(
+        f"node {index} aborts without a record", state.with_owner(index, owner.finish(Answer.ABORTED))
+    )
 
 
 def claim_engines(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Iterator[Step]:
-    """Claim the sequence at the next engine of the record."""
-    ownership = owner.owned.record.ownership
+    """Claim the sequence at the next engine of the record, which may not be reached."""
+    record = owner.sequence.record
     claimed = {report.engine for report in owner.reports}
-    remaining = {index_of(intent.engine) for intent in owner.owned.record.intents} - claimed
+    remaining = {index_of(intent.engine) for intent in record.intents} - claimed
     if not remaining:
         yield _recover(parameters, state, index, owner)
         return
     engine_index = min(remaining)
     engine = state.engines[engine_index]
-    fence, granted = parameters.claim_fence(engine.fence, ownership, False)
-    if not granted:
-        after = state.with_owner(index, owner.end(Answer.LOST))
-        yield Step(f"{index} is refused by e{engine_index}", after)
+    fence, is_granted = parameters.claim_fence(engine.fence, record.ownership, False)
+    if not is_granted:
+        superseded = state.with_owner(index, owner.finish(Answer.SUPERSEDED))
+        yield Step(f"engine {engine_index} refuses the claim of node {index}", superseded)
     else:
         claimed_state = state.with_engine(engine_index, engine._replace(fence=fence))
         reported = owner._replace(reports=(*owner.reports, engine.report(engine_index)))
-        yield Step(f"{index} claims at e{engine_index}", claimed_state.with_owner(index, reported))
-    if state.faults < parameters.faults:
-        unknown = EngineReport(engine_index, AttemptState.UNKNOWN, NO_ATTEMPT)
+        yield Step(f"node {index} claims at engine {engine_index}", claimed_state.with_owner(index, reported))
+    if state.fault_count < parameters.faults:
+        unknown = EngineReport(engine_index, AttemptState.UNKNOWN, None)
         unreached = state.with_owner(index, owner._replace(reports=(*owner.reports, unknown)))
-        yield Step(f"{index} does not reach e{engine_index}", unreached._replace(faults=state.faults + 1))
+        yield Step(
+            f"node {index} does not reach engine {engine_index}",
+            unreached._replace(fault_count=state.fault_count + 1),
+        )
 
 
 def _recover(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
-    """Do what the recovery decision says."""
+    """Carry out the recovery decision."""
     reports = {report.engine: report for report in owner.reports}
-    record = owner.owned.record
+    record = owner.sequence.record
     attempts = [_attempt_report(intent, reports[index_of(intent.engine)]) for intent in record.intents]
-    decision = parameters.decide(parameters.retry_semantics, attempts, 0, True)
-    if decision.action == RecoveryAction.ATTACH:
-        fence = state.engines[index_of(decision.engine)].fence
-        if parameters.admits(fence, record.ownership):
-            return Step(f"{index} attaches", state.with_owner(index, owner.end(Answer.ATTACHED)))
-        return Step(f"{index} is refused", state.with_owner(index, owner.end(Answer.LOST)))
-    if decision.action == RecoveryAction.ABORT:
-        return Step(f"{index} aborts", state.with_owner(index, owner.end(Answer.ABORTED)))
-    after = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
-    return Step(f"{index} sends again", after)
+    match parameters.decide(parameters.retry_semantics, attempts, 0, True):
+        case RecoveryDecision(action=RecoveryAction.ATTACH, target=AttemptIntent(engine=engine)):
+            fence = state.engines[index_of(engine)].fence
+            if parameters.admits(fence, record.ownership):
+                attached = state.with_owner(index, owner.finish(Answer.ATTACHED))
+                return Step(f"node {index} attaches", attached)
+            superseded = state.with_owner(index, owner.finish(Answer.SUPERSEDED))
+            return Step(f"node {index} is refused at its attach", superseded)
+        case RecoveryDecision(action=RecoveryAction.ABORT):
+            return Step(f"node {index} aborts", state.with_owner(index, owner.finish(Answer.ABORTED)))
+    next_state = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
+    return Step(f"node {index} retries", next_state)
 
 
 def _attempt_report(intent: AttemptIntent, report: EngineReport) -> AttemptReport:
-    """Turn an engine's report into one of an attempt that was intended there."""
-    without_attempt = (AttemptState.NEVER, AttemptState.UNKNOWN, AttemptState.REFUSED)
-    if report.state not in without_attempt and report.attempt != intent.attempt:
-        return AttemptReport(intent, AttemptState.NEVER)  # the engine reports another attempt
+    """Return the report of an engine as one about an attempt that was intended there."""
+    states_without_attempt = (AttemptState.NEVER_RAN, AttemptState.UNKNOWN, AttemptState.REFUSED)
+    if report.state not in states_without_attempt and report.attempt != intent.attempt:
+        return AttemptReport(intent, AttemptState.NEVER_RAN)  # the state is that of another attempt
     return AttemptReport(intent, report.state)
--- a/myrtlehub/recovery/ownership.py
+++ b/myrtlehub/recovery/ownership.py
@@ -1,9 +1,9 @@
-"""The owner's side of a record: what replicas must have acknowledged before an attempt may be sent.
+"""The owner's side of a record: which acknowledgements a send has to wait for.
 
-Where a second execution does no harm, replicas are updated beside the send. Otherwise a send waits until
-all replicas that were ever told of the sequence, each still in the same incarnation, have acknowledged its
-intent. The very first intent may go with those that answered: a replica that did not answer has the whole
-record so far or nothing, and either is right.
+Attempts of an idempotent sequence are sent at once, and the replicas are updated in parallel. Any other
+attempt waits until every replica that was ever told of the sequence has acknowledged the intent, in the same
+incarnation as before. Only the first intent of a sequence may be sent with fewer acknowledgements: a replica
+that did not answer has either this intent, which is the complete record, or no record to hand out.
 """
 
 from enum import StrEnum
@@ -16,84 +16,95 @@
     SequenceRecord,
 )
 
-NO_VERSION = -1  # a replica that is not known to have the record
+NO_VERSION = -1  # acknowledged by a replica that is not known to have the record; below every version
 
 
 class SendDecision(StrEnum):
-    """Whether the newest intent may be carried out."""
+    """Whether the attempt of the newest intent may be sent."""
 
-    SEND = "go"
+    SEND = "send"
     WAIT = "wait"
-    NEVER = "never"
+    ABANDON = "abandon"
 
 
 class ReplicaIncarnation(NamedTuple):
-    """A replica, and the process that answered there when it was first told of the sequence."""
+    """A replica, and its incarnation when it was first told of the sequence."""
 
     node: str
-    incarnation: str
+    incarnation: str | None  # None: the replica was not reached
 
 
 class OwnedSequence(NamedTuple):
-    """One in-flight sequence of this node, and what its replicas have acknowledged."""
+    """An in-flight sequence of this node, and what its replicas have acknowledged."""
 
     record: SequenceRecord
     replicas: tuple[ReplicaIncarnation, ...]
-    version: int = 0  # of the record; each intent makes a new one
-    acknowledged: tuple[int, ...] = ()  # by replica: the version that it is known to have
-    uncertain: frozenset[str] = frozenset()  # replicas of which it is unknown what they have
+    version: int = 0  # of the record; every intent increments it
+    acknowledged: tuple[int, ...] = ()  # by replica: the newest version that it is known to have
+    uncertain: frozenset[str] = frozenset()  # replicas that may have any version, or none
     is_superseded: bool = False
 
     @classmethod
     def begin(
-        cls, record: SequenceRecord, incarnations: dict[str, str], was_taken_over: bool = False
+        cls, record: SequenceRecord, incarnations: dict[str, str | None], was_taken_over: bool = False
     ) -> Self:
-        """Own a sequence from now on; `incarnations` by replica.
+        """Return a sequence that this node owns from now on.
 
-        Where it was taken over, no intent is the very first.
+        Args:
+            record: the record.
+            incarnations: by replica.
+            was_taken_over: the record has intents of former owners, so none of this node's is the first.
         """
         return cls(
             record, _sorted_replicas(incarnations), int(was_taken_over), (NO_VERSION,) * len(incarnations)
         )
 
-    def assign_replicas(self, incarnations: dict[str, str]) -> Self:
-        """Give replicas to a sequence that had none so far.
+    def assign_replicas(self, incarnations: dict[str, str | None]) -> Self:
+        """Assign replicas to a sequence that began without any.
 
-        The record has all that was sent, and what comes next needs their acknowledgement.
+        The record already lists all attempts that were sent; the next one waits for acknowledgements.
         """
         return self._replace(
             replicas=_sorted_replicas(incarnations), acknowledged=(NO_VERSION,) * len(incarnations)
         )
 
     def add_intent(self, intent: AttemptIntent) -> Self:
-        """Record that an attempt is to be sent."""
+        """Add the intent to send an attempt."""
         record = self.record._replace(intents=(*self.record.intents, intent))
         return self._replace(record=record, version=self.version + 1)
 
-    def acknowledge(self, replica: str, incarnation: str, version: int, reply: str) -> Self:
-        """Take a replica's reply, a value of `ReplicaReply`, to a version of the record."""
+    def acknowledge(self, replica: str, incarnation: str | None, version: int, reply: str) -> Self:
+        """Apply a replica's reply to an update.
+
+        Args:
+            replica: the node that replied.
+            incarnation: its incarnation at the time of the reply.
+            version: of the record in the update.
+            reply: a value of `ReplicaReply`; an unknown one counts as `STORED`.
+        """
         index = next((index for index, row in enumerate(self.replicas) if row.node == replica), None)
         if index is None:
             return self
         if reply == ReplicaReply.SUPERSEDED:
             return self._replace(is_superseded=True)
         if incarnation != self.replicas[index].incarnation:
-            return self.mark_uncertain(replica)  # it may have handed the record out before it restarted
+            # The former incarnation may have handed the record out before the replica restarted.
+            return self.mark_uncertain(replica)
         if reply == ReplicaReply.FULL:
-            # It has nothing that it could hand out, if it never had.
-            never_had_it = self.acknowledged[index] == NO_VERSION
-            return self._without_replica(index) if never_had_it else self.mark_uncertain(replica)
+            # A replica that never stored the record cannot hand it out.
+            never_stored = self.acknowledged[index] == NO_VERSION
+            return self._without_replica(index) if never_stored else self.mark_uncertain(replica)
         newest = max(self.acknowledged[index], version)
         return self._replace(
             acknowledged=(*self.acknowledged[:index], newest, *self.acknowledged[index + 1 :])
         )
 
     def mark_uncertain(self, replica: str) -> Self:
-        """Note that a replica did not answer in time, lost its connection or restarted."""
+        """Mark a replica that did not reply in time, lost its connection or restarted."""
         return self._replace(uncertain=self.uncertain | {replica})
 
     def lagging_replicas(self) -> list[str]:
-        """List the replicas that are not known to have the newest version."""
+        """Return the replicas that are not known to have the newest version."""
         return [
             replica.node
             for replica, version in zip(self.replicas, self.acknowledged, strict=True)
@@ -101,16 +112,16 @@
         ]
 
     def send_decision(self) -> SendDecision:
-        """Decide whether the newest intent may be carried out: now, not yet, or never."""
+        """Decide whether the attempt of the newest intent may be sent: now, not yet, or not at all."""
         if self.is_superseded:
-            return SendDecision.NEVER
+            return SendDecision.ABANDON
         if self.record.retry_semantics == RetrySemantics.IDEMPOTENT:
             return SendDecision.SEND
         lagging = set(self.lagging_replicas())
         if self.version <= 1:
             return SendDecision.SEND if lagging <= self.uncertain else SendDecision.WAIT
         if lagging & self.uncertain:
-            return SendDecision.NEVER
+            return SendDecision.ABANDON
         return SendDecision.WAIT if lagging else SendDecision.SEND
 
     def _without_replica(self, index: int) -> Self:
@@ -120,5 +131,5 @@
         )
 
 
-def _sorted_replicas(incarnations: dict[str, str]) -> tuple[ReplicaIncarnation, ...]:
-    return tuple(ReplicaIncarnation(*item) for item in sorted(incarnations.items()))
+def _sorted_replicas(incarnations: dict[str, str | None]) -> tuple[ReplicaIncarnation, ...]:
+    return tuple(ReplicaIncarnation(node, incarnations[node]) for node in sorted(incarnations))
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -1,7 +1,8 @@
-"""The recovery decision: what becomes of a sequence that was taken over.
+"""The recovery decision: how a sequence continues after a takeover.
 
-Decided by its retry semantics, by what the engines reported to the claim, and by how many tokens its client
-has. What is not known for certain to have had no effect counts as having run.
+The decision depends on the retry semantics, on what the engines reported when they were claimed, and on how
+many tokens the client has received. An attempt counts as having run unless it is certain that it had no
+effect.
 """
 
 from enum import StrEnum
@@ -12,11 +13,11 @@
 
 
 class RecoveryAction(StrEnum):
-    """What to do for a sequence that was taken over."""
+    """What to do with a sequence that was taken over; the values are those of the log."""
 
-    ATTACH = "attach"  # pass on the stream that a writer still makes
-    USE_READ_STATE = "held"  # send a write that fetches the state that a reader holds
-    RETRY = "again"  # send it again as if it arrived now
+    ATTACH = "attach"  # relay the stream that a writer is still generating
+    USE_READ_STATE = "held"  # send a write that fetches the read state from its reader
+    RETRY = "again"  # route the sequence like a new arrival
     ABORT = "abort"
 
 
@@ -26,94 +27,98 @@
     intent: AttemptIntent
     state: AttemptState
     token_count: int = 0  # generated so far
-    first_token: int = 0  # the first of them that the engine still has
+    first_token: int = 0  # index of the first token that the engine still has
 
 
 class RecoveryDecision(NamedTuple):
-    """What to do, and where."""
+    """What to do with a sequence that was taken over."""
 
     action: RecoveryAction
-    engine: str = ""
-    attempt: int = -1
-    reason: str = ""
-    may_have_run: AttemptIntent | None = None  # the first such attempt, where the sequence is sent again
+    target: AttemptIntent | None = None  # `ATTACH`, `USE_READ_STATE`: the attempt whose engine is used
+    abort_reason: str | None = None  # `ABORT` only
+    uncertain_attempt: AttemptIntent | None = None  # a retry: the first attempt that may have run
 
 
 STREAMING_STATES = (AttemptState.WAITING, AttemptState.WRITING, AttemptState.ENDED)
 HARMLESS_STATES = (
-    AttemptState.NEVER,
+    AttemptState.NEVER_RAN,
     AttemptState.REFUSED,
     AttemptState.READING,
     AttemptState.HOLDS_READ_STATE,
 )
 
 
-def attempt_may_have_run(report: AttemptReport) -> bool:
-    """Return whether this attempt may have had an effect, or still can. Reads have none."""
-    return not report.intent.reads and report.state not in HARMLESS_STATES
+def may_have_run(report: AttemptReport) -> bool:
+    """Return whether an attempt may have had an effect, or may still have one; a read has none."""
+    return not report.intent.is_read and report.state not in HARMLESS_STATES
 
 
 def decide(
-    retry_semantics: str, reports: list[AttemptReport], client_tokens: int, is_complete: bool = True
+    retry_semantics: str,
+    reports: list[AttemptReport],
+    client_token_count: int,
+    is_record_complete: bool = True,
 ) -> RecoveryDecision:
-    """Decide what to do for a client that has `client_tokens` tokens.
-
-    `is_complete`: the record is known to name all attempts (a replica had it). Without one, whatever is not
-    idempotent may have run.
+    """Decide how a sequence continues.
+
+    Args:
+        retry_semantics: a value of `RetrySemantics`.
+        reports: one per attempt in the record.
+        client_token_count: tokens that the client has received.
+        is_record_complete: the record lists all attempts. False if no replica had a record; then any
+            sequence that is not idempotent may have run.
     """
-    writes = [report for report in reports if not report.intent.reads]
-    streams = [report for report in writes if _can_be_attached_to(report, client_tokens)]
+    writes = [report for report in reports if not report.intent.is_read]
+    streams = [report for report in writes if _can_attach(report, client_token_count)]
     if streams:
-        return _attach(streams)
-    may_have_run = next(
-        (
-            report.intent
-            for report in sorted(writes, key=lambda report: report.intent.attempt)
-            if attempt_may_have_run(report)
-        ),
-        None,
-    )
-    abort_reason = _abort_reason(retry_semantics, may_have_run, client_tokens, is_complete)
-    if abort_reason:
-        return RecoveryDecision(RecoveryAction.ABORT, reason=abort_reason)
+        return RecoveryDecision(RecoveryAction.ATTACH, _best_stream(streams))
+    uncertain_attempt = _first_that_may_have_run(writes)
+    abort_reason = _abort_reason(retry_semantics, uncertain_attempt, client_token_count, is_record_complete)
+    if abort_reason is not None:
+        return RecoveryDecision(RecoveryAction.ABORT, abort_reason=abort_reason)
     reads = [
         report.intent
         for report in reports
-        if report.intent.reads and report.state == AttemptState.HOLDS_READ_STATE
+        if report.intent.is_read and report.state == AttemptState.HOLDS_READ_STATE
     ]
     if reads:
-        return RecoveryDecision(
-            RecoveryAction.USE_READ_STATE, reads[-1].engine, reads[-1].attempt, may_have_run=may_have_run
-        )
-    return RecoveryDecision(RecoveryAction.RETRY, may_have_run=may_have_run)
+        return RecoveryDecision(RecoveryAction.USE_READ_STATE, reads[-1], uncertain_attempt=uncertain_attempt)
+    return RecoveryDecision(RecoveryAction.RETRY, uncertain_attempt=uncertain_attempt)
 
 
-def _can_be_attached_to(report: AttemptReport, client_tokens: int) -> bool:
-    """Return whether the engine can continue this attempt's stream after the tokens that the client has."""
-    if report.state not in STREAMING_STATES or report.first_token > client_tokens:
+def _can_attach(report: AttemptReport, client_token_count: int) -> bool:
+    """Return whether the engine can continue the stream right after the client's last token."""
+    if report.state not in STREAMING_STATES or report.first_token > client_token_count:
         return False
-    return report.state != AttemptState.ENDED or report.token_count >= client_tokens
+    return report.state != AttemptState.ENDED or report.token_count >= client_token_count
 
 
-def _attach(streams: list[AttemptReport]) -> RecoveryDecision:
-    """Of two answers, go on with the one that the client has begun with.
+def _best_stream(streams: list[AttemptReport]) -> AttemptIntent:
+    """Return the attempt whose stream the client has begun to receive.
 
-    That is the later attempt, as no attempt is sent beside one that streams.
+    This is the latest attempt that generates: no attempt is sent in parallel with one that streams.
     """
-    best = max(
+    return max(
         streams, key=lambda report: (report.state != AttemptState.WAITING, report.intent.attempt)
     ).intent
-    return RecoveryDecision(RecoveryAction.ATTACH, best.engine, best.attempt)
+
+
+def _first_that_may_have_run(writes: list[AttemptReport]) -> AttemptIntent | None:
+    by_attempt = sorted(writes, key=lambda report: report.intent.attempt)
+    return next((report.intent for report in by_attempt if may_have_run(report)), None)
 
 
 def _abort_reason(
-    retry_semantics: str, may_have_run: AttemptIntent | None, client_tokens: int, is_complete: bool
-) -> str:
-    """Say why the sequence can't be sent again; empty if it can."""
-    if not is_complete and (client_tokens or retry_semantics != RetrySemantics.IDEMPOTENT):
+    retry_semantics: str,
+    uncertain_attempt: AttemptIntent | None,
+    client_token_count: int,
+    is_record_complete: bool,
+) -> str | None:
+    """Return why the sequence cannot be sent again; None if it can."""
+    if not is_record_complete and (client_token_count or retry_semantics != RetrySemantics.IDEMPOTENT):
         return "no replica knows what was sent for it"
-    if client_tokens:
-        return "the writer of what was begun is gone, and no other goes on with its text"
-    if may_have_run is not None and retry_semantics == RetrySemantics.AT_MOST_ONCE:
-        return f"attempt {may_have_run.attempt} may have run at {may_have_run.engine}"
-    return ""
+    if client_token_count:
+        return "its writer is lost, and no other engine can continue its text"
+    if uncertain_attempt is not None and retry_semantics == RetrySemantics.AT_MOST_ONCE:
+        return f"attempt {uncertain_attempt.attempt} may have run at {uncertain_attempt.engine}"
+    return None
--- a/myrtlehub/recovery/replica_placement.py
+++ b/myrtlehub/recovery/replica_placement.py
@@ -1,9 +1,9 @@
-"""Which nodes are the replicas of which: a ranking that all nodes compute alike, without a message.
+"""Replica placement: every node computes the same replicas of a node, without messages.
 
-Rendezvous hashing (Thaler and Ravishankar 1998): each node ranks all others by a hash of both names, so
-that one node that joins or leaves moves no other's replicas. Replicas are chosen by node and not by
-sequence: a node then keeps two connections open, and hundreds of nodes form no mesh. Other zones come
-first, as a zone may be lost whole.
+Placement uses rendezvous hashing (Thaler and Ravishankar, 1998): each node ranks all others by a hash of
+both names, so a node that joins or leaves changes the replicas of few others. Replicas are assigned to nodes
+and not to sequences, so that a node keeps connections to its replicas only instead of to the whole fleet.
+Nodes of other zones rank first, because a whole zone may fail at once.
 """
 
 from collections.abc import Mapping
@@ -12,28 +12,36 @@
 
 
 def rank_nodes(node: str, zones: Mapping[str, str]) -> list[str]:
-    """Rank all other nodes as replicas of this one; `zones` by node.
+    """Rank all other nodes as replicas of a node.
 
-    One of each other zone in turn comes before a second one of any, and those of its own zone last.
+    The first node of every other zone comes before the second node of any; nodes of the same zone as `node`
+    come last.
+
+    Args:
+        node: the node whose replicas are wanted.
+        zones: the zone of each node, this one included.
     """
     by_weight = sorted((other for other in zones if other != node), key=lambda other: _weight(node, other))
     own_zone = zones.get(node)
-    place_in_zone: dict[str, int] = {}
-    ranked_of_zone: dict[str, int] = {}
+    rank_in_zone: dict[str, int] = {}
+    ranked_count: dict[str, int] = {}  # by zone
     for other in by_weight:
-        ranked_of_zone[zones[other]] = ranked_of_zone.get(zones[other], 0) + 1
-        place_in_zone[other] = ranked_of_zone[zones[other]]
-    # Sorting is stable: what ranks alike stays in the order of the weights.
-    return sorted(by_weight, key=lambda other: (zones[other] == own_zone, place_in_zone[other]))
+        ranked_count[zones[other]] = ranked_count.get(zones[other], 0) + 1
+        rank_in_zone[other] = ranked_count[zones[other]]
+    # The sort is stable: nodes with equal keys stay in the order of their weights.
+    return sorted(by_weight, key=lambda other: (zones[other] == own_zone, rank_in_zone[other]))
 
 
-def replicas_of(node: str, zones: Mapping[str, str], copies: int) -> list[str]:
+def replicas_of(node: str, zones: Mapping[str, str], replica_count: int) -> list[str]:
     """Return the replicas of a node, the highest ranked first."""
-    return rank_nodes(node, zones)[:copies]
+    return rank_nodes(node, zones)[:replica_count]
 
 
 def origin_node(sequence_id: str) -> str:
-    """Return the node that accepted a sequence, by its id: NAME.INCARNATION.NUMBER; names may have dots."""
+    """Return the node that accepted a sequence, from an id of the form NODE.INCARNATION.NUMBER.
+
+    The id is split from its end, because the names of nodes may contain dots.
+    """
     return sequence_id.rsplit(".", 2)[0]
 
 
--- a/myrtlehub/recovery/replica_store.py
+++ b/myrtlehub/recovery/replica_store.py
@@ -1,4 +1,6 @@
-"""The store of one replica: the sequence records that it holds for other nodes, bounded in count."""
+"""Replica store: the sequence records that one replica holds for other nodes, bounded in count."""
+
+from typing import NamedTuple
 
 from myrtlehub.recovery.sequence_records import (
     FIRST_EPOCH,
@@ -6,67 +8,85 @@
     ReplicaReply,
     RetrySemantics,
     SequenceRecord,
-    merge_end,
+    merge_completion,
     merge_update,
     transfer,
 )
 
-# Records are evicted in this order, and of one kind those first whose answer has not begun.
+# The record whose loss costs least comes first; with equal semantics, one whose answer does not stream yet.
 EVICTION_ORDER = (RetrySemantics.IDEMPOTENT, RetrySemantics.IDEMPOTENCY_KEY, RetrySemantics.AT_MOST_ONCE)
 
 
+class EvictionRank(NamedTuple):
+    """How much the loss of a record costs; records of a low rank are evicted first."""
+
+    semantics_rank: int  # index in `EVICTION_ORDER`
+    is_streaming: bool
+
+
 class ReplicaStore:
     """All records that one replica holds for other nodes.
 
-    When it is full, the record that helps least is evicted: idempotent sequences without a streaming answer
-    (their clients ask again), then other idempotent ones, those with an idempotency key, at-most-once ones;
-    the oldest first. A record that was handed out is never evicted: this replica would accept updates of
-    its former owner.
+    When the store is full, it evicts the record with the lowest `EvictionRank`, the oldest first. The client
+    of an idempotent sequence that does not stream yet can simply send it again, so its record is evicted
+    first. A record that was handed out is never evicted: without it, this replica would accept updates of
+    the former owner again.
     """
 
     def __init__(self, capacity: int) -> None:
+        """Make an empty store for `capacity` records."""
         self.capacity = capacity
-        self.records: dict[str, SequenceRecord] = {}
-        self.evicted = 0  # since the start
+        self.records: dict[str, SequenceRecord] = {}  # by sequence, the oldest first
+        self.eviction_count = 0  # since the start
 
     def store(self, update: SequenceRecord) -> ReplicaReply:
-        """Take an update from a record's owner."""
+        """Merge an update of the record's owner."""
         stored = self.records.get(update.sequence_id)
         if stored is None and len(self.records) >= self.capacity and not self._evict_for(update):
             return ReplicaReply.FULL
-        self.records[update.sequence_id], reply = merge_update(stored, update)
+        record, reply = merge_update(stored, update)
+        if record is not None:
+            self.records[update.sequence_id] = record
         return reply
 
-    def end(self, sequence_id: str, ownership: Ownership) -> ReplicaReply:
-        """Drop a record: its owner has given the final answer."""
-        record, reply = merge_end(self.records.get(sequence_id), ownership)
+    def complete(self, sequence_id: str, ownership: Ownership) -> ReplicaReply:
+        """Drop the record of a sequence whose owner has given the final answer."""
+        record, reply = merge_completion(self.records.get(sequence_id), ownership)
         if record is None:
             self.records.pop(sequence_id, None)
         return reply
 
-    def hand_out(self, sequence_id: str, new_owner: str, least_epoch: int = 0) -> SequenceRecord | None:
-        """Transfer a record to a node that takes its sequence over; None if there is none."""
+    def hand_out(self, sequence_id: str, new_owner: str, min_epoch: int = 0) -> SequenceRecord | None:
+        """Transfer a record to the node that takes its sequence over.
+
+        Returns:
+            The record with its new ownership; None if there is no record.
+        """
         stored = self.records.get(sequence_id)
         if stored is None:
             return None
-        transferred = transfer(stored, new_owner, least_epoch)
+        transferred = transfer(stored, new_owner, min_epoch)
         self.records[sequence_id] = transferred
         return transferred
 
     def records_of(self, owner: str) -> list[SequenceRecord]:
-        """List the records of one owner, the one that expires next first."""
+        """Return the records of one owner, the one that expires first at the front."""
         records = (record for record in self.records.values() if record.ownership.owner == owner)
         return sorted(records, key=lambda record: record.expires_at)
 
     def remove_expired(self, now: float) -> list[str]:
-        """Remove the records that nobody can be asking for any more; return their sequences."""
+        """Remove the expired records, for which no client can still return.
+
+        Returns:
+            The ids of their sequences.
+        """
         expired = [record.sequence_id for record in self.records.values() if now >= record.expires_at]
         for sequence_id in expired:
             del self.records[sequence_id]
         return expired
 
     def _evict_for(self, update: SequenceRecord) -> bool:
-        """Make room for a record by evicting one that ranks no higher; False if there is none."""
+        """Evict a record that ranks no higher than the update; return False if there is none."""
         candidates = [
             (_eviction_rank(record), age_rank, record.sequence_id)
             for age_rank, record in enumerate(self.records.values())
@@ -78,9 +98,9 @@
         if rank > _eviction_rank(update):
             return False
         del self.records[sequence_id]
-        self.evicted += 1
+        self.eviction_count += 1
         return True
 
 
-def _eviction_rank(record: SequenceRecord) -> tuple[int, bool]:
-    return EVICTION_ORDER.index(record.retry_semantics), record.is_streaming
+def _eviction_rank(record: SequenceRecord) -> EvictionRank:
+    return EvictionRank(EVICTION_ORDER.index(record.retry_semantics), record.is_streaming)
--- a/myrtlehub/recovery/sequence_records.py
+++ b/myrtlehub/recovery/sequence_records.py
@@ -1,14 +1,18 @@
-"""Sequence records: what the replicas of a node know of its in-flight sequences, and the rules to merge them.
+"""Sequence records: what the replicas of a node know of its in-flight sequences, and how they are merged.
 
-A record names every engine to which the sequence may have been sent: where a second execution could do
-harm, the intent to send is at all replicas before the send. A takeover raises the record's epoch; from then
-on the replica accepts no update from a former owner, so that an owner that was only paused adds no engine
-that the new one does not know of.
+A record lists every engine to which an attempt of the sequence may have been sent. Where a second execution
+could do harm, the owner sends an attempt only after its replicas have stored the intent to send it. A
+takeover raises the record's epoch; from then on the replica refuses updates of the former owner, so an
+owner that was only paused cannot add an engine that the new owner does not know.
 
-That a sequence runs at most once rests on two statements that each hold for themselves: every engine that
-any owner of a lower epoch may send to is in the record of every replica that may hand it out; and an engine
-that has seen a higher fencing token refuses whatever comes with a lower one (`fencing`). So what former
-owners did has shown itself in the engines' answers, or can't happen any more.
+Two invariants together make a sequence run at most once:
+
+1. Every engine to which an owner of a lower epoch may send is in the record of every replica that may hand
+   the record out.
+2. An engine that has seen a higher fencing token refuses all messages with a lower one (`fencing`).
+
+After a takeover has claimed every engine in the record, each attempt of a former owner either shows in an
+engine's report or is refused from then on.
 """
 
 from collections.abc import Iterable
@@ -19,7 +23,7 @@
 class RetrySemantics(StrEnum):
     """What a second execution of a sequence does; the values are those of the settings and of the protocol.
 
-    The same as in `routing.contract`, which this package doesn't depend on.
+    `routing.contract` defines the same values; this package does not depend on it.
     """
 
     IDEMPOTENT = "repeatable"
@@ -28,7 +32,7 @@
 
 
 class ReplicaReply(StrEnum):
-    """What a replica answers to an update of a record; the values are those of the protocol."""
+    """A replica's reply to an update of a record; the values are those of the protocol."""
 
     STORED = "kept"
     SUPERSEDED = "superseded"  # another node owns the sequence by a higher epoch
@@ -36,51 +40,51 @@
 
 
 class Ownership(NamedTuple):
-    """Which node may act for a sequence: the higher one, by epoch and then by name.
+    """Which node may act for a sequence. The higher ownership wins: by epoch, then by owner.
 
-    Owners are named by node and incarnation, so that a node that restarted is another owner than before.
-    Engines take it as a fencing token.
+    The owner is a node and its incarnation, so a node that restarted is a different owner. Engines use the
+    ownership as a fencing token.
     """
 
     epoch: int
-    owner: str
+    owner: str  # NODE.INCARNATION
 
 
-UNOWNED = Ownership(0, "")
-FIRST_EPOCH = 1  # of a sequence that nobody has taken over
+UNOWNED = Ownership(0, "")  # lower than the ownership of any owner
+FIRST_EPOCH = 1  # of a sequence that has not been taken over
 
 
 class AttemptIntent(NamedTuple):
     """An attempt that may have been sent."""
 
-    attempt: int
-    engine: str
-    reads: bool
-    intended_at: float  # seconds on the clock of whoever holds the record
+    attempt: int  # number among all attempts of the sequence, those of former owners included
+    engine: str  # address
+    is_read: bool
+    intended_at: float  # seconds on the clock of the node that holds the record
 
 
 class SequenceRecord(NamedTuple):
-    """An in-flight sequence, as a replica has it. Times are seconds on the replica's clock."""
+    """An in-flight sequence as a replica stores it."""
 
     sequence_id: str
     ownership: Ownership
-    retry_semantics: str  # a value of `RetrySemantics`
-    expires_at: float  # abandon time; an answer that has begun may take longer
+    retry_semantics: str  # of `RetrySemantics`, or a value that only a later version of a peer knows
+    expires_at: float  # seconds on the clock of the node that holds the record
     intents: tuple[AttemptIntent, ...] = ()
-    is_streaming: bool = False  # its answer has begun
+    is_streaming: bool = False  # the client may have received tokens
 
 
 class MergeResult(NamedTuple):
-    """The record that a replica holds from now on, None if it holds none, and its reply to the owner."""
+    """The record that a replica holds after a message, None if it holds none, and its reply to the owner."""
 
     record: SequenceRecord | None
     reply: ReplicaReply
 
 
 def merge_update(stored: SequenceRecord | None, update: SequenceRecord) -> MergeResult:
-    """Merge an owner's update, which is the whole record each time, into what the replica holds.
+    """Merge an owner's update, which always has the complete record, into the stored record.
 
-    An update that is late or comes twice removes nothing: intents are only ever added.
+    Intents are only ever added, so an update that arrives late or twice removes none.
     """
     if stored is None:
         return MergeResult(update, ReplicaReply.STORED)
@@ -93,20 +97,20 @@
     return MergeResult(merged, ReplicaReply.STORED)
 
 
-def merge_end(stored: SequenceRecord | None, ownership: Ownership) -> MergeResult:
-    """Drop a record as its owner has given the final answer, unless the owner was superseded."""
+def merge_completion(stored: SequenceRecord | None, ownership: Ownership) -> MergeResult:
+    """Drop a record whose owner has given the final answer, unless the owner was superseded."""
     if stored is not None and ownership < stored.ownership:
         return MergeResult(stored, ReplicaReply.SUPERSEDED)
     return MergeResult(None, ReplicaReply.STORED)
 
 
-def transfer(stored: SequenceRecord, new_owner: str, least_epoch: int = 0) -> SequenceRecord:
-    """Give a record to another owner, by an epoch above its own and above `least_epoch`."""
-    return stored._replace(ownership=Ownership(max(stored.ownership.epoch, least_epoch) + 1, new_owner))
+def transfer(stored: SequenceRecord, new_owner: str, min_epoch: int = 0) -> SequenceRecord:
+    """Return the record with a new owner, whose epoch is above the stored one and above `min_epoch`."""
+    return stored._replace(ownership=Ownership(max(stored.ownership.epoch, min_epoch) + 1, new_owner))
 
 
 def merge_copies(copies: list[SequenceRecord]) -> SequenceRecord:
-    """Merge what several replicas hold of one sequence into one record with the highest ownership."""
+    """Merge the copies that several replicas hold of one record; the highest ownership wins."""
     highest = max(copies, key=lambda copy: copy.ownership)
     return highest._replace(
         intents=_union_of_intents(copies), is_streaming=any(copy.is_streaming for copy in copies)
@@ -114,6 +118,6 @@
 
 
 def _union_of_intents(records: Iterable[SequenceRecord]) -> tuple[AttemptIntent, ...]:
-    """Return all intents by attempt; of two of one attempt the one of the later record."""
+    """Return all intents in the order of their attempts; for the same attempt the last record wins."""
     by_attempt = {intent.attempt: intent for record in records for intent in record.intents}
     return tuple(by_attempt[attempt] for attempt in sorted(by_attempt))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: the model keeps its rules, seeded faults are found, and the pure parts by themselves."""
+"""Recovery: the model keeps its rules, the checker finds seeded faults, and unit tests of each module."""
 
 from collections.abc import Callable
 
@@ -36,13 +36,13 @@
 @pytest.mark.parametrize(
     "parameters",
     [
-        ModelParameters(replicas=1, takers=1, attempts=2, faults=1),
-        ModelParameters(replicas=1, takers=2, attempts=1, faults=0),
+        ModelParameters(replicas=1, successors=1, attempts=2, faults=1),
+        ModelParameters(replicas=1, successors=2, attempts=1, faults=0),
     ],
-    ids=["paused, one fault", "two takers"],
+    ids=["paused, one fault", "two successors"],
 )
-def test_a_sequence_runs_at_most_once_whoever_takes_it_over(parameters: ModelParameters) -> None:
-    """With one replica all states are visited."""
+def test_a_sequence_runs_at_most_once_whichever_node_takes_it_over(parameters: ModelParameters) -> None:
+    """Visit all states; with one replica there are few enough."""
     found = check_model(initial_state(parameters), RecoveryModel(parameters), 200, 200_000)
     assert found.is_complete and not found.violation, (found.violation, found.trace)
     assert found.states > 5000
@@ -50,11 +50,16 @@
 
 @pytest.mark.parametrize(
     "parameters",
-    [ModelParameters(takers=1, attempts=2, faults=1), ModelParameters(takers=2, attempts=1, faults=0)],
-    ids=["paused, one fault", "two takers"],
+    [
+        ModelParameters(successors=1, attempts=2, faults=1),
+        ModelParameters(successors=2, attempts=1, faults=0),
+    ],
+    ids=["paused, one fault", "two successors"],
 )
-def test_at_most_once_with_two_replicas_in_a_part_of_the_states(parameters: ModelParameters) -> None:
-    """The search ends here before all states are visited."""
+def test_a_sequence_runs_at_most_once_with_two_replicas_in_a_part_of_the_states(
+    parameters: ModelParameters,
+) -> None:
+    """Visit the states up to a limit; with two replicas there are too many for all of them."""
     found = check_model(initial_state(parameters), RecoveryModel(parameters), 200, 30_000)
     assert not found.violation and found.depth > 8, (found.violation, found.trace)
 
@@ -75,13 +80,16 @@
     """Make a decision that counts attempts in these states as attempts that were never sent."""
 
     def wrong_decide(
-        retry_semantics: str, reports: list[AttemptReport], client_tokens: int, is_complete: bool = True
+        retry_semantics: str,
+        reports: list[AttemptReport],
+        client_token_count: int,
+        is_record_complete: bool = True,
     ) -> RecoveryDecision:
         changed = [
-            report._replace(state=AttemptState.NEVER) if report.state in states else report
+            report._replace(state=AttemptState.NEVER_RAN) if report.state in states else report
             for report in reports
         ]
-        return decide(retry_semantics, changed, client_tokens, is_complete)
+        return decide(retry_semantics, changed, client_token_count, is_record_complete)
 
     return wrong_decide
 
@@ -93,40 +101,42 @@
 
 
 def _grant_any_claim(fence: Fence, ownership: Ownership, close: bool) -> ClaimResult:
-    return ClaimResult(Fence(ownership, fence.is_closed or close), granted=True)
+    return ClaimResult(Fence(ownership, fence.is_closed or close), is_granted=True)
 
 
-def _grant_claims_past_a_closed_fence(fence: Fence, ownership: Ownership, close: bool) -> ClaimResult:
+def _grant_claims_to_a_closed_fence(fence: Fence, ownership: Ownership, close: bool) -> ClaimResult:
     if ownership < fence.ownership:
-        return ClaimResult(fence, granted=False)
-    return ClaimResult(Fence(ownership, close), granted=True)
+        return ClaimResult(fence, is_granted=False)
+    return ClaimResult(Fence(ownership, close), is_granted=True)
 
 
 FAULTS = {
     "a replica accepts updates of a superseded owner": ModelParameters(merge_update=_store_any_update),
-    "a taker gets the record without a higher epoch": ModelParameters(
-        transfer=lambda stored, new_owner, least_epoch: stored
+    "a successor gets the record without a higher epoch": ModelParameters(
+        transfer=lambda stored, new_owner, min_epoch: stored
     ),
     "an engine accepts work with any ownership": ModelParameters(admits=lambda fence, ownership: True),
-    "an engine grants any claim and does not mention the higher one": ModelParameters(
-        claim_fence=_grant_any_claim
-    ),
-    "attempts are sent before their replicas know": ModelParameters(
+    "an engine grants claims with any ownership": ModelParameters(claim_fence=_grant_any_claim),
+    "attempts are sent without acknowledgements": ModelParameters(
         send_decision=_send_unless(lambda owned: not owned.is_superseded)
     ),
-    "a later attempt is sent with the replicas that answered": ModelParameters(
+    "a later attempt is sent without the replicas that did not reply": ModelParameters(
         send_decision=_send_unless(
             lambda owned: not owned.is_superseded and set(owned.lagging_replicas()) <= owned.uncertain
         )
     ),
-    "an owner goes on though it was superseded": ModelParameters(
+    "an owner continues after it was superseded": ModelParameters(
         send_decision=_send_unless(lambda owned: owned.is_superseded)
     ),
-    "an engine that restarted counts as one that got nothing": ModelParameters(
+    "an engine that restarted counts as one that received nothing": ModelParameters(
         decide=_decide_as_if_never_sent(AttemptState.UNKNOWN)
     ),
-    "what has run is sent again": ModelParameters(decide=_decide_as_if_never_sent(*STREAMING_STATES)),
-    "a closed fence lets others past": ModelParameters(claim_fence=_grant_claims_past_a_closed_fence),
+    "an attempt that has run is sent again": ModelParameters(
+        decide=_decide_as_if_never_sent(*STREAMING_STATES)
+    ),
+    "a closed fence grants the claims of other owners": ModelParameters(
+        claim_fence=_grant_claims_to_a_closed_fence
+    ),
     "the reply of another incarnation of a replica counts": ModelParameters(
         acknowledge=_acknowledge_by_any_process
     ),
@@ -136,11 +146,11 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_seeded_fault_is_found_and_its_trace_replays(name: str) -> None:
     for size in (
-        {"replicas": 1, "takers": 1, "faults": 0},
-        {"replicas": 1, "takers": 1, "faults": 1},
-        {"replicas": 1, "takers": 2, "faults": 0},
-        {"takers": 1, "faults": 1},
-        {"takers": 2, "attempts": 1, "faults": 0},
+        {"replicas": 1, "successors": 1, "faults": 0},
+        {"replicas": 1, "successors": 1, "faults": 1},
+        {"replicas": 1, "successors": 2, "faults": 0},
+        {"successors": 1, "faults": 1},
+        {"successors": 2, "attempts": 1, "faults": 0},
     ):
         parameters = FAULTS[name]._replace(**size)
         found = check_model(initial_state(parameters), RecoveryModel(parameters), 200, 120_000)
@@ -151,7 +161,7 @@
     assert violation == found.violation
 
 
-# -- the parts ------------------------------------------------------------------------------------------
+# -- unit tests ----------------------------------------------------------------------------------------
 
 
 def record(
@@ -166,7 +176,7 @@
     return SequenceRecord(sequence_id, ownership, retry_semantics, expires_at, intents, is_streaming)
 
 
-def test_replicas_are_the_same_for_all_nodes_and_move_little() -> None:
+def test_replicas_are_the_same_for_all_nodes_and_change_little_when_a_node_leaves() -> None:
     zones = {f"n{i}": "xyz"[i % 3] for i in range(60)}
     for node in zones:
         first = replicas_of(node, zones, 2)
@@ -176,8 +186,8 @@
             and rank_nodes(node, dict(reversed(zones.items())))[:2] == first
         )
     without = {node: zone for node, zone in zones.items() if node != "n7"}
-    moved = [node for node in without if replicas_of(node, without, 2) != replicas_of(node, zones, 2)]
-    assert all("n7" in replicas_of(node, zones, 2) for node in moved) and len(moved) < 10
+    changed = [node for node in without if replicas_of(node, without, 2) != replicas_of(node, zones, 2)]
+    assert all("n7" in replicas_of(node, zones, 2) for node in changed) and len(changed) < 10
     load = [sum(replica in replicas_of(node, zones, 2) for node in zones) for replica in zones]
     assert max(load) <= 9 and sum(load) == 120
     assert replicas_of("a", {"a": "z", "b": "z"}, 2) == ["b"] and origin_node("n.1.run~2.77") == "n.1"
@@ -193,14 +203,16 @@
     ]
     assert [store.store(r) for r in records] == [ReplicaReply.STORED] * 4
     assert store.store(record("more")) == ReplicaReply.STORED and "plain" not in store.records
-    assert store.store(record("late", IDEMPOTENT)) == ReplicaReply.FULL  # it ranks below all that is held
+    assert store.store(record("late", IDEMPOTENT)) == ReplicaReply.FULL  # it ranks below every stored record
     assert store.store(record("two")) == ReplicaReply.STORED and "streams" not in store.records
-    assert store.hand_out("once", "b").ownership == Ownership(2, "b") and store.hand_out("gone", "b") is None
+    assert (
+        store.hand_out("once", "b").ownership == Ownership(2, "b") and store.hand_out("unknown", "b") is None
+    )
     for i in range(6):
         store.store(record(f"x{i}"))
     assert "once" in store.records and len(store.records) == 4
-    assert store.store(record("once")) == ReplicaReply.SUPERSEDED == store.end("once", Ownership(1, "a"))
-    assert store.end("once", Ownership(2, "b")) == ReplicaReply.STORED and "once" not in store.records
+    assert store.store(record("once")) == ReplicaReply.SUPERSEDED == store.complete("once", Ownership(1, "a"))
+    assert store.complete("once", Ownership(2, "b")) == ReplicaReply.STORED and "once" not in store.records
     assert store.remove_expired(8.9) == [] and len(store.remove_expired(9.0)) == 3
 
 
@@ -212,26 +224,28 @@
     assert reply == ReplicaReply.STORED and merged.intents == (first, second) and merged.is_streaming
 
 
-def test_what_an_owner_may_send_by_what_its_replicas_replied() -> None:
+def test_what_an_owner_may_send_after_the_replies_of_its_replicas() -> None:
     one, two = AttemptIntent(0, "w1", False, 0.0), AttemptIntent(1, "w2", False, 0.0)
     stored, full, superseded = ReplicaReply.STORED, ReplicaReply.FULL, ReplicaReply.SUPERSEDED
-    send, wait, never = SendDecision.SEND, SendDecision.WAIT, SendDecision.NEVER
+    send, wait, abandon = SendDecision.SEND, SendDecision.WAIT, SendDecision.ABANDON
     owned = OwnedSequence.begin(record("s"), {"k1": "r", "k2": "r"}).add_intent(one)
     assert owned.send_decision() == wait
     half = owned.acknowledge("k1", "r", 1, stored)
-    # The very first intent may go with the replicas that answered.
+    # The first intent may be sent without the replicas that did not reply.
     assert half.send_decision() == wait and half.mark_uncertain("k2").send_decision() == send
     assert half.acknowledge("k2", "r", 1, full).send_decision() == send
     later = half.mark_uncertain("k2").add_intent(two).acknowledge("k1", "r", 2, stored)
-    assert later.send_decision() == never and later.acknowledge("k2", "r", 2, stored).send_decision() == send
-    assert later.acknowledge("k2", "other", 2, stored).send_decision() == never  # it restarted meanwhile
-    assert owned.acknowledge("k1", "r", 1, superseded).send_decision() == never
+    assert (
+        later.send_decision() == abandon and later.acknowledge("k2", "r", 2, stored).send_decision() == send
+    )
+    assert later.acknowledge("k2", "other", 2, stored).send_decision() == abandon  # it restarted meanwhile
+    assert owned.acknowledge("k1", "r", 1, superseded).send_decision() == abandon
     idempotent = OwnedSequence.begin(record("s", IDEMPOTENT), {"k1": "r"}).add_intent(one)
     assert idempotent.send_decision() == send
 
 
 @pytest.mark.parametrize(
-    ("retry_semantics", "state", "client_tokens", "action"),
+    ("retry_semantics", "state", "client_token_count", "action"),
     [
         (AT_MOST_ONCE, AttemptState.WRITING, 3, RecoveryAction.ATTACH),
         (AT_MOST_ONCE, AttemptState.ENDED, 0, RecoveryAction.ATTACH),
@@ -239,35 +253,35 @@
         (AT_MOST_ONCE, AttemptState.UNKNOWN, 0, RecoveryAction.ABORT),
         (AT_MOST_ONCE, AttemptState.STOPPED, 0, RecoveryAction.ABORT),
         (AT_MOST_ONCE, AttemptState.REFUSED, 0, RecoveryAction.RETRY),
-        (AT_MOST_ONCE, AttemptState.NEVER, 0, RecoveryAction.RETRY),
+        (AT_MOST_ONCE, AttemptState.NEVER_RAN, 0, RecoveryAction.RETRY),
         (IDEMPOTENT, AttemptState.UNKNOWN, 0, RecoveryAction.RETRY),
         (IDEMPOTENT, AttemptState.UNKNOWN, 3, RecoveryAction.ABORT),
         (IDEMPOTENCY_KEY, AttemptState.STOPPED, 0, RecoveryAction.RETRY),
     ],
 )
-def test_what_becomes_of_a_sequence(
-    retry_semantics: RetrySemantics, state: AttemptState, client_tokens: int, action: RecoveryAction
+def test_how_a_sequence_continues_by_its_semantics_and_the_state_of_its_attempt(
+    retry_semantics: RetrySemantics, state: AttemptState, client_token_count: int, action: RecoveryAction
 ) -> None:
     intent = AttemptIntent(0, "w1", False, 0.0)
-    decision = decide(retry_semantics, [AttemptReport(intent, state, 20)], client_tokens)
+    decision = decide(retry_semantics, [AttemptReport(intent, state, 20)], client_token_count)
     assert decision.action == action
-    may_have_run = retry_semantics != AT_MOST_ONCE and action == RecoveryAction.RETRY
-    assert decision.may_have_run == (intent if may_have_run else None)
+    is_uncertain = retry_semantics != AT_MOST_ONCE and action == RecoveryAction.RETRY
+    assert decision.uncertain_attempt == (intent if is_uncertain else None)
 
 
-def test_a_read_state_is_used_and_a_missing_record_is_no_proof() -> None:
+def test_a_read_state_is_used_and_a_missing_record_proves_nothing() -> None:
     read, write = AttemptIntent(0, "r1", True, 0.0), AttemptIntent(1, "w1", False, 0.0)
     reports = [
         AttemptReport(read, AttemptState.HOLDS_READ_STATE),
         AttemptReport(write, AttemptState.REFUSED),
     ]
-    assert decide(AT_MOST_ONCE, reports, 0)[:3] == (RecoveryAction.USE_READ_STATE, "r1", 0)
-    assert decide(AT_MOST_ONCE, [], 0, is_complete=False).action == RecoveryAction.ABORT
-    assert decide(IDEMPOTENT, [], 0, is_complete=False).action == RecoveryAction.RETRY
-    gone = [AttemptReport(write, AttemptState.WRITING, 40, first_token=10)]
-    # The engine no longer has the tokens in between.
-    assert decide(IDEMPOTENT, gone, 4).action == RecoveryAction.ABORT
-    assert decide(IDEMPOTENT, gone, 10).action == RecoveryAction.ATTACH
+    assert decide(AT_MOST_ONCE, reports, 0)[:2] == (RecoveryAction.USE_READ_STATE, read)
+    assert decide(AT_MOST_ONCE, [], 0, is_record_complete=False).action == RecoveryAction.ABORT
+    assert decide(IDEMPOTENT, [], 0, is_record_complete=False).action == RecoveryAction.RETRY
+    tail_only = [AttemptReport(write, AttemptState.WRITING, 40, first_token=10)]
+    # The engine has dropped the tokens before the tenth.
+    assert decide(IDEMPOTENT, tail_only, 4).action == RecoveryAction.ABORT
+    assert decide(IDEMPOTENT, tail_only, 10).action == RecoveryAction.ATTACH
 
 
 def test_fences_refuse_lower_ownership_and_forget_the_oldest() -> None:
@@ -280,9 +294,10 @@
     assert table.admit("t", first) and table.admit("u", first) and table.fence_of("s") == Fence()
 
 
-def test_a_failure_detector_that_checks_late_suspects_nobody() -> None:
+def test_a_failure_detector_that_checks_late_suspects_no_node() -> None:
     detector = FailureDetector(0.0)
-    assert detector.record_heartbeat("a", "1", 0.0) == "" and detector.record_heartbeat("b", "1", 0.0) == ""
+    assert detector.record_heartbeat("a", "1", 0.0) is None
+    assert detector.record_heartbeat("b", "1", 0.0) is None
     now = 0.0
     while now < SILENCE_TIMEOUT + 2 * HEARTBEAT_INTERVAL:
         now += HEARTBEAT_INTERVAL
