--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -1,38 +1,41 @@
-"""A writer's stream that a takeover has attached to."""
+"""The stream of a writer that a takeover has attached to."""
 
 from typing import Protocol
 
+from myrtlehub.node.engine_transport.transport import SERVICE, GrpcEngineTransport
 from myrtlehub.node.engine_transport.write_attempt import TOKENS_TAG
+from myrtlehub.node.replication.takeover_interfaces import TakeoverRequest
 from myrtlehub.proto import engine_pb2 as pb
-from myrtlehub.rpc.client_call import CallWatcher
+from myrtlehub.recovery.sequence_records import AttemptIntent, SequenceRecord
+from myrtlehub.rpc.client_call import CallWatcher, ClientCall
 from myrtlehub.rpc.status import Code, Status
 
 
 class StreamObserver(Protocol):
-    """Who hears what comes on the stream."""
+    """Is notified of the events of a stream; exactly one of the last three is called, once."""
 
     def tokens_received(self, data: bytes) -> None:
-        """Take a token message, as the engine sent it."""
+        """Handle a token message, as the engine sent it."""
 
     def stream_completed(self, token_count: int) -> None:
-        """Note that the answer is complete."""
+        """Handle the end of a complete answer."""
 
     def stream_broke(self, reason: str) -> None:
-        """Note that no more of the answer comes."""
+        """Handle the end of a stream whose answer is incomplete."""
 
     def superseded(self, reason: str) -> None:
-        """Note that another node owns the sequence."""
+        """Handle the engine's refusal: another node owns the sequence."""
 
 
 class AttachedStream(CallWatcher):
-    """Turns what comes back on the call into events of a `StreamObserver`; exactly one of them is final."""
+    """Turns the replies on the call into events of a `StreamObserver`."""
 
     def __init__(self, observer: StreamObserver) -> None:
         self.observer = observer
         self.is_final = False
 
     def message(self, data: bytes) -> None:
-        """Take one message of the engine."""
+        """Handle one message of the engine."""
         if self.is_final:
             return
         if data[0] == TOKENS_TAG:
@@ -43,10 +46,10 @@
         if reply.WhichOneof("reply") == "ended":
             self.observer.stream_completed(reply.ended.tokens)
         else:
-            self.observer.stream_broke("the stream is not there any more")
+            self.observer.stream_broke("the engine no longer has the stream")
 
     def ended(self, status: Status) -> None:
-        """Take the end of the call."""
+        """Handle the end of the call."""
         if self.is_final:
             return
         self.is_final = True
@@ -54,3 +57,40 @@
             self.observer.superseded(status.message)
         else:
             self.observer.stream_broke(f"the stream broke: {status.code.name}")
+
+
+def attach_to_stream(
+    transport: GrpcEngineTransport,
+    record: SequenceRecord,
+    target: AttemptIntent,
+    request: TakeoverRequest,
+    observer: StreamObserver,
+) -> ClientCall:
+    """Attach to the stream of an attempt, from the first token that the client has not received.
+
+    Args:
+        transport: has the channel to the engine.
+        record: of the sequence, with this node's ownership.
+        target: the attempt.
+        request: of the client.
+        observer: is notified of the stream's events, only after this function has returned.
+    """
+    work = pb.Work(
+        sequence=record.sequence_id,
+        attempt=target.attempt,
+        epoch=record.ownership.epoch,
+        owner=record.ownership.owner,
+        traffic_type=request.request.traffic_type,
+        mark=request.request.mark,
+    )
+    attach = pb.Attach(**{"from": request.client_token_count})  # `from` is a keyword of Python
+    metadata = (
+        ("myrtle-seq", record.sequence_id),
+        ("myrtle-attempt", str(target.attempt)),
+        ("myrtle-node", transport.name),
+    )
+    channel = transport.channel_to(target.engine)
+    call = channel.call(SERVICE + "Write", AttachedStream(observer), metadata)
+    call.send(pb.WriteRequest(work=work, attach=attach).SerializeToString())
+    call.half_close()
+    return call
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -1,4 +1,4 @@
-"""Claims of sequences at engines: each raises the engine's fence and asks what is there."""
+"""Claims of sequences at engines: a claim raises the engine's fence and reports its attempts."""
 
 from collections.abc import Iterable
 
@@ -10,8 +10,8 @@
 from myrtlehub.recovery.recovery_decision import STREAMING_STATES, AttemptReport
 from myrtlehub.recovery.sequence_records import AttemptIntent, SequenceRecord
 
-CLAIM_TIMEOUT = 0.5  # seconds for an engine's reply to a claim; one that does not reply counts as unknown
-CLOCK_SLACK = 0.5  # seconds by which two machines may differ on how long ago an attempt was sent
+CLAIM_TIMEOUT = 0.5  # seconds for an engine's reply; without one, its attempts count as unknown
+MAX_CLOCK_ERROR = 0.5  # seconds; bounds the error of an attempt's age, which has passed between two nodes
 
 
 class EngineClaims:
@@ -23,14 +23,26 @@
         self.engines = _engines_of(record)
         self.read_states: dict[str, pb.State] = {}  # by engine that holds one
 
-    def send(self, engines_answer_claims: bool) -> list[Deferred]:
-        """Claim the sequence at each engine; each Deferred fires with a `ClaimReply` or None."""
+    def send(self, engines_answer_claims: bool) -> "list[Deferred[pb.ClaimReply | None]]":
+        """Claim the sequence at each engine.
+
+        Args:
+            engines_answer_claims: if False, nothing is sent, and no engine replies.
+
+        Returns:
+            For each of `engines`, a Deferred that fires with the reply, or with None if there is none.
+        """
         if not engines_answer_claims:
             return [succeed(None) for _ in self.engines]
         return [claim_at_engine(self.transport, engine, self.record, close=False) for engine in self.engines]
 
     def reports(self, replies: Iterable[pb.ClaimReply | None], now: float) -> list[AttemptReport]:
-        """Return what the engines reported of each attempt; `replies` in the order of `engines`."""
+        """Return what the engines reported of each attempt in the record.
+
+        Args:
+            replies: in the order of `engines`.
+            now: seconds on this node's clock.
+        """
         by_engine = dict(zip(self.engines, replies, strict=True))
         return [self._report(intent, by_engine[intent.engine], now) for intent in self.record.intents]
 
@@ -39,9 +51,10 @@
             return AttemptReport(intent, AttemptState.UNKNOWN)
         row = next((row for row in reply.attempts if row.number == intent.attempt), None)
         if row is None:
-            # Of an attempt from before the time that the engine remembers, no report proves nothing.
-            is_forgotten = now - intent.intended_at + CLOCK_SLACK > reply.age
-            return AttemptReport(intent, AttemptState.UNKNOWN if is_forgotten else AttemptState.NEVER_RAN)
+            # `age` is how far back the engine remembers attempts. One that is older may have run and been
+            # forgotten (`test_an_engine_that_has_forgotten_an_attempt_is_no_proof_that_it_never_ran`).
+            may_be_forgotten = now - intent.intended_at + MAX_CLOCK_ERROR > reply.age
+            return AttemptReport(intent, AttemptState.UNKNOWN if may_be_forgotten else AttemptState.NEVER_RAN)
         state = AttemptState(row.says)
         if state == AttemptState.HOLDS_READ_STATE and row.HasField("state"):
             self.read_states[intent.engine] = row.state
@@ -49,21 +62,28 @@
 
 
 def is_refused(reply: pb.ClaimReply | None) -> bool:
-    """Return whether another node has a higher claim at the engine."""
+    """Return whether the engine refused the claim, because another node has a higher ownership."""
     return reply is not None and not reply.granted
 
 
 def has_stream(reply: pb.ClaimReply | None) -> bool:
-    """Return whether an engine has a stream to go on with: no other one matters much then."""
+    """Return whether an engine has a stream to attach to; the reports of other engines are optional then."""
     return reply is not None and any(row.says in STREAMING_STATES for row in reply.attempts)
 
 
 def claim_at_engine(
     transport: GrpcEngineTransport, engine: str, record: SequenceRecord, close: bool
-) -> Deferred:
-    """Claim a sequence at an engine: fires with its `ClaimReply`, or with None if none came.
+) -> "Deferred[pb.ClaimReply | None]":
+    """Claim a sequence at one engine.
+
+    Args:
+        transport: has the channel to the engine.
+        engine: its address.
+        record: has the sequence and the ownership that claims it.
+        close: stop the attempts of the sequence, release its read state, and refuse any further work.
 
-    `close`: nothing may run for the sequence any more, by any ownership.
+    Returns:
+        A Deferred that fires with the reply, or with None if there is none.
     """
     request = pb.ClaimRequest(
         sequence=record.sequence_id,
@@ -71,18 +91,18 @@
         owner=record.ownership.owner,
         close=close,
     )
-    done = transport.channel_to(engine).unary(
+    reply = transport.channel_to(engine).unary(
         SERVICE + "Claim", request.SerializeToString(), timeout=CLAIM_TIMEOUT
     )
-    return done.addCallbacks(pb.ClaimReply.FromString, lambda failure: None)
+    return reply.addCallbacks(pb.ClaimReply.FromString, lambda failure: None)
 
 
 def close_at_engines(transport: GrpcEngineTransport, record: SequenceRecord) -> None:
-    """Stop what runs and release what is held for a sequence that no client came back for."""
+    """Stop the attempts and release the read state of a sequence whose client did not resume."""
     for engine in _engines_of(record):
         claim_at_engine(transport, engine, record, close=True)
 
 
 def _engines_of(record: SequenceRecord) -> list[str]:
-    """Return each engine of the record's intents once, in their order."""
+    """Return each engine of the record's intents once, in the order of the intents."""
     return list(dict.fromkeys(intent.engine for intent in record.intents))
--- a/myrtlehub/node/replication/former_ownerships.py
+++ b/myrtlehub/node/replication/former_ownerships.py
@@ -1,38 +1,42 @@
-"""Ownerships of sequences that are over at this node: messages that come late still carry them."""
+"""Ownerships of sequences that have ended at this node.
+
+A read state may be released seconds after its sequence has ended, and the message still needs the ownership
+as its fencing token.
+"""
 
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
 
-CAPACITY = 20000  # releases follow answers within seconds
+CAPACITY = 20000  # sequences; covers the seconds within which releases follow their final answers
 
 
 class FormerOwnerships:
-    """The last ownerships by sequence, bounded in count, and which sequences another node continues."""
+    """The last ownership of each ended sequence, bounded in count, and which sequences have migrated."""
 
     def __init__(self, capacity: int = CAPACITY) -> None:
         self.capacity = capacity
-        self._ownerships: dict[str, Ownership] = {}
-        self._moved: set[str] = set()
+        self._ownerships: dict[str, Ownership] = {}  # by sequence, the oldest first
+        self._migrated: set[str] = set()
 
     def of(self, sequence_id: str) -> Ownership:
-        """Return by which ownership this node had a sequence."""
+        """Return the ownership by which this node had a sequence; `UNOWNED` if it is not known."""
         return self._ownerships.get(sequence_id, UNOWNED)
 
     def add(self, sequence_id: str, ownership: Ownership) -> None:
-        """Remember the ownership of a sequence that is over here."""
+        """Add a sequence that has ended here."""
         self._ownerships[sequence_id] = ownership
         if len(self._ownerships) > self.capacity:
             oldest = next(iter(self._ownerships))
             del self._ownerships[oldest]
-            self._moved.discard(oldest)
+            self._migrated.discard(oldest)
 
-    def set_moved(self, sequence_id: str) -> None:
-        """Note that another node continues a sequence."""
-        self._moved.add(sequence_id)
+    def mark_migrated(self, sequence_id: str) -> None:
+        """Record that another node continues a sequence."""
+        self._migrated.add(sequence_id)
 
-    def clear_moved(self, sequence_id: str) -> None:
-        """Note that this node continues a sequence again."""
-        self._moved.discard(sequence_id)
+    def clear_migrated(self, sequence_id: str) -> None:
+        """Record that this node owns a sequence again."""
+        self._migrated.discard(sequence_id)
 
-    def has_moved(self, sequence_id: str) -> bool:
+    def has_migrated(self, sequence_id: str) -> bool:
         """Return whether another node continues a sequence."""
-        return sequence_id in self._moved
+        return sequence_id in self._migrated
--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -1,7 +1,11 @@
-"""Connections to other nodes, and the record updates that are gathered for each of them."""
+"""Connections to other nodes, and the record updates that are queued for each of them."""
 
 from collections.abc import Callable
-from typing import NamedTuple, Protocol
+from typing import NamedTuple, Protocol, TypeAlias
+
+from twisted.internet.defer import Deferred
+from twisted.internet.protocol import Factory
+from twisted.python.failure import Failure
 
 from myrtlehub.clock import Clock
 from myrtlehub.log_events import Log, LogEvent
@@ -9,44 +13,62 @@
 from myrtlehub.proto import peers_pb2 as pb
 from myrtlehub.recovery.sequence_records import SequenceRecord
 from myrtlehub.rpc.channel import Channel
+from myrtlehub.rpc.client_protocol import ClientProtocol
+
+BATCHING_DELAY = (
+    0.05  # seconds; updates that no send waits for share a message, which costs more than they do
+)
 
-GATHER_DELAY = 0.05  # seconds to gather updates that nothing waits for: messages cost more than records
+# Returns how a channel connects to an address.
+Dialer: TypeAlias = Callable[[str], Callable[[Factory], "Deferred[ClientProtocol]"]]
 
 
 class PendingUpdate(NamedTuple):
-    """A version of a record that a peer is to be told of."""
+    """A version of a record that is to be sent to a peer."""
 
     version: int
     record: SequenceRecord
-    is_ended: bool
+    is_completed: bool  # the final answer was given
 
 
 class PeerConnection:
-    """Another node: its channel, the incarnation that answers there, and updates that wait to be sent."""
+    """Another node: its channel, its incarnation, and the updates that are queued for it."""
 
     def __init__(self, name: str, channel: Channel) -> None:
         self.name = name
         self.channel = channel
-        self.incarnation = ""  # empty: it did not answer the last call
-        self.outbox: dict[str, PendingUpdate] = {}  # by sequence
+        self.incarnation: str | None = None  # None: it did not reply to the last call
+        self.outbox: dict[str, PendingUpdate] = {}  # by sequence: only the newest version is sent
         self.is_flush_scheduled = False
-        self.is_gathering = False
+        self.is_batch_flush_scheduled = False
 
 
 class UpdateObserver(Protocol):
-    """Who hears what became of the updates that were sent."""
+    """Is notified of the replies to updates."""
 
     def update_answered(
-        self, replica: str, incarnation: str, sequence_id: str, version: int, reply: str
+        self, replica: str, incarnation: str | None, sequence_id: str, version: int, reply: str
     ) -> None:
-        """Take a replica's reply, a value of `ReplicaReply`."""
+        """Handle a replica's reply: a value of `ReplicaReply`, or one that only a later version knows."""
 
     def update_failed(self, replica: str, sequence_id: str) -> None:
-        """Note that no reply came."""
+        """Handle an update to which no reply arrived."""
+
+
+class _NoObserver:
+    """Stands in until `PeerConnections.observer` is set; no update is sent before that."""
+
+    def update_answered(
+        self, replica: str, incarnation: str | None, sequence_id: str, version: int, reply: str
+    ) -> None:
+        """Do nothing."""
+
+    def update_failed(self, replica: str, sequence_id: str) -> None:
+        """Do nothing."""
 
 
 class PeerConnections:
-    """The connections of one node to all others, made at their first use."""
+    """The connections of one node to all others; each is made at its first use."""
 
     def __init__(
         self,
@@ -54,20 +76,30 @@
         incarnation: str,
         addresses: dict[str, str],
         clock: Clock,
-        dial: Callable[[str], Callable],
+        dial: Dialer,
         log: Log,
     ) -> None:
+        """Make a set of connections without any.
+
+        Args:
+            node: this node's name.
+            incarnation: this node's incarnation.
+            addresses: of all nodes, by name.
+            clock: time and timers.
+            dial: returns how a channel connects to an address.
+            log: the operators' log.
+        """
         self.node = node
         self.incarnation = incarnation
         self.addresses = addresses
         self.clock = clock
         self.dial = dial
         self.log = log
-        self.observer: UpdateObserver | None = None
+        self.observer: UpdateObserver = _NoObserver()
         self.peers: dict[str, PeerConnection] = {}
 
     def peer(self, name: str) -> PeerConnection:
-        """Return another node's connection."""
+        """Return the connection to another node."""
         peer = self.peers.get(name)
         if peer is None:
             address = self.addresses[name]
@@ -77,25 +109,32 @@
         return peer
 
     def reachable_incarnations(self, names: list[str]) -> dict[str, str]:
-        """Return the incarnations of those of these nodes that answered the last call."""
-        return {name: self.peer(name).incarnation for name in names if self.peer(name).incarnation}
+        """Return the incarnation of each of these nodes that replied to its last call."""
+        incarnations = {name: self.peer(name).incarnation for name in names}
+        return {name: incarnation for name, incarnation in incarnations.items() if incarnation is not None}
 
     def schedule_flush(self, peer: PeerConnection, is_urgent: bool) -> None:
-        """Send the outbox after this turn, or a little later if nothing waits, all in one message."""
+        """Schedule sending the outbox in one message.
+
+        Args:
+            peer: the connection.
+            is_urgent: a send waits for the reply: flush in the next turn of the event loop. Otherwise the
+                flush is delayed by `BATCHING_DELAY`.
+        """
         if is_urgent and not peer.is_flush_scheduled:
             peer.is_flush_scheduled = True
             self.clock.callLater(0, self.flush, peer)
-        elif not is_urgent and not peer.is_gathering:
-            peer.is_gathering = True
-            self.clock.callLater(GATHER_DELAY, self._flush_gathered, peer)
+        elif not is_urgent and not peer.is_batch_flush_scheduled:
+            peer.is_batch_flush_scheduled = True
+            self.clock.callLater(BATCHING_DELAY, self._flush_batch, peer)
 
-    def _flush_gathered(self, peer: PeerConnection) -> None:
-        peer.is_gathering = False
+    def _flush_batch(self, peer: PeerConnection) -> None:
+        peer.is_batch_flush_scheduled = False
         if peer.outbox:
             self.flush(peer)
 
     def flush(self, peer: PeerConnection) -> None:
-        """Send the outbox; with nothing in it the message is a heartbeat."""
+        """Send the outbox; with an empty one the message is a heartbeat alone."""
         peer.is_flush_scheduled = False
         updates = peer.outbox
         peer.outbox = {}
@@ -104,26 +143,29 @@
             format=FORMAT_VERSION,
             node=self.node,
             run=self.incarnation,
-            records=[encode_record(update.record, now, update.is_ended) for update in updates.values()],
+            records=[encode_record(update.record, now, update.is_completed) for update in updates.values()],
         )
         versions = {sequence_id: update.version for sequence_id, update in updates.items()}
-        done = peer.channel.unary(PEERS_SERVICE + "Keep", request.SerializeToString(), timeout=CALL_TIMEOUT)
-        done.addCallbacks(
-            lambda data: self._answered(peer, versions, pb.KeepReply.FromString(data)),
-            lambda failure: self._failed(peer, versions),
+        reply = peer.channel.unary(PEERS_SERVICE + "Keep", request.SerializeToString(), timeout=CALL_TIMEOUT)
+        reply.addCallbacks(
+            lambda data: self._flush_answered(peer, versions, pb.KeepReply.FromString(data)),
+            lambda failure: self._flush_failed(peer, versions),
         )
-        done.addErrback(lambda failure: self.log(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback()))
+        reply.addErrback(self._log_unexpected_error)
 
-    def _answered(self, peer: PeerConnection, versions: dict[str, int], reply: pb.KeepReply) -> None:
-        peer.incarnation = reply.run
+    def _flush_answered(self, peer: PeerConnection, versions: dict[str, int], reply: pb.KeepReply) -> None:
+        peer.incarnation = reply.run or None
         for (sequence_id, version), word in zip(versions.items(), reply.words, strict=True):
-            self.observer.update_answered(peer.name, reply.run, sequence_id, version, word)
+            self.observer.update_answered(peer.name, peer.incarnation, sequence_id, version, word)
 
-    def _failed(self, peer: PeerConnection, versions: dict[str, int]) -> None:
-        peer.incarnation = ""
+    def _flush_failed(self, peer: PeerConnection, versions: dict[str, int]) -> None:
+        peer.incarnation = None
         for sequence_id in versions:
             self.observer.update_failed(peer.name, sequence_id)
 
+    def _log_unexpected_error(self, failure: Failure) -> None:
+        self.log(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback())
+
     def close(self) -> None:
         """Close all connections."""
         for peer in self.peers.values():
--- /dev/null
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -0,0 +1,48 @@
+"""A sequence whose record this node publishes to replicas."""
+
+from dataclasses import dataclass
+from typing import Protocol, runtime_checkable
+
+from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.protocols import ResponseSink
+from myrtlehub.recovery.ownership import OwnedSequence
+
+
+class UnsupportedSequenceError(Exception):
+    """A sequence of a front whose sequences cannot be replicated."""
+
+    def __init__(self, sequence_id: str, reason: str) -> None:
+        super().__init__(f"{sequence_id} cannot be replicated: {reason}")
+        self.sequence_id = sequence_id
+
+
+@runtime_checkable
+class ReplicatedClient(ResponseSink, Protocol):
+    """The client of a sequence that another node may take over."""
+
+    def superseded(self, reason: str) -> None:
+        """End the response without a final answer: another node owns the sequence."""
+
+
+@dataclass(slots=True)
+class PublishedSequence:
+    """One sequence that this node owns."""
+
+    owned: OwnedSequence
+    executor: ActionExecutor
+    updated_at: float  # when the last update was sent, in seconds on the node's clock
+
+    def end_superseded(self) -> None:
+        """End the client's calls without a final answer.
+
+        The attempts are left running: a reset could reach an engine before the claim of the new owner.
+
+        Raises:
+            UnsupportedSequenceError: the client cannot be told, as that of a batch.
+        """
+        sequence_id = self.owned.record.sequence_id
+        for sequence in [row for row in self.executor.in_flight.values() if row.sequence_id == sequence_id]:
+            self.executor.hand_over(sequence)
+            if not isinstance(sequence.client, ReplicatedClient):
+                raise UnsupportedSequenceError(sequence_id, "its client cannot be superseded")
+            sequence.client.superseded("another node has this sequence now")
--- a/myrtlehub/node/replication/replicated_transport.py
+++ b/myrtlehub/node/replication/replicated_transport.py
@@ -1,8 +1,9 @@
-"""An engine transport that sends an attempt once the replicas know of it."""
+"""An engine transport that sends an attempt once its replicas have acknowledged the intent."""
 
 from collections.abc import Callable
 from functools import partial
 
+from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.sequences import Attempt
@@ -10,8 +11,12 @@
 from myrtlehub.routing.contract import LoadReport, Outcome
 
 
+class TransportNotReadyError(Exception):
+    """An attempt was started before the transport had its action executor."""
+
+
 class ReplicatedTransport:
-    """Holds attempts back for `RecordPublisher`; all else is passed to the transport.
+    """Delays attempts as `RecordPublisher` decides, and passes everything else to the engine transport.
 
     Implements `protocols.EngineTransport`.
     """
@@ -21,12 +26,20 @@
         self.replication = replication
         self.publisher = replication.publisher
 
+    @property
+    def _executor(self) -> ActionExecutor:
+        executor = self.transport.executor
+        if executor is None:
+            raise TransportNotReadyError
+        return executor
+
     def start(self, attempt: Attempt) -> None:
         """Send an attempt, now or once its replicas have acknowledged it."""
-        decision = self.publisher.intend(self.transport.executor, attempt, partial(self._decided, attempt))
+        decision = self.publisher.intend(self._executor, attempt, partial(self._decided, attempt))
         if decision == SendDecision.SEND:
             self.transport.start(attempt)
         elif decision == SendDecision.ABANDON:
+            # The contract of `EngineTransport.start`: no report to the executor before a later turn.
             self.replication.clock.callLater(0, self._decided, attempt, decision)
 
     def _decided(self, attempt: Attempt, decision: SendDecision) -> None:
@@ -35,28 +48,28 @@
         if decision == SendDecision.SEND:
             self.transport.start(attempt)
         else:
-            self.transport.executor.ended(attempt, Outcome.UNSENT)
+            self._executor.ended(attempt, Outcome.UNSENT)
 
     def cancel(self, attempt: Attempt) -> None:
         """Reset an attempt, or drop it if it was not sent yet."""
         if attempt.call is None:
-            self.publisher.cancel_waiting_send(attempt.sequence.sequence_id)
+            self.publisher.send_gate.cancel(attempt.sequence.sequence_id)
         else:
             self.transport.cancel(attempt)
 
     def release(self, engine: int, sequence_id: str) -> None:
-        """Release the read state of a sequence, unless another node continues it."""
-        if not self.publisher.former.has_moved(sequence_id):
+        """Release the read state of a sequence, unless another node continues the sequence."""
+        if not self.publisher.former.has_migrated(sequence_id):
             self.transport.release(engine, sequence_id)
 
-    def probe(self, engine: int, timeout: float, on_reply: Callable[[bool, LoadReport | None], None]) -> None:
-        """Ask an engine for its load."""
-        self.transport.probe(engine, timeout, on_reply)
+    def probe(self, engine: int, timeout: float, then: Callable[[bool, LoadReport | None], None]) -> None:
+        """Request the load report of an engine."""
+        self.transport.probe(engine, timeout, then)
 
     def close_idle(self, engine: int) -> None:
-        """Close an unused connection."""
+        """Close an unused connection to an engine."""
         self.transport.close_idle(engine)
 
     def forget(self, address: str) -> None:
-        """Forget an engine that is off the endpoint list and unused."""
+        """Drop the connection to an unused engine that was removed from the endpoint list."""
         self.transport.forget(address)
--- a/myrtlehub/node/replication/replication.py
+++ b/myrtlehub/node/replication/replication.py
@@ -1,13 +1,11 @@
 """Replication of one node, as owner and as replica."""
 
-from collections.abc import Callable
-
 from twisted.internet.defer import Deferred, succeed
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.takeover import TakeoverConfig
 from myrtlehub.log_events import Log
-from myrtlehub.node.replication.peer_connections import PeerConnections
+from myrtlehub.node.replication.peer_connections import Dialer, PeerConnections
 from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replica_service import ReplicaService
 from myrtlehub.node.replication.wire import CALL_TIMEOUT, PEERS_SERVICE
@@ -19,7 +17,7 @@
 
 
 class Replication:
-    """One node's part: publishes its own records, stores those of others, and sends heartbeats."""
+    """Replicates this node's records, stores those of other nodes, and sends heartbeats."""
 
     def __init__(
         self,
@@ -27,9 +25,19 @@
         node: str,
         incarnation: str,
         clock: Clock,
-        dial: Callable[[str], Callable],
+        dial: Dialer,
         log: Log,
     ) -> None:
+        """Start replication.
+
+        Args:
+            settings: the section `takeover` of the node's settings.
+            node: this node's name.
+            incarnation: this node's incarnation.
+            clock: time and timers.
+            dial: returns how a channel connects to an address.
+            log: the operators' log.
+        """
         self.settings = settings
         self.node = node
         self.clock = clock
@@ -54,10 +62,11 @@
 
     @property
     def server(self) -> Server:
-        """What other nodes connect to."""
+        """The server that other nodes connect to."""
         return self.service.server
 
     def _heartbeat(self) -> None:
+        """Send heartbeats and check those of other nodes; schedules itself."""
         now = self.clock.seconds()
         self.clock.callLater(HEARTBEAT_INTERVAL, self._heartbeat)
         self.publisher.send_heartbeats()
@@ -68,16 +77,16 @@
         """Return the replicas of the node that accepted a sequence."""
         return replicas_of(origin_node(sequence_id), self.zones, self.settings.copies)
 
-    def fetch_record(self, replica: str, sequence_id: str) -> Deferred:
-        """Ask a replica for a record: fires with its `TakeReply`, or with None if it was not reached."""
+    def fetch_record(self, replica: str, sequence_id: str) -> "Deferred[pb.TakeReply | None]":
+        """Request a record from a replica; fires with its reply, or with None if it was not reached."""
         request = pb.TakeRequest(sequence=sequence_id, by=self.owner)
         if replica == self.node:
             return succeed(self.service.hand_out(request))
-        done = self.connections.peer(replica).channel.unary(
+        reply = self.connections.peer(replica).channel.unary(
             PEERS_SERVICE + "Take", request.SerializeToString(), timeout=CALL_TIMEOUT
         )
-        return done.addCallbacks(pb.TakeReply.FromString, lambda failure: None)
+        return reply.addCallbacks(pb.TakeReply.FromString, lambda failure: None)
 
     def close(self) -> None:
-        """Close all connections: the node ends."""
+        """Close all connections to other nodes."""
         self.connections.close()
--- a/myrtlehub/node/replication/reply_collector.py
+++ b/myrtlehub/node/replication/reply_collector.py
@@ -1,46 +1,56 @@
 """Collects the replies of several calls."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from typing import Generic, TypeVar
 
 from twisted.internet.defer import Deferred
 
 from myrtlehub.clock import Clock
 from myrtlehub.log_events import Log, LogEvent
 
+Reply = TypeVar("Reply")
 
-class ReplyCollector:
-    """Calls `on_done` once with all replies, in the order of the calls.
 
-    Once a reply is sufficient, those that don't come within `patience` count as None.
-    """
+class ReplyCollector(Generic[Reply]):
+    """Calls `on_done` once with the replies of all calls, in their order; None where no reply arrived."""
 
     def __init__(
         self,
-        calls: list[Deferred],
-        is_sufficient: Callable[[object], bool],
-        on_done: Callable[[list], None],
-        patience: float,
+        calls: Sequence["Deferred[Reply | None]"],
+        is_sufficient: Callable[[Reply | None], bool],
+        on_done: Callable[[list[Reply | None]], None],
+        straggler_timeout: float,
         clock: Clock,
         log: Log,
     ) -> None:
+        """Start to collect; if all calls have replied already, `on_done` is called at once.
+
+        Args:
+            calls: fire with a reply, or with None if there is none.
+            is_sufficient: whether a reply makes the others optional.
+            on_done: gets the replies.
+            straggler_timeout: seconds that are left to the other calls after a sufficient reply.
+            clock: time and timers.
+            log: the operators' log.
+        """
         self.is_sufficient = is_sufficient
         self.on_done = on_done
-        self.patience = patience
+        self.straggler_timeout = straggler_timeout
         self.clock = clock
-        self.replies: list = [None] * len(calls)
+        self.replies: list[Reply | None] = [None] * len(calls)
         self.outstanding = len(calls)
         self.is_done = False
         for index, call in enumerate(calls):
             call.addCallback(self._replied, index)
             call.addErrback(lambda failure: log(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback()))
 
-    def _replied(self, reply: object, index: int) -> None:
+    def _replied(self, reply: Reply | None, index: int) -> None:
         self.replies[index] = reply
         self.outstanding -= 1
         if not self.outstanding:
             self._finish()
         elif self.is_sufficient(reply):
-            self.clock.callLater(self.patience, self._finish)
+            self.clock.callLater(self.straggler_timeout, self._finish)
 
     def _finish(self) -> None:
         if not self.is_done:
--- /dev/null
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -0,0 +1,45 @@
+"""What a takeover is given, and what it calls."""
+
+from typing import NamedTuple, Protocol
+
+from myrtlehub.node.protocols import ResponseSink
+from myrtlehub.node.request_decoder import DecodedRequest
+from myrtlehub.proto import engine_pb2 as pb
+from myrtlehub.routing.contract import Arrival
+
+
+class TakeoverRequest(NamedTuple):
+    """A client's request to resume a sequence."""
+
+    sequence_id: str
+    client_token_count: int  # tokens that the client has received
+    request: DecodedRequest  # the same as when the sequence was accepted
+    arrival: Arrival
+
+
+class TakeoverClient(ResponseSink, Protocol):
+    """The client that resumes a sequence."""
+
+    def named(self, sequence_id: str) -> None:
+        """Send the id by which the client can resume the sequence; called before any token."""
+
+
+class Redispatch(Protocol):
+    """Routes a sequence like a new arrival at this node."""
+
+    def __call__(
+        self,
+        sequence_id: str | None,
+        arrival: Arrival,
+        earlier_attempts: int,
+        read_state: pb.State | None,
+        /,
+    ) -> None:
+        """Route the sequence.
+
+        Args:
+            sequence_id: None to assign a new one.
+            arrival: what the router is told.
+            earlier_attempts: number of attempts of former owners.
+            read_state: by which a writer fetches the read state that `arrival.state_held_by` holds.
+        """
--- a/myrtlehub/node/replication/takeover_machine.py
+++ b/myrtlehub/node/replication/takeover_machine.py
@@ -1,4 +1,4 @@
-"""The states of a takeover as a transition table."""
+"""The states of a takeover, as a transition table."""
 
 from enum import StrEnum
 
@@ -6,32 +6,32 @@
 
 
 class TakeoverState(StrEnum):
-    """Where a takeover stands."""
+    """The state of a takeover."""
 
-    ASKING = "asking"  # replicas for the record
+    FETCHING_RECORD = "fetching record"  # from replicas
     CLAIMING = "claiming"  # at engines
-    ATTACHING = "attaching"  # to a writer's stream
+    ATTACHING = "attaching"  # to a writer's stream, before its first token
     STREAMING = "streaming"
     ANSWERED = "answered"
-    SENT_AGAIN = "sent again"  # the router has the sequence
-    LOST = "lost"  # another node has it
-    LEFT = "left"  # its client went away, or this node ends
+    REDISPATCHED = "redispatched"  # the router has the sequence
+    SUPERSEDED = "superseded"  # another node owns the sequence
+    RELEASED = "released"  # the client disconnected, or this node shuts down
 
 
 class TakeoverEvent(StrEnum):
-    """What happens to a takeover."""
+    """An event of a takeover."""
 
     RECORD_FOUND = "record found"
     NO_RECORD = "no record"
     ENGINES_REPORTED = "engines reported"
     ATTACH = "attach"
-    SEND_AGAIN = "send again"
-    GIVE_UP = "give up"
-    TOKENS = "tokens"
-    COMPLETE = "complete"
+    REDISPATCH = "redispatch"
+    ABORT = "abort"
+    TOKENS_RECEIVED = "tokens received"
+    STREAM_COMPLETED = "stream completed"
     STREAM_BROKE = "stream broke"
     SUPERSEDED = "superseded"
-    CLIENT_LEFT = "client left"
+    RELEASED = "released"
 
 
 class TakeoverEffect(StrEnum):
@@ -40,60 +40,66 @@
     CLAIM = "claim"
     DECIDE = "decide"
     ATTACH = "attach"
-    SEND_AGAIN = "send again"
-    PASS_TOKENS = "pass tokens"
+    REDISPATCH = "redispatch"
+    RELAY_TOKENS = "relay tokens"
     ANSWER = "answer"
-    REPORT_LOSS = "report loss"
+    REPORT_SUPERSEDED = "report superseded"
 
 
 _State = TakeoverState
 _Event = TakeoverEvent
 _Effect = TakeoverEffect
-_LEAVES = (
-    on(_Event.SUPERSEDED, to=_State.LOST, effect=_Effect.REPORT_LOSS),
-    on(_Event.CLIENT_LEFT, to=_State.LEFT),
+_ENDS_WITHOUT_ANSWER = (
+    on(_Event.SUPERSEDED, to=_State.SUPERSEDED, effect=_Effect.REPORT_SUPERSEDED),
+    on(_Event.RELEASED, to=_State.RELEASED),
 )
-_STREAM = (
-    on(_Event.TOKENS, to=_State.STREAMING, effect=_Effect.PASS_TOKENS),
-    on(_Event.COMPLETE, _Event.STREAM_BROKE, _Event.GIVE_UP, to=_State.ANSWERED, effect=_Effect.ANSWER),
-    *_LEAVES,
-    forbid(_Event.RECORD_FOUND, _Event.NO_RECORD, _Event.ENGINES_REPORTED, _Event.ATTACH, _Event.SEND_AGAIN),
+_ATTACHED = (
+    on(_Event.TOKENS_RECEIVED, to=_State.STREAMING, effect=_Effect.RELAY_TOKENS),
+    on(
+        _Event.STREAM_COMPLETED,
+        _Event.STREAM_BROKE,
+        _Event.ABORT,
+        to=_State.ANSWERED,
+        effect=_Effect.ANSWER,
+    ),
+    *_ENDS_WITHOUT_ANSWER,
+    forbid(_Event.RECORD_FOUND, _Event.NO_RECORD, _Event.ENGINES_REPORTED, _Event.ATTACH, _Event.REDISPATCH),
 )
 
 TAKEOVER_TABLE = TransitionTable.build(
     "takeover",
-    initial=TakeoverState.ASKING,
-    finals=(TakeoverState.ANSWERED, TakeoverState.SENT_AGAIN, TakeoverState.LOST, TakeoverState.LEFT),
+    initial=_State.FETCHING_RECORD,
+    finals=(_State.ANSWERED, _State.REDISPATCHED, _State.SUPERSEDED, _State.RELEASED),
     events=TakeoverEvent,
     rows={
-        TakeoverState.ASKING: (
+        _State.FETCHING_RECORD: (
             on(_Event.RECORD_FOUND, to=_State.CLAIMING, effect=_Effect.CLAIM),
-            on(_Event.NO_RECORD, _Event.SEND_AGAIN, to=_State.SENT_AGAIN, effect=_Effect.SEND_AGAIN),
-            on(_Event.GIVE_UP, to=_State.ANSWERED, effect=_Effect.ANSWER),
-            *_LEAVES,
+            on(_Event.NO_RECORD, _Event.REDISPATCH, to=_State.REDISPATCHED, effect=_Effect.REDISPATCH),
+            on(_Event.ABORT, to=_State.ANSWERED, effect=_Effect.ANSWER),
+            *_ENDS_WITHOUT_ANSWER,
             forbid(
                 _Event.ENGINES_REPORTED,
                 _Event.ATTACH,
-                _Event.TOKENS,
-                _Event.COMPLETE,
+                _Event.TOKENS_RECEIVED,
+                _Event.STREAM_COMPLETED,
                 _Event.STREAM_BROKE,
             ),
         ),
-        TakeoverState.CLAIMING: (
+        _State.CLAIMING: (
             on(_Event.ENGINES_REPORTED, effect=_Effect.DECIDE),
             on(_Event.ATTACH, to=_State.ATTACHING, effect=_Effect.ATTACH),
-            on(_Event.SEND_AGAIN, to=_State.SENT_AGAIN, effect=_Effect.SEND_AGAIN),
-            on(_Event.GIVE_UP, to=_State.ANSWERED, effect=_Effect.ANSWER),
-            *_LEAVES,
+            on(_Event.REDISPATCH, to=_State.REDISPATCHED, effect=_Effect.REDISPATCH),
+            on(_Event.ABORT, to=_State.ANSWERED, effect=_Effect.ANSWER),
+            *_ENDS_WITHOUT_ANSWER,
             forbid(
                 _Event.RECORD_FOUND,
                 _Event.NO_RECORD,
-                _Event.TOKENS,
-                _Event.COMPLETE,
+                _Event.TOKENS_RECEIVED,
+                _Event.STREAM_COMPLETED,
                 _Event.STREAM_BROKE,
             ),
         ),
-        TakeoverState.ATTACHING: _STREAM,
-        TakeoverState.STREAMING: _STREAM,
+        _State.ATTACHING: _ATTACHED,
+        _State.STREAMING: _ATTACHED,
     },
 )
--- a/myrtlehub/node/replication/wire.py
+++ b/myrtlehub/node/replication/wire.py
@@ -1,15 +1,24 @@
-"""Sequence records as protobuf messages between nodes."""
+"""Sequence records as protobuf messages between nodes.
+
+Clocks of two nodes differ, so a message has durations where a record has times.
+"""
 
 from myrtlehub.proto import peers_pb2 as pb
 from myrtlehub.recovery.sequence_records import AttemptIntent, Ownership, SequenceRecord
 
 PEERS_SERVICE = "/myrtlehub.v1.Peers/"
-FORMAT_VERSION = 1  # of messages between nodes; a later one is refused with an error
+FORMAT_VERSION = 1  # of the messages between nodes; a node rejects messages of a later format
 CALL_TIMEOUT = 0.5  # seconds for a peer's reply
 
 
-def encode_record(record: SequenceRecord, now: float, is_ended: bool = False) -> pb.Record:
-    """Return a record as it is sent: its times are distances from now."""
+def encode_record(record: SequenceRecord, now: float, is_completed: bool = False) -> pb.Record:
+    """Return the message of a record.
+
+    Args:
+        record: the record.
+        now: seconds on this node's clock.
+        is_completed: the final answer was given, so the replica may drop the record.
+    """
     return pb.Record(
         sequence=record.sequence_id,
         epoch=record.ownership.epoch,
@@ -17,7 +26,7 @@
         repeats=record.retry_semantics,
         left_ms=max(0, int((record.expires_at - now) * 1000)),
         streams=record.is_streaming,
-        ended=is_ended,
+        ended=is_completed,
         intents=[
             pb.Intent(
                 number=intent.attempt,
@@ -31,14 +40,14 @@
 
 
 def decode_record(message: pb.Record, now: float) -> SequenceRecord:
-    """Return a record as it was received, with times of this node's clock."""
+    """Return the record of a message that was received at `now` on this node's clock."""
     return SequenceRecord(
         message.sequence,
         Ownership(message.epoch, message.owner),
         message.repeats,
         now + message.left_ms / 1000.0,
         tuple(
-            AttemptIntent(intent.number, intent.engine, intent.is_read, now - intent.age_ms / 1000.0)
+            AttemptIntent(intent.number, intent.engine, intent.reads, now - intent.age_ms / 1000.0)
             for intent in message.intents
         ),
         message.streams,
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -237,7 +237,7 @@
     record = SequenceRecord(
         "s", Ownership(FIRST_EPOCH, OWNER_NAMES[FIRST_OWNER]), parameters.retry_semantics, EXPIRES_AT
     )
-    incarnations: dict[str, str | None] = {replica_name(index): "0" for index in range(parameters.replicas)}
+    incarnations = {replica_name(index): "0" for index in range(parameters.replicas)}
     first = ModelOwner(OwnedSequence.begin(record, incarnations), Phase.INTENDING)
     return ModelState(
         (first, *(ModelOwner(),) * parameters.successors),
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -61,7 +61,7 @@
     if not records:
         return _recover_without_record(parameters, state, index, owner)
     record = merge_copies(records)
-    incarnations: dict[str, str | None] = {
+    incarnations = {
         replica_name(replica): str(state.incarnations[replica]) for replica in range(parameters.replicas)
     }
     owned = OwnedSequence.begin(record, incarnations, was_taken_over=True)
--- a/myrtlehub/recovery/ownership.py
+++ b/myrtlehub/recovery/ownership.py
@@ -6,6 +6,7 @@
 that did not answer has either this intent, which is the complete record, or no record to hand out.
 """
 
+from collections.abc import Mapping
 from enum import StrEnum
 from typing import NamedTuple, Self
 
@@ -46,7 +47,7 @@
 
     @classmethod
     def begin(
-        cls, record: SequenceRecord, incarnations: dict[str, str | None], was_taken_over: bool = False
+        cls, record: SequenceRecord, incarnations: Mapping[str, str | None], was_taken_over: bool = False
     ) -> Self:
         """Return a sequence that this node owns from now on.
 
@@ -59,7 +60,7 @@
             record, _sorted_replicas(incarnations), int(was_taken_over), (NO_VERSION,) * len(incarnations)
         )
 
-    def assign_replicas(self, incarnations: dict[str, str | None]) -> Self:
+    def assign_replicas(self, incarnations: Mapping[str, str | None]) -> Self:
         """Assign replicas to a sequence that began without any.
 
         The record already lists all attempts that were sent; the next one waits for acknowledgements.
@@ -131,5 +132,5 @@
         )
 
 
-def _sorted_replicas(incarnations: dict[str, str | None]) -> tuple[ReplicaIncarnation, ...]:
+def _sorted_replicas(incarnations: Mapping[str, str | None]) -> tuple[ReplicaIncarnation, ...]:
     return tuple(ReplicaIncarnation(node, incarnations[node]) for node in sorted(incarnations))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -59,7 +59,7 @@
         if node is not None:
             self.net.kill(f"{name}:3")
             node.replication.close()
-            node.replication.publisher.waiting_sends.clear()
+            node.replication.publisher.send_gate.waiting.clear()
             node.replication.server.methods.clear()
 
     def library(self, first: str = "n0") -> Client:
@@ -142,7 +142,7 @@
     """Check that nothing is left behind anywhere."""
     for node in fleet.nodes.values():
         assert not node.executor.in_flight and not node.executor.attempts_out()
-        assert not node.replication.publisher.sequences and not node.replication.publisher.waiting_sends
+        assert not node.replication.publisher.sequences and not node.replication.publisher.send_gate.waiting
         assert not node.replication.store.records, node.replication.store.records
     for name, stand in fleet.stands.items():
         model = stand.model
