--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -80,9 +80,9 @@
         """Tell the client to resume at another node: this one ends. Not a final answer."""
         self._send_final(pb.GenerateReply(moved=pb.Moved()))
 
-    def named(self, label: str) -> None:
+    def sequence_id_assigned(self, sequence_id: str) -> None:
         """Tell the client by which id its sequence is known from now on."""
-        self.call.set_initial([(SEQUENCE_ID_HEADER, label)])
+        self.call.set_initial([(SEQUENCE_ID_HEADER, sequence_id)])
         if self.may_move:
             self.call.set_initial([(MAY_RESUME_HEADER, "1")])
             self.call.begin()  # the client has to know the id before anything else arrives
@@ -128,7 +128,7 @@
         self._cancel_deadline()
         self._end_admission()
         if self.takeover is not None:
-            self.takeover.client_left()
+            self.takeover.client_disconnected()
         if self.sequence is None:
             return
         if self.may_move and self.resume_grace and code == Code.UNAVAILABLE:
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -13,7 +13,8 @@
 from myrtlehub.node.client_limits import ClientLimits, LimitedCall
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.replication.replication import Replication
-from myrtlehub.node.replication.takeover import Takeover, TakeoverRequest
+from myrtlehub.node.replication.takeover import Takeover
+from myrtlehub.node.replication.takeover_interfaces import TakeoverRequest
 from myrtlehub.node.request_decoder import DecodedRequest, InvalidRequestError
 from myrtlehub.proto import engine_pb2
 from myrtlehub.routing.contract import Arrival
@@ -147,13 +148,13 @@
         chat_call: ChatCall,
         request: DecodedRequest,
         arrival: Arrival,
-        sequence_id: str = "",
+        sequence_id: str | None = None,
         earlier_attempts: int = 0,
         handle: engine_pb2.State | None = None,
     ) -> None:
         """Give a sequence to the executor; its id is sent with the first message."""
         sequence_id = sequence_id or self.executor.next_sequence_id()
-        chat_call.named(sequence_id)
+        chat_call.sequence_id_assigned(sequence_id)
         if chat_call.may_move:
             self._track_movable(chat_call)
         chat_call.sequence = self.executor.accept(
@@ -170,8 +171,8 @@
         """Take over a sequence whose client has come back for the rest of the answer."""
         self._track_movable(chat_call)
 
-        def send_again(
-            sequence_id: str, arrival: Arrival, earlier_attempts: int, handle: engine_pb2.State | None
+        def redispatch(
+            sequence_id: str | None, arrival: Arrival, earlier_attempts: int, handle: engine_pb2.State | None
         ) -> None:
             chat_call.takeover = None
             self._accept(chat_call, request.request, arrival, sequence_id, earlier_attempts, handle)
@@ -183,7 +184,7 @@
             support.transport,
             self.executor,
             chat_call,
-            send_again,
+            redispatch,
             chat_call.superseded,
             support.engines_answer_claims,
         )
@@ -197,7 +198,7 @@
                 chat_call.moved()
             elif chat_call.sequence is not None:
                 sequence = chat_call.sequence
-                self.takeover_support.replication.publisher.leave(sequence.sequence_id)
+                self.takeover_support.replication.publisher.release_ownership(sequence.sequence_id)
                 chat_call.sequence = None
                 chat_call.moved()
                 self.executor.hand_over(sequence)
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -105,7 +105,7 @@
             self.updater.complete(published.owned)
             self._forget(sequence_id)
 
-    def leave(self, sequence_id: str) -> None:
+    def release_ownership(self, sequence_id: str) -> None:
         """Leave a sequence to another node: its replicas keep the record."""
         if sequence_id in self.sequences:
             self._forget(sequence_id)
@@ -119,7 +119,7 @@
     def _end_superseded(self, sequence_id: str) -> None:
         """End a sequence whose client has resumed at another node; it gets no final answer here."""
         published = self.sequences[sequence_id]
-        self.leave(sequence_id)
+        self.release_ownership(sequence_id)
         self.log(
             LogEvent.OWNERSHIP_SUPERSEDED,
             sequence_id=sequence_id,
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -103,7 +103,7 @@
 
     # -- events from outside ----------------------------------------------------------------------
 
-    def client_left(self) -> None:
+    def client_disconnected(self) -> None:
         """Stop: no answer is needed any more."""
         if self._accepts(TakeoverEvent.RELEASED):
             self._stop()
@@ -112,7 +112,7 @@
         """Release the sequence as this node shuts down; its stream continues for the next owner."""
         if self._accepts(TakeoverEvent.RELEASED):
             self._cancel_timer()
-            self.publisher.leave(self.request.sequence_id)
+            self.publisher.release_ownership(self.request.sequence_id)
 
     def deadline_passed(self) -> None:
         """Abort: the deadline of the call or of the first token has passed."""
@@ -214,7 +214,7 @@
         self.redispatch(self.request.sequence_id, arrival, len(claims.record.intents), read_state)
 
     def _attach(self, record: SequenceRecord, target: AttemptIntent) -> None:
-        self.client.named(self.request.sequence_id)
+        self.client.sequence_id_assigned(self.request.sequence_id)
         self.call = attach_to_stream(self.transport, record, target, self.request, self)
 
     def _log(
@@ -266,5 +266,5 @@
             self._cancel_timer()
             if self.call is not None:
                 self.call.cancel()
-            self.publisher.leave(self.request.sequence_id)
+            self.publisher.release_ownership(self.request.sequence_id)
             self.on_superseded(reason)
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -20,7 +20,7 @@
 class TakeoverClient(ResponseSink, Protocol):
     """The client that resumes a sequence."""
 
-    def named(self, sequence_id: str) -> None:
+    def sequence_id_assigned(self, sequence_id: str) -> None:
         """Send the id by which the client can resume the sequence; called before any token."""
 
 
