--- a/myrtlehub/config/takeover.py
+++ b/myrtlehub/config/takeover.py
@@ -1,4 +1,4 @@
-"""Replication of sequence records, and takeover by other nodes."""
+"""Settings of replication and takeover: `takeover` in a node's file."""
 
 from typing import Annotated
 
@@ -10,7 +10,7 @@
 
 
 class PeerConfig(ConfigModel):
-    """One node of the fleet, as other nodes reach it."""
+    """One node of the fleet, by the address at which other nodes reach it."""
 
     name: Name
     address: Address
@@ -18,17 +18,21 @@
 
 
 class TakeoverConfig(ConfigModel):
-    """Sequences survive the loss of their node: other nodes replicate their records."""
+    """Replication of sequence records to other nodes, which can then take the sequences over."""
 
-    listen: Address  # for other nodes
-    peers: Annotated[list[PeerConfig], Field(min_length=2)]  # all nodes of the fleet, this one too
-    copies: Count = 2  # replicas of this node's records
-    keep: Count = 20000  # records of other nodes, at most
-    patience: Duration = 0.1  # longest that a send waits for a replica that does not answer
-    comes_back: Duration = 2.0  # after the loss of a node, until a sequence whose client is absent is dropped
+    listen: Address  # for other nodes, not for clients
+    peers: Annotated[list[PeerConfig], Field(min_length=2)]  # all nodes of the fleet, this one included
+    copies: Count = 2  # number of replicas of this node's records
+    keep: Count = 20000  # largest number of records that this node stores for others
+    patience: Duration = 0.1  # longest time that a send waits for a replica that does not reply
+    comes_back: Duration = 2.0  # time after the loss of a node within which its clients may resume
 
     def check_peers(self, node_name: str) -> None:
-        """Raise ValueError where the peers are ambiguous, or this node is not among them."""
+        """Check that names and addresses are unique, and that this node is among the peers.
+
+        Raises:
+            ValueError: they are not; pydantic reports it as an error of the settings file.
+        """
         names = [peer.name for peer in self.peers]
         addresses = [peer.address for peer in self.peers]
         for field, values in (("name", names), ("address", addresses)):
