--- a/myrtlehub/node/replication/__init__.py
+++ b/myrtlehub/node/replication/__init__.py
@@ -22,6 +22,6 @@
     record_fetch          the record of a sequence, from the replies of several replicas
     engine_claims         claims of sequences at engines
     reply_collector       collects the replies of several calls
-    retry_arrival         what the router is told of a sequence that is sent again
+    retry_arrival         the arrival by which a sequence is routed again
     attached_stream       the stream of a writer that a takeover has attached to
 """
--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -15,9 +15,7 @@
 from myrtlehub.rpc.channel import Channel
 from myrtlehub.rpc.client_protocol import ClientProtocol
 
-BATCHING_DELAY = (
-    0.05  # seconds; updates that no send waits for share a message, which costs more than they do
-)
+BATCHING_DELAY = 0.05  # seconds; updates that no send waits for are batched, as a message costs more
 
 # Returns how a channel connects to an address.
 Dialer: TypeAlias = Callable[[str], Callable[[Factory], "Deferred[ClientProtocol]"]]
@@ -155,8 +153,8 @@
 
     def _flush_answered(self, peer: PeerConnection, versions: dict[str, int], reply: pb.KeepReply) -> None:
         peer.incarnation = reply.run or None
-        for (sequence_id, version), word in zip(versions.items(), reply.words, strict=True):
-            self.observer.update_answered(peer.name, peer.incarnation, sequence_id, version, word)
+        for (sequence_id, version), update_reply in zip(versions.items(), reply.words, strict=True):
+            self.observer.update_answered(peer.name, peer.incarnation, sequence_id, version, update_reply)
 
     def _flush_failed(self, peer: PeerConnection, versions: dict[str, int]) -> None:
         peer.incarnation = None
--- a/myrtlehub/node/replication/published_sequence.py
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -38,7 +38,7 @@
         The attempts are left running: a reset could reach an engine before the claim of the new owner.
 
         Raises:
-            UnsupportedSequenceError: the client cannot be told, as that of a batch.
+            UnsupportedSequenceError: the client cannot be superseded, like that of a batch.
         """
         sequence_id = self.owned.record.sequence_id
         for sequence in [row for row in self.executor.in_flight.values() if row.sequence_id == sequence_id]:
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -77,7 +77,7 @@
         return self.former.of(sequence_id)
 
     def adopt(self, executor: ActionExecutor, fetched: FetchedRecord) -> None:
-        """Own a sequence that was taken over."""
+        """Become the owner of a sequence that was taken over."""
         record = fetched.record
         owned = OwnedSequence.begin(record, fetched.incarnations, was_taken_over=True)
         for replica in fetched.unreached:
@@ -106,7 +106,7 @@
             self._forget(sequence_id)
 
     def release_ownership(self, sequence_id: str) -> None:
-        """Leave a sequence to another node: its replicas keep the record."""
+        """Release a sequence to another node; its replicas retain the record."""
         if sequence_id in self.sequences:
             self._forget(sequence_id)
             self.former.mark_migrated(sequence_id)
@@ -144,7 +144,7 @@
         published = self.sequences.get(sequence_id)
         if published is None:
             if attempt.number:
-                return SendDecision.SEND  # the sequence began before a change of settings enabled takeover
+                return SendDecision.SEND  # its first attempt was sent before takeover was configured
             published = PublishedSequence(self._begin(executor, sequence, now), executor, now)
         engine = executor.decoder.engines.rows[attempt.engine].address
         number = sequence.earlier_attempts + attempt.number
--- a/myrtlehub/node/replication/retry_arrival.py
+++ b/myrtlehub/node/replication/retry_arrival.py
@@ -13,7 +13,7 @@
     started_at: float,
     now: float,
 ) -> Arrival:
-    """Return what the router is told of the sequence.
+    """Return the arrival of a sequence that was taken over.
 
     Args:
         arrival: of the client's request to resume.
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -104,7 +104,7 @@
     # -- events from outside ----------------------------------------------------------------------
 
     def client_disconnected(self) -> None:
-        """Stop: no answer is needed any more."""
+        """Cancel the takeover: the client does not wait for an answer any more."""
         if self._accepts(TakeoverEvent.RELEASED):
             self._stop()
 
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -39,7 +39,7 @@
 
         Args:
             sequence_id: None to assign a new one.
-            arrival: what the router is told.
+            arrival: of the sequence, for the router.
             earlier_attempts: number of attempts of former owners.
             read_state: by which a writer fetches the read state that `arrival.state_held_by` holds.
         """
--- a/myrtlehub/recovery/model/owner_steps.py
+++ b/myrtlehub/recovery/model/owner_steps.py
@@ -43,7 +43,8 @@
     """Send the record to all replicas, and the waiting attempt with it if it may be sent already."""
     owned = owner.sequence
     replicas = [index_of(replica.node) for replica in owned.replicas]
-    # The update reaches the present incarnation of a replica, which may not be the one that was told first.
+    # The update is addressed to the present incarnation of a replica; its first update may have reached
+    # a former one.
     updates = frozenset(
         RecordUpdate(index, replica, str(state.incarnations[replica]), owned.record, owned.version)
         for replica in replicas
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -186,8 +186,8 @@
     def with_owner(self, index: int, owner: ModelOwner) -> Self:
         """Return the state with an owner replaced.
 
-        States that can no longer be told apart are made equal, so that the checker visits them once: a node
-        that is done keeps its answer alone, and replies reach only a node that waits for them.
+        States whose further steps are the same are made equal, so that the checker visits them once: of a
+        node that is done only the answer remains, and replies to a node that no longer waits are dropped.
         """
         if owner.phase == Phase.DONE:
             owner = ModelOwner(phase=Phase.DONE, answer=owner.answer)
--- a/myrtlehub/recovery/ownership.py
+++ b/myrtlehub/recovery/ownership.py
@@ -1,7 +1,7 @@
 """The owner's side of a record: which acknowledgements a send has to wait for.
 
 Attempts of an idempotent sequence are sent at once, and the replicas are updated in parallel. Any other
-attempt waits until every replica that was ever told of the sequence has acknowledged the intent, in the same
+attempt waits until every replica to which the record was ever sent has acknowledged the intent, in the same
 incarnation as before. Only the first intent of a sequence may be sent with fewer acknowledgements: a replica
 that did not answer has either this intent, which is the complete record, or no record to hand out.
 """
@@ -29,7 +29,7 @@
 
 
 class ReplicaIncarnation(NamedTuple):
-    """A replica, and its incarnation when it was first told of the sequence."""
+    """A replica, and its incarnation when the record was first sent to it."""
 
     node: str
     incarnation: str | None  # None: the replica was not reached
