--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -98,7 +98,7 @@
         """Return the earliest time at which data read now can have arrived.
 
         The first data of a connection may have arrived while the connection waited in the accept queue.
-        Test: `test_a_request_that_waited_to_be_accepted_counts_from_its_coming`.
+        Test: `test_the_time_of_a_request_includes_its_wait_to_be_accepted`.
         """
         now = self.clock.seconds()
         waiting_since, self._waiting_since = self._waiting_since, None
