--- a/myrtlehub/node/replication/takeover_machine.py
+++ b/myrtlehub/node/replication/takeover_machine.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from myrtlehub.state.state_machine import TransitionTable, forbid, on
+from myrtlehub.state.state_machine import Row, TransitionTable, forbid, on
 
 
 class TakeoverState(StrEnum):
@@ -53,7 +53,7 @@
     on(_Event.SUPERSEDED, to=_State.SUPERSEDED, effect=_Effect.REPORT_SUPERSEDED),
     on(_Event.RELEASED, to=_State.RELEASED),
 )
-_ATTACHED = (
+_ATTACHED: tuple[Row[TakeoverState, TakeoverEvent], ...] = (
     on(_Event.TOKENS_RECEIVED, to=_State.STREAMING, effect=_Effect.RELAY_TOKENS),
     on(
         _Event.STREAM_COMPLETED,
