--- a/myrtlehub/membership/version_store.py
+++ b/myrtlehub/membership/version_store.py
@@ -1,11 +1,12 @@
-"""Version store: the last good list versions over restarts, in SQLite with a write-ahead log.
+"""Version store: the last accepted list versions, preserved over restarts in SQLite with a write-ahead log.
 
-Each version has a checksum of its own: one that was not completely written, or of which a bit has flipped, is
-told from a good one and not used.
+Each version has a checksum. So a version that was not written completely, or in which a bit has flipped, is
+recognized and not used.
 """
 
 import sqlite3
 from collections.abc import Callable
+from enum import StrEnum
 from pathlib import Path
 from typing import NamedTuple
 
@@ -16,9 +17,9 @@
 from myrtlehub.membership.endpoint import EndpointFields
 from myrtlehub.membership.list_version import ListVersion, content_digest
 
-MAX_VERSIONS = 5
-LOCK_TIMEOUT = 2.0  # seconds
-SCHEMA_VERSION = 1  # a store of a later one is left to the program that wrote it
+MAX_VERSIONS = 5  # versions that the store retains; the oldest are deleted
+LOCK_TIMEOUT = 2.0  # seconds to wait for another process that has the database locked
+SCHEMA_VERSION = 1  # a store with a later one was written by a newer program and is not changed
 SCHEMA = """CREATE TABLE IF NOT EXISTS versions (
     number INTEGER PRIMARY KEY, source TEXT NOT NULL, digest TEXT NOT NULL, sum TEXT NOT NULL,
     rows BLOB NOT NULL)"""
@@ -27,6 +28,21 @@
 SELECT = "SELECT number, source, digest, sum, rows FROM versions ORDER BY number DESC"
 
 
+class SaveStep(StrEnum):
+    """The steps of a save, in order."""
+
+    OPEN = "open"
+    BEGIN = "begin"
+    INSERT = "insert"
+    PRUNE = "prune"
+    COMMIT = "commit"
+    DONE = "done"
+
+
+def ignore_step(step: SaveStep) -> None:
+    """Do nothing before a step."""
+
+
 class VersionStoreError(Exception):
     """The store cannot be used."""
 
@@ -37,7 +53,7 @@
 
 
 class StoredVersion(NamedTuple):
-    """A version as it was stored."""
+    """A version that was loaded from the store."""
 
     number: int
     source: str
@@ -45,17 +61,17 @@
 
 
 class StoredRow(NamedTuple):
-    """A row of the table as it is in the file; flipped bits may have changed the types."""
+    """A row of the table as it is in the file; flipped bits may have changed the types of its columns."""
 
     number: int
     source: str
     digest: str
     checksum: str
-    endpoints: bytes
+    endpoints: bytes  # JSON: the list of the endpoints' fields
 
     @property
-    def intact(self) -> bool:
-        """Whether the checksum is that of the other columns."""
+    def is_intact(self) -> bool:
+        """Whether the checksum matches the other columns."""
         types_match = (
             isinstance(self.source, str)
             and isinstance(self.digest, str)
@@ -71,9 +87,10 @@
 
 
 class VersionStore:
-    """The store in one file. `on_step` is called with a name before each step of a save, for tests."""
+    """The store in one file, which is opened when it is first used."""
 
-    def __init__(self, path: str | Path, on_step: Callable[[str], None] = lambda name: None) -> None:
+    def __init__(self, path: str | Path, on_step: Callable[[SaveStep], None] = ignore_step) -> None:
+        """Make a store; `on_step` is called before each step of a save, so that tests can interrupt it."""
         self.path = Path(path)
         self.on_step = on_step
         self._connection: sqlite3.Connection | None = None
@@ -87,7 +104,7 @@
         return self._connection
 
     def _connect(self) -> sqlite3.Connection:
-        # One thread at a time uses it, not always the same.
+        # Saves run on the threads of a pool: one at a time, but not always on the same thread.
         connection = sqlite3.connect(
             self.path, isolation_level=None, timeout=LOCK_TIMEOUT, check_same_thread=False
         )
@@ -106,37 +123,33 @@
         return connection
 
     def save(self, version: ListVersion) -> None:
-        """Store a version, completely or not at all, and drop the oldest.
+        """Store a version, completely or not at all, and delete the oldest ones.
 
         Raises:
-            VersionStoreError: it could not be stored.
+            VersionStoreError: the version could not be stored.
         """
-        endpoints = msgspec.json.encode(
-            sorted(endpoint.field_values for endpoint in version.endpoints.values())
-        )
-        checksum = _checksum(version.number, version.source, version.digest, endpoints)
-        row = StoredRow(version.number, version.source, version.digest, checksum, endpoints)
+        row = _encode_version(version)
         try:
-            self.on_step("open")
+            self.on_step(SaveStep.OPEN)
             connection = self._open()
-            self.on_step("begin")
+            self.on_step(SaveStep.BEGIN)
             connection.execute("BEGIN IMMEDIATE")
-            self.on_step("insert")
+            self.on_step(SaveStep.INSERT)
             connection.execute(INSERT, row)
-            self.on_step("prune")
+            self.on_step(SaveStep.PRUNE)
             connection.execute(PRUNE, (MAX_VERSIONS,))
-            self.on_step("commit")
+            self.on_step(SaveStep.COMMIT)
             connection.execute("COMMIT")
-            self.on_step("done")
+            self.on_step(SaveStep.DONE)
         except sqlite3.Error as error:
             self.close()
             raise VersionStoreError(self.path, str(error)) from error
 
     def load_latest(self) -> StoredVersion | None:
-        """Return the newest intact version; None if nothing was stored.
+        """Return the latest intact version; None if nothing was stored.
 
         Raises:
-            VersionStoreError: the file is no store, or none of its versions is intact.
+            VersionStoreError: the file is not a version store, or none of its versions is intact.
         """
         if not self.path.exists():
             return None
@@ -154,15 +167,21 @@
         return None
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file; the next use opens it again."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
+def _encode_version(version: ListVersion) -> StoredRow:
+    endpoints = msgspec.json.encode(sorted(endpoint.field_values for endpoint in version.endpoints.values()))
+    checksum = _checksum(version.number, version.source, version.digest, endpoints)
+    return StoredRow(version.number, version.source, version.digest, checksum, endpoints)
+
+
 def _decode_endpoints(row: StoredRow) -> list[EndpointConfig] | None:
-    """Return the endpoints of a row; None if it is not intact, or of a form that is not known here."""
-    if not row.intact:
+    """Return the endpoints of a row; None if it is not intact, or not in the format of this program."""
+    if not row.is_intact:
         return None
     try:
         fields = msgspec.json.decode(row.endpoints, type=list[EndpointFields])
