--- a/myrtlehub/membership/file_notifier.py
+++ b/myrtlehub/membership/file_notifier.py
@@ -1,47 +1,78 @@
-"""Notification of file changes by inotify, by way of Twisted. Without inotify the poll alone finds them."""
+"""Notification of file changes by inotify, through Twisted. Where there is no inotify, polling has to do."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from typing import Protocol
 
-try:
-    from twisted.internet import inotify
-except ImportError:  # not Linux
-    inotify = None
 from twisted.internet.interfaces import IReactorFDSet
 from twisted.python.filepath import FilePath
 
+try:
+    from twisted.internet import inotify
+except ImportError:  # the operating system is not Linux
+    HAS_INOTIFY = False
+else:
+    HAS_INOTIFY = True
+
 ChangeCallback = Callable[[], None]
 
 
+class _Inotify(Protocol):
+    """The methods of Twisted's `INotify`, which has no annotations."""
+
+    def startReading(self) -> None:  # noqa: N802
+        """Start to deliver events."""
+
+    def watch(
+        self,
+        path: FilePath[bytes],
+        *,
+        mask: int,
+        callbacks: Iterable[Callable[[object, FilePath[bytes], int], None]],
+    ) -> object:
+        """Call `callbacks` at each event of `mask` in a directory."""
+
+
+def _open_inotify(reactor: IReactorFDSet) -> _Inotify | None:
+    """Return an inotify instance that delivers events; None if the system has none left, or no inotify."""
+    if not HAS_INOTIFY:
+        return None
+    try:
+        instance: _Inotify = inotify.INotify(reactor)  # type: ignore[no-untyped-call]  # Twisted's
+        instance.startReading()
+    except OSError:
+        return None
+    return instance
+
+
+def _change_mask() -> int:
+    """Return the events by which a file in a directory may have changed, appeared or disappeared."""
+    return (
+        inotify.IN_MODIFY
+        | inotify.IN_ATTRIB
+        | inotify.IN_CLOSE_WRITE
+        | inotify.IN_MOVED_TO
+        | inotify.IN_MOVED_FROM
+        | inotify.IN_CREATE
+        | inotify.IN_DELETE
+        | inotify.IN_DELETE_SELF
+    )
+
+
 class FileNotifier:
-    """Watches directories, as names come, go and are replaced in them; one for a reactor."""
+    """Watches directories for files that are added, changed, replaced or removed; one for each reactor."""
 
     def __init__(self, reactor: IReactorFDSet) -> None:
-        self._notifier = None
-        self._watched: set[str] = set()
-        if inotify is not None:
-            try:
-                self._notifier = inotify.INotify(reactor)
-                self._notifier.startReading()
-            except OSError:  # no inotify instance is left: the poll goes on
-                self._notifier = None
+        self._inotify = _open_inotify(reactor)
+        self._watched: set[str] = set()  # directories
 
     def watch(self, directories: list[str], callback: ChangeCallback) -> None:
-        """Call `callback` at each change in these directories; may be called again with others."""
-        if self._notifier is None:
+        """Call `callback` at each change in these directories; directories of earlier calls stay watched."""
+        if self._inotify is None:
             return
-        mask = (
-            inotify.IN_MODIFY
-            | inotify.IN_ATTRIB
-            | inotify.IN_CLOSE_WRITE
-            | inotify.IN_MOVED_TO
-            | inotify.IN_MOVED_FROM
-            | inotify.IN_CREATE
-            | inotify.IN_DELETE
-            | inotify.IN_DELETE_SELF
-        )
-
-        def on_event(ignored: inotify.INotify, path: FilePath, event: int) -> None:
+
+        def on_event(ignored: object, path: FilePath[bytes], event: int) -> None:
             if event & (inotify.IN_DELETE_SELF | inotify.IN_IGNORED):
+                # A directory of the same name may be created later, and has to be watched again.
                 self._watched.discard(path.path.decode() if isinstance(path.path, bytes) else path.path)
             callback()
 
@@ -49,7 +80,7 @@
             if directory in self._watched:
                 continue
             try:
-                self._notifier.watch(FilePath(directory.encode()), mask=mask, callbacks=[on_event])
+                self._inotify.watch(FilePath(directory.encode()), mask=_change_mask(), callbacks=[on_event])
             except (OSError, inotify.INotifyError):
-                continue
+                continue  # the directory is gone again, or the system allows no more watches
             self._watched.add(directory)
