--- a/benchmarks/list_update_cost.py
+++ b/benchmarks/list_update_cost.py
@@ -16,7 +16,7 @@
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.membership.list_version import content_digest
 from myrtlehub.membership.snapshot import read_snapshot
-from myrtlehub.membership.validation import ListValidator, ValidationConfig
+from myrtlehub.membership.validation import Accepted, ListValidator, ValidationConfig
 from myrtlehub.node.node import Node
 
 
@@ -51,6 +51,8 @@
                 at = time.perf_counter()
                 verdict = validator.validate(float(first_cell), snapshot.endpoints, "files", digest=digest)
                 validated = time.perf_counter() - at
+                if not isinstance(verdict, Accepted):
+                    raise click.ClickException(f"the list was not accepted: {verdict}")
                 rows = (
                     verdict.difference.updates()
                     if verdict.difference
--- a/myrtlehub/cli/endpoints.py
+++ b/myrtlehub/cli/endpoints.py
@@ -10,9 +10,9 @@
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.engines import EngineKindConfig
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.membership.list_faults import find_list_faults
 from myrtlehub.membership.list_version import ListDifference, compare_versions, make_version
 from myrtlehub.membership.snapshot import Snapshot, read_snapshot
-from myrtlehub.membership.validation import find_list_faults
 from myrtlehub.proto import admin_pb2 as pb
 
 SHOW_METHOD = "/myrtlehub.v1.NodeAdmin/Show"
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -49,7 +49,7 @@
 def _make_node(settings: NodeConfig, base: Path, reactor: ReactorBase, log: Log) -> "Node":
     from twisted.internet.threads import deferToThread
 
-    from myrtlehub.membership.endpoint_watcher import poll_only
+    from myrtlehub.membership.file_monitor import poll_only
     from myrtlehub.membership.file_notifier import FileNotifier
     from myrtlehub.membership.reader_process import ReaderProcess
     from myrtlehub.node.clock import SteadyClock
--- a/myrtlehub/membership/endpoint_source.py
+++ b/myrtlehub/membership/endpoint_source.py
@@ -1,77 +1,90 @@
-"""Sources of the endpoint list: one interface for the static section, pushes, and sources to come.
+"""Sources of the endpoint list: the interface that all have, and the source of a static or pushed list.
 
-A source passes endpoints to a listener as they are: the complete list, or a change to it. It does not look at
-what they mean; the listener does (`node.action_executor.ActionExecutor.list_news`).
+A source sends updates to its listener and does not interpret them: the listener decides what a change means
+for sequences in flight (`node.router_driver`).
 """
 
-from collections.abc import Sequence
-from typing import Protocol
+from collections.abc import Callable, Sequence
+from typing import NamedTuple, Protocol, TypeAlias
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint import EndpointState
+from myrtlehub.membership.endpoint import is_gone
 
 
-class EndpointListener(Protocol):
-    """Who follows a source."""
+class VersionId(NamedTuple):
+    """What identifies a validated version of the list."""
 
-    def __call__(
-        self, endpoints: list[EndpointConfig], complete: bool, version_number: int, digest: str, /
-    ) -> None:
-        """Take the complete list or a change to it.
+    number: int
+    digest: str
 
-        `version_number` 0 means that the listener counts versions itself; then there is no digest.
-        """
+
+class EndpointListUpdate(NamedTuple):
+    """The complete endpoint list, or a change to it.
+
+    Attributes:
+        endpoints: all endpoints, or those that changed; removed ones are in state `gone`.
+        is_complete: whether endpoints that are not among them are removed.
+        version: the version that the update leads to. None if the source does not number versions: the
+            listener then counts them.
+    """
+
+    endpoints: list[EndpointConfig]
+    is_complete: bool
+    version: VersionId | None = None
+
+
+EndpointListener: TypeAlias = Callable[[EndpointListUpdate], None]
 
 
-def ignore_endpoints(
-    endpoints: list[EndpointConfig], complete: bool, version_number: int, digest: str, /
-) -> None:
-    """Stand in for the listener until there is one."""
+def ignore_update(update: EndpointListUpdate) -> None:
+    """Discard the update; the listener of a source that is not followed yet."""
 
 
 class EndpointSource(Protocol):
-    """What a node asks of a source."""
+    """A source of the endpoint list, as the node uses it."""
 
     def follow(self, listener: EndpointListener) -> None:
-        """Pass on the complete list, once it is known, and from then on each change."""
+        """Send the complete list to the listener once it is known, and from then on each change."""
 
     def republish(self) -> None:
-        """Pass on the complete list again."""
+        """Send the complete list to the listener once more."""
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Return the current list; `replacement` is the section of settings that are applied."""
+        """Return the current list.
+
+        Args:
+            replacement: the endpoints of new settings, which replace a static list; None to keep the list.
+        """
 
 
 class StaticEndpointSource:
-    """The static section of a node's file; where the file allows pushes, they change what it says."""
+    """The endpoints of the node's settings, and changes to them that are pushed over the admin service."""
 
     def __init__(self, endpoints: Sequence[EndpointConfig]) -> None:
         self._endpoints = {endpoint.address: endpoint for endpoint in endpoints}
-        self._listener: EndpointListener = ignore_endpoints
+        self._listener: EndpointListener = ignore_update
 
     def follow(self, listener: EndpointListener) -> None:
-        """Pass on the list now, and each push."""
+        """Send the complete list to the listener now, and from then on each pushed change."""
         self._listener = listener
         self.republish()
 
     def republish(self) -> None:
-        """Pass on the complete list again."""
-        self._listener(list(self._endpoints.values()), True, 0, "")
+        """Send the complete list to the listener once more."""
+        self._listener(EndpointListUpdate(list(self._endpoints.values()), is_complete=True))
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Return the current list.
-
-        `replacement` is a file's section that takes the list's place, where nothing is pushed.
-        """
+        """Return the current list, after `replacement` has replaced it where one is given."""
         if replacement is not None:
             self._endpoints = {endpoint.address: endpoint for endpoint in replacement}
         return list(self._endpoints.values())
 
-    def push(self, endpoints: Sequence[EndpointConfig], complete: bool) -> None:
-        """Take a pushed list or change."""
-        if complete:
+    def push(self, endpoints: Sequence[EndpointConfig], is_complete: bool) -> None:
+        """Apply a pushed list, or a pushed change to the list, and send it to the listener."""
+        if is_complete:
             self._endpoints.clear()
         self._endpoints.update((endpoint.address, endpoint) for endpoint in endpoints)
-        for address in [name for name, known in self._endpoints.items() if known.state == EndpointState.GONE]:
+        gone = [address for address, endpoint in self._endpoints.items() if is_gone(endpoint)]
+        for address in gone:
             del self._endpoints[address]
-        self._listener(list(endpoints), complete, 0, "")
+        self._listener(EndpointListUpdate(list(endpoints), is_complete))
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -1,60 +1,61 @@
-"""The endpoint list from watched files: notified by inotify where there is one, polled everywhere.
+"""The endpoint list from watched files.
 
-A file that is being written is told from a finished one by three things together: all files parse, their
-bytes are the same in two snapshots, and nothing was changed for the quiet time between.
+A file that is still being written is distinguished from a complete one by three conditions together: all
+files parse, two consecutive snapshots have the same bytes, and no change was seen for the quiet time between
+them.
 """
 
 from collections.abc import Callable, Iterable, Sequence
 from pathlib import Path
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint_source import EndpointListener, ignore_endpoints
-from myrtlehub.membership.flap_damping import NEVER
-from myrtlehub.membership.interfaces import Clock, DelayedCall, Log, RunInBackground, no_log, run_now
+from myrtlehub.membership.endpoint_source import (
+    EndpointListener,
+    EndpointListUpdate,
+    VersionId,
+    ignore_update,
+)
+from myrtlehub.membership.file_monitor import FileMonitor, WatchConfig, WatchDirectories, poll_only
+from myrtlehub.membership.interfaces import Clock, Log, RunInBackground, no_log, run_now
 from myrtlehub.membership.list_version import ListVersion
-from myrtlehub.membership.snapshot import FileStamp, Snapshot, expand_patterns, read_snapshot, stamp_files
-from myrtlehub.membership.validation import ListValidator, ValidationOutcome, Verdict
-from myrtlehub.membership.version_store import StoredVersion, VersionStore, VersionStoreError
+from myrtlehub.membership.snapshot import Snapshot, read_snapshot
+from myrtlehub.membership.validation import (
+    Accepted,
+    Deferred,
+    ListValidator,
+    Rejected,
+    Unchanged,
+    Verdict,
+)
+from myrtlehub.membership.version_saver import VersionSaver
+from myrtlehub.membership.version_store import StoredVersion, VersionStore
 
-SOURCE = "files"  # as versions and rejections name it
-MAX_QUIET_WAITS = 20  # quiet times after which files that never are quiet are read all the same
-
-
-class WatchConfig(NamedTuple):
-    """Which files are watched, and how."""
-
-    patterns: Sequence[str]
-    base: Path
-    poll_interval: float  # seconds
-    quiet_time: float  # seconds without a change after which files are read
-    end_marked: bool = False  # a file is finished only with "end: yes"
+SOURCE_NAME = "files"  # as versions and rejections have it
 
 
 class SnapshotReader(Protocol):
-    """Reads a snapshot, at once or later."""
+    """Reads a snapshot of the files, at once or in the background."""
 
     def __call__(
-        self, patterns: Iterable[str], base: Path, end_marked: bool, callback: Callable[[Snapshot], None], /
+        self,
+        patterns: Iterable[str],
+        base: Path,
+        requires_end_mark: bool,
+        callback: Callable[[Snapshot], None],
+        /,
     ) -> None:
-        """Read, and pass the snapshot to `callback`."""
-
+        """Read the files and pass the snapshot to `callback`; see `read_snapshot` for the other arguments."""
 
-class WatchDirectories(Protocol):
-    """Asks the system to notify of changes."""
 
-    def __call__(self, directories: list[str], callback: Callable[[], None], /) -> None:
-        """Call `callback` at each change in one of the directories."""
-
-
-def _read_here(
-    patterns: Iterable[str], base: Path, end_marked: bool, callback: Callable[[Snapshot], None], /
+def _read_now(
+    patterns: Iterable[str],
+    base: Path,
+    requires_end_mark: bool,
+    callback: Callable[[Snapshot], None],
+    /,
 ) -> None:
-    callback(read_snapshot(patterns, base, end_marked))
-
-
-def poll_only(directories: list[str], callback: Callable[[], None], /) -> None:
-    """Notify of nothing."""
+    callback(read_snapshot(patterns, base, requires_end_mark))
 
 
 class EndpointWatcher:
@@ -72,157 +73,146 @@
         reader: SnapshotReader | None = None,
         run_in_background: RunInBackground = run_now,
     ) -> None:
-        """`unresponsive` gives the addresses that do not answer this node.
-
-        To read a list of thousands takes seconds: `reader` may do it where it does not hold up the node.
+        """Make a watcher that does nothing until it is followed.
+
+        Args:
+            config: which files are watched, and how.
+            validator: makes versions of snapshots.
+            clock: the node's clock.
+            store: preserves accepted versions over restarts; None: there is no store.
+            log: the node's log.
+            notify: sets up notification of changes by the operating system.
+            unresponsive: returns the addresses that do not answer this node.
+            reader: reads snapshots without blocking the event loop, as a list of thousands takes seconds to
+                parse; None: snapshots are read in the event loop.
+            run_in_background: runs what may block on the disk.
         """
         self.config = config
         self.validator = validator
         self.clock = clock
-        self.store = store
         self.log = log
-        self.notify = notify
         self.unresponsive = unresponsive
-        self.reader = reader or _read_here
-        self.run_in_background = run_in_background
-        self._listener: EndpointListener = ignore_endpoints
-        self._busy = False  # reading, or validating what was read
-        self._read_again = False  # files changed meanwhile
-        self._storing = False
-        self._to_store: ListVersion | None = None
-        self._stamps: tuple[FileStamp, ...] = ()
-        self._last_digest = ""
-        self._read_timer: DelayedCall | None = None
-        self._poll_timer: DelayedCall | None = None
-        self._first_change_at = 0.0
+        self.reader = reader or _read_now
+        self._saver = VersionSaver(store, run_in_background, log) if store is not None else None
+        self._monitor = FileMonitor(config, clock, notify, self._read)
+        self._listener: EndpointListener = ignore_update
+        self._is_busy = False  # reading files, or validating the snapshot
+        self._must_read_again = False  # files changed while the watcher was busy
+        self._last_digest: str | None = None  # of the last snapshot's bytes
 
     def follow(self, listener: EndpointListener) -> None:
-        """Read now; where the files are absent or bad, begin with the stored version."""
+        """Read the files now; if they are missing or invalid, begin with the stored version."""
         self._listener = listener
-        stored = self._load_stored()
+        stored = self._saver.load_latest() if self._saver is not None else None
         if stored is not None:
-            self.validator.number = stored.number  # numbers go on over restarts
-        snapshot = read_snapshot(self.config.patterns, self.config.base, self.config.end_marked)
-        self._stamps = self._stamp_files()
+            self.validator.last_number = stored.number  # numbers continue over restarts
+        snapshot = read_snapshot(self.config.patterns, self.config.base, self.config.requires_end_mark)
+        self._monitor.record_stamps()
         self._last_digest = snapshot.digest
         self._act_on(self._validate(snapshot, frozenset()))
         if self.validator.version is None and stored is not None:
-            source = f"store, version {stored.number} from {stored.source}"
-            now = self.clock.seconds()
-            self._act_on(self.validator.validate(now, stored.endpoints, source, from_store=True))
-        self.notify(self._directories(), self.files_changed)
-        self._poll_timer = self.clock.callLater(self.config.poll_interval, self._poll)
+            self._use_stored(stored)
+        self._monitor.start()
 
     def republish(self) -> None:
-        """Pass on the complete list again."""
+        """Send the complete list to the listener once more, if there is a version of it."""
         if self.validator.version is not None:
             self._publish_complete(self.validator.version)
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Return the current list; the files alone say what it is, so nothing replaces it."""
+        """Return the current list; `replacement` is ignored, as only the files can change the list."""
         version = self.validator.version
         return list(version.endpoints.values()) if version is not None else []
 
     def stop(self) -> None:
-        """Follow the files no longer."""
-        for timer in (self._read_timer, self._poll_timer):
-            if timer is not None and timer.active():
-                timer.cancel()
+        """Stop following the files."""
+        self._monitor.stop()
 
     def files_changed(self) -> None:
         """Read the files once they have been quiet."""
-        now = self.clock.seconds()
-        if self._read_timer is None:
-            self._first_change_at = now
-        elif self._read_timer.active():
-            if now - self._first_change_at > MAX_QUIET_WAITS * self.config.quiet_time:
-                return  # guards against files that are never quiet
-            self._read_timer.cancel()
-        self._read_timer = self.clock.callLater(self.config.quiet_time, self._read)
+        self._monitor.files_changed()
 
-    def _stamp_files(self) -> tuple[FileStamp, ...]:
-        return stamp_files(self.config.patterns, self.config.base)
+    def _use_stored(self, stored: StoredVersion) -> None:
+        source = f"store, version {stored.number} from {stored.source}"
+        now = self.clock.seconds()
+        self._act_on(self.validator.validate(now, stored.endpoints, source, is_from_store=True))
 
-    def _poll(self) -> None:
-        self._poll_timer = self.clock.callLater(self.config.poll_interval, self._poll)
-        stamps = self._stamp_files()
-        if stamps != self._stamps:
-            self._stamps = stamps
-            self.files_changed()
+    # -- reading ----------------------------------------------------------------------------------
 
     def _read(self) -> None:
-        self._read_timer = None
-        if self._busy:
-            self._read_again = True
+        if self._is_busy:
+            self._must_read_again = True
             return
-        self._busy = True
-        self.reader(self.config.patterns, self.config.base, self.config.end_marked, self._snapshot_read)
+        self._is_busy = True
+        config = self.config
+        self.reader(config.patterns, config.base, config.requires_end_mark, self._snapshot_read)
 
     def _snapshot_read(self, snapshot: Snapshot) -> None:
-        read_again = self._read_again
-        self._read_again = False
-        self._busy = False
+        must_read_again = self._must_read_again
+        self._must_read_again = False
+        self._is_busy = False
         if snapshot.digest != self._last_digest:
-            # Not the same as in the last snapshot: it may be half-written. Read again after the quiet time.
+            # The bytes differ from the last snapshot's: a file may be half-written. A second snapshot after
+            # the quiet time has to confirm them.
             self._last_digest = snapshot.digest
-            read_again = True
+            must_read_again = True
         else:
-            self._busy = True
+            self._is_busy = True
             verdict = self._validate(snapshot, self.unresponsive())
-            self.clock.callLater(0, self._validated, verdict)  # a turn of its own: long lists take long
-        self._schedule_read(read_again)
+            # Validating and applying a long list both take long: each gets its own turn of the event loop.
+            self.clock.callLater(0, self._validated, verdict)
+        if must_read_again:
+            self._monitor.schedule(self.config.quiet_time)
 
     def _validated(self, verdict: Verdict) -> None:
-        self._busy = False
+        self._is_busy = False
         self._act_on(verdict)
-        self.notify(self._directories(), self.files_changed)
-        self._schedule_read(self._read_again)
+        self._monitor.update_directories()
+        if self._must_read_again:
+            self._monitor.schedule(self.config.quiet_time)
 
-    def _schedule_read(self, wanted: bool) -> None:
-        if wanted and (self._read_timer is None or not self._read_timer.active()):
-            self._read_timer = self.clock.callLater(self.config.quiet_time, self._read)
-
-    def _directories(self) -> list[str]:
-        """Return the directories to be notified of: names come, go and are replaced in them."""
-        patterns = self.config.patterns
-        base = self.config.base
-        directories = {str(Path(file).parent) for file in expand_patterns(patterns, base)}
-        directories |= {str(base / pattern) for pattern in patterns if (base / pattern).is_dir()}
-        return sorted(directory for directory in directories if Path(directory).is_dir())
+    # -- validation and publishing ----------------------------------------------------------------
 
     def _validate(self, snapshot: Snapshot, unresponsive: frozenset[str]) -> Verdict:
         now = self.clock.seconds()
         faults = "; ".join(snapshot.faults)
-        if snapshot.missing:
+        if snapshot.is_missing:
             absent = f"no file is there for {', '.join(self.config.patterns)}; the last list stays"
-            return self.validator.source_lost(now, SOURCE, faults or absent)
+            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or absent)
         if faults:
-            return self.validator.reject(now, SOURCE, faults)
+            return self.validator.reject(now, SOURCE_NAME, faults)
         return self.validator.validate(
-            now, snapshot.endpoints, SOURCE, unresponsive=unresponsive, digest=snapshot.content_digest
+            now,
+            snapshot.endpoints,
+            SOURCE_NAME,
+            unresponsive=unresponsive,
+            digest=snapshot.content_digest,
         )
 
     def _act_on(self, verdict: Verdict) -> None:
-        if verdict.recheck_at < NEVER and self._read_timer is None:
-            wait = max(self.config.quiet_time, verdict.recheck_at - self.clock.seconds())
-            self._read_timer = self.clock.callLater(wait, self._read)
-        match verdict.outcome:
-            case ValidationOutcome.REJECTED:
-                self._log_not_accepted("list refused", verdict)
-            case ValidationOutcome.DEFERRED:
-                self._log_not_accepted("list deferred", verdict)
-            case ValidationOutcome.ACCEPTED:
+        match verdict:
+            case Rejected(reason):
+                self._log_not_accepted("list refused", reason)
+            case Deferred(reason, recheck_at):
+                self._schedule_recheck(recheck_at)
+                self._log_not_accepted("list deferred", reason)
+            case Accepted():
+                self._schedule_recheck(verdict.recheck_at)
                 self._accept(verdict)
-            case ValidationOutcome.UNCHANGED:
-                pass
+            case Unchanged(recheck_at):
+                self._schedule_recheck(recheck_at)
+
+    def _schedule_recheck(self, recheck_at: float | None) -> None:
+        if recheck_at is not None:
+            self._monitor.schedule(max(self.config.quiet_time, recheck_at - self.clock.seconds()))
 
-    def _log_not_accepted(self, event: str, verdict: Verdict) -> None:
+    def _log_not_accepted(self, event: str, reason: str) -> None:
         current = self.validator.version
-        self.log(event, why=verdict.reason, version=current.number if current else 0)
+        self.log(event, why=reason, version=current.number if current else 0)
 
-    def _accept(self, verdict: Verdict) -> None:
-        version = verdict.version
-        difference = verdict.difference
+    def _accept(self, accepted: Accepted) -> None:
+        version = accepted.version
+        difference = accepted.difference
         self.log(
             "list accepted",
             version=version.number,
@@ -230,44 +220,18 @@
             engines=len(version.endpoints),
             added=len(difference.added),
             gone=len(difference.removed),
-            old=version.from_store,
+            old=version.is_from_store,
         )
         if difference:
-            self._listener(difference.updates(), False, version.number, version.digest)
+            self._publish(version, difference.updates(), is_complete=False)
         else:
             self._publish_complete(version)
-        if self.store is not None and not version.from_store:
-            self._to_store = version
-            self._store_next()
+        if self._saver is not None and not version.is_from_store:
+            self._saver.save(version)
 
     def _publish_complete(self, version: ListVersion) -> None:
-        self._listener(list(version.endpoints.values()), True, version.number, version.digest)
-
-    def _store_next(self) -> None:
-        """Store in the background, one version at a time; of those that wait the newest will do."""
-        if self._storing or self._to_store is None:
-            return
-        version = self._to_store
-        self._to_store = None
-        self._storing = True
-        self.run_in_background(lambda: self._save(version), self._saved)
-
-    def _save(self, version: ListVersion) -> VersionStoreError | None:
-        try:
-            self.store.save(version)
-        except VersionStoreError as error:
-            return error
-        return None
-
-    def _saved(self, error: VersionStoreError | None) -> None:
-        self._storing = False
-        if error is not None:
-            self.log("list not stored", why=str(error))
-        self._store_next()
+        self._publish(version, list(version.endpoints.values()), is_complete=True)
 
-    def _load_stored(self) -> StoredVersion | None:
-        try:
-            return self.store.load_latest() if self.store is not None else None
-        except VersionStoreError as error:
-            self.log("store not used", why=str(error))
-            return None
+    def _publish(self, version: ListVersion, endpoints: list[EndpointConfig], is_complete: bool) -> None:
+        version_id = VersionId(version.number, version.digest)
+        self._listener(EndpointListUpdate(endpoints, is_complete, version_id))
--- a/myrtlehub/membership/flap_damping.py
+++ b/myrtlehub/membership/flap_damping.py
@@ -1,4 +1,4 @@
-"""Flap damping: ignoring that an endpoint comes and goes, until it has been quiet for a while."""
+"""Flap damping: an endpoint that is added and removed repeatedly gets no work until it is stable."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,50 +7,60 @@
 from immutables import Map
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint import EndpointState
+from myrtlehub.membership.endpoint import as_draining
 from myrtlehub.membership.list_version import ListVersion, make_version
 
-NEVER = float("inf")
-NEVER_DAMPED = 0  # as `max_flaps`
-
 
 class DampedVersion(NamedTuple):
-    """A version with the flapping endpoints left as they were."""
+    """A version in which the changes of flapping endpoints are not applied."""
 
     version: ListVersion
-    damped_until: float  # when the first of them counts again; NEVER: none is damped
+    damped_until: float | None  # when the first endpoint's damping ends; None if none is damped
 
 
 class FlapDamper:
-    """Remembers when endpoints came and went."""
+    """Records when endpoints were added and removed, and damps those for which this happens too often."""
+
+    def __init__(self, max_flaps: int | None, window: float, quiet_time: float) -> None:
+        """Make a damper without history.
 
-    def __init__(self, max_flaps: int, window: float, quiet_time: float) -> None:
-        """`max_flaps` changes of presence within `window` seconds damp an endpoint for `quiet_time`."""
+        Args:
+            max_flaps: additions and removals of an endpoint within `window` that damp it; None: no damping.
+            window: seconds.
+            quiet_time: seconds since the last addition or removal after which an endpoint is not damped.
+        """
         self.max_flaps = max_flaps
         self.window = window
         self.quiet_time = quiet_time
-        self._flaps: dict[str, deque[float]] = {}
+        self._flaps: dict[str, deque[float]] = {}  # times of the latest ones by address, oldest first
 
     def record(self, now: float, addresses: Iterable[str]) -> None:
-        """Record that these endpoints came or went."""
+        """Record that these endpoints were added or removed."""
+        if self.max_flaps is None:
+            return
         for address in addresses:
             self._flaps.setdefault(address, deque(maxlen=max(1, self.max_flaps))).append(now)
 
     def apply(self, now: float, candidate: ListVersion, before: Map[str, EndpointConfig]) -> DampedVersion:
-        """Return the candidate with the flapping endpoints as they were `before`.
+        """Return the candidate without the additions and removals of flapping endpoints.
 
-        That is safe either way: one that would be removed only drains meanwhile, one that would be added
-        stays out.
+        A flapping endpoint that the candidate removes is draining meanwhile, and one that it adds stays
+        absent. So in both cases the endpoint gets no new attempts, and those in flight there can end.
+
+        Args:
+            now: seconds on the node's clock.
+            candidate: the version that a snapshot would make.
+            before: the endpoints of the current version.
         """
-        damped_until = NEVER
+        damped_until = None
         endpoints = candidate.endpoints
         for address in sorted(set(endpoints) ^ set(before)):
             until = self._damped_until(now, address)
             if until is None:
                 continue
-            damped_until = min(damped_until, until)
+            damped_until = until if damped_until is None else min(damped_until, until)
             if address in before:
-                endpoints = endpoints.set(address, _drained(before[address]))
+                endpoints = endpoints.set(address, as_draining(before[address]))
             else:
                 endpoints = endpoints.delete(address)
         if endpoints is candidate.endpoints:
@@ -60,15 +70,9 @@
 
     def _damped_until(self, now: float, address: str) -> float | None:
         flaps = self._flaps.get(address)
-        if self.max_flaps == NEVER_DAMPED or flaps is None or len(flaps) < self.max_flaps:
+        if self.max_flaps is None or flaps is None or len(flaps) < self.max_flaps:
             return None
         if now - flaps[0] > self.window:
             return None
         until = flaps[-1] + self.quiet_time
         return until if now < until else None
-
-
-def _drained(endpoint: EndpointConfig) -> EndpointConfig:
-    if endpoint.state == EndpointState.DRAINING:
-        return endpoint
-    return endpoint.with_fields(state=EndpointState.DRAINING.value)
--- a/myrtlehub/membership/list_version.py
+++ b/myrtlehub/membership/list_version.py
@@ -7,40 +7,49 @@
 from immutables import Map
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint import EndpointState, with_effective_state
+from myrtlehub.membership.endpoint import EndpointState, is_draining, is_gone, with_effective_state
 
 
 class ListVersion(NamedTuple):
-    """One complete list. Two versions share the memory of what they have in common."""
+    """One complete endpoint list; the maps of similar versions share memory.
+
+    Attributes:
+        number: grows by one with each accepted version, also over restarts.
+        endpoints: the endpoints by address, none of them in state `gone`.
+        source: where the list came from, as logs and the admin service name it.
+        digest: the digest of the content, see `content_digest`.
+        accepted_at: seconds on the node's clock.
+        is_from_store: whether the version store supplied it because the files were missing or invalid.
+    """
 
     number: int
-    endpoints: Map[str, EndpointConfig]  # by address
+    endpoints: Map[str, EndpointConfig]
     source: str
     digest: str
-    accepted_at: float  # seconds, on the node's clock
-    from_store: bool = False  # as no source had a good one at the start
+    accepted_at: float
+    is_from_store: bool = False
 
 
 class EndpointChange(NamedTuple):
-    """An endpoint that changed otherwise than to draining."""
+    """A listed endpoint with changed fields; that it is now draining is not among these changes."""
 
-    endpoint: EndpointConfig  # as it is now
-    fields: tuple[str, ...]  # that differ
+    endpoint: EndpointConfig  # with its new fields
+    fields: tuple[str, ...]  # names of the fields that differ
 
 
 class ListDifference(NamedTuple):
-    """What changed from one version to the next, each in the order of addresses."""
+    """What changed from one version to the next; each tuple is sorted by address."""
 
     added: tuple[EndpointConfig, ...] = ()
-    removed: tuple[EndpointConfig, ...] = ()  # as they were
-    draining: tuple[EndpointConfig, ...] = ()
+    removed: tuple[EndpointConfig, ...] = ()  # with their fields in the earlier version
+    draining: tuple[EndpointConfig, ...] = ()  # their state alone changed, to draining
     changed: tuple[EndpointChange, ...] = ()
 
     def __bool__(self) -> bool:
         return any(self)
 
     def updates(self) -> list[EndpointConfig]:
-        """Return the endpoints that a listener has to hear of; the removed ones in state `gone`."""
+        """Return the endpoints that a listener has to apply; removed ones are in state `gone`."""
         return [
             *self.added,
             *self.draining,
@@ -50,11 +59,11 @@
 
 
 def _effective(endpoints: Iterable[EndpointConfig]) -> list[EndpointConfig]:
-    return [with_effective_state(endpoint) for endpoint in endpoints if endpoint.state != EndpointState.GONE]
+    return [with_effective_state(endpoint) for endpoint in endpoints if not is_gone(endpoint)]
 
 
 def content_digest(endpoints: Iterable[EndpointConfig]) -> str:
-    """Return the digest of the content alone: the order of endpoints and of files does not count."""
+    """Return the digest of the endpoints; it does not depend on their order or on the files they are in."""
     fields = sorted(endpoint.field_values for endpoint in _effective(endpoints))
     return xxhash.xxh3_128_hexdigest(repr(fields).encode())
 
@@ -64,17 +73,26 @@
     endpoints: Iterable[EndpointConfig],
     source: str,
     now: float,
-    from_store: bool = False,
-    digest: str = "",
+    is_from_store: bool = False,
+    digest: str | None = None,
 ) -> ListVersion:
-    """Make a version of these endpoints; `digest` is that of the content, where it is known already."""
+    """Make a version of these endpoints.
+
+    Args:
+        number: the version's number.
+        endpoints: the complete list; entries in state `gone` are left out.
+        source: where the list came from.
+        now: seconds on the node's clock.
+        is_from_store: whether the version store supplied the list.
+        digest: the `content_digest` of the endpoints if the caller has it; else it is computed.
+    """
     effective = _effective(endpoints)
     by_address = Map({endpoint.address: endpoint for endpoint in effective})
-    return ListVersion(number, by_address, source, digest or content_digest(effective), now, from_store)
+    return ListVersion(number, by_address, source, digest or content_digest(effective), now, is_from_store)
 
 
 def compare_versions(before: Map[str, EndpointConfig], after: Map[str, EndpointConfig]) -> ListDifference:
-    """Return what changed, in the order of addresses: the same at every node."""
+    """Return what changed, sorted by address so that all nodes apply a change in the same order."""
     added = []
     draining = []
     changed = []
@@ -87,7 +105,7 @@
             added.append(endpoint)
         elif endpoint is not previous and endpoint.field_values != previous.field_values:
             fields = _differing_fields(endpoint, previous)
-            if fields == ("state",) and endpoint.state == EndpointState.DRAINING:
+            if fields == ("state",) and is_draining(endpoint):
                 draining.append(endpoint)
             else:
                 changed.append(EndpointChange(endpoint, fields))
--- a/myrtlehub/membership/reader_process.py
+++ b/myrtlehub/membership/reader_process.py
@@ -1,10 +1,10 @@
-"""The node's side of the reader process: sends it requests, takes its replies, replaces it when it dies."""
+"""The node's side of the reader process: sends requests, receives replies, and restarts it if it dies."""
 
 import os
 import sys
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from pathlib import Path
-from typing import NamedTuple, Protocol
+from typing import NamedTuple, Protocol, Self
 
 import msgspec
 from twisted.internet.protocol import ProcessProtocol
@@ -15,20 +15,44 @@
 from myrtlehub.membership.reader_worker import LENGTH_BYTES, ReadReply, ReadRequest, encode_message
 from myrtlehub.membership.snapshot import Snapshot
 
-ENDPOINTS_PER_TURN = 250  # made in one turn of the event loop
+ENDPOINTS_PER_TURN = 250  # endpoints that are made in one turn of the event loop
 MAX_ATTEMPTS = 3  # processes that may die on one request before it is answered with a fault
-MAX_ERROR_OUTPUT = 500  # bytes of the process's standard error that are remembered
+MAX_ERROR_OUTPUT = 500  # bytes of the process's standard error that are retained
 WORKER_MODULE = "myrtlehub.membership.reader_worker"
 
 SnapshotCallback = Callable[[Snapshot], None]
 
 
+class ReadInProgressError(RuntimeError):
+    """A snapshot was requested before the reply to the request before it."""
+
+    def __init__(self) -> None:
+        super().__init__("the last request has no reply yet")
+
+
+class UnexpectedReplyError(RuntimeError):
+    """The reader process sent a reply without a request."""
+
+    def __init__(self) -> None:
+        super().__init__("the reader process sent a reply without a request")
+
+
+class WorkerTransport(Protocol):
+    """The pipes to a reader process, as Twisted's `IProcessTransport` has them."""
+
+    def write(self, data: bytes) -> object:
+        """Write to the process's standard input."""
+
+    def closeStdin(self) -> object:  # noqa: N802
+        """Close the process's standard input; the name is Twisted's."""
+
+
 class ProcessSpawner(Protocol):
-    """What is needed of a reactor."""
+    """The part of a reactor that starts processes."""
 
     def spawnProcess(  # noqa: N802
         self, protocol: ProcessProtocol, program: str, args: list[str], env: Mapping[str, str]
-    ) -> object:
+    ) -> WorkerTransport:
         """Start a process; the name is Twisted's."""
 
 
@@ -40,14 +64,14 @@
 
 
 class _WorkerProtocol(ProcessProtocol):
-    """One reader process's pipes."""
+    """Splits the output of one reader process into replies."""
 
     def __init__(self, owner: "ReaderProcess") -> None:
         self._owner = owner
         self._received = bytearray()
 
     def outReceived(self, data: bytes) -> None:  # noqa: N802
-        """Collect a reply until it is complete."""
+        """Buffer a part of a reply, and deliver the reply once it is complete."""
         self._received += data
         if len(self._received) < LENGTH_BYTES:
             return
@@ -58,61 +82,82 @@
             self._owner.reply_received(reply)
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        """Remember the end of what the process says of its faults."""
+        """Retain the end of the process's standard error, which says why it died."""
         self._owner.error_output = (self._owner.error_output + data)[-MAX_ERROR_OUTPUT:]
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
-        """Tell the owner."""
+        """Notify the owner."""
         self._owner.process_ended(self)
 
 
+class _Worker(NamedTuple):
+    """A reader process that runs."""
+
+    protocol: _WorkerProtocol
+    transport: WorkerTransport
+
+
 class ReaderProcess:
     """Reads endpoint files in another process, one request at a time."""
 
     def __init__(self, reactor: ProcessSpawner) -> None:
         self.reactor = reactor
         self.error_output = b""
-        self.processes_started = 0
-        self._worker: _WorkerProtocol | None = None
+        self._worker: _Worker | None = None
         self._pending: PendingRead | None = None
-        self._failed_attempts = 0
-        # Of the last snapshot, by address: an endpoint that has not changed is the same object in the next.
+        self._failed_attempts = 0  # processes that died on the pending request
+        # The endpoints of the last snapshot by address: an unchanged endpoint is the same object in the next.
         self._endpoints: dict[str, EndpointConfig] = {}
-        self._closed = False
+        self._is_closed = False
+
+    def read(
+        self, patterns: Iterable[str], base: Path, requires_end_mark: bool, callback: SnapshotCallback
+    ) -> None:
+        """Request a snapshot, which is passed to `callback` later; see `read_snapshot` for the arguments.
 
-    def read(self, patterns: Iterable[str], base: Path, end_marked: bool, callback: SnapshotCallback) -> None:
-        """Ask for a snapshot; `callback` gets it later. The request before has to be answered first."""
+        Raises:
+            ReadInProgressError: the request before has no reply yet.
+        """
         if self._pending is not None:
-            raise RuntimeError("the last request has no reply yet")
-        request = ReadRequest(list(patterns), str(base), end_marked)
+            raise ReadInProgressError
+        request = ReadRequest(list(patterns), str(base), requires_end_mark)
         self._pending = PendingRead(encode_message(request), callback)
         self._failed_attempts = 0
-        self._send()
+        self._send(self._pending)
 
-    def start(self) -> "ReaderProcess":
-        """Start the process ahead of the first request: to fork holds up a node in service."""
+    def start(self) -> Self:
+        """Start the process before the first request, as a fork would hold up a node that serves clients."""
+        self._running_worker()
+        return self
+
+    def _running_worker(self) -> _Worker:
         if self._worker is None:
-            self._worker = _WorkerProtocol(self)
-            self.processes_started += 1
             self.error_output = b""
+            protocol = _WorkerProtocol(self)
             arguments = [sys.executable, "-m", WORKER_MODULE]
-            self.reactor.spawnProcess(self._worker, sys.executable, arguments, os.environ)
-        return self
+            transport = self.reactor.spawnProcess(protocol, sys.executable, arguments, os.environ)
+            self._worker = _Worker(protocol, transport)
+        return self._worker
 
-    def _send(self) -> None:
-        self.start()
-        self._worker.transport.write(self._pending.request)
+    def _send(self, pending: PendingRead) -> None:
+        self._running_worker().transport.write(pending.request)
 
     def reply_received(self, data: bytes) -> None:
-        """Take a complete reply."""
-        callback = self._pending.callback
+        """Decode a complete reply, and pass the snapshot to the callback of the pending request.
+
+        Raises:
+            UnexpectedReplyError: no request is pending.
+        """
+        pending = self._pending
+        if pending is None:
+            raise UnexpectedReplyError
         self._pending = None
         reply = msgspec.msgpack.decode(data, type=ReadReply)
-        made = cooperate(self._make_snapshot(reply, callback)).whenDone()
-        made.addErrback(lambda failure: callback(_failed_snapshot(failure.getErrorMessage())))
+        made = cooperate(self._make_snapshot(reply, pending.callback)).whenDone()
+        made.addErrback(lambda failure: pending.callback(_failed_snapshot(failure.getErrorMessage())))
 
     def _make_snapshot(self, reply: ReadReply, callback: SnapshotCallback) -> Iterator[None]:
-        """Make some endpoints in each turn of the event loop, so that none is long."""
+        """Make `ENDPOINTS_PER_TURN` endpoints in each turn of the event loop, so that no turn is long."""
         endpoints = []
         for count, fields in enumerate(reply.endpoints, 1):
             endpoint = self._endpoints.get(fields[0])
@@ -125,25 +170,25 @@
         yield
         callback(
             Snapshot(
-                tuple(endpoints),
-                tuple(reply.files),
-                tuple(reply.faults),
-                reply.digest,
-                reply.missing,
-                reply.content_digest,
+                endpoints=tuple(endpoints),
+                files=tuple(reply.files),
+                faults=tuple(reply.faults),
+                digest=reply.digest,
+                is_missing=reply.is_missing,
+                content_digest=reply.content_digest or None,
             )
         )
 
-    def process_ended(self, worker: _WorkerProtocol) -> None:
-        """Send the pending request to a new process, as the one that had it is gone."""
-        if self._worker is not worker:
+    def process_ended(self, protocol: _WorkerProtocol) -> None:
+        """Send the pending request to a new process; after `MAX_ATTEMPTS`, answer it with a fault."""
+        if self._worker is None or self._worker.protocol is not protocol:
             return
         self._worker = None
-        if self._pending is None or self._closed:
+        if self._pending is None or self._is_closed:
             return
         self._failed_attempts += 1
         if self._failed_attempts < MAX_ATTEMPTS:
-            self._send()
+            self._send(self._pending)
             return
         callback = self._pending.callback
         self._pending = None
@@ -152,11 +197,11 @@
         callback(_failed_snapshot(f"the reading process died {MAX_ATTEMPTS} times: {last_line}"))
 
     def close(self) -> None:
-        """End the process."""
-        self._closed = True
+        """Close the process's input, at which it ends."""
+        self._is_closed = True
         if self._worker is not None:
             self._worker.transport.closeStdin()
 
 
 def _failed_snapshot(reason: str) -> Snapshot:
-    return Snapshot((), (), (f"files could not be read: {reason}",), "", False)
+    return Snapshot((), (), (f"files could not be read: {reason}",), digest=None, is_missing=False)
--- a/myrtlehub/membership/reader_worker.py
+++ b/myrtlehub/membership/reader_worker.py
@@ -1,9 +1,9 @@
-"""Reads endpoint files in a process of its own: `python -m myrtlehub.membership.reader_worker`.
+"""The reader process, which reads endpoint files: `python -m myrtlehub.membership.reader_worker`.
 
-YAML of thousands of endpoints takes seconds of processor time. A thread would share the interpreter's lock
-with the node: each turn of its event loop then waits for the lock again and again (a turn of 61 ms at 200
-endpoints was seen). The process takes requests on its standard input and answers on its standard output, each
-as four bytes of length and a msgpack array, until its input ends.
+Parsing the YAML of thousands of endpoints takes seconds of processor time. A thread would contend with the
+event loop for the interpreter's lock: a turn of 61 ms was seen at 200 endpoints. The process takes requests
+on its standard input and sends replies on its standard output, each a msgpack array after its length in four
+bytes, until its input ends.
 """
 
 import sys
@@ -16,53 +16,53 @@
 from myrtlehub.membership.list_version import content_digest
 from myrtlehub.membership.snapshot import read_snapshot
 
-LENGTH_BYTES = 4  # of the length before each message
+LENGTH_BYTES = 4  # size of the length before each message, which is big-endian
 
 
 class ReadRequest(msgspec.Struct, array_like=True):
-    """Read these files; relative patterns are taken from `base`."""
+    """A request for a snapshot; the fields are the arguments of `read_snapshot`."""
 
     patterns: list[str]
     base: str
-    end_marked: bool
+    requires_end_mark: bool
 
 
 class ReadReply(msgspec.Struct, array_like=True):
-    """A `Snapshot`; its endpoints as fields, in the order of `EndpointConfig.FIELD_NAMES`."""
+    """A snapshot. An endpoint is sent as its fields, in the order of `EndpointConfig.FIELD_NAMES`."""
 
     endpoints: list[EndpointFields]
     files: list[str]
     faults: list[str]
     digest: str
-    missing: bool
-    content_digest: str
+    is_missing: bool
+    content_digest: str  # empty if there are faults
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """Return a message as it goes over the pipe."""
+    """Return a message with its length before it, as it is written to the pipe."""
     data = msgspec.msgpack.encode(message)
     return len(data).to_bytes(LENGTH_BYTES) + data
 
 
-def answer(request: ReadRequest) -> ReadReply:
-    """Read the files that are asked for."""
-    snapshot = read_snapshot(request.patterns, Path(request.base), request.end_marked)
+def handle_request(request: ReadRequest) -> ReadReply:
+    """Read the requested files and return the reply."""
+    snapshot = read_snapshot(request.patterns, Path(request.base), request.requires_end_mark)
     return ReadReply(
         [endpoint.field_values for endpoint in snapshot.endpoints],
         list(snapshot.files),
         list(snapshot.faults),
-        snapshot.digest,
-        snapshot.missing,
+        snapshot.digest or "",
+        snapshot.is_missing,
         content_digest(snapshot.endpoints) if not snapshot.faults else "",
     )
 
 
 def serve(requests: BinaryIO, replies: BinaryIO) -> None:
-    """Answer requests until the input ends."""
+    """Handle requests one after the other until the input ends."""
     decode = msgspec.msgpack.Decoder(ReadRequest).decode
-    while len(head := requests.read(LENGTH_BYTES)) == LENGTH_BYTES:
-        request = decode(requests.read(int.from_bytes(head)))
-        replies.write(encode_message(answer(request)))
+    while len(header := requests.read(LENGTH_BYTES)) == LENGTH_BYTES:
+        request = decode(requests.read(int.from_bytes(header)))
+        replies.write(encode_message(handle_request(request)))
         replies.flush()
 
 
--- a/myrtlehub/membership/snapshot.py
+++ b/myrtlehub/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of endpoint files: which files there are, what they list, and what is wrong with them by line."""
+"""Snapshots of endpoint files: the files there are, the endpoints they list, and their faults by line."""
 
 from collections.abc import Iterable
 from glob import glob
@@ -11,30 +11,40 @@
 from myrtlehub.config.loader import ConfigError, parse_config
 
 MAX_FILES = 1000
-SUFFIXES = (".yaml", ".yml")  # of the files that are read of a directory
+SUFFIXES = (".yaml", ".yml")  # of the files that are read in a directory
 GLOB_CHARACTERS = "*?["
 
 
 class Snapshot(NamedTuple):
-    """All files as read at one moment; with any faults its endpoints are not to be used."""
+    """All files as read at one moment.
+
+    Attributes:
+        endpoints: what the files list; not to be used if there are faults.
+        files: the real paths of the files.
+        faults: one line each for operators, with file and line number.
+        digest: the digest of the bytes of all files, valid or not. Two snapshots with the same digest mean
+            that no file was written between them. None if the files could not be read at all.
+        is_missing: whether no file exists.
+        content_digest: the digest of the endpoints if the reader has computed it.
+    """
 
     endpoints: tuple[EndpointConfig, ...]
     files: tuple[str, ...]
-    faults: tuple[str, ...]  # lines for people
-    digest: str  # of the bytes of all files, valid or not: the same again means that nobody is writing
-    missing: bool  # no file is there at all
-    content_digest: str = ""  # of the endpoints, where it is known already
+    faults: tuple[str, ...]
+    digest: str | None
+    is_missing: bool
+    content_digest: str | None = None
 
 
 class FileStamp(NamedTuple):
-    """What the system tells of a file without reading it."""
+    """What the file system knows of a file without reading it."""
 
     path: str
     inode: int = 0
-    size: int = 0
+    size: int = 0  # bytes
     modified_ns: int = 0
-    changed_ns: int = 0
-    error: int | None = None  # the errno, where it could not be asked
+    changed_ns: int = 0  # of the inode: changes even if a program sets the modification time back
+    error: int | None = None  # the errno if the file could not be examined; the figures are 0 then
 
 
 class PendingFile(NamedTuple):
@@ -52,7 +62,7 @@
 
 
 def expand_patterns(patterns: Iterable[str], base: Path) -> list[str]:
-    """Return the files for paths, globs and directories, in order, each once."""
+    """Return the files that match paths, globs and directories, in order and without repeats."""
     found: dict[str, None] = {}
     for pattern in patterns:
         found.update(dict.fromkeys(_expand_pattern(pattern, base)))
@@ -62,15 +72,18 @@
 def _expand_pattern(pattern: str, base: Path) -> list[str]:
     path = base / pattern
     if path.is_dir():
-        inside = path.iterdir()
-        return sorted(str(file) for file in inside if file.suffix in SUFFIXES and file.name[0] != ".")
+        files = path.iterdir()
+        return sorted(str(file) for file in files if file.suffix in SUFFIXES and file.name[0] != ".")
     if any(character in pattern for character in GLOB_CHARACTERS):
         return sorted(glob(str(path)))  # noqa: PTH207 - Path.glob would match hidden names too
     return [str(path)]
 
 
 def stamp_files(patterns: Iterable[str], base: Path) -> tuple[FileStamp, ...]:
-    """Return a stamp of each file, for a poll; any difference counts, whatever a clock was set to."""
+    """Return a stamp of each file.
+
+    A poll compares stamps for equality alone: a modification time may lie in the past.
+    """
     return tuple(_stamp_file(path) for path in expand_patterns(patterns, base))
 
 
@@ -82,12 +95,15 @@
     return FileStamp(path, status.st_ino, status.st_size, status.st_mtime_ns, status.st_ctime_ns)
 
 
-def read_snapshot(patterns: Iterable[str], base: Path, end_marked: bool = False) -> Snapshot:
-    """Read all files, and what they include.
+def read_snapshot(patterns: Iterable[str], base: Path, requires_end_mark: bool = False) -> Snapshot:
+    """Read all files and the files that they include.
 
-    With `end_marked` a file without "end: yes" is not finished, and that is a fault.
+    Args:
+        patterns: paths, globs and directories.
+        base: the directory that relative patterns start from.
+        requires_end_mark: whether a file without the line `end: yes` is incomplete, which is a fault.
     """
-    reader = _SnapshotReader(end_marked)
+    reader = _SnapshotReader(requires_end_mark)
     reader.read(expand_patterns(patterns, base))
     return reader.snapshot()
 
@@ -95,15 +111,15 @@
 class _SnapshotReader:
     """Reads files depth first, and collects their endpoints and faults."""
 
-    def __init__(self, end_marked: bool) -> None:
-        self._end_marked = end_marked
+    def __init__(self, requires_end_mark: bool) -> None:
+        self._requires_end_mark = requires_end_mark
         self._digest = xxhash.xxh3_128()
         self._endpoints: list[EndpointConfig] = []
         self._faults: list[str] = []
         self._listed: dict[str, ListedEndpoint] = {}  # by address
-        self._done: dict[str, None] = {}  # real paths, in order
-        self._present = 0
-        self._pending: list[PendingFile] = []
+        self._visited: dict[str, None] = {}  # real paths, in the order of reading
+        self._readable_count = 0
+        self._pending: list[PendingFile] = []  # a stack: the next file is the last one
 
     def read(self, paths: list[str]) -> None:
         self._push(paths, ())
@@ -116,10 +132,10 @@
                     "break the circle"
                 )
                 continue
-            if real_path in self._done:
+            if real_path in self._visited:
                 continue
-            self._done[real_path] = None
-            if len(self._done) > MAX_FILES:
+            self._visited[real_path] = None
+            if len(self._visited) > MAX_FILES:
                 self._faults.append(f"{file.path}:1: more than {MAX_FILES} files; is a glob too wide?")
                 break
             self._read_file(file, real_path)
@@ -127,10 +143,10 @@
     def snapshot(self) -> Snapshot:
         return Snapshot(
             tuple(self._endpoints),
-            tuple(self._done),
+            tuple(self._visited),
             tuple(self._faults),
             self._digest.hexdigest(),
-            self._present == 0,
+            self._readable_count == 0,
         )
 
     def _push(self, paths: list[str], included_by: tuple[str, ...]) -> None:
@@ -144,13 +160,13 @@
             self._digest.update(f"{path}\0{error.errno}\0".encode())
             self._faults.append(f"{path}:1: cannot be read: {error.strerror}")
             return
-        self._present += 1
+        self._readable_count += 1
         self._digest.update(path.encode() + b"\0" + data + b"\0")
         content = self._parse(path, data)
         if content is None:
             return
         for endpoint in content.engines:
-            self._add(path, endpoint)
+            self._add_endpoint(path, endpoint)
         self._push(expand_patterns(content.include, Path(path).parent), (*file.included_by, real_path))
 
     def _parse(self, path: str, data: bytes) -> EndpointFile | None:
@@ -162,13 +178,13 @@
         except ConfigError as fault:
             self._faults.extend(fault.lines)
             return None
-        if self._end_marked and not content.end:
+        if self._requires_end_mark and not content.end:
             last_line = data.count(b"\n") + 1
             self._faults.append(f"{path}:{last_line}: end: missing; write the file whole, end: yes last")
             return None
         return content
 
-    def _add(self, path: str, endpoint: EndpointConfig) -> None:
+    def _add_endpoint(self, path: str, endpoint: EndpointConfig) -> None:
         address = endpoint.address
         other = self._listed.get(address)
         if other is not None and other.endpoint != endpoint:
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -73,4 +73,4 @@
         state.list_source = version.source
         state.list_age = validator.age(now)
         state.list_digest = version.digest
-        state.list_old = version.from_store
+        state.list_old = version.is_from_store
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -6,13 +6,8 @@
 
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.membership.endpoint_source import StaticEndpointSource
-from myrtlehub.membership.endpoint_watcher import (
-    EndpointWatcher,
-    SnapshotReader,
-    WatchConfig,
-    WatchDirectories,
-)
-from myrtlehub.membership.flap_damping import NEVER_DAMPED
+from myrtlehub.membership.endpoint_watcher import EndpointWatcher, SnapshotReader
+from myrtlehub.membership.file_monitor import WatchConfig, WatchDirectories
 from myrtlehub.membership.interfaces import RunInBackground
 from myrtlehub.membership.validation import ANY_REMOVED, ListValidator, ValidationConfig
 from myrtlehub.membership.version_store import VersionStore
@@ -59,7 +54,7 @@
 def _make_validator(sheet: NodeConfig) -> ListValidator:
     confirm, damp = sheet.list.confirm, sheet.list.damp
     max_removed = ANY_REMOVED if confirm.most_removed == ANY_SHARE else confirm.most_removed
-    max_flaps = NEVER_DAMPED if damp.flaps == NO_DAMPING else damp.flaps
+    max_flaps = None if damp.flaps == NO_DAMPING else damp.flaps
     return ListValidator(
         ValidationConfig(max_removed, confirm.after, max_flaps, damp.within, damp.quiet_for),
         {kind.name: kind for kind in sheet.kinds},
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -3,15 +3,16 @@
 Where it listens is the caller's.
 """
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 
 from twisted.internet.defer import Deferred
 
-from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.node import NodeConfig
-from myrtlehub.membership.endpoint_watcher import SnapshotReader, WatchDirectories, poll_only
+from myrtlehub.membership.endpoint_source import EndpointListUpdate
+from myrtlehub.membership.endpoint_watcher import SnapshotReader
+from myrtlehub.membership.file_monitor import WatchDirectories, poll_only
 from myrtlehub.membership.interfaces import RunInBackground, no_log, run_now
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.admin.service import NodeAdmin
@@ -164,11 +165,10 @@
     def _all_runtimes(self) -> tuple[NodeRuntime, ...]:
         return (self.runtime, *self.replaced_runtimes)
 
-    def _update_endpoints(
-        self, endpoints: Sequence[EndpointConfig], is_complete: bool, version: int = 0, digest: str = ""
-    ) -> None:
+    def _update_endpoints(self, update: EndpointListUpdate) -> None:
+        number, digest = update.version if update.version is not None else (0, "")
         for runtime in self._all_runtimes():
-            runtime.update_endpoints(endpoints, is_complete, version, digest)
+            runtime.update_endpoints(update.endpoints, update.is_complete, number, digest)
 
     # -- change of settings -----------------------------------------------------------------------
 
--- a/myrtlehub/node/settings_change.py
+++ b/myrtlehub/node/settings_change.py
@@ -3,7 +3,7 @@
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
-from myrtlehub.membership.validation import find_list_faults
+from myrtlehub.membership.list_faults import find_list_faults
 
 FIXED_FIELDS = ("name", "listen", "admin", "zone")  # of `node`: they change with the process alone
 
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -261,4 +261,6 @@
     c = f.ask(prompt=2000, output=10)
     f.run(2.0)
     assert c.answer == "generated"
-    assert isinstance(node.endpoint_source, EndpointWatcher) and node.endpoint_source.validator.number == 4
+    assert (
+        isinstance(node.endpoint_source, EndpointWatcher) and node.endpoint_source.validator.last_number == 4
+    )
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -7,7 +7,9 @@
 from twisted.internet.task import Clock
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint_watcher import EndpointWatcher, WatchConfig
+from myrtlehub.membership.endpoint_source import EndpointListUpdate
+from myrtlehub.membership.endpoint_watcher import EndpointWatcher
+from myrtlehub.membership.file_monitor import WatchConfig
 from myrtlehub.membership.snapshot import read_snapshot
 from myrtlehub.membership.version_store import VersionStore
 
@@ -19,6 +21,7 @@
         self, folder: Path, patterns: tuple[str, ...] = ("a.yaml",), store: VersionStore | None = None
     ) -> None:
         self.clock = Clock()
+        self.store = store
         self.received: list[tuple[int, list[str]]] = []  # version numbers, and the addresses then
         self.logged: list[tuple[str, dict]] = []
         self.endpoints: dict[str, EndpointConfig] = {}
@@ -32,15 +35,15 @@
         )
         self.watcher.follow(self.receive)
 
-    def receive(self, endpoints: list[EndpointConfig], complete: bool, number: int, digest: str) -> None:
-        """Be the listener."""
-        if complete:
+    def receive(self, update: EndpointListUpdate) -> None:
+        """Apply an update; the watcher's listener."""
+        if update.is_complete:
             self.endpoints.clear()
-        for endpoint in endpoints:
+        for endpoint in update.endpoints:
             self.endpoints.pop(endpoint.address, None)
             if endpoint.state != "gone":
                 self.endpoints[endpoint.address] = endpoint
-        self.received.append((number, sorted(self.endpoints)))
+        self.received.append((update.version.number, sorted(self.endpoints)))
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
@@ -156,13 +159,13 @@
     rig = WatcherRig(tmp_path, store=VersionStore(tmp_path / "s.db"))
     (tmp_path / "a.yaml").write_text(list_text("r1 w1 w2"))
     rig.run(1.6)
-    rig.watcher.store.close()
+    rig.store.close()
     (tmp_path / "a.yaml").unlink()
     rig = WatcherRig(tmp_path, store=VersionStore(tmp_path / "s.db"))
     version = rig.validator.version
-    assert rig.names() == "r1 w1 w2" and version.from_store and "version 2" in version.source
+    assert rig.names() == "r1 w1 w2" and version.is_from_store and "version 2" in version.source
     (tmp_path / "a.yaml").write_text(list_text("r1 w5"))
     rig.run(1.6)
     version = rig.validator.version
-    assert rig.names() == "r1 w5" and not version.from_store and version.number == 4
-    rig.watcher.store.close()
+    assert rig.names() == "r1 w5" and not version.is_from_store and version.number == 4
+    rig.store.close()
--- a/tests/test_reader_process.py
+++ b/tests/test_reader_process.py
@@ -27,8 +27,8 @@
 
     def spawnProcess(  # noqa: N802
         self, protocol: ProcessProtocol, program: str, args: list[str], env: object
-    ) -> None:
-        """Start a process."""
+    ) -> "PipeReactor":
+        """Start a process; the reactor is also the transport of the process that was started last."""
         process = subprocess.Popen(
             args, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE
         )
@@ -36,6 +36,7 @@
         self.started.append((protocol, process))
         if self.pausing:
             process.send_signal(signal.SIGSTOP)
+        return self
 
     def write(self, data: bytes) -> None:
         """Be the transport: write to the process that was started last."""
@@ -121,7 +122,7 @@
     request()
     reactor.deliver()
     here = read_snapshot(["e.yaml"], tmp_path, True)
-    assert snapshots[0]._replace(content_digest="") == here
+    assert snapshots[0]._replace(content_digest=None) == here
     assert snapshots[0].content_digest == content_digest(here.endpoints)
     path.write_text(path.read_text().replace("cell: 3,", "cell: 9,").replace("cell: 3\n", "cell: 9\n"))
     request()
@@ -129,7 +130,7 @@
     reactor.deliver()
     assert len(reactor.started) == 2 and len(snapshots) == 1
     reactor.deliver()  # the new process got the request
-    assert snapshots[1]._replace(content_digest="") == read_snapshot(["e.yaml"], tmp_path, True)
+    assert snapshots[1]._replace(content_digest=None) == read_snapshot(["e.yaml"], tmp_path, True)
     first, second = snapshots[0].endpoints, snapshots[1].endpoints
     changed = [i for i in range(ENDPOINTS) if second[i] is not first[i]]
     assert changed == [3]  # what is the same is the same object
@@ -142,4 +143,4 @@
     for _ in range(reader_process.MAX_ATTEMPTS):  # it dies each time: the list stays, and the log says why
         reactor.kill_last()
         reactor.deliver()
-    assert "the reading process died 3 times" in snapshots[3].faults[0] and not snapshots[3].missing
+    assert "the reading process died 3 times" in snapshots[3].faults[0] and not snapshots[3].is_missing
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -7,7 +7,7 @@
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.membership.list_version import compare_versions, make_version
-from myrtlehub.membership.validation import ValidationOutcome
+from myrtlehub.membership.validation import Accepted, Deferred, Rejected, Unchanged
 
 NO_WRITER = "no engine that serves can write"
 
@@ -66,9 +66,9 @@
     listed: list[EndpointConfig], reason: str
 ) -> None:
     validator = make_validator()
-    assert validator.validate(0.0, make_endpoints("r1 w1 w2"), "t").outcome == ValidationOutcome.ACCEPTED
+    assert isinstance(validator.validate(0.0, make_endpoints("r1 w1 w2"), "t"), Accepted)
     verdict = validator.validate(1.0, listed, "t")
-    assert verdict.outcome == ValidationOutcome.REJECTED and reason in verdict.reason
+    assert isinstance(verdict, Rejected) and reason in verdict.reason
     assert validator.version.number == 1 and len(validator.version.endpoints) == 3
     assert reason in validator.rejections[-1].reason
     validator.validate(2.0, listed, "t")
@@ -80,14 +80,14 @@
     validator = make_validator(max_removed=0.5, confirm_after=2.0)
     validator.validate(0.0, many, "t")
     verdict = validator.validate(1.0, few, "t")
-    assert verdict.outcome == ValidationOutcome.DEFERRED and "67%" in verdict.reason
+    assert isinstance(verdict, Deferred) and "67%" in verdict.reason
     assert verdict.recheck_at == 3.0
-    assert validator.validate(2.0, few, "t").outcome == ValidationOutcome.DEFERRED
-    assert validator.validate(2.5, many, "t").outcome == ValidationOutcome.UNCHANGED
+    assert isinstance(validator.validate(2.0, few, "t"), Deferred)
+    assert isinstance(validator.validate(2.5, many, "t"), Unchanged)
     again = validator.validate(2.6, few, "t")
     assert again.recheck_at == pytest.approx(4.6)  # it was undone meanwhile: it waits anew
     accepted = validator.validate(4.6, few, "t")
-    assert accepted.outcome == ValidationOutcome.ACCEPTED
+    assert isinstance(accepted, Accepted)
     assert len(accepted.difference.removed) == 4 and accepted.version.number == 2
 
 
@@ -95,20 +95,20 @@
     validator = make_validator(max_removed=0.5)
     validator.validate(0.0, make_endpoints("r1 w1 w2 w3 w4 w5"), "t")
     verdict = validator.validate(1.0, make_endpoints("r1 w1"), "t", unresponsive=frozenset({"w4:1", "w5:1"}))
-    assert verdict.outcome == ValidationOutcome.ACCEPTED
+    assert isinstance(verdict, Accepted)
 
 
 def test_confirmation_of_removals_can_be_switched_off() -> None:
     validator = make_validator(max_removed=1.0)  # "any"
     validator.validate(0.0, make_endpoints("r1 w1 w2 w3 w4 w5"), "t")
-    assert validator.validate(0.1, make_endpoints("r1 w1"), "t").outcome == ValidationOutcome.ACCEPTED
+    assert isinstance(validator.validate(0.1, make_endpoints("r1 w1"), "t"), Accepted)
 
 
 def test_draining_counts_as_removal() -> None:
     validator = make_validator(max_removed=0.5)
     validator.validate(0.0, make_endpoints("r1 w1 w2 w3 w4 w5"), "t")
     drained = [*make_endpoints("r1 w1"), *make_endpoints("w2 w3 w4 w5", state="draining")]
-    assert validator.validate(1.0, drained, "t").outcome == ValidationOutcome.DEFERRED
+    assert isinstance(validator.validate(1.0, drained, "t"), Deferred)
 
 
 def test_flapping_endpoint_is_damped() -> None:
@@ -122,7 +122,7 @@
     assert states[:3] == ["serving", "-", "serving"] and set(states[5:]) <= {"draining", "-"}
     assert recheck_times[10] == 13.0  # ten seconds after the last change that was accepted
     quiet = validator.validate(40.0, make_endpoints("r1 w1 w2 w3"), "t")
-    assert quiet.outcome in (ValidationOutcome.ACCEPTED, ValidationOutcome.UNCHANGED)
+    assert isinstance(quiet, Accepted | Unchanged)
     assert validator.version.endpoints["w3:1"].state == "serving"
 
 
@@ -138,10 +138,10 @@
     last_valid: list[EndpointConfig] = []
     for i, names in enumerate(snapshots):
         if names == "lost":
-            verdict = validator.source_lost(float(i), "t", "gone")
+            verdict = validator.reject_lost_source(float(i), "t", "gone")
         else:
             verdict = validator.validate(float(i), make_endpoints(names), "t")
-        if verdict.outcome == ValidationOutcome.ACCEPTED:
+        if isinstance(verdict, Accepted):
             complete = verdict.version.endpoints.values()
             for endpoint in verdict.difference.updates() if verdict.difference else complete:
                 followed.pop(endpoint.address, None)
--- a/tests/test_version_store.py
+++ b/tests/test_version_store.py
@@ -9,7 +9,8 @@
 from endpointlists import list_text, make_endpoints, make_validator
 from twisted.internet.task import Clock
 
-from myrtlehub.membership.endpoint_watcher import EndpointWatcher, WatchConfig
+from myrtlehub.membership.endpoint_watcher import EndpointWatcher
+from myrtlehub.membership.file_monitor import WatchConfig
 from myrtlehub.membership.list_version import make_version
 from myrtlehub.membership.version_store import VersionStore, VersionStoreError
 
@@ -72,7 +73,7 @@
         store=store,
         log=lambda event, **fields: logged.append(event),
     )
-    watcher.follow(lambda endpoints, *more: received.append(len(endpoints)))
+    watcher.follow(lambda update: received.append(len(update.endpoints)))
     clock.pump([0.5] * 10)
     assert received and {"store not used", "list not stored"} & set(logged)
     assert path.read_bytes() == before
