--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -172,8 +172,7 @@
 
     def _admit(self, node: int) -> None:
         """Send what the node's controller admits now."""
-        now = self.fleet.clock.seconds()
-        while (item := self.controllers[node].admit_next(now)) is not None:
+        while (item := self.controllers[node].admit_next()) is not None:
             self._send(node, *item)
 
     def _shed(self, node: int) -> None:
@@ -183,7 +182,7 @@
             pass
         due = self.controllers[node].next_shed_at()
         timer = self.shed_timers[node]
-        if due < float("inf") and (timer is None or not timer.active()):
+        if due is not None and (timer is None or not timer.active()):
             self.shed_timers[node] = self.fleet.clock.callLater(max(0.001, due - now), self._shed, node)
 
     def _send(self, node: int, request: DecodedRequest, arrived_at: float) -> None:
--- a/myrtlehub/limits/__init__.py
+++ b/myrtlehub/limits/__init__.py
@@ -1,6 +1,6 @@
-"""Limits on clients and on work: pure decisions, driven by times and counters that the caller passes in.
+"""Limits on clients and on load: admission control, retry budgets, fair share, memory budgets, minimum rate.
 
-Here are admission control, the resource ledger, the minimum rate of clients, retry budgets, the fair share
-of engines that several fronts use, and the meter of event loop lag. Nothing here reads a clock, opens a
-socket or logs; `myrtlehub.node.peers` and the fronts call it and carry out what it decides.
+All modules make pure decisions by the times and counters that the caller passes in; none reads a clock, opens
+a socket or logs. The callers are `myrtlehub.node.client_limits`, the fronts of the node, and the request
+decoders, which use the meter of event loop lag.
 """
--- a/myrtlehub/limits/event_loop_lag.py
+++ b/myrtlehub/limits/event_loop_lag.py
@@ -1,10 +1,10 @@
-"""Event loop lag: how late a process hears and answers, and how much sooner it therefore has to give up.
+"""Event loop lag: how late this process reads and sends, and how much less time it therefore has.
 
-On a machine without a free core one turn of the event loop can take tenths of a second. A request that
-arrived at the start of such a turn has been waiting before the node first looks at it, and an answer that is
-due leaves late by as much, while the client's clock runs on. A timer that is due every `TICK_PERIOD` fires
-late by what the turn before it took. From these ticks alone the meter bounds the age of what is read now and
-the delay of what is sent next.
+On a machine without a free core, one turn of the event loop can take tenths of a second. A request that
+arrived at the start of such a turn has waited before the node reads it, and a response that is ready leaves
+late by as much, while the client's deadline comes closer. A timer that is set for every `TICK_PERIOD` fires
+late by the length of the turn before it. From these ticks alone the meter bounds the age of what is read now
+and the delay of what is sent next.
 """
 
 from collections import deque
@@ -12,36 +12,33 @@
 
 TICK_PERIOD = 0.02  # seconds between ticks
 LAG_WINDOW = 2.0  # seconds for which a late tick is expected to occur again
-NEGLIGIBLE_LAG = 0.005  # seconds that every node has: the slack of each answer allows for them
-MAX_MARGIN_SHARE = 0.5  # of the time left that the margin may take: the rest is for doing the work
+NEGLIGIBLE_LAG = 0.005  # seconds of lag that every node has, and that the slack of each deadline allows for
+MAX_MARGIN_SHARE = 0.5  # share of the time left that the margin may take, so that the rest is left for work
 
 
 class LagSample(NamedTuple):
     """How late one tick was."""
 
     at: float
-    lag: float
-
-
-NO_SAMPLE = LagSample(0.0, 0.0)
+    lag: float  # seconds
 
 
 class LagMeter:
-    """Turns the times of ticks into bounds; all times in seconds of the process's clock."""
+    """Bounds the lag by the times of ticks; all times are seconds on the process's clock."""
 
     def __init__(self) -> None:
-        self.worst = 0.0  # since the process began
-        self._due: float | None = None
-        self._samples: deque[LagSample] = deque()  # decreasing lag: a running maximum
+        self.worst = 0.0  # seconds: the largest lag since the process began
+        self._next_tick_at: float | None = None  # None before the first tick
+        self._samples: deque[LagSample] = deque()  # of decreasing lag: a sliding-window maximum
 
     def tick(self, now: float) -> float:
-        """Record that the tick ran now; return when the next one is due."""
+        """Record that the tick ran now; return when to run the next one."""
         self._record(now, self._overdue(now))
-        self._due = now + TICK_PERIOD
-        return self._due
+        self._next_tick_at = now + TICK_PERIOD
+        return self._next_tick_at
 
     def _overdue(self, now: float) -> float:
-        return max(0.0, now - self._due) if self._due is not None else 0.0
+        return max(0.0, now - self._next_tick_at) if self._next_tick_at is not None else 0.0
 
     def _record(self, now: float, lag: float) -> None:
         self.worst = max(self.worst, lag)
@@ -55,27 +52,31 @@
             self._samples.popleft()
 
     def age(self, now: float) -> float:
-        """Return a bound on how long ago what is read in this turn arrived.
+        """Return a bound on how long ago the data that is read in this turn arrived, in seconds.
 
-        It is as late as the tick that is overdue, or as the last one. Where that was late and no other has
-        come since, the same turn goes on: what it reads last has waited for what it read before, too.
+        It is the lag of the tick that is overdue, or of the last one. If the last tick was late and no other
+        has run for a period, the turn that it began still runs. Then the data has also waited for the time
+        that this turn has taken to read from other sockets.
         """
-        last = self._samples[-1] if self._samples else NO_SAMPLE
+        overdue = self._overdue(now)
+        if not self._samples:
+            return overdue
+        last = self._samples[-1]
         since_tick = now - last.at
         if since_tick < TICK_PERIOD:
-            return max(self._overdue(now), last.lag)
-        return max(self._overdue(now), last.lag + since_tick if last.lag > NEGLIGIBLE_LAG else 0.0)
+            return max(overdue, last.lag)
+        return max(overdue, last.lag + since_tick if last.lag > NEGLIGIBLE_LAG else 0.0)
 
     def delay(self, now: float) -> float:
-        """Return how late a timer that is set now may fire: the worst of the recent ticks."""
+        """Return how late a timer that is set now may fire, in seconds: the largest of the recent lags."""
         self._forget_old(now)
         return max(self.age(now), self._samples[0].lag if self._samples else 0.0)
 
     def time_left(self, now: float, stated: float) -> float:
-        """Return the seconds that a node really has for what a client gave `stated` seconds.
+        """Return the seconds that the node has for a request to which its client gave `stated` seconds.
 
-        Less by the age of the request, and by twice the delay, as a timer fires late and what it sends leaves
-        a turn later.
+        The request's age is subtracted, and twice the delay: a timer fires late, and what it sends leaves one
+        turn later. At most `MAX_MARGIN_SHARE` of the stated time is subtracted.
         """
         age = self.age(now)
         delay = self.delay(now)
--- a/myrtlehub/limits/fair_share.py
+++ b/myrtlehub/limits/fair_share.py
@@ -1,63 +1,63 @@
-"""Fair share: how fronts divide the engines that serve several of them.
+"""Fair share: how fronts divide the engines that serve several of them, which are called common engines.
 
-Engines have short queues. A batch of thousands of items is not sent to them at once: a front has a few pieces
-in flight for each of its engines, all nodes together, and the rest is queued here, where it can still be
+Engines have short queues, so a batch of thousands of items is not sent to them at once. The nodes together
+have a few pieces in flight for each engine of a front. The other pieces are queued here, where they can be
 cancelled at no cost.
 
-First tokens of chat wait behind whatever a common engine does. So what a batch front may have in flight at
-common engines is bounded by utility: the share of each front is the utility that is demanded of it against
-that of all fronts with demand. A front without demand leaves its share to the others, and a front that is
-alone has all of it. A front that has engines of its own beside the common ones is excluded from these while
-it has more in flight there than its share; one that has none waits here.
+The first token of a chat waits for all work that a common engine has. So the work that a batch front may have
+in flight at common engines is bounded. The share of a front is its demand weighted by utility, relative to
+that of all fronts with demand. A front without demand leaves its share to the others, and the only front with
+demand has all of it. A front that has engines of its own in addition is excluded from the common ones while
+it has more than its share in flight there; the pieces of a front that has none are queued here.
 """
 
 from collections import deque
 from collections.abc import Hashable
 from typing import Generic, NamedTuple, TypeVar
 
-Piece = TypeVar("Piece")  # what the caller sends to an engine
+Piece = TypeVar("Piece")  # a part of a batch, which the caller sends to an engine
 
 DEMAND_HALF_LIFE = 5.0  # seconds
-PIECES_PER_ENGINE = 4  # in flight for each engine of a front, over all nodes: one runs, the others wait there
+PIECES_PER_ENGINE = 4  # in flight for each engine of a front, over all nodes: one runs, the others are queued
 IDLE_AFTER = 10.0  # seconds without a request after which a front has no demand
-EVEN_SHARE = 0.5  # from which a front with engines of its own may use common ones too
-MIN_SHARE = 0.02  # that a front with any utility keeps, so that it is never shut out for good
-READMIT_SHARE = 0.5  # of its bound, below which an excluded front is readmitted
-ROUNDING = 1e-9
+EVEN_SHARE = 0.5  # least share with which a front with engines of its own may use common ones too
+MIN_SHARE = 0.02  # least share of any front, so that none starves
+READMIT_SHARE = 0.5  # share of its bound below which an excluded front is readmitted
+SHARE_TOLERANCE = 1e-9  # by which a share may be below EVEN_SHARE because of rounding
 
 
 class Demand(NamedTuple):
-    """Tokens that were demanded of a front, decayed up to a time."""
+    """The demand for a front's work as of a time: a decaying counter of tokens."""
 
     tokens: float
     at: float
 
 
 class QueuedPiece(NamedTuple, Generic[Piece]):
-    """A piece that may not be sent yet."""
+    """A piece that waits to be sent."""
 
     piece: Piece
     tokens: float
 
 
 class FairShare(Generic[Piece]):
-    """What each front has in flight at common engines, in tokens, against its share of their capacity."""
+    """The work that each front of a node has in flight, and its share of the common engines."""
 
     def __init__(self, utility: dict[Hashable, float]) -> None:
-        """`utility` of a token, by front."""
+        """Make the state of fronts without work; `utility` is that of a token, by front."""
         self.utility = utility
-        self.common_capacity = 0.0  # tokens that common engines take at once, this node's part of them
+        self.common_capacity = 0.0  # tokens that the common engines can run at once, divided by the nodes
         self.tokens_in_flight = dict.fromkeys(utility, 0.0)
-        self.common_tokens = dict.fromkeys(utility, 0.0)  # of these, at common engines
+        self.common_tokens = dict.fromkeys(utility, 0.0)  # those in flight at common engines
         self.has_own_engines = dict.fromkeys(utility, False)
-        self.excluded = dict.fromkeys(utility, False)  # from the common engines
+        self.is_excluded = dict.fromkeys(utility, False)  # from the common engines
         self.pieces_in_flight = dict.fromkeys(utility, 0)
-        self.max_pieces = dict.fromkeys(utility, 0)  # that may be in flight; 0: any number
+        self.max_pieces: dict[Hashable, int | None] = dict.fromkeys(utility)  # in flight; None: no bound
         self._demand: dict[Hashable, Demand] = {}
         self._queues: dict[Hashable, deque[QueuedPiece[Piece]]] = {front: deque() for front in utility}
 
     def add_demand(self, now: float, front: Hashable, tokens: float) -> None:
-        """Record that a front is asked for so much work, wherever it will run."""
+        """Add a request of so many tokens to a front's demand, whichever engines will run it."""
         self._demand[front] = Demand(self._recent_demand(now, front) + tokens, now)
 
     def _recent_demand(self, now: float, front: Hashable) -> float:
@@ -66,30 +66,38 @@
             return 0.0
         age = now - demand.at
         if age > IDLE_AFTER:
-            return 0.0  # guards against a share that nobody uses: what decays alike stays in proportion
-        return demand.tokens * 0.5 ** (age / DEMAND_HALF_LIFE)
+            # Demands decay at the same rate, so that of an idle front would keep its proportion to the others
+            # and reserve a share that is not used.
+            return 0.0
+        remaining: float = 0.5 ** (age / DEMAND_HALF_LIFE)
+        return demand.tokens * remaining
 
     def share(self, now: float, front: Hashable) -> float:
-        """Return a front's share of the common engines, by demanded utility; 1 where nobody else asks."""
+        """Return a front's share of the common engines; 1 if no other front has demand."""
         demanded = {name: self.utility[name] * self._recent_demand(now, name) for name in self.utility}
         others = sum(utility for name, utility in demanded.items() if name != front)
         if others <= 0.0:
             return 1.0
         if not demanded[front]:
             return MIN_SHARE
-        # The demand of others bounds what ours counts for, however much it is: a flood gains nothing.
+        # The demand that counts is bounded by that of the others, weighted by utility: a flood of requests to
+        # one front does not enlarge its share (tests/test_front_shares.py).
         own = min(demanded[front], others * self.utility[front] / max(self.utility.values()))
         return max(MIN_SHARE, own / (own + others))
 
     def set_engine_count(self, front: Hashable, engines: int, nodes: int) -> None:
-        """Set how many engines a front has, and how many nodes like this one send to them."""
+        """Bound the pieces in flight by the engines of a front, and by the nodes that send to them."""
         self.max_pieces[front] = max(1, -(-PIECES_PER_ENGINE * engines // max(1, nodes)))
 
     def may_send(self, now: float, front: Hashable, tokens: float) -> bool:
-        """Return whether so much more may be sent; one piece always may, so that nothing waits for ever."""
+        """Return whether a piece of so many tokens may be sent.
+
+        One piece of a front always may, so that a piece larger than the front's share does not wait for ever.
+        """
         if not self.pieces_in_flight[front]:
             return True
-        if 0 < self.max_pieces[front] <= self.pieces_in_flight[front]:
+        max_pieces = self.max_pieces[front]
+        if max_pieces is not None and self.pieces_in_flight[front] >= max_pieces:
             return False
         if self.common_capacity <= 0.0 or self.has_own_engines[front]:
             return True
@@ -101,37 +109,48 @@
         self.pieces_in_flight[front] += 1
 
     def record_done(self, front: Hashable, tokens: float) -> None:
-        """Record that a piece is back, however it ended."""
+        """Record that a piece ended, whatever its outcome."""
         self.tokens_in_flight[front] = max(0.0, self.tokens_in_flight[front] - tokens)
         self.pieces_in_flight[front] = max(0, self.pieces_in_flight[front] - 1)
 
     def update_common_tokens(self, now: float, front: Hashable, tokens: float) -> bool:
-        """Record tokens sent to a common engine, or back (negative); return whether `excluded` has changed.
+        """Record a change of a front's tokens at common engines; return whether `is_excluded` has changed.
+
+        A front is excluded when it reaches its share, and readmitted at half of it, so that the state does
+        not change with each piece. It is also excluded while the others' demand, weighted by utility, is
+        larger than its own: it has engines of its own, and the others may have none.
 
-        A front is excluded at its share and readmitted at half of it, lest each piece changes it; and for as
-        long as the others demand more utility than it does: it has engines of its own, they may have none.
+        Args:
+            now: seconds.
+            front: the front; it is never excluded if it has no engines of its own.
+            tokens: tokens that were sent to a common engine; negative if they ended there.
         """
         self.common_tokens[front] = max(0.0, self.common_tokens[front] + tokens)
+        used = self.common_tokens[front]
+        bound = self._common_bound(now, front)
+        was_excluded = self.is_excluded[front]
+        may_be_readmitted = bound > 0.0 and used <= READMIT_SHARE * bound
+        if not self.has_own_engines[front] or may_be_readmitted:
+            self.is_excluded[front] = False
+        elif used >= bound:
+            self.is_excluded[front] = True
+        return self.is_excluded[front] != was_excluded
+
+    def _common_bound(self, now: float, front: Hashable) -> float:
+        """Return the tokens that a front with engines of its own may have at common engines."""
         share = self.share(now, front)
-        before = self.excluded[front]
-        bound = share * self.common_capacity if share >= EVEN_SHARE - ROUNDING else 0.0
-        readmitted = bound and self.common_tokens[front] <= READMIT_SHARE * bound
-        if not self.has_own_engines[front] or readmitted:
-            self.excluded[front] = False
-        elif self.common_tokens[front] >= bound or not bound:
-            self.excluded[front] = True
-        return self.excluded[front] != before
+        return share * self.common_capacity if share >= EVEN_SHARE - SHARE_TOLERANCE else 0.0
 
     def enqueue(self, front: Hashable, piece: Piece, tokens: float) -> None:
         """Queue a piece that may not be sent yet."""
         self._queues[front].append(QueuedPiece(piece, tokens))
 
     def cancel(self, front: Hashable, piece: Piece) -> None:
-        """Remove a piece that nobody wants any more."""
+        """Remove a queued piece whose results are not needed any more."""
         self._queues[front] = deque(queued for queued in self._queues[front] if queued.piece is not piece)
 
     def next_piece(self, now: float, front: Hashable) -> Piece | None:
-        """Return a queued piece that may be sent now, and count it as sent."""
+        """Return the next queued piece and count it as sent; None if none may be sent now."""
         queue = self._queues[front]
         if not queue or not self.may_send(now, front, queue[0].tokens):
             return None
--- a/myrtlehub/limits/resource_ledger.py
+++ b/myrtlehub/limits/resource_ledger.py
@@ -1,27 +1,36 @@
-"""Resource ledger: bytes that a node has in memory, by stream, peer, tenant and node.
+"""Resource ledger: the bytes that a node has in memory, by stream, peer, tenant and node.
 
-What was received equals what was delivered, was dropped and is in use, exactly. A stream's account is settled
-from counters that are kept apart, what was put into the stream and what was taken out of it, so that a wrong
-balance shows (`find_imbalances`). The sums by peer, tenant and node follow from these.
+In each account the bytes received equal the bytes delivered, dropped and in use. A stream counts what it
+takes in and what it gives out separately, so an error in either shows as an imbalance (`find_imbalances`).
+The accounts of peers, tenants and the node are sums of those of their streams.
 """
 
 from collections.abc import Hashable, Iterable
 from enum import StrEnum
 from typing import NamedTuple
 
-MIN_UTILITY = 1e-9  # guards a division
+MIN_UTILITY = 1e-9  # keeps the division by a utility of 0 defined
 
 
 class BudgetScope(StrEnum):
-    """For whom a memory budget is."""
+    """What a memory budget applies to; the values are those of the admin protocol."""
 
     NODE = "node"
     PEER = "peer"
     TENANT = "tenant"
 
 
+class Counters(NamedTuple):
+    """Counters of a stream, in bytes; all but `in_use` only grow."""
+
+    received: int
+    delivered: int
+    dropped: int
+    in_use: int
+
+
 class Account:
-    """The counters of one stream, or their sum over a peer, a tenant or the node."""
+    """The counters of one stream, or their sums over a peer, a tenant or the node."""
 
     __slots__ = ("delivered", "dropped", "in_use", "received", "streams")
 
@@ -30,34 +39,34 @@
         self.delivered = 0
         self.dropped = 0
         self.in_use = 0
-        self.streams = 0  # that are open under it
+        self.streams = 0  # open streams of the peer, tenant or node
 
-    def add(self, received: int, delivered: int, dropped: int, in_use: int) -> None:
-        """Add what changed since the last time."""
-        self.received += received
-        self.delivered += delivered
-        self.dropped += dropped
-        self.in_use += in_use
+    def add(self, change: Counters) -> None:
+        """Add the changes of a stream's counters."""
+        self.received += change.received
+        self.delivered += change.delivered
+        self.dropped += change.dropped
+        self.in_use += change.in_use
 
     @property
-    def balanced(self) -> bool:
-        """Whether nothing was lost or counted twice."""
+    def is_balanced(self) -> bool:
+        """Whether no byte was lost or counted twice."""
         return self.received == self.delivered + self.dropped + self.in_use
 
     def __str__(self) -> str:
-        # The words of LimitsState in the admin protocol.
+        # The field names of LimitsState in the admin protocol.
         return f"{self.received} came, {self.delivered} left, {self.dropped} dropped, {self.in_use} held"
 
 
 class MemoryBudgets(NamedTuple):
-    """Bounds from the settings."""
+    """The bounds of the settings."""
 
     node: int  # bytes
-    peer_share: float  # of the node's, that one peer may use
-    tenant_share: float
+    peer_share: float  # share of the node's budget that one peer may use
+    tenant_share: float  # share of the node's budget that one tenant may use
 
     def limit(self, scope: BudgetScope) -> int:
-        """Return the bytes for the node, for one peer or for one tenant."""
+        """Return the budget of the node, of one peer or of one tenant, in bytes."""
         match scope:
             case BudgetScope.NODE:
                 share = 1.0
@@ -72,17 +81,17 @@
     """A budget that is exceeded."""
 
     scope: BudgetScope
-    name: Hashable  # of the peer or tenant; None for the node
+    name: Hashable  # the peer or tenant; None for the node
     excess: int  # bytes
 
 
 class StreamUsage(NamedTuple):
-    """One stream, as it is compared with others when memory has to be freed."""
+    """What decides whether a stream is cut off when memory has to be freed."""
 
     key: Hashable
     in_use: int  # bytes
     utility: float
-    stalled_seconds: float  # for which its peer has taken nothing that waited for it
+    stalled_seconds: float  # time since the peer last read anything; 0 if nothing waits for it
 
 
 class StreamEntry(NamedTuple):
@@ -104,43 +113,46 @@
         self._streams: dict[Hashable, StreamEntry] = {}
 
     def open(self, key: Hashable, peer: Hashable, tenant: Hashable) -> None:
-        """Open the account of a stream that uses nothing yet."""
+        """Open the account of a stream that uses no memory yet."""
         self._streams[key] = StreamEntry(Account(), peer, tenant)
         self.peers.setdefault(peer, Account()).streams += 1
         self.tenants.setdefault(tenant, Account()).streams += 1
 
-    def settle(self, key: Hashable, received: int, delivered: int, dropped: int, in_use: int) -> None:
-        """Take over a stream's counters as they stand now; all but `in_use` only grow."""
+    def update(self, key: Hashable, current: Counters) -> None:
+        """Set a stream's account to its current counters, and add the changes to the sums."""
         account, peer, tenant = self._streams[key]
-        change = (
-            received - account.received,
-            delivered - account.delivered,
-            dropped - account.dropped,
-            in_use - account.in_use,
+        change = Counters(
+            current.received - account.received,
+            current.delivered - account.delivered,
+            current.dropped - account.dropped,
+            current.in_use - account.in_use,
         )
         for changed in (account, self.node, self.peers[peer], self.tenants[tenant]):
-            changed.add(*change)
+            changed.add(change)
 
     def close(self, key: Hashable) -> None:
-        """Close the account of a stream: what it still used is dropped."""
+        """Close the account of a stream; the bytes that it still uses count as dropped."""
         account, peer, tenant = self._streams[key]
-        self.settle(key, account.received, account.delivered, account.dropped + account.in_use, 0)
+        dropped = account.dropped + account.in_use
+        self.update(key, Counters(account.received, account.delivered, dropped, in_use=0))
         del self._streams[key]
         for accounts, name in ((self.peers, peer), (self.tenants, tenant)):
             accounts[name].streams -= 1
             if not accounts[name].streams:
-                del accounts[name]  # guards against names without end; the node's sum keeps what passed
+                # Clients choose the names: without this, each new name would take memory for ever. The node's
+                # account retains the totals.
+                del accounts[name]
 
     def usage(self, key: Hashable) -> int:
         """Return the bytes that a stream uses."""
         return self._streams[key].account.in_use
 
     def find_imbalances(self) -> list[str]:
-        """Return accounts that are not balanced, and sums that are not those of their streams."""
+        """Return a description of each account that is not balanced or not the sum of its streams."""
         found = [
-            f"{key}: {entry.account}" for key, entry in self._streams.items() if not entry.account.balanced
+            f"{key}: {entry.account}" for key, entry in self._streams.items() if not entry.account.is_balanced
         ]
-        if not self.node.balanced:
+        if not self.node.is_balanced:
             found.append(f"node: {self.node}")
         found += self._find_wrong_sums(BudgetScope.PEER, self.peers)
         found += self._find_wrong_sums(BudgetScope.TENANT, self.tenants)
@@ -157,11 +169,11 @@
         return found
 
     def limit(self, scope: BudgetScope) -> int:
-        """Return the bytes for the node, for one peer or for one tenant."""
+        """Return the budget of the node, of one peer or of one tenant, in bytes."""
         return self.budgets.limit(scope)
 
     def exceeded_by(self, peer: Hashable, tenant: Hashable, size: int) -> BudgetScope | None:
-        """Return which budget a request of `size` bytes would exceed; None if it may come in."""
+        """Return which budget a request of `size` bytes would exceed; None if it can be admitted."""
         for scope, account in (
             (BudgetScope.NODE, self.node),
             (BudgetScope.PEER, self.peers.get(peer)),
@@ -172,7 +184,7 @@
         return None if size <= self.limit(BudgetScope.PEER) else BudgetScope.PEER
 
     def overruns(self) -> Iterable[BudgetOverrun]:
-        """Yield the budgets that are exceeded; peers and tenants before the node."""
+        """Yield the budgets that are exceeded: those of peers, of tenants, then of the node."""
         for scope, accounts in ((BudgetScope.PEER, self.peers), (BudgetScope.TENANT, self.tenants)):
             limit = self.limit(scope)
             for name, account in accounts.items():
@@ -183,7 +195,7 @@
             yield BudgetOverrun(BudgetScope.NODE, None, self.node.in_use - node_limit)
 
     def streams_of(self, scope: BudgetScope, name: Hashable) -> list[Hashable]:
-        """Return the streams under a budget."""
+        """Return the streams that a budget applies to."""
         match scope:
             case BudgetScope.NODE:
                 return list(self._streams)
@@ -194,10 +206,10 @@
 
 
 def select_streams_to_shed(streams: Iterable[StreamUsage], size: int) -> list[Hashable]:
-    """Return the streams to cut off so that at least `size` bytes become free, in this order.
+    """Return the streams to cut off so that at least `size` bytes become free.
 
-    Streams whose peer has stalled come before others; among these, most bytes for the least utility. Streams
-    that use nothing are never cut off.
+    Streams whose peer has stalled come first; among equals, those with the most bytes for each unit of
+    utility. Streams that use no memory are never cut off.
     """
     selected = []
     freed = 0
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -93,7 +93,7 @@
             return
         if self.shares.update_common_tokens(self.clock.seconds(), front, tokens):
             pool = self.pooled_fronts.index(front)
-            self.clock.callLater(0, self.executor.set_pool_closed, pool, self.shares.excluded[front])
+            self.clock.callLater(0, self.executor.set_pool_closed, pool, self.shares.is_excluded[front])
 
 
 def _utility_by_front(sheet: NodeConfig) -> dict[str, float]:
--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from myrtlehub.config.traffic import TrafficTypeConfig
-from myrtlehub.limits.admission import NEVER, AdmissionController
+from myrtlehub.limits.admission import AdmissionController
 from myrtlehub.node.protocols import Clock, Timer
 from myrtlehub.node.request_decoder import DecodedRequest
 from myrtlehub.routing.contract import Arrival
@@ -66,7 +66,7 @@
     def process(self) -> None:
         """Admit what may be admitted, and reject what is shed."""
         now = self._clock.seconds()
-        while (queued := self.controller.admit_next(now)) is not None:
+        while (queued := self.controller.admit_next()) is not None:
             queued.is_admitted = True
             time_left = queued.arrival.time_left - (now - queued.arrived_at)
             self._on_admitted(queued, queued.arrival._replace(time_left=time_left))
@@ -75,7 +75,7 @@
             self._on_shed(queued.row)
             queued.chat_call.rejected(self.controller.retry_after(self._max_retry_after))
         shed_at = self.controller.next_shed_at()
-        if shed_at < NEVER and (self._timer is None or not self._timer.active()):
+        if shed_at is not None and (self._timer is None or not self._timer.active()):
             self._timer = self._clock.callLater(max(MIN_TIMER_DELAY, shed_at - now), self.process)
 
     def started(self, queued: QueuedRequest) -> None:
--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -14,6 +14,7 @@
 from myrtlehub.limits.minimum_rate import CHECK_INTERVAL, MinimumRateMonitor
 from myrtlehub.limits.resource_ledger import (
     BudgetScope,
+    Counters,
     MemoryBudgets,
     ResourceLedger,
     StreamUsage,
@@ -150,13 +151,13 @@
             return  # most streams, at most checks
         limited.settled = counters
         size = limited.request_size
-        self.ledger.settle(
-            key,
+        current = Counters(
             received=stream.bytes_queued + size,
             delivered=stream.bytes_sent + (size if is_over else 0),
             dropped=stream.bytes_dropped,
             in_use=stream.buffered + (0 if is_over else size),
         )
+        self.ledger.update(key, current)
 
     # -- checks -----------------------------------------------------------------------------------
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -31,7 +31,7 @@
     ended: dict[int, int] = {}
 
     def collect() -> None:
-        while (item := controller.admit_next(now)) is not None:
+        while (item := controller.admit_next()) is not None:
             waiting.remove(item)
             admitted.append(item)
             ended[item] = ended.get(item, 0) + 1
@@ -73,15 +73,15 @@
     controller.limiter.limit = 4.0
     for i in range(4):
         controller.enqueue(0.0, "low", 1.0, f"in{i}")
-        assert controller.admit_next(0.0) == f"in{i}"
+        assert controller.admit_next() == f"in{i}"
     controller.enqueue(0.0, "low", 1.0, "a")
     controller.enqueue(0.1, "high", 1.0, "b")
     controller.enqueue(0.1, "low", 1.0, "c")
-    assert list(controller.take_shed(0.1)) == [] and controller.admit_next(0.1) is None
+    assert list(controller.take_shed(0.1)) == [] and controller.admit_next() is None
     controller.enqueue(0.2, "high", 1.0, "d")  # over half of the limit is queued: the lowest utility is shed
     assert list(controller.take_shed(0.2)) == ["c"]
     controller.started(0.2, 0.2, 1.0)
-    assert controller.admit_next(0.2) == "b"
+    assert controller.admit_next() == "b"
     assert list(controller.take_shed(0.401)) == ["a"]  # queued for 0.4 of its latency objective
     assert controller.next_shed_at() == 0.2 + admission.MAX_WAIT_SHARE
 
--- a/tests/test_batch_fronts.py
+++ b/tests/test_batch_fronts.py
@@ -267,13 +267,13 @@
             most = max(most, batches.shares.common_tokens["embed"])
     assert most <= 0.5 * batches.shares.common_capacity + 4000.0
     seen = {r.who for r in fleet.what("got") if r.more["traffic"] == "vec"}
-    assert "E0d:1" in seen and any(batches.shares.excluded.values())
+    assert "E0d:1" in seen and any(batches.shares.is_excluded.values())
     fleet.run(6.0)
     assert all(c.answer == "generated" for c in chats)
     fleet.run(90.0)  # nobody asks any more
     late = embed(fleet, texts(5, 999))
     fleet.run(1.0)
-    assert late.final == "generated" and not any(batches.shares.excluded.values())
+    assert late.final == "generated" and not any(batches.shares.is_excluded.values())
     assert sum(c.final == "generated" for c in flood) > 10
     engines = host.router.routers[1].estimates.engines
     assert all(engines[index].state == EngineState.SERVING for index in host.router._known[1])  # let in again
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -9,6 +9,7 @@
 
 from myrtlehub.limits.minimum_rate import CHECK_INTERVAL, MinimumRateMonitor
 from myrtlehub.limits.resource_ledger import (
+    Counters,
     MemoryBudgets,
     ResourceLedger,
     StreamUsage,
@@ -51,7 +52,7 @@
                 s[1 if what == "take" else 2] += size
                 s[3] -= size
                 left += size * (what == "take")
-            ledger.settle(key, *s)
+            ledger.update(key, Counters(*s))
         assert not ledger.find_imbalances()
     node = ledger.node
     assert (node.received, node.delivered) == (came, left) and node.in_use == sum(
@@ -71,7 +72,7 @@
 def test_an_imbalance_is_found() -> None:
     ledger = ResourceLedger(MemoryBudgets(20_000, 0.5, 0.5))
     ledger.open("a", "p", "t")
-    ledger.settle("a", 100, 40, 0, 50)
+    ledger.update("a", Counters(100, 40, 0, 50))
     assert ledger.find_imbalances() == [
         "a: 100 came, 40 left, 0 dropped, 50 held",
         "node: 100 came, 40 left, 0 dropped, 50 held",
