--- a/myrtlehub/limits/admission.py
+++ b/myrtlehub/limits/admission.py
@@ -164,5 +164,5 @@
             self.limiter.sample(now, None, self.in_flight + 1)
 
     def retry_after(self, longest: float) -> float:
-        """Return a random Retry-After of at most `longest` seconds, so that clients do not return together."""
+        """Return a random Retry-After of at most `longest` seconds; clients must not return together."""
         return longest * (MIN_RETRY_SHARE + (1.0 - MIN_RETRY_SHARE) * self._draw())
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -9,7 +9,9 @@
 from pathlib import Path
 from typing import Protocol
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
+from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.membership.endpoint_source import (
     EndpointListener,
     EndpointListUpdate,
@@ -17,7 +19,7 @@
     ignore_update,
 )
 from myrtlehub.membership.file_monitor import FileMonitor, WatchConfig, WatchDirectories, poll_only
-from myrtlehub.membership.interfaces import Clock, Log, RunInBackground, no_log, run_now
+from myrtlehub.membership.interfaces import RunInBackground, run_now
 from myrtlehub.membership.list_version import ListVersion
 from myrtlehub.membership.snapshot import Snapshot, read_snapshot
 from myrtlehub.membership.validation import (
@@ -192,10 +194,10 @@
     def _act_on(self, verdict: Verdict) -> None:
         match verdict:
             case Rejected(reason):
-                self._log_not_accepted("list refused", reason)
+                self._log_not_accepted(LogEvent.ENDPOINT_LIST_REJECTED, reason)
             case Deferred(reason, recheck_at):
                 self._schedule_recheck(recheck_at)
-                self._log_not_accepted("list deferred", reason)
+                self._log_not_accepted(LogEvent.ENDPOINT_LIST_DEFERRED, reason)
             case Accepted():
                 self._schedule_recheck(verdict.recheck_at)
                 self._accept(verdict)
@@ -206,21 +208,21 @@
         if recheck_at is not None:
             self._monitor.schedule(max(self.config.quiet_time, recheck_at - self.clock.seconds()))
 
-    def _log_not_accepted(self, event: str, reason: str) -> None:
+    def _log_not_accepted(self, event: LogEvent, reason: str) -> None:
         current = self.validator.version
-        self.log(event, why=reason, version=current.number if current else 0)
+        self.log(event, reason=reason, list_version=current.number if current else 0)
 
     def _accept(self, accepted: Accepted) -> None:
         version = accepted.version
         difference = accepted.difference
         self.log(
-            "list accepted",
-            version=version.number,
+            LogEvent.ENDPOINT_LIST_ACCEPTED,
+            list_version=version.number,
             digest=version.digest,
             engines=len(version.endpoints),
             added=len(difference.added),
-            gone=len(difference.removed),
-            old=version.is_from_store,
+            removed=len(difference.removed),
+            from_store=version.is_from_store,
         )
         if difference:
             self._publish(version, difference.updates(), is_complete=False)
--- a/myrtlehub/membership/file_monitor.py
+++ b/myrtlehub/membership/file_monitor.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
-from myrtlehub.membership.interfaces import Clock, DelayedCall
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.membership.snapshot import FileStamp, expand_patterns, stamp_files
 
 MAX_QUIET_WAITS = 20  # quiet times after the first change at which files are read though they still change
@@ -66,8 +66,8 @@
         self._watch_directories = watch_directories
         self._on_quiet = on_quiet
         self._stamps: tuple[FileStamp, ...] = ()
-        self._quiet_timer: DelayedCall | None = None
-        self._poll_timer: DelayedCall | None = None
+        self._quiet_timer: Timer | None = None
+        self._poll_timer: Timer | None = None
         self._first_change_at: float | None = None  # of the changes that the quiet timer is for
 
     def record_stamps(self) -> None:
--- a/myrtlehub/membership/version_saver.py
+++ b/myrtlehub/membership/version_saver.py
@@ -2,7 +2,8 @@
 
 from functools import partial
 
-from myrtlehub.membership.interfaces import Log, RunInBackground
+from myrtlehub.log_events import Log, LogEvent
+from myrtlehub.membership.interfaces import RunInBackground
 from myrtlehub.membership.list_version import ListVersion
 from myrtlehub.membership.version_store import StoredVersion, VersionStore, VersionStoreError
 
@@ -22,7 +23,7 @@
         try:
             return self._store.load_latest()
         except VersionStoreError as error:
-            self._log("store not used", why=str(error))
+            self._log(LogEvent.VERSION_STORE_READ_FAILED, reason=str(error))
             return None
 
     def save(self, version: ListVersion) -> None:
@@ -48,5 +49,5 @@
     def _saved(self, error: VersionStoreError | None) -> None:
         self._is_saving = False
         if error is not None:
-            self._log("list not stored", why=str(error))
+            self._log(LogEvent.VERSION_STORE_WRITE_FAILED, reason=str(error))
         self._save_next()
