--- a/myrtlehub/membership/interfaces.py
+++ b/myrtlehub/membership/background.py
@@ -1,4 +1,4 @@
-"""What the package needs of its surroundings: a clock with timers, a log, and work in the background."""
+"""Execution of blocking work outside the event loop."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeVar
@@ -7,12 +7,12 @@
 
 
 class RunInBackground(Protocol):
-    """Runs what may block where it does not hold up the event loop."""
+    """Runs work that may block, such as writing to a disk, without blocking the event loop."""
 
     def __call__(self, work: Callable[[], Result], callback: Callable[[Result], None], /) -> None:
         """Run `work`, and pass its result to `callback` in the event loop."""
 
 
-def run_now(work: Callable[[], Result], callback: Callable[[Result], None]) -> None:
-    """Run `work` at once, in the event loop."""
+def run_now(work: Callable[[], Result], callback: Callable[[Result], None], /) -> None:
+    """Run `work` at once, in the event loop; for tests, and for programs whose work does not block."""
     callback(work())
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -12,6 +12,7 @@
 from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.log_events import Log, LogEvent, no_log
+from myrtlehub.membership.background import RunInBackground, run_now
 from myrtlehub.membership.endpoint_source import (
     EndpointListener,
     EndpointListUpdate,
@@ -19,7 +20,6 @@
     ignore_update,
 )
 from myrtlehub.membership.file_monitor import FileMonitor, WatchConfig, WatchDirectories, poll_only
-from myrtlehub.membership.interfaces import RunInBackground, run_now
 from myrtlehub.membership.list_version import ListVersion
 from myrtlehub.membership.snapshot import Snapshot, read_snapshot
 from myrtlehub.membership.validation import (
--- a/myrtlehub/membership/version_saver.py
+++ b/myrtlehub/membership/version_saver.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from myrtlehub.log_events import Log, LogEvent
-from myrtlehub.membership.interfaces import RunInBackground
+from myrtlehub.membership.background import RunInBackground
 from myrtlehub.membership.list_version import ListVersion
 from myrtlehub.membership.version_store import StoredVersion, VersionStore, VersionStoreError
 
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -7,10 +7,10 @@
 from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.log_events import Log
+from myrtlehub.membership.background import RunInBackground
 from myrtlehub.membership.endpoint_source import StaticEndpointSource
 from myrtlehub.membership.endpoint_watcher import EndpointWatcher, SnapshotReader
 from myrtlehub.membership.file_monitor import WatchConfig, WatchDirectories
-from myrtlehub.membership.interfaces import RunInBackground
 from myrtlehub.membership.validation import ANY_REMOVED, ListValidator, ValidationConfig
 from myrtlehub.membership.version_store import VersionStore
 
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -12,10 +12,10 @@
 from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.log_events import Log, LogEvent, no_log
+from myrtlehub.membership.background import RunInBackground, run_now
 from myrtlehub.membership.endpoint_source import EndpointListUpdate
 from myrtlehub.membership.endpoint_watcher import SnapshotReader
 from myrtlehub.membership.file_monitor import WatchDirectories, poll_only
-from myrtlehub.membership.interfaces import RunInBackground, run_now
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.admin.service import NodeAdmin
 from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
