--- a/myrtlehub/batching/dynamic_batcher.py
+++ b/myrtlehub/batching/dynamic_batcher.py
@@ -1,34 +1,40 @@
 """Dynamic batching: small requests that arrive at about the same time share one engine batch.
 
-A request waits only where another one is likely to join it: where the recent rate of requests with the same
-key makes one within the window at least as likely as not. It waits neither longer than the window nor past
-the share of its deadline that has to be left, and shares a batch only with requests of the same key, which
+A request waits only if another one is likely to join it, that is if the recent mean interval between requests
+of the same key is not longer than the window. It waits neither longer than the window nor longer than a
+certain share of the time that its deadline leaves. Only requests of the same key share a batch; the key
 includes the tenant.
 """
 
 from collections.abc import Hashable
 from typing import Generic, NamedTuple, TypeVar
 
-NEVER = float("inf")
-INTERVAL_WEIGHT = 0.2  # of the latest interval in the moving average
-INITIAL_INTERVAL = 1.0  # seconds between requests of a key that has not been seen
-MAX_INTERVAL = 1.0  # seconds; a longer pause counts as this
-MAX_KEYS = 4096  # whose rate is remembered; beyond it the stalest half is forgotten
-TIMER_TOLERANCE = 1e-9  # seconds that a timer may be early by rounding
+INTERVAL_WEIGHT = 0.2  # weight of the latest interval in the moving average
+INITIAL_INTERVAL = 1.0  # seconds that the average begins with, for a key that has not been seen
+MAX_INTERVAL = 1.0  # seconds that a longer interval counts as, so that a new burst is recognized soon
+MAX_KEYS = 4096  # keys whose interval is remembered; beyond it the least recently seen half is forgotten
+TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early because of rounding
 
 Request = TypeVar("Request")
 
 
 class BatchingWindow(NamedTuple):
-    """The settings of dynamic batching."""
+    """The settings of dynamic batching.
 
-    max_wait: float  # seconds; 0: no request waits
-    max_tokens: float  # from which a group is sent at once
+    Attributes:
+        max_wait: seconds that a request waits at most; 0: no request waits.
+        max_tokens: tokens from which a request or group is sent at once.
+        max_items: items from which a request or group is sent at once.
+        min_time_left: share of a request's time left that must remain when it is sent.
+    """
+
+    max_wait: float
+    max_tokens: float
     max_items: int
-    min_time_left: float  # share of a request's time left that must remain when it is sent
+    min_time_left: float
 
 
-class Waiting(NamedTuple, Generic[Request]):
+class WaitingRequest(NamedTuple, Generic[Request]):
     """A request in a group that is not sent yet."""
 
     request: Request
@@ -36,8 +42,8 @@
     items: int
 
 
-class Interval(NamedTuple):
-    """Seconds between requests of one key."""
+class ArrivalInterval(NamedTuple):
+    """The moving average of the seconds between requests of one key, and the time of the last request."""
 
     average: float
     last_at: float
@@ -48,9 +54,9 @@
 
     def __init__(self, window: BatchingWindow) -> None:
         self.window = window
-        self._groups: dict[Hashable, list[Waiting[Request]]] = {}
-        self._due: dict[Hashable, float] = {}
-        self._intervals: dict[Hashable, Interval] = {}
+        self._groups: dict[Hashable, list[WaitingRequest[Request]]] = {}
+        self._send_at: dict[Hashable, float] = {}  # when to send each group
+        self._intervals: dict[Hashable, ArrivalInterval] = {}
 
     @property
     def is_empty(self) -> bool:
@@ -60,26 +66,35 @@
     def add(
         self, now: float, key: Hashable, request: Request, tokens: float, items: int, time_left: float
     ) -> list[list[Request]]:
-        """Take a request and return the groups to send now.
+        """Add a request, and return the groups to send now.
+
+        If the request is in none of them, it waits in a group that `pop_due` returns later.
 
-        If the request is in none of them it waits, and `next_at` says until when.
+        Args:
+            now: seconds.
+            key: what requests must have in common to share an engine batch.
+            request: the request.
+            tokens: the request's tokens.
+            items: the request's items.
+            time_left: seconds until the request's deadline.
         """
         is_joined_soon = self._average_interval(now, key) <= self.window.max_wait
         ready = []
         if self._would_exceed(key, tokens, items):
-            ready.append(self._pop_group(key))  # what waits is sent without it
+            ready.append(self._pop_group(key))  # the new request begins another group
         wait = min(self.window.max_wait, time_left * (1.0 - self.window.min_time_left))
         if not is_joined_soon:
             wait = 0.0
         is_large = tokens >= self.window.max_tokens or items >= self.window.max_items
         if is_large or (wait <= 0.0 and key not in self._groups):
             return [*ready, [request]]
-        self._groups.setdefault(key, []).append(Waiting(request, tokens, items))
-        self._due[key] = min(self._due.get(key, NEVER), now + wait)
+        self._groups.setdefault(key, []).append(WaitingRequest(request, tokens, items))
+        send_at = now + wait
+        self._send_at[key] = min(self._send_at.get(key, send_at), send_at)
         return ready
 
     def remove(self, key: Hashable, request: Request) -> bool:
-        """Remove a request whose client left; return whether it still waited."""
+        """Remove a request whose client disconnected; return whether it still waited."""
         group = self._groups.get(key, [])
         rest = [waiting for waiting in group if waiting.request is not request]
         if len(rest) == len(group):
@@ -90,13 +105,13 @@
             self._pop_group(key)
         return True
 
-    def next_at(self) -> float:
-        """Return the time at which `pop_due` has a group."""
-        return min(self._due.values(), default=NEVER)
+    def next_at(self) -> float | None:
+        """Return when `pop_due` will have a group; None if no request waits."""
+        return min(self._send_at.values(), default=None)
 
     def pop_due(self, now: float) -> list[list[Request]]:
         """Remove and return the groups whose wait is over."""
-        keys = [key for key, due in self._due.items() if due <= now + TIMER_TOLERANCE]
+        keys = [key for key, send_at in self._send_at.items() if send_at <= now + TIME_TOLERANCE]
         return [self._pop_group(key) for key in keys]
 
     def _would_exceed(self, key: Hashable, tokens: float, items: int) -> bool:
@@ -108,21 +123,23 @@
         return group_tokens + tokens > self.window.max_tokens or group_items + items > self.window.max_items
 
     def _average_interval(self, now: float, key: Hashable) -> float:
-        """Return the recent seconds between requests of this key, with the present one counted."""
-        average, last_at = self._intervals.get(key, Interval(INITIAL_INTERVAL, NEVER))
-        if last_at != NEVER:
-            average += INTERVAL_WEIGHT * (min(MAX_INTERVAL, now - last_at) - average)
-        self._intervals[key] = Interval(average, now)
+        """Update and return the mean seconds between requests of this key, up to the present one."""
+        known = self._intervals.get(key)
+        average = INITIAL_INTERVAL
+        if known is not None:
+            average = known.average
+            average += INTERVAL_WEIGHT * (min(MAX_INTERVAL, now - known.last_at) - average)
+        self._intervals[key] = ArrivalInterval(average, now)
         if len(self._intervals) > MAX_KEYS:
             self._forget_stalest()
         return average
 
     def _forget_stalest(self) -> None:
-        """Bound the memory for keys, of which clients can make any number."""
+        """Forget the least recently seen half of the keys, as clients can make any number of keys."""
         by_age = sorted(self._intervals, key=lambda key: self._intervals[key].last_at)
         for key in by_age[: MAX_KEYS // 2]:
             del self._intervals[key]
 
     def _pop_group(self, key: Hashable) -> list[Request]:
-        self._due.pop(key, None)
+        self._send_at.pop(key, None)
         return [waiting.request for waiting in self._groups.pop(key, ())]
--- a/myrtlehub/batching/result_cache.py
+++ b/myrtlehub/batching/result_cache.py
@@ -1,11 +1,11 @@
-"""Cache of results: what was computed for a tenant by one version of a model is not computed again.
-
-Each tenant has a cache of its own for each version, and all share one bound on memory. The algorithm is
-S3-FIFO (Yang et al., "FIFO queues are all you need for cache eviction", SOSP 2023): new keys enter a small
-queue, and only those that were asked for again while there move to the main queue. A key that was recently
-evicted from the small queue is remembered without its value, and enters the main queue at once if it comes
-again. So a flood of inputs that never recur passes through a tenth of the memory and evicts nothing else.
-Compared with LRU and W-TinyLFU in docs/design/fronts.md.
+"""Cache of results, so that no input is computed twice for a tenant by the same version of a model.
+
+Each tenant has a separate cache for each version of a model; all caches share one bound on memory. The
+algorithm is S3-FIFO (Yang et al., "FIFO queues are all you need for cache eviction", SOSP 2023). New keys
+enter a small queue, and those with a hit move from it to the main queue. A key that was evicted from the
+small queue is remembered without its value in a ghost queue, and enters the main queue if it is added again.
+So a flood of inputs that never recur uses a tenth of the memory and evicts nothing from the main queue.
+docs/design/fronts.md compares S3-FIFO with LRU and W-TinyLFU.
 """
 
 from collections import OrderedDict, deque
@@ -13,17 +13,17 @@
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, TypeVar
 
-SMALL_QUEUE_SHARE = 0.1  # of a cache's capacity; larger values are not cached
-MAX_HITS = 3  # that are counted of a key
-MIN_GHOST_KEYS = 16
-MAX_CACHES = 1024  # the least recently used is dropped first
+SMALL_QUEUE_SHARE = 0.1  # share of a cache's capacity, the figure of the paper; larger values are not cached
+MAX_HITS = 3  # up to which hits of a key are counted, as in the paper
+MIN_GHOST_KEYS = 16  # evicted keys that are remembered by a cache with few entries
+MAX_CACHES = 1024  # tenants times versions; the least recently used cache is dropped first
 
 Value = TypeVar("Value")
 
 
 @dataclass(slots=True)
 class CacheEntry(Generic[Value]):
-    """A cached value."""
+    """A cached value, its size in bytes, and its place in the queues."""
 
     value: Value
     size: int
@@ -55,7 +55,7 @@
         return entry.value
 
     def add(self, key: Hashable, value: Value, size: int) -> None:
-        """Cache a value unless it is too large; a key that is there stays as it is."""
+        """Cache a value of `size` bytes, unless it is too large or its key is cached already."""
         if key in self._entries or size > self.capacity * SMALL_QUEUE_SHARE:
             return
         while self.used + size > self.capacity:
@@ -71,7 +71,7 @@
         self.used += size
 
     def resize(self, capacity: int) -> None:
-        """Change the capacity, and evict what exceeds it."""
+        """Change the capacity, and evict entries until the rest fits."""
         self.capacity = capacity
         while self.used > capacity:
             self._evict()
@@ -111,19 +111,22 @@
 
 
 class CacheKey(NamedTuple):
-    """Whose results a cache has."""
+    """The tenant and the version of a model whose results a cache has."""
 
     tenant: Hashable
     model: str
 
 
 class ResultCache(Generic[Value]):
-    """The caches of all tenants and versions.
-
-    Each has an even part of `capacity`, in bytes, and at most `max_share` of it.
-    """
+    """The caches of all tenants and versions; each has the same capacity."""
 
     def __init__(self, capacity: int, max_share: float = 0.25) -> None:
+        """Make an empty cache.
+
+        Args:
+            capacity: bytes of all caches together; 0: nothing is cached.
+            max_share: share of the capacity that one cache has at most.
+        """
         self.capacity = capacity
         self.max_share = max_share
         self.models: frozenset[str] = frozenset()
@@ -131,20 +134,20 @@
 
     @property
     def used(self) -> int:
-        """Bytes in use."""
+        """The bytes in use."""
         return sum(cache.used for cache in self._caches.values())
 
     def cache_of(self, tenant: Hashable, model: str) -> S3FifoCache[Value] | None:
-        """Return the cache of a tenant's results by one version, or None if there is none yet."""
+        """Return the cache of a tenant's results by one version; None if there is none yet."""
         return self._touch(CacheKey(tenant, model))
 
     def get(self, tenant: Hashable, model: str, key: Hashable) -> Value | None:
-        """Return a cached result, or None."""
+        """Return a cached result; None if there is none."""
         cache = self.cache_of(tenant, model)
         return cache.get(key) if cache is not None else None
 
     def add(self, tenant: Hashable, model: str, key: Hashable, value: Value, size: int) -> None:
-        """Cache a result, unless the endpoint list does not name its version any more."""
+        """Cache a result of `size` bytes, unless the endpoint list has no engine of its version any more."""
         if not model or (self.models and model not in self.models):
             return
         cache_key = CacheKey(tenant, model)
@@ -155,9 +158,13 @@
             cache.add(key, value, size)
 
     def set_models(self, models: frozenset[str]) -> int:
-        """Take the versions that the endpoint list names, and drop the caches of all others.
+        """Set the versions of the endpoint list's engines, and drop the caches of other versions.
+
+        Args:
+            models: the versions; empty if the list does not name versions, and then no cache is dropped.
 
-        Returns the number of results dropped.
+        Returns:
+            The number of dropped results.
         """
         self.models = models
         outdated = [key for key in self._caches if models and key.model not in models]
@@ -182,7 +189,8 @@
         return cache
 
     def _resize(self) -> None:
+        """Divide the capacity evenly among the caches."""
         share = min(self.max_share, 1.0 / max(1, len(self._caches)))
-        part = int(self.capacity * share)
+        capacity = int(self.capacity * share)
         for cache in self._caches.values():
-            cache.resize(part)
+            cache.resize(capacity)
--- a/myrtlehub/batching/result_merger.py
+++ b/myrtlehub/batching/result_merger.py
@@ -1,15 +1,15 @@
-"""Merging the results of a batch's parts into one answer, in order and of one version of the model.
-
-A part ends generated, rejected or aborted like any sequence. What that means for the batch:
-
-- it is generated once every item has a result or an error of its own;
-- otherwise, if it was asked for as a whole, it ends when the first part has finally failed, and no result is
-  sent to the client;
-- otherwise, if it was asked for as a stream, it ends when the last part has ended; results sent so far stand;
-- it is aborted if any part was aborted, as that part may have run; else it is rejected, with the longest
-  Retry-After of its parts;
-- results of another model version than the one that the batch is pinned to are not used: the part is retried,
-  and where no result has been sent yet and the pinned version is gone, the whole batch restarts, at most
+"""Merging of the results of a batch's parts into one answer, in order and by one version of the model.
+
+A part ends as generated, rejected or aborted, like any sequence. The answer of the batch follows from its
+parts:
+
+- The batch is generated once every item has a result or an error of its own.
+- Otherwise, a batch without streaming ends when the first part has failed, and the client gets no results.
+- Otherwise, a streaming batch ends when its last part has ended; results that were sent remain valid.
+- A failed batch is aborted if any part was aborted, as that part may have run. Else it is rejected, with the
+  longest Retry-After of its parts.
+- A batch uses results of one version of the model. A part whose results are of another version is retried. If
+  no result was sent yet and no engine has the version any more, the whole batch restarts, at most
   `MAX_RESTARTS` times.
 """
 
@@ -17,13 +17,13 @@
 from enum import StrEnum
 from typing import Generic, NamedTuple, TypeVar
 
-MAX_RESTARTS = 1
+MAX_RESTARTS = 1  # of one batch, so that it cannot restart without end
 
 Result = TypeVar("Result")
 
 
 class BatchOutcome(StrEnum):
-    """How a batch or one of its parts ended."""
+    """How a batch, or one of its parts, ended."""
 
     GENERATED = "generated"
     REJECTED = "rejected"
@@ -31,7 +31,13 @@
 
 
 class BatchAnswer(NamedTuple):
-    """The final answer of a batch, or the failure of one of its parts."""
+    """The final answer of a batch, or the failure of one of its parts.
+
+    Attributes:
+        outcome: how it ended.
+        retry_after: the Retry-After of a rejection, in seconds; without meaning for other outcomes.
+        reason: why it was rejected or aborted, in words for the client.
+    """
 
     outcome: BatchOutcome
     retry_after: float = 0.0
@@ -39,33 +45,40 @@
 
 
 class MergeVerdict(StrEnum):
-    """What follows from the end of a part."""
+    """What the caller has to do after the end of a part."""
 
     WAIT_FOR_PARTS = "wait-for-parts"
-    RETRY_PART = "retry-part"
-    ANSWERED = "answered"  # the answer of the batch is decided, by this part or before it
+    RETRY_PART = "retry-part"  # or restart the batch, see `may_restart`
+    ANSWERED = "answered"  # send the answer: it is decided, by this part or by an earlier one
 
 
 class ResultMerger(Generic[Result]):
-    """Merges the results of one batch; where an item has none yet, its result is None."""
+    """Merges the results of one batch."""
 
     def __init__(self, item_count: int, is_stream: bool, model: str = "") -> None:
+        """Make a merger without results.
+
+        Args:
+            item_count: items of the batch.
+            is_stream: whether results are sent to the client as parts end.
+            model: the version of the model that all results must be of; empty: that of the first results.
+        """
         self.is_stream = is_stream
         self.model = model
-        self.results: list[Result | None] = [None] * item_count
-        self.missing = item_count
-        self.sent_items = 0  # items that a streaming client has from parts
+        self.results: list[Result | None] = [None] * item_count  # by item; None: no result yet
+        self.missing = item_count  # items without a result
+        self.sent_items = 0  # items of parts whose results were sent to a streaming client
         self.answer: BatchAnswer | None = None
         self.restarts = 0
         self._open_parts: dict[int, Sequence[int]] = {}  # item indices by part
         self._failures: list[BatchAnswer] = []
 
     def begin_part(self, part: int, indices: Sequence[int]) -> None:
-        """Take note that a part is sent."""
+        """Record that a part with these items is sent to an engine."""
         self._open_parts[part] = indices
 
     def set_result(self, index: int, result: Result) -> None:
-        """Set the result of an item that needs no engine."""
+        """Set the result of an item: a cached one, or that of an equal item."""
         if self.results[index] is None:
             self.missing -= 1
         self.results[index] = result
@@ -77,7 +90,7 @@
         return self.answer is not None
 
     def part_generated(self, part: int, results: Sequence[Result], model: str) -> MergeVerdict:
-        """Take the results of a part, in the order of its items, and return what follows."""
+        """Set the results of a part, which are in the order of its items; return what to do next."""
         indices = self._open_parts.pop(part, None)
         if indices is None or self.answer is not None:
             return MergeVerdict.ANSWERED
@@ -88,21 +101,21 @@
             self.set_result(index, result)
         if self.is_stream:
             self.sent_items += len(indices)
-        return self._settle()
+        return self._decide_answer()
 
     def part_failed(self, part: int, failure: BatchAnswer) -> MergeVerdict:
-        """Take note that a part ended without results, and return what follows."""
+        """Record that a part ended without results; return what to do next."""
         if self._open_parts.pop(part, None) is None or self.answer is not None:
             return MergeVerdict.ANSWERED
         self._failures.append(failure)
-        return self._settle()
+        return self._decide_answer()
 
     def may_restart(self) -> bool:
-        """Whether another version may redo the batch: nothing was sent, and it was not redone before."""
+        """Return whether the batch may restart: no result was sent, and it has not restarted too often."""
         return not self.sent_items and self.restarts < MAX_RESTARTS and self.answer is None
 
     def restart(self, model: str) -> None:
-        """Begin anew, pinned to this version; results and parts so far do not count any more."""
+        """Discard all results and parts, so that the batch is run again by this version of the model."""
         self.restarts += 1
         self.model = model
         self.results = [None] * len(self.results)
@@ -110,7 +123,7 @@
         self._open_parts.clear()
         self._failures.clear()
 
-    def _settle(self) -> MergeVerdict:
+    def _decide_answer(self) -> MergeVerdict:
         if self._failures and (not self.is_stream or not self._open_parts):
             self.answer = self._failed_answer()
         elif not self.missing and not self._open_parts:
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable
 from typing import NamedTuple
 
-from myrtlehub.batching.dynamic_batcher import NEVER, BatchingWindow, DynamicBatcher
+from myrtlehub.batching.dynamic_batcher import BatchingWindow, DynamicBatcher
 from myrtlehub.batching.result_cache import ResultCache
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome
 from myrtlehub.clock import Clock, Timer
@@ -151,7 +151,7 @@
 
     def _arm_timer(self) -> None:
         due = self.batcher.next_at()
-        if due == NEVER:
+        if due is None:
             return
         if self._timer is None or not self._timer.active():
             self._timer = self.clock.callLater(max(0.0, due - self.clock.seconds()), self._send_due_groups)
--- a/tests/test_dynamic_batcher.py
+++ b/tests/test_dynamic_batcher.py
@@ -23,11 +23,11 @@
     assert batcher.add(now + 0.001, "k", "b", 100.0, 1, 0.005) == []
     assert batcher.next_at() == pytest.approx(now + 0.002)  # b has 5 ms: a fifth of it at most is spent here
     assert batcher.add(now + 0.001, "other tenant", "c", 100.0, 1, 4.0) == [["c"]]
-    assert batcher.pop_due(now + 0.002) == [["a", "b"]] and batcher.next_at() == float("inf")
+    assert batcher.pop_due(now + 0.002) == [["a", "b"]] and batcher.next_at() is None
     assert batcher.add(now + 0.003, "k", "d", 600.0, 1, 4.0) == []
     # Both are too much for one group: d is sent, e waits.
     assert batcher.add(now + 0.003, "k", "e", 600.0, 1, 4.0) == [["d"]]
-    assert batcher.remove("k", "e") and not batcher.remove("k", "e") and batcher.next_at() == float("inf")
+    assert batcher.remove("k", "e") and not batcher.remove("k", "e") and batcher.next_at() is None
 
 
 REQUESTS = st.lists(
@@ -52,16 +52,14 @@
     arrived = {}
     for i, (gap, key, tokens, items, left) in enumerate(requests):
         now += gap
-        while batcher.next_at() <= now:
-            at = batcher.next_at()
+        while (at := batcher.next_at()) is not None and at <= now:
             for group in batcher.pop_due(at):
                 sent += [(at, r) for r in group]
         arrived[i] = now, left
         for group in batcher.add(now, key, i, float(tokens), items, left):
             assert len(group) == 1 or sum(requests[r][2] for r in group) <= WINDOW.max_tokens
             sent += [(now, r) for r in group]
-    while batcher.next_at() < float("inf"):
-        at = batcher.next_at()
+    while (at := batcher.next_at()) is not None:
         sent += [(at, r) for group in batcher.pop_due(at) for r in group]
     assert sorted(r for _, r in sent) == list(range(len(requests)))
     for at, r in sent:
