--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -192,7 +192,7 @@
 
         def started(client: InProcessClient) -> None:
             now = self.fleet.clock.seconds()
-            self.controllers[node].started(now, waited + client.first_token, SLO[name])
+            self.controllers[node].record_first_token(now, waited + client.first_token, SLO[name])
             self._admit(node)
 
         def ended(client: InProcessClient) -> None:
@@ -207,7 +207,7 @@
         if client.answer == "generated" and waited + client.first_token <= SLO[name]:
             self.utility_in_time += UTILITY[name]
         if not client.first_token:
-            self.controllers[node].failed(self.fleet.clock.seconds(), True)
+            self.controllers[node].record_failure(self.fleet.clock.seconds(), True)
             self._admit(node)
 
 
--- a/myrtlehub/limits/admission.py
+++ b/myrtlehub/limits/admission.py
@@ -146,12 +146,12 @@
         self._queue = remaining
         return removed
 
-    def started(self, now: float, latency: float, latency_objective: float) -> None:
+    def record_first_token(self, now: float, latency: float, latency_objective: float) -> None:
         """Record the first token of an admitted sequence, `latency` seconds after its arrival."""
         self.in_flight -= 1
         self.limiter.sample(now, latency / latency_objective, self.in_flight + 1)
 
-    def failed(self, now: float, had_time: bool) -> None:
+    def record_failure(self, now: float, had_time: bool) -> None:
         """Record that an admitted sequence ended without a first token.
 
         Args:
--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -81,14 +81,14 @@
     def started(self, queued: QueuedRequest) -> None:
         """Record the first token of an admitted request."""
         now = self._clock.seconds()
-        self.controller.started(now, now - queued.arrived_at, queued.row.latency_slo)
+        self.controller.record_first_token(now, now - queued.arrived_at, queued.row.latency_slo)
         self._clock.callLater(0, self.process)
 
     def ended(self, queued: QueuedRequest) -> None:
         """Record the end of a request without a first token, admitted or still queued."""
         if queued.is_admitted:
             had_time = queued.arrival.time_left >= queued.row.latency_slo
-            self.controller.failed(self._clock.seconds(), had_time)
+            self.controller.record_failure(self._clock.seconds(), had_time)
             self._clock.callLater(0, self.process)
         else:
             self.controller.cancel(queued)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -46,10 +46,10 @@
             count += 1
         elif step == "begin" and admitted:
             admitted.pop(0)
-            controller.started(now, amount, 1.0)
+            controller.record_first_token(now, amount, 1.0)
         elif step == "fail" and admitted:
             admitted.pop(0)
-            controller.failed(now, amount > 1.0)
+            controller.record_failure(now, amount > 1.0)
         elif step == "leave" and waiting:
             gone = min(waiting)
             assert controller.cancel(gone) and not controller.cancel(gone)
@@ -80,7 +80,7 @@
     assert list(controller.take_shed(0.1)) == [] and controller.admit_next() is None
     controller.enqueue(0.2, "high", 1.0, "d")  # over half of the limit is queued: the lowest utility is shed
     assert list(controller.take_shed(0.2)) == ["c"]
-    controller.started(0.2, 0.2, 1.0)
+    controller.record_first_token(0.2, 0.2, 1.0)
     assert controller.admit_next() == "b"
     assert list(controller.take_shed(0.401)) == ["a"]  # queued for 0.4 of its latency objective
     assert controller.next_shed_at() == 0.2 + admission.MAX_WAIT_SHARE
