--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the limit follows latency, the highest utility goes first, each is answered once."""
+"""Admission control: the limit follows latency, highest utility goes first, each sequence ends once."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 UTILITY = {"low": 0.5, "high": 4.0}
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["ask", "ask", "ask", "begin", "fail", "leave", "wait"]),
+        st.sampled_from(["arrive", "arrive", "arrive", "first token", "fail", "disconnect", "wait"]),
         st.sampled_from(["low", "high"]),
         st.floats(0.0, 3.0),
     ),
@@ -24,7 +24,8 @@
 @given(STEPS)
 def test_each_sequence_is_admitted_shed_or_cancelled_once_and_the_count_is_exact(steps: list) -> None:
     controller = AdmissionController(Random(1), UTILITY)
-    now, count = 0.0, 0
+    now = 0.0
+    count = 0
     controller.limiter.limit = 5.0
     waiting: set[int] = set()
     admitted: list[int] = []
@@ -40,21 +41,21 @@
             ended[item] = ended.get(item, 0) + 1
 
     for step, traffic_type, amount in steps:
-        if step == "ask":
+        if step == "arrive":
             controller.enqueue(now, traffic_type, 1.0, count)
             waiting.add(count)
             count += 1
-        elif step == "begin" and admitted:
+        elif step == "first token" and admitted:
             admitted.pop(0)
             controller.record_first_token(now, amount, 1.0)
         elif step == "fail" and admitted:
             admitted.pop(0)
             controller.record_failure(now, amount > 1.0)
-        elif step == "leave" and waiting:
-            gone = min(waiting)
-            assert controller.cancel(gone) and not controller.cancel(gone)
-            waiting.remove(gone)
-            ended[gone] = ended.get(gone, 0) + 1
+        elif step == "disconnect" and waiting:
+            cancelled = min(waiting)
+            assert controller.cancel(cancelled) and not controller.cancel(cancelled)
+            waiting.remove(cancelled)
+            ended[cancelled] = ended.get(cancelled, 0) + 1
         else:
             now += amount
         collect()
@@ -101,58 +102,66 @@
     assert vegas.limit > low
     idle = vegas.limit
     for _ in range(500):
-        vegas.sample(3.0, 0.12, 1)  # little in flight: that it is fast says nothing of more load
+        vegas.sample(3.0, 0.12, 1)  # few in flight: low latency says nothing about a higher load
     assert vegas.limit == idle
     for _ in range(500):
-        vegas.sample(25.0, 0.5, 1000)  # the fleet has changed: the least latency is measured anew
+        vegas.sample(25.0, 0.5, 1000)  # after BASELINE_LIFETIME the least latency is replaced
     assert vegas.limit > idle
 
 
-def overload(admits: str) -> tuple[dict, Fleet]:
-    """Offer far more than two writers can do, half of it of three times the utility; count the timely."""
-    f = Fleet("R0 R0 W0 W0", slots=10, step="20ms", read_rate=12000.0, more=f"limits: {{admit: {admits}}}")
-    random, good, calls = Random(5), {"ask": 0, "post": 0}, []
+def run_overload(admits: str) -> tuple[dict, Fleet]:
+    """Send far more requests than two writers can serve; count those answered within their objective.
+
+    Half of the requests are of the type `post`, which has three times the utility of `ask`.
+    """
+    fleet = Fleet(
+        "R0 R0 W0 W0", slots=10, step="20ms", read_rate=12000.0, more=f"limits: {{admit: {admits}}}"
+    )
+    random = Random(5)
+    in_time = {"ask": 0, "post": 0}
+    calls = []
     for _ in range(600):
-        c = f.ask(random.choice(["ask", "post"]), prompt=random.choice([300, 1500]), output=60)
-        c.since = f.clock.seconds()
-        calls.append(c)
-        f.run(0.004)
-    f.run(6.0)
-    first = {r.more["call"]: r.at for r in f.what("token")}
-    for c in calls:
-        assert c.answer in ("generated", "rejected", "aborted")
-        kind = next(r.more["traffic"] for r in f.what("ask") if r.more["call"] == c.name)
-        good[kind] += c.answer == "generated" and first[c.name] - c.since <= 1.0
-    assert_rules_kept(f)
-    assert_nothing_left(f)
-    return good, f
+        call = fleet.ask(random.choice(["ask", "post"]), prompt=random.choice([300, 1500]), output=60)
+        call.since = fleet.clock.seconds()
+        calls.append(call)
+        fleet.run(0.004)
+    fleet.run(6.0)
+    first_token_at = {record.more["call"]: record.at for record in fleet.what("token")}
+    traffic_types = {record.more["call"]: record.more["traffic"] for record in reversed(fleet.what("ask"))}
+    for call in calls:
+        assert call.answer in ("generated", "rejected", "aborted")
+        is_in_time = call.answer == "generated" and first_token_at[call.name] - call.since <= 1.0
+        in_time[traffic_types[call.name]] += is_in_time
+    assert_rules_kept(fleet)
+    assert_nothing_left(fleet)
+    return in_time, fleet
 
 
 def test_under_overload_admission_raises_the_utility_that_is_answered_in_time() -> None:
-    without, _ = overload("no")
-    with_it, f = overload("yes")
-    utility = [good["ask"] + 3 * good["post"] for good in (without, with_it)]
-    assert utility[1] > 1.2 * utility[0], (without, with_it)
-    controller = f.nodes["n0"].front.admission.controller
+    without, _ = run_overload("no")
+    with_admission, fleet = run_overload("yes")
+    utility = [in_time["ask"] + 3 * in_time["post"] for in_time in (without, with_admission)]
+    assert utility[1] > 1.2 * utility[0], (without, with_admission)
+    controller = fleet.nodes["n0"].front.admission.controller
     assert controller.in_flight == 0 and not controller._queue
-    c = f.ask(prompt=300, output=20)
-    f.run(2.0)
-    assert c.answer == "generated"  # afterwards all is as before
+    call = fleet.ask(prompt=300, output=20)
+    fleet.run(2.0)
+    assert call.answer == "generated"  # after the overload
 
 
-def test_clients_that_leave_the_queue_leave_no_state() -> None:
-    f = Fleet("W0", slots=2, step="50ms", more="limits: {admit: yes}")
-    controller = f.nodes["n0"].front.admission.controller
+def test_clients_that_disconnect_from_the_queue_leave_no_state() -> None:
+    fleet = Fleet("W0", slots=2, step="50ms", more="limits: {admit: yes}")
+    controller = fleet.nodes["n0"].front.admission.controller
     controller.limiter.limit = 4.0
-    f.misbehave("W0a", "hang", seconds=3.0)
-    f.run(0.05)
-    calls = [f.ask("post", prompt=100, output=200) for _ in range(9)]
-    f.run(0.05)
+    fleet.misbehave("W0a", "hang", seconds=3.0)
+    fleet.run(0.05)
+    calls = [fleet.ask("post", prompt=100, output=200) for _ in range(9)]
+    fleet.run(0.05)
     assert controller.in_flight == 4 and controller._queue
-    for c in calls:
-        if not c.answer:
-            f.leave(c)
-    f.run(4.0)
+    for call in calls:
+        if not call.answer:
+            fleet.leave(call)
+    fleet.run(4.0)
     assert controller.in_flight == 0 and not controller._queue
-    assert_rules_kept(f)
-    assert_nothing_left(f)
+    assert_rules_kept(fleet)
+    assert_nothing_left(fleet)
--- a/tests/test_batch_split.py
+++ b/tests/test_batch_split.py
@@ -1,4 +1,4 @@
-"""Splitting of batches into parts."""
+"""Splitting of batches into parts: limits, balance, and the number of parts."""
 
 from random import Random
 
@@ -16,15 +16,15 @@
 ) -> None:
     limits = PartLimits(8000.0, max_items, 2000.0)
     parts = split_batch(costs, limits, engine_count)
-    assert sorted(i for p in parts for i in p) == list(range(len(costs)))
+    assert sorted(index for part in parts for index in part) == list(range(len(costs)))
     for part in parts:
         assert part == sorted(part) and 0 < len(part) <= max_items
-        assert len(part) == 1 or sum(costs[i] for i in part) <= limits.max_tokens
+        assert len(part) == 1 or sum(costs[index] for index in part) <= limits.max_tokens
 
 
 def test_small_batches_are_not_split_and_large_ones_have_even_parts() -> None:
     assert split_batch([100] * 12, PartLimits(8000.0, 64, 2000.0), 8) == [list(range(12))]
     parts = split_batch([100] * 120, PartLimits(8000.0, 64, 2000.0), 4)
-    assert [len(p) for p in parts] == [30] * 4
+    assert [len(part) for part in parts] == [30] * 4
     even = split_batch([Random(1).randint(10, 900) for _ in range(200)], PartLimits(16000.0, 256, 2000.0), 5)
     assert len(even) == 5
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -1,6 +1,6 @@
-"""Nodes that follow endpoint files, seen from their engines: by which version was each attempt sent?
+"""Nodes that follow endpoint files, as their engines see them: the list version of each attempt.
 
-`MYRTLEHUB_VERSIONS=5000` plays that many; the default keeps the tests short.
+`MYRTLEHUB_VERSIONS=5000` writes that many versions; the default keeps the tests short.
 """
 
 import os
@@ -23,79 +23,82 @@
 MARKED = ", end_marked: yes, quiet: 30ms, poll: 200ms, damp: {flaps: off}, confirm: {most_removed: any}"
 
 
-def begin(base: Path, engines: str = "R0 R0 W0 W0 W0", lists: str = MARKED, **more: object) -> Fleet:
-    """A fleet whose files stand before its nodes start."""
-    for i in range(more.get("nodes", 1)):
-        (base / f"list-n{i}").mkdir()
-    rows = [
+def start_fleet(base: Path, engines: str = "R0 R0 W0 W0 W0", lists: str = MARKED, **more: object) -> Fleet:
+    """Write the endpoint files of a fleet, and start its nodes."""
+    endpoints = [
         {
-            "address": f"{w}{chr(97 + i)}:1",
-            "kind": "reader" if w[0] == "R" else "writer",
+            "address": f"{word}{chr(97 + number)}:1",
+            "kind": "reader" if word[0] == "R" else "writer",
             "zone": "north",
-            "cell": int(w[1]),
+            "cell": int(word[1]),
         }
-        for i, w in enumerate(engines.split())
+        for number, word in enumerate(engines.split())
     ]
-    for i in range(more.get("nodes", 1)):
-        (base / f"list-n{i}" / "engines.yaml").write_text(list_text(rows))
+    for number in range(more.get("nodes", 1)):
+        (base / f"list-n{number}").mkdir()
+        (base / f"list-n{number}" / "engines.yaml").write_text(list_text(endpoints))
     return Fleet(engines, base=base, lists=lists, **more)
 
 
-def write(f: Fleet, node: str = "n0", **changed: dict) -> None:
-    """The list with some engines changed, or left out where that is None."""
-    rows = [
-        {**r, **(changed.get(e) or {})}
-        for e, r in f.rows.items()
-        if e not in changed or changed[e] is not None
+def write_list(fleet: Fleet, node: str = "n0", **changed: dict) -> None:
+    """Write a node's list with some engines changed, or left out if the change is None."""
+    endpoints = [
+        {**row, **(changed.get(engine) or {})}
+        for engine, row in fleet.rows.items()
+        if engine not in changed or changed[engine] is not None
     ]
-    path = f.base / f"list-{node}" / "engines.yaml"
-    path.with_name(".new").write_text(list_text(rows))
+    path = fleet.base / f"list-{node}" / "engines.yaml"
+    path.with_name(".new").write_text(list_text(endpoints))
     path.with_name(".new").rename(path)
 
 
 def test_every_attempt_goes_by_a_version_that_was_complete_on_disk(tmp_path: Path) -> None:
-    f = begin(tmp_path, read_rate=30000.0, slots=40, step="4ms")
-    standing = [{**r, "state": "serving", "age": "0s"} for r in f.rows.values()]
-    group = ListFilesConfig(every="200ms", burst=8)
+    fleet = start_fleet(tmp_path, read_rate=30000.0, slots=40, step="4ms")
+    endpoints = [{**row, "state": "serving", "age": "0s"} for row in fleet.rows.values()]
+    config = ListFilesConfig(every="200ms", burst=8)
     writer = EndpointListWriter(
-        "n0", tmp_path / "list-n0", group, f.clock, Random(3), f.day, lambda: standing
+        "n0", tmp_path / "list-n0", config, fleet.clock, Random(3), fleet.day, lambda: endpoints
     )
-    version = f.nodes["n0"].endpoint_source.validator.version
-    f.day.note("wrote", node="n0", digest=version.digest[:16], serving=sorted(version.endpoints))
+    version = fleet.nodes["n0"].endpoint_source.validator.version
+    fleet.day.note("wrote", node="n0", digest=version.digest[:16], serving=sorted(version.endpoints))
     writer.start()
-    random, asked = Random(4), 0
+    random = Random(4)
+    request_count = 0
     while writer.versions < VERSIONS:
-        f.ask(random.choice(["ask", "post", "note"]), prompt=random.choice([200, 1500]), output=20)
-        asked += 1
-        f.run(0.04)
+        fleet.ask(random.choice(["ask", "post", "note"]), prompt=random.choice([200, 1500]), output=20)
+        request_count += 1
+        fleet.run(0.04)
     writer.stop()
-    f.run(1.0)
+    fleet.run(1.0)
     for _ in range(5):
-        f.ask("ask", prompt=100, output=10)
-    f.run(5.0)
-    watch, told = EndpointListChecker(0.25), []
-    for record in f.log:
-        told += watch.see(record)
-    watch.finish(f.clock.seconds())
-    assert watch.breaches == []
-    assert watch.attempts >= asked and watch.used > VERSIONS / 20 and len(told) > VERSIONS / 20
+        fleet.ask("ask", prompt=100, output=10)
+    fleet.run(5.0)
+    checker = EndpointListChecker(0.25)
+    changes = []
+    for record in fleet.log:
+        changes += checker.see(record)
+    checker.finish(fleet.clock.seconds())
+    assert checker.breaches == []
+    assert checker.attempts >= request_count and checker.used > VERSIONS / 20 and len(changes) > VERSIONS / 20
     assert writer.torn > VERSIONS / 5 and writer.wrong > VERSIONS / 10
-    f.log[:] = sorted([*told, *f.log], key=lambda r: r.at)  # told before what goes by it
-    assert_rules_kept(f)
-    assert_nothing_left(f)
-    refused = [rejection.reason for rejection in f.nodes["n0"].endpoint_source.validator.rejections]
-    # Each names file and line of the fault, or says what to do.
-    assert len(refused) > 5
-    assert [why for why in refused if not (re.search(r"engines\.yaml:\d+: ", why) or "; " in why)] == []
+    # The sort is stable, so a change precedes the attempts that go by it.
+    fleet.log[:] = sorted([*changes, *fleet.log], key=lambda record: record.at)
+    assert_rules_kept(fleet)
+    assert_nothing_left(fleet)
+    reasons = [rejection.reason for rejection in fleet.nodes["n0"].endpoint_source.validator.rejections]
+    # Each reason names the file and line of the fault, or says how to correct it.
+    assert len(reasons) > 5
+    unclear = [text for text in reasons if not (re.search(r"engines\.yaml:\d+: ", text) or "; " in text)]
+    assert unclear == []
     print(
         f"{writer.versions} versions, {writer.torn} torn, {writer.wrong} wrong, {writer.deleted} deleted; "
-        f"{watch.used} seen in use; {watch.attempts} attempts"
+        f"{checker.used} seen in use; {checker.attempts} attempts"
     )
 
 
 @pytest.mark.parametrize("fault", ["partial", "stale", "back"])
 def test_the_checker_finds_attempts_by_wrong_versions(fault: str) -> None:
-    """Records made by hand: the checker has to find what it is for."""
+    """The records are made by hand; each fault has to be found once."""
 
     def wrote(at: float, digest: str, *serving: str) -> Record:
         return Record(at, "day", "wrote", {"node": "n", "digest": digest, "serving": list(serving)})
@@ -106,11 +109,11 @@
     sound = [wrote(0.0, "aa", "a", "b"), got(1.0, "1-aa"), wrote(2.0, "bb", "a"), got(3.0, "2-bb")]
     more = {"partial": [got(4.0, "3-cc")], "stale": [wrote(5.0, "dd", "a")], "back": [got(4.0, "1-aa")]}
     for extra, count in (([], 0), (more[fault], 1)):
-        watch = EndpointListChecker(0.25)
-        told = [t for r in [*sound, *extra] for t in watch.see(r)]
-        watch.finish(9.0)
-        assert len(watch.breaches) == count
-    assert [(t.at, t.more["engine"], t.more["state"]) for t in told[:3]] == [
+        checker = EndpointListChecker(0.25)
+        changes = [change for record in [*sound, *extra] for change in checker.see(record)]
+        checker.finish(9.0)
+        assert len(checker.breaches) == count
+    assert [(change.at, change.more["engine"], change.more["state"]) for change in changes[:3]] == [
         (1.0, "a", "serving"),
         (1.0, "b", "serving"),
         (3.0, "b", "gone"),
@@ -118,78 +121,87 @@
 
 
 def test_an_endpoint_changes_its_kind_with_attempts_in_flight(tmp_path: Path) -> None:
-    f = begin(tmp_path, "R0 R0 W0 W0", read_rate=30000.0)
-    stream = f.ask("post", prompt=2000, output=200)
-    f.run(0.5)
+    fleet = start_fleet(tmp_path, "R0 R0 W0 W0", read_rate=30000.0)
+    stream = fleet.ask("post", prompt=2000, output=200)
+    fleet.run(0.5)
     assert stream.tokens and not stream.answer
-    where = f.what("ran")[-1].who[:-2]
-    f.stands[where].config = f.stands[where].config.model_copy(update={"reads": True})
-    write(f, **{where: {"kind": "reader"}})
-    f.run(1.0)
-    engines = f.nodes["n0"].executor.decoder.engines
-    assert engines.rows[engines.index_of[f"{where}:1"]].kind == "reader"
-    after = [f.ask("post", prompt=2000, output=20) for _ in range(6)]
-    f.run(4.0)
-    assert stream.answer == "generated" and [c.answer for c in after] == ["generated"] * 6
-    late = [r for r in f.what("got", where) if r.at > f.what("ran")[0].at + 1.0]
-    assert all(r.more["reads"] for r in late) and late  # it reads from now on, and writes nothing new
-    assert_rules_kept(f)
-    assert_nothing_left(f)
+    writer = fleet.what("ran")[-1].who[:-2]
+    fleet.stands[writer].config = fleet.stands[writer].config.model_copy(update={"reads": True})
+    write_list(fleet, **{writer: {"kind": "reader"}})
+    fleet.run(1.0)
+    engines = fleet.nodes["n0"].executor.decoder.engines
+    assert engines.rows[engines.index_of[f"{writer}:1"]].kind == "reader"
+    after = [fleet.ask("post", prompt=2000, output=20) for _ in range(6)]
+    fleet.run(4.0)
+    assert stream.answer == "generated" and [call.answer for call in after] == ["generated"] * 6
+    late = [record for record in fleet.what("got", writer) if record.at > fleet.what("ran")[0].at + 1.0]
+    # The engine gets reads from now on, and no new writes.
+    assert all(record.more["reads"] for record in late) and late
+    assert_rules_kept(fleet)
+    assert_nothing_left(fleet)
 
 
 def test_half_the_endpoints_are_removed_with_attempts_in_flight_at_nodes_seconds_apart(
     tmp_path: Path,
 ) -> None:
-    f = begin(tmp_path, "R0 R0 W0 W0 R1 R1 W1 W1", nodes=3, read_rate=20000.0, slots=40)
+    fleet = start_fleet(tmp_path, "R0 R0 W0 W0 R1 R1 W1 W1", nodes=3, read_rate=20000.0, slots=40)
     random = Random(9)
-    gone = {e: None for e in f.rows if e[1] == "1"}
-    calls, heard, began = [], {}, f.clock.seconds()
+    removed = {engine: None for engine in fleet.rows if engine[1] == "1"}
+    calls = []
+    written_at = {}
+    began = fleet.clock.seconds()
     for i in range(150):
         calls.append(
-            f.ask(
+            fleet.ask(
                 random.choice(["post", "post", "note"]),
                 prompt=random.choice([300, 3000]),
                 output=40,
                 node=f"n{i % 3}",
             )
         )
-        at = f.clock.seconds() - began
-        for node, when in (("n0", 1.0), ("n1", 2.5), ("n2", 4.0)):
-            if at >= when and node not in heard:
-                heard[node] = f.clock.seconds()
-                write(f, node, **gone)
-        f.run(0.04)
-    f.run(5.0)
-    assert set(heard) == {"n0", "n1", "n2"}
-    for node, when in heard.items():
-        sends = [r.at for r in f.what("got") if r.more["node"] == node and r.who[:-2] in gone]
-        assert sends and max(sends) < when + 0.5  # two snapshots with the quiet time between, and the grace
-    assert all(c.answer for c in calls) and sum(c.answer == "generated" for c in calls) > 140
-    assert_rules_kept(f)
-    assert_nothing_left(f)
+        at = fleet.clock.seconds() - began
+        for node, due in (("n0", 1.0), ("n1", 2.5), ("n2", 4.0)):
+            if at >= due and node not in written_at:
+                written_at[node] = fleet.clock.seconds()
+                write_list(fleet, node, **removed)
+        fleet.run(0.04)
+    fleet.run(5.0)
+    assert set(written_at) == {"n0", "n1", "n2"}
+    for node, written in written_at.items():
+        sends = [
+            record.at
+            for record in fleet.what("got")
+            if record.more["node"] == node and record.who[:-2] in removed
+        ]
+        # Within this time the node reads two snapshots, with the quiet time between them.
+        assert sends and max(sends) < written + 0.5
+    assert all(call.answer for call in calls) and sum(call.answer == "generated" for call in calls) > 140
+    assert_rules_kept(fleet)
+    assert_nothing_left(fleet)
 
 
 def test_removal_of_half_the_endpoints_waits_for_a_second_snapshot(tmp_path: Path) -> None:
     lists = MARKED.replace("most_removed: any", "most_removed: 0.4, after: 1s")
-    f = begin(tmp_path, "R0 R0 W0 W0 W0", lists=lists)
-    write(f, W0c=None, W0d=None, R0a=None)
-    f.run(0.6)
-    assert len(f.nodes["n0"].executor.decoder.engines.index_of) == 5  # held back
-    f.run(1.5)
-    assert len(f.nodes["n0"].executor.decoder.engines.index_of) == 2
+    fleet = start_fleet(tmp_path, "R0 R0 W0 W0 W0", lists=lists)
+    write_list(fleet, W0c=None, W0d=None, R0a=None)
+    fleet.run(0.6)
+    assert len(fleet.nodes["n0"].executor.decoder.engines.index_of) == 5  # deferred
+    fleet.run(1.5)
+    assert len(fleet.nodes["n0"].executor.decoder.engines.index_of) == 2
 
 
 def test_a_file_without_its_end_mark_is_never_accepted(tmp_path: Path) -> None:
-    f = begin(tmp_path)
+    fleet = start_fleet(tmp_path)
     path = tmp_path / "list-n0" / "engines.yaml"
-    whole = path.read_text()
-    node = f.nodes["n0"]
+    complete = path.read_text()
+    node = fleet.nodes["n0"]
     first = node.executor.list_label
-    cuts = [i for i, c in enumerate(whole) if c == "\n"][:-1]  # whole lines: these parse, most of them
+    # Cut after complete lines, as most of these prefixes parse.
+    cuts = [index for index, character in enumerate(complete) if character == "\n"][:-1]
     parsed = 0
     for cut in cuts:
-        path.write_text(whole[: cut + 1])
-        f.run(0.4)
+        path.write_text(complete[: cut + 1])
+        fleet.run(0.4)
         assert node.executor.list_label == first
         parsed += not read_snapshot(["list-n0"], tmp_path).faults
     assert parsed > len(cuts) / 2
@@ -197,70 +209,73 @@
 
 
 def test_a_modification_time_in_the_past_hides_no_change(tmp_path: Path) -> None:
-    f = begin(tmp_path)
+    fleet = start_fleet(tmp_path)
     path = tmp_path / "list-n0" / "engines.yaml"
     os.utime(path, (2e9, 2e9))
-    f.run(0.5)
-    first = f.nodes["n0"].executor.list_label
-    write(f, W0c={"weight": 3})
-    os.utime(path, (1e9, 1e9))  # older than what it replaces
-    f.run(0.5)
-    assert f.nodes["n0"].executor.list_label != first
-    again = f.nodes["n0"].executor.list_label
+    fleet.run(0.5)
+    first = fleet.nodes["n0"].executor.list_label
+    write_list(fleet, W0c={"weight": 3})
+    os.utime(path, (1e9, 1e9))  # older than the file that it replaces
+    fleet.run(0.5)
+    assert fleet.nodes["n0"].executor.list_label != first
+    second = fleet.nodes["n0"].executor.list_label
     before = path.stat()
-    write(f, W0c={"weight": 4})
-    os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))  # the same time and size as before
+    write_list(fleet, W0c={"weight": 4})
+    os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))  # time and size are as before
     assert path.stat().st_size == before.st_size
-    f.run(0.5)
-    assert f.nodes["n0"].executor.list_label != again
+    fleet.run(0.5)
+    assert fleet.nodes["n0"].executor.list_label != second
 
 
 def test_an_unreadable_file_leaves_the_last_list_in_use(tmp_path: Path, monkeypatch: object) -> None:
-    f = begin(tmp_path)
-    real, node = Path.read_bytes, f.nodes["n0"]
+    fleet = start_fleet(tmp_path)
+    read_bytes = Path.read_bytes
+    node = fleet.nodes["n0"]
     label = node.executor.list_label
 
-    def refused(path: Path) -> bytes:  # tests may run as one who may read everything
+    def deny(path: Path) -> bytes:  # file modes would not do, as tests may run as root
         raise PermissionError(13, "Permission denied", str(path))
 
-    monkeypatch.setattr(Path, "read_bytes", refused)
-    write(f, W0c={"weight": 3})
-    f.run(0.5)
+    monkeypatch.setattr(Path, "read_bytes", deny)
+    write_list(fleet, W0c={"weight": 3})
+    fleet.run(0.5)
     assert node.executor.list_label == label
     assert "cannot be read: Permission denied" in node.endpoint_source.validator.rejections[-1].reason
-    monkeypatch.setattr(Path, "read_bytes", real)
-    write(f, W0c={"weight": 5})
-    f.run(0.5)
+    monkeypatch.setattr(Path, "read_bytes", read_bytes)
+    write_list(fleet, W0c={"weight": 5})
+    fleet.run(0.5)
     assert node.executor.list_label != label
 
 
 def test_two_thousand_endpoints_that_all_change_at_once(tmp_path: Path) -> None:
-    f = begin(tmp_path, "R0 W0 W0")
+    fleet = start_fleet(tmp_path, "R0 W0 W0")
     more = {
-        f"X{i}": {
-            "address": f"x{i}:1",
-            "kind": "writer" if i % 2 else "reader",
+        f"X{number}": {
+            "address": f"x{number}:1",
+            "kind": "writer" if number % 2 else "reader",
             "zone": "north",
-            "cell": 1 + i // 50,
+            "cell": 1 + number // 50,
         }
-        for i in range(1997)
+        for number in range(1997)
     }
-    f.rows.update(more)
-    write(f)
-    f.run(0.5)
-    node = f.nodes["n0"]
+    fleet.rows.update(more)
+    write_list(fleet)
+    fleet.run(0.5)
+    node = fleet.nodes["n0"]
     assert len(node.executor.decoder.engines.index_of) == 2000
-    write(f, **{e: {"cell": r["cell"] + 100, "weight": 2} for e, r in f.rows.items()})
-    f.run(0.5)
+    write_list(
+        fleet, **{engine: {"cell": row["cell"] + 100, "weight": 2} for engine, row in fleet.rows.items()}
+    )
+    fleet.run(0.5)
     rows = node.executor.decoder.engines.rows
-    assert len(rows) == 2000 and all(r.cell >= 100 and r.weight == 2 for r in rows)
-    f.rows = {e: {**f.rows[e], "cell": 100} for e in ("R0a", "W0b", "W0c")}
-    write(f)
-    f.run(0.5)
+    assert len(rows) == 2000 and all(row.cell >= 100 and row.weight == 2 for row in rows)
+    fleet.rows = {engine: {**fleet.rows[engine], "cell": 100} for engine in ("R0a", "W0b", "W0c")}
+    write_list(fleet)
+    fleet.run(0.5)
     assert sorted(node.executor.decoder.engines.index_of) == ["R0a:1", "W0b:1", "W0c:1"]
-    c = f.ask(prompt=2000, output=10)
-    f.run(2.0)
-    assert c.answer == "generated"
+    call = fleet.ask(prompt=2000, output=10)
+    fleet.run(2.0)
+    assert call.answer == "generated"
     assert (
         isinstance(node.endpoint_source, EndpointWatcher) and node.endpoint_source.validator.last_number == 4
     )
--- a/tests/test_endpoint_watcher.py
+++ b/tests/test_endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Watched endpoint files: half-written, torn, renamed and lost ones, and a start from the version store."""
+"""Watched endpoint files: incomplete, renamed and missing files, and a start from the version store."""
 
 from pathlib import Path
 from random import Random
@@ -16,14 +16,14 @@
 
 
 class WatcherRig:
-    """A watcher on a driven clock, and the list that its listener has."""
+    """A watcher on a test clock, and the list that its listener has."""
 
     def __init__(
         self, folder: Path, patterns: tuple[str, ...] = ("a.yaml",), store: VersionStore | None = None
     ) -> None:
         self.clock = Clock()
         self.store = store
-        self.received: list[tuple[int, list[str]]] = []  # version numbers, and the addresses then
+        self.received: list[tuple[int, list[str]]] = []  # version numbers, with the addresses
         self.logged: list[tuple[str, dict]] = []
         self.endpoints: dict[str, EndpointConfig] = {}
         self.validator = make_validator(max_removed=1.0, max_flaps=10**6)
@@ -47,26 +47,27 @@
         self.received.append((update.version.number, sorted(self.endpoints)))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock in steps of 50 ms."""
         for _ in range(round(seconds / 0.05)):
             self.clock.advance(0.05)
 
     def names(self) -> str:
-        """Return the names that the listener has."""
+        """Return the names of the endpoints that the listener has."""
         return " ".join(address[:-2] for address in sorted(self.endpoints))
 
     def received_names(self) -> list[str]:
-        """Return the names that the listener had, version by version."""
+        """Return the names of the endpoints that the listener had, by version."""
         return [" ".join(address[:-2] for address in addresses) for _, addresses in self.received]
 
 
-def test_a_half_written_file_is_never_routed_by(tmp_path: Path) -> None:
+def test_a_half_written_file_is_never_used(tmp_path: Path) -> None:
     path = tmp_path / "a.yaml"
-    before, after = list_text("r1 w1 w2"), list_text("r1 w1 w2 w3 w4")
+    before = list_text("r1 w1 w2")
+    after = list_text("r1 w1 w2 w3 w4")
     path.write_text(before)
     rig = WatcherRig(tmp_path)
     for cut in range(len(after)):
-        # A prefix that parses as a complete list, and then lies quiet, is a list that somebody wrote.
+        # Each prefix changes within the quiet time; one that parses and stays quiet would be a valid list.
         snapshot = read_snapshot(("a.yaml",), tmp_path)
         path.write_text(after[:cut])
         rig.watcher.files_changed()
@@ -82,11 +83,11 @@
     assert set(rig.received_names()) <= {"r1 w1 w2", "r1 w1 w2 w3 w4"}
 
 
-def test_torn_files_that_lie_quiet_are_rejected_with_line_and_fix(tmp_path: Path) -> None:
+def test_incomplete_files_that_stay_quiet_are_rejected_with_line_and_fix(tmp_path: Path) -> None:
     path = tmp_path / "a.yaml"
     path.write_text(list_text("r1 w1 w2"))
     rig = WatcherRig(tmp_path)
-    for torn, reason in (
+    for text, reason in (
         ("engines:\n  - {address: 'r1:1', kind: rea", "a.yaml:2: not YAML"),
         ("engines: [", "not YAML"),
         ("engine:\n", "did you mean 'engines'?"),
@@ -94,21 +95,21 @@
         (list_text("r1 w1").replace("kind: writer", "kind: wirter"), "kind 'wirter' is not among"),
         (list_text("r1"), "no engine that serves can write"),
     ):
-        path.write_text(torn)
+        path.write_text(text)
         rig.watcher.files_changed()
         rig.run(0.5)
         assert rig.names() == "r1 w1 w2" and rig.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
         assert reason in rig.logged[-1][1]["reason"]
 
 
-def test_renames_symlinks_and_lost_directories_are_followed(tmp_path: Path) -> None:
+def test_renames_symlinks_and_missing_directories_are_followed(tmp_path: Path) -> None:
     folder = tmp_path / "d"
     folder.mkdir()
     (folder / "1.yaml").write_text(list_text("r1 w1"))
     (folder / ".hidden.yaml").write_text("garbage: [")
     rig = WatcherRig(tmp_path, ("d",))
     (tmp_path / "new").write_text(list_text("w2"))
-    (tmp_path / "new").replace(folder / "2.yaml")  # atomic rename, found by the poll alone
+    (tmp_path / "new").replace(folder / "2.yaml")  # an atomic rename, detected by polling alone
     rig.run(1.6)
     assert rig.names() == "r1 w1 w2"
     (tmp_path / "real").write_text(list_text("w3"))
@@ -117,7 +118,7 @@
     assert rig.names() == "r1 w1 w2 w3"
     (tmp_path / "real2").write_text(list_text("w4"))
     (tmp_path / "link").symlink_to(tmp_path / "real2")
-    (tmp_path / "link").replace(folder / "3.yaml")  # symlink swapped
+    (tmp_path / "link").replace(folder / "3.yaml")  # the link is replaced
     rig.run(1.6)
     assert rig.names() == "r1 w1 w2 w4"
     folder.rename(tmp_path / "elsewhere")
@@ -129,19 +130,21 @@
     (folder / "9.yaml").write_text(list_text("r1 w9"))
     rig.run(1.6)
     assert rig.names() == "r1 w9" and rig.validator.source_lost_at is None
-    (folder / "8.yaml").write_text(list_text("w9", weight=2.0))  # two files in conflict
+    (folder / "8.yaml").write_text(list_text("w9", weight=2.0))  # two files contradict each other
     rig.run(1.6)
     assert rig.names() == "r1 w9" and "has other figures in" in rig.logged[-1][1]["reason"]
 
 
-def test_a_burst_of_complete_and_torn_writes_ends_in_the_last_valid_list(tmp_path: Path) -> None:
-    path, random = tmp_path / "a.yaml", Random(5)
+def test_a_burst_of_complete_and_incomplete_writes_ends_in_the_last_valid_list(tmp_path: Path) -> None:
+    path = tmp_path / "a.yaml"
+    random = Random(5)
     path.write_text(list_text("r1 w1"))
-    rig, written = WatcherRig(tmp_path), {"r1 w1"}
-    for i in range(150):
-        names = f"r1 w{i % 7} w{7 + i % 3}"
+    rig = WatcherRig(tmp_path)
+    written = {"r1 w1"}
+    for step in range(150):
+        names = f"r1 w{step % 7} w{7 + step % 3}"
         complete = list_text(names)
-        path.write_text(complete[: random.randrange(len(complete))] if i % 3 else complete)
+        path.write_text(complete[: random.randrange(len(complete))] if step % 3 else complete)
         rig.watcher.files_changed()
         rig.clock.advance(random.choice([0.01, 0.01, 0.03, 0.15]))
         path.write_text(complete)
--- a/tests/test_front_shares.py
+++ b/tests/test_front_shares.py
@@ -1,18 +1,19 @@
-"""Shares of the fronts on common engines."""
+"""Shares of fronts in common engines."""
 
 from myrtlehub.limits.fair_share import FairShare
 
 
-def test_a_flood_buys_no_larger_share_of_common_engines() -> None:
-    shares, now = FairShare({"chat": 1.0, "embed": 1.0}), 100.0
+def test_a_flood_does_not_enlarge_a_share_of_common_engines() -> None:
+    shares = FairShare({"chat": 1.0, "embed": 1.0})
+    now = 100.0
     shares.common_capacity = 10000.0
     shares.add_demand(now, "embed", 1000.0)
-    assert shares.share(now, "embed") == 1.0  # alone
+    assert shares.share(now, "embed") == 1.0  # the only front with demand
     shares.add_demand(now, "chat", 5000.0)
-    few = shares.share(now, "embed")
+    share_before_flood = shares.share(now, "embed")
     shares.add_demand(now, "embed", 500_000.0)
-    assert few < shares.share(now, "embed") <= 0.5
-    assert shares.may_send(now, "embed", 1e6)  # one piece may always go
+    assert share_before_flood < shares.share(now, "embed") <= 0.5
+    assert shares.may_send(now, "embed", 1e6)  # one piece may always be sent
     shares.record_sent("embed", 5000.0)
     assert not shares.may_send(now, "embed", 10.0)
     shares.enqueue("embed", "p", 10.0)
@@ -24,4 +25,4 @@
     shares.record_done("embed", 4000.0)
     assert shares.next_piece(now, "embed") == "q" and shares.tokens_in_flight["embed"] == 1010.0
     assert shares.share(now + 8.0, "embed") <= 0.5
-    assert shares.share(now + 60.0, "embed") == 1.0  # nobody has asked for long
+    assert shares.share(now + 60.0, "embed") == 1.0  # no other front has had requests for long
--- a/tests/test_reader_process.py
+++ b/tests/test_reader_process.py
@@ -1,4 +1,4 @@
-"""The reader process: its snapshots are those of a reader in this process, and its death loses nothing."""
+"""The reader process: its snapshots equal those read in this process, and its death loses no request."""
 
 import signal
 import subprocess
@@ -19,11 +19,11 @@
 
 
 class PipeReactor:
-    """A reactor that starts real processes, and passes on what they wrote when asked to."""
+    """A reactor that starts real processes, and delivers their output when a test calls `deliver`."""
 
     def __init__(self) -> None:
         self.started: list[tuple[ProcessProtocol, subprocess.Popen]] = []
-        self.pausing = False  # processes: no reply can be ahead of a kill
+        self.is_pausing = False  # whether processes are stopped, so that none replies before it is killed
 
     def spawnProcess(  # noqa: N802
         self, protocol: ProcessProtocol, program: str, args: list[str], env: object
@@ -34,12 +34,12 @@
         )
         protocol.transport = self
         self.started.append((protocol, process))
-        if self.pausing:
+        if self.is_pausing:
             process.send_signal(signal.SIGSTOP)
         return self
 
     def write(self, data: bytes) -> None:
-        """Be the transport: write to the process that was started last."""
+        """Write to the process that was started last; a method of the transport."""
         process = self.started[-1][1]
         try:
             process.stdin.write(data)
@@ -48,21 +48,21 @@
             pass
 
     def deliver(self) -> None:
-        """Pass on one complete reply, in two pieces, or the end of the process."""
+        """Deliver one complete reply, in two pieces, or the end of the process."""
         protocol, process = self.started[-1]
-        head = process.stdout.read(4)
-        if len(head) < 4:
+        header = process.stdout.read(4)
+        if len(header) < 4:
             protocol.errReceived(process.stderr.read())
             process.communicate()
             protocol.processEnded(None)
             return
-        body = process.stdout.read(int.from_bytes(head))
-        protocol.outReceived(head + body[:7])
+        body = process.stdout.read(int.from_bytes(header))
+        protocol.outReceived(header + body[:7])
         protocol.outReceived(body[7:])
 
     def pause(self) -> None:
         """Stop the process that was started last, and those to come, until they are killed."""
-        self.pausing = True
+        self.is_pausing = True
         self.started[-1][1].send_signal(signal.SIGSTOP)
 
     def kill_last(self) -> None:
@@ -70,14 +70,14 @@
         self.started[-1][1].kill()
 
     def close(self) -> None:
-        """Kill all."""
+        """Kill all processes."""
         for _, process in self.started:
             process.kill()
             process.communicate()
 
 
 def cooperate_at_once(work: Iterator[None]) -> SimpleNamespace:
-    """Do what `cooperate` does, without a reactor."""
+    """Run all steps at once, in place of `cooperate`, which needs a reactor."""
     for _ in work:
         pass
     done = Deferred()
@@ -87,7 +87,7 @@
 
 @pytest.fixture
 def reactor() -> Iterator[PipeReactor]:
-    """A reactor whose processes end with the test."""
+    """Provide a reactor whose processes end with the test."""
     pipes = PipeReactor()
     yield pipes
     pipes.close()
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def reader(reactor: PipeReactor, monkeypatch: pytest.MonkeyPatch) -> reader_process.ReaderProcess:
-    """A reader whose process is started."""
+    """Provide a reader whose process is started."""
     monkeypatch.setattr(reader_process, "cooperate", cooperate_at_once)
     return reader_process.ReaderProcess(reactor).start()
 
@@ -103,8 +103,8 @@
 def write_list(path: Path) -> None:
     """Write a file of many endpoints."""
     endpoints = [
-        {"address": f"w{i}:1", "kind": "writer", "zone": "z", "cell": i, "weight": i / 7}
-        for i in range(ENDPOINTS)
+        {"address": f"w{number}:1", "kind": "writer", "zone": "z", "cell": number, "weight": number / 7}
+        for number in range(ENDPOINTS)
     ]
     path.write_text(list_text(endpoints))
 
@@ -129,18 +129,18 @@
     reactor.kill_last()  # with the request pending
     reactor.deliver()
     assert len(reactor.started) == 2 and len(snapshots) == 1
-    reactor.deliver()  # the new process got the request
+    reactor.deliver()  # the new process has got the request
     assert snapshots[1]._replace(content_digest=None) == read_snapshot(["e.yaml"], tmp_path, True)
     first, second = snapshots[0].endpoints, snapshots[1].endpoints
-    changed = [i for i in range(ENDPOINTS) if second[i] is not first[i]]
-    assert changed == [3]  # what is the same is the same object
+    changed = [index for index in range(ENDPOINTS) if second[index] is not first[index]]
+    assert changed == [3]  # an unchanged endpoint is the same object
     path.write_text("engines: [")
     request()
     reactor.deliver()
     assert snapshots[2].faults and snapshots[2].faults[0].startswith(f"{path}:1: not YAML")
     reactor.pause()
     request()
-    for _ in range(reader_process.MAX_ATTEMPTS):  # it dies each time: the list stays, and the log says why
+    for _ in range(reader_process.MAX_ATTEMPTS):  # no process lives to reply
         reactor.kill_last()
         reactor.deliver()
     assert "the reading process died 3 times" in snapshots[3].faults[0] and not snapshots[3].is_missing
--- a/tests/test_result_cache.py
+++ b/tests/test_result_cache.py
@@ -1,4 +1,4 @@
-"""The cache of results, and its eviction."""
+"""The cache of results: its capacity, its eviction, and the separation of tenants and versions."""
 
 from collections import OrderedDict
 from random import Random
@@ -10,7 +10,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(1, 60)), max_size=300))
-def test_a_cache_keeps_within_its_capacity_and_returns_what_was_added(
+def test_a_cache_stays_within_its_capacity_and_returns_what_was_added(
     accesses: list[tuple[int, int]],
 ) -> None:
     cache = S3FifoCache(600)
@@ -30,25 +30,25 @@
 def test_a_flood_that_never_recurs_evicts_nothing_and_tenants_are_separate() -> None:
     cache = ResultCache(200 * 100 * 4, 1.0)
     random = Random(2)
-    hot = [f"h{i}" for i in range(60)]
+    hot_keys = [f"h{number}" for number in range(60)]
     for _ in range(3000):
-        key = random.choice(hot)
+        key = random.choice(hot_keys)
         if cache.get("t", "m1", key) is None:
             cache.add("t", "m1", key, key, 100)
-    for i in range(50_000):
-        cache.add("t", "m1", f"flood{i}", i, 100)
-        cache.add("other", "m1", f"flood{i}", i, 100)
-        if i % 50 == 0:
-            cache.get("t", "m1", random.choice(hot))
-    assert sum(cache.get("t", "m1", k) is not None for k in hot) > 50
+    for number in range(50_000):
+        cache.add("t", "m1", f"flood{number}", number, 100)
+        cache.add("other", "m1", f"flood{number}", number, 100)
+        if number % 50 == 0:
+            cache.get("t", "m1", random.choice(hot_keys))
+    assert sum(cache.get("t", "m1", key) is not None for key in hot_keys) > 50
     assert cache.used <= cache.capacity
-    lru: OrderedDict = OrderedDict((k, 1) for k in hot)  # what a plain one would have done
-    for i in range(50_000):
-        lru[f"flood{i}"] = 1
+    lru: OrderedDict = OrderedDict((key, 1) for key in hot_keys)  # for comparison: it loses all hot keys
+    for number in range(50_000):
+        lru[f"flood{number}"] = 1
         while len(lru) > 800:
             lru.popitem(last=False)
-    assert not any(k in lru for k in hot)
+    assert not any(key in lru for key in hot_keys)
     cache.set_models(frozenset({"m2"}))
-    assert cache.used == 0 and cache.get("t", "m1", hot[0]) is None
-    cache.add("t", "m1", "late", 1, 100)  # a result of the old version that was still to come
+    assert cache.used == 0 and cache.get("t", "m1", hot_keys[0]) is None
+    cache.add("t", "m1", "late", 1, 100)  # a result of the old version that arrives late
     assert cache.get("t", "m1", "late") is None
--- a/tests/test_result_merger.py
+++ b/tests/test_result_merger.py
@@ -14,7 +14,7 @@
 def test_one_answer_with_results_in_order_and_of_one_version(
     item_count: int, is_stream: bool, data: st.DataObject
 ) -> None:
-    """Parts of any shape end in any order and any way; whatever comes after the answer changes nothing."""
+    """Parts of any size end in any order, with any outcome; what follows the answer does not change it."""
     merger = ResultMerger(item_count, is_stream, "m1")
     parts: dict[int, list[int]] = {}
     begin = 0
@@ -27,22 +27,22 @@
     answers = []
     has_failed = False
     for part in data.draw(st.permutations(sorted(parts))):
-        end = data.draw(st.sampled_from(["generated"] * 3 + ["other version", "rejected", "aborted"]))
-        if end in ("generated", "other version"):
+        outcome = data.draw(st.sampled_from(["generated"] * 3 + ["other version", "rejected", "aborted"]))
+        if outcome in ("generated", "other version"):
             verdict = merger.part_generated(
-                part, [f"v{i}" for i in parts[part]], "m1" if end == "generated" else "m2"
+                part, [f"v{index}" for index in parts[part]], "m1" if outcome == "generated" else "m2"
             )
             if verdict == MergeVerdict.RETRY_PART:
                 merger.begin_part(part + 100, parts[part])
-                verdict = merger.part_generated(part + 100, [f"v{i}" for i in parts[part]], "m1")
+                verdict = merger.part_generated(part + 100, [f"v{index}" for index in parts[part]], "m1")
         else:
-            verdict = merger.part_failed(part, REJECTED if end == "rejected" else ABORTED)
+            verdict = merger.part_failed(part, REJECTED if outcome == "rejected" else ABORTED)
             has_failed = True
         if verdict == MergeVerdict.ANSWERED and merger.answer is not None:
             answers.append(merger.answer)
     assert len(set(answers)) == 1
     if merger.answer.outcome == BatchOutcome.GENERATED:
-        assert merger.results == [f"v{i}" for i in range(item_count)] and not has_failed
+        assert merger.results == [f"v{index}" for index in range(item_count)] and not has_failed
     else:
         assert has_failed
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -7,7 +7,7 @@
 from myrtlehub.membership.snapshot import read_snapshot
 
 
-def test_includes_are_read_and_circles_are_faults(tmp_path: Path) -> None:
+def test_includes_are_read_and_circular_includes_are_faults(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").write_text("include: ['parts/*.yaml']\n" + list_text("r1"))
     (tmp_path / "parts").mkdir()
     (tmp_path / "parts" / "w.yaml").write_text(list_text("w1 w2"))
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -22,11 +22,10 @@
     ]
     after = make_version(2, listed, "t", 1.0)
     difference = compare_versions(before.endpoints, after.endpoints)
-    assert [e.address for e in difference.added] == ["w4:1"] and [e.address for e in difference.removed] == [
-        "w3:1"
-    ]
-    assert [e.address for e in difference.draining] == ["w1:1"]
-    changed = [(e.address, e.state, fields) for e, fields in difference.changed]
+    assert [endpoint.address for endpoint in difference.added] == ["w4:1"]
+    assert [endpoint.address for endpoint in difference.removed] == ["w3:1"]
+    assert [endpoint.address for endpoint in difference.draining] == ["w1:1"]
+    changed = [(endpoint.address, endpoint.state, fields) for endpoint, fields in difference.changed]
     assert changed == [("w2:1", "draining", ("weight", "state"))]
 
 
@@ -62,7 +61,7 @@
         (make_endpoints("r1 w1", weight=0.0), NO_WRITER),
     ],
 )
-def test_lists_that_cannot_be_routed_by_are_rejected_and_the_last_stays(
+def test_lists_with_faults_are_rejected_and_the_current_version_stays(
     listed: list[EndpointConfig], reason: str
 ) -> None:
     validator = make_validator()
@@ -76,7 +75,8 @@
 
 
 def test_large_removal_waits_for_a_second_snapshot() -> None:
-    many, few = make_endpoints("r1 w1 w2 w3 w4 w5"), make_endpoints("r1 w1")
+    many = make_endpoints("r1 w1 w2 w3 w4 w5")
+    few = make_endpoints("r1 w1")
     validator = make_validator(max_removed=0.5, confirm_after=2.0)
     validator.validate(0.0, many, "t")
     verdict = validator.validate(1.0, few, "t")
@@ -85,7 +85,7 @@
     assert isinstance(validator.validate(2.0, few, "t"), Deferred)
     assert isinstance(validator.validate(2.5, many, "t"), Unchanged)
     again = validator.validate(2.6, few, "t")
-    assert again.recheck_at == pytest.approx(4.6)  # it was undone meanwhile: it waits anew
+    assert again.recheck_at == pytest.approx(4.6)  # the removal was reverted meanwhile, so it waits again
     accepted = validator.validate(4.6, few, "t")
     assert isinstance(accepted, Accepted)
     assert len(accepted.difference.removed) == 4 and accepted.version.number == 2
@@ -113,9 +113,11 @@
 
 def test_flapping_endpoint_is_damped() -> None:
     validator = make_validator(max_flaps=3, flap_window=30.0, flap_quiet_time=10.0)
-    states, recheck_times = [], []
-    for i in range(12):
-        verdict = validator.validate(float(i), make_endpoints("r1 w1 w2" if i % 2 else "r1 w1 w2 w3"), "t")
+    states = []
+    recheck_times = []
+    for second in range(12):
+        names = "r1 w1 w2" if second % 2 else "r1 w1 w2 w3"
+        verdict = validator.validate(float(second), make_endpoints(names), "t")
         recheck_times.append(verdict.recheck_at)
         endpoints = validator.version.endpoints
         states.append(endpoints["w3:1"].state if "w3:1" in endpoints else "-")
@@ -136,11 +138,11 @@
     validator = make_validator(max_removed=1.0, max_flaps=99)
     followed: dict[str, EndpointConfig] = {}
     last_valid: list[EndpointConfig] = []
-    for i, names in enumerate(snapshots):
+    for second, names in enumerate(snapshots):
         if names == "lost":
-            verdict = validator.reject_lost_source(float(i), "t", "gone")
+            verdict = validator.reject_lost_source(float(second), "t", "gone")
         else:
-            verdict = validator.validate(float(i), make_endpoints(names), "t")
+            verdict = validator.validate(float(second), make_endpoints(names), "t")
         if isinstance(verdict, Accepted):
             complete = verdict.version.endpoints.values()
             for endpoint in verdict.difference.updates() if verdict.difference else complete:
--- a/tests/test_version_store.py
+++ b/tests/test_version_store.py
@@ -1,4 +1,4 @@
-"""The version store: flipped bits, later schema versions, and a process killed at each step of a save."""
+"""The version store: flipped bits, later schemas, and a process that is killed at each step of a save."""
 
 import signal
 import subprocess
@@ -24,10 +24,10 @@
     store.close()
     intact = path.read_bytes()
     used = 0
-    for at in range(0, len(intact), 37):
-        path.write_bytes(intact[:at] + bytes([intact[at] ^ 0x10]) + intact[at + 1 :])
-        for extra in ("-wal", "-shm"):
-            Path(f"{path}{extra}").unlink(missing_ok=True)
+    for offset in range(0, len(intact), 37):
+        path.write_bytes(intact[:offset] + bytes([intact[offset] ^ 0x10]) + intact[offset + 1 :])
+        for suffix in ("-wal", "-shm"):
+            Path(f"{path}{suffix}").unlink(missing_ok=True)
         store = VersionStore(path)
         try:
             found = store.load_latest()
@@ -38,7 +38,7 @@
         if found is not None:
             used += 1
             addresses = [endpoint.address for endpoint in found.endpoints]
-            assert addresses in (["r1:1", "w1:1"], ["r1:1", "w1:1", "w2:1"]), at
+            assert addresses in (["r1:1", "w1:1"], ["r1:1", "w1:1", "w2:1"]), offset
     assert used > 10
     path.write_bytes(intact[: len(intact) // 2])
     with pytest.raises(VersionStoreError):
@@ -46,14 +46,14 @@
 
 
 def test_a_store_of_a_later_schema_is_reported_and_not_changed(tmp_path: Path) -> None:
-    """As after a rollback of the program."""
+    """A rollback of the program leaves such a store."""
     path = tmp_path / "s.db"
     later = VersionStore(path)
     later.save(make_version(1, make_endpoints("r1 w1"), "t", 0.0))
     later._connection.execute("ALTER TABLE versions ADD COLUMN more TEXT NOT NULL DEFAULT ''")
     same_schema = VersionStore(path)
-    assert same_schema.load_latest().number == 1  # one column more is no hindrance
-    same_schema.close()  # an open connection would keep the log from being written back
+    assert same_schema.load_latest().number == 1  # a further column is ignored
+    same_schema.close()  # an open connection would prevent the checkpoint of the write-ahead log
     later._connection.execute("INSERT INTO versions SELECT 7, source, digest, sum, rows, 'x' FROM versions")
     later._connection.execute("PRAGMA user_version=2")
     later.close()
@@ -97,7 +97,8 @@
 
 @pytest.mark.parametrize("step", ["open", "begin", "insert", "prune", "commit", "done"])
 def test_a_save_killed_at_any_step_leaves_an_intact_version(step: str, tmp_path: Path) -> None:
-    path, here = tmp_path / "s.db", Path(__file__).parent
+    path = tmp_path / "s.db"
+    here = Path(__file__).parent
     store = VersionStore(path)
     store.save(make_version(1, make_endpoints("r1 w1"), "t", 0.0))
     store.close()
