--- a/myrtlehub/limits/fair_share.py
+++ b/myrtlehub/limits/fair_share.py
@@ -12,7 +12,7 @@
 """
 
 from collections import deque
-from collections.abc import Hashable
+from collections.abc import Mapping
 from typing import Generic, NamedTuple, TypeVar
 
 Piece = TypeVar("Piece")  # a part of a batch, which the caller sends to an engine
@@ -43,7 +43,7 @@
 class FairShare(Generic[Piece]):
     """The work that each front of a node has in flight, and its share of the common engines."""
 
-    def __init__(self, utility: dict[Hashable, float]) -> None:
+    def __init__(self, utility: Mapping[str, float]) -> None:
         """Make the state of fronts without work; `utility` is that of a token, by front."""
         self.utility = utility
         self.common_capacity = 0.0  # tokens that the common engines can run at once, divided by the nodes
@@ -52,15 +52,15 @@
         self.has_own_engines = dict.fromkeys(utility, False)
         self.is_excluded = dict.fromkeys(utility, False)  # from the common engines
         self.pieces_in_flight = dict.fromkeys(utility, 0)
-        self.max_pieces: dict[Hashable, int | None] = dict.fromkeys(utility)  # in flight; None: no bound
-        self._demand: dict[Hashable, Demand] = {}
-        self._queues: dict[Hashable, deque[QueuedPiece[Piece]]] = {front: deque() for front in utility}
+        self.max_pieces: dict[str, int | None] = dict.fromkeys(utility)  # in flight; None: no bound
+        self._demand: dict[str, Demand] = {}
+        self._queues: dict[str, deque[QueuedPiece[Piece]]] = {front: deque() for front in utility}
 
-    def add_demand(self, now: float, front: Hashable, tokens: float) -> None:
+    def add_demand(self, now: float, front: str, tokens: float) -> None:
         """Add a request of so many tokens to a front's demand, whichever engines will run it."""
         self._demand[front] = Demand(self._recent_demand(now, front) + tokens, now)
 
-    def _recent_demand(self, now: float, front: Hashable) -> float:
+    def _recent_demand(self, now: float, front: str) -> float:
         demand = self._demand.get(front)
         if demand is None:
             return 0.0
@@ -72,7 +72,7 @@
         remaining: float = 0.5 ** (age / DEMAND_HALF_LIFE)
         return demand.tokens * remaining
 
-    def share(self, now: float, front: Hashable) -> float:
+    def share(self, now: float, front: str) -> float:
         """Return a front's share of the common engines; 1 if no other front has demand."""
         demanded = {name: self.utility[name] * self._recent_demand(now, name) for name in self.utility}
         others = sum(utility for name, utility in demanded.items() if name != front)
@@ -85,11 +85,11 @@
         own = min(demanded[front], others * self.utility[front] / max(self.utility.values()))
         return max(MIN_SHARE, own / (own + others))
 
-    def set_engine_count(self, front: Hashable, engines: int, nodes: int) -> None:
+    def set_engine_count(self, front: str, engines: int, nodes: int) -> None:
         """Bound the pieces in flight by the engines of a front, and by the nodes that send to them."""
         self.max_pieces[front] = max(1, -(-PIECES_PER_ENGINE * engines // max(1, nodes)))
 
-    def may_send(self, now: float, front: Hashable, tokens: float) -> bool:
+    def may_send(self, now: float, front: str, tokens: float) -> bool:
         """Return whether a piece of so many tokens may be sent.
 
         One piece of a front always may, so that a piece larger than the front's share does not wait for ever.
@@ -103,17 +103,17 @@
             return True
         return self.tokens_in_flight[front] + tokens <= self.share(now, front) * self.common_capacity
 
-    def record_sent(self, front: Hashable, tokens: float) -> None:
+    def record_sent(self, front: str, tokens: float) -> None:
         """Record that a piece was sent."""
         self.tokens_in_flight[front] += tokens
         self.pieces_in_flight[front] += 1
 
-    def record_done(self, front: Hashable, tokens: float) -> None:
+    def record_done(self, front: str, tokens: float) -> None:
         """Record that a piece ended, whatever its outcome."""
         self.tokens_in_flight[front] = max(0.0, self.tokens_in_flight[front] - tokens)
         self.pieces_in_flight[front] = max(0, self.pieces_in_flight[front] - 1)
 
-    def update_common_tokens(self, now: float, front: Hashable, tokens: float) -> bool:
+    def update_common_tokens(self, now: float, front: str, tokens: float) -> bool:
         """Record a change of a front's tokens at common engines; return whether `is_excluded` has changed.
 
         A front is excluded when it reaches its share, and readmitted at half of it, so that the state does
@@ -136,20 +136,20 @@
             self.is_excluded[front] = True
         return self.is_excluded[front] != was_excluded
 
-    def _common_bound(self, now: float, front: Hashable) -> float:
+    def _common_bound(self, now: float, front: str) -> float:
         """Return the tokens that a front with engines of its own may have at common engines."""
         share = self.share(now, front)
         return share * self.common_capacity if share >= EVEN_SHARE - SHARE_TOLERANCE else 0.0
 
-    def enqueue(self, front: Hashable, piece: Piece, tokens: float) -> None:
+    def enqueue(self, front: str, piece: Piece, tokens: float) -> None:
         """Queue a piece that may not be sent yet."""
         self._queues[front].append(QueuedPiece(piece, tokens))
 
-    def cancel(self, front: Hashable, piece: Piece) -> None:
+    def cancel(self, front: str, piece: Piece) -> None:
         """Remove a queued piece whose results are not needed any more."""
         self._queues[front] = deque(queued for queued in self._queues[front] if queued.piece is not piece)
 
-    def next_piece(self, now: float, front: Hashable) -> Piece | None:
+    def next_piece(self, now: float, front: str) -> Piece | None:
         """Return the next queued piece and count it as sent; None if none may be sent now."""
         queue = self._queues[front]
         if not queue or not self.may_send(now, front, queue[0].tokens):
@@ -158,6 +158,6 @@
         self.record_sent(front, tokens)
         return piece
 
-    def queue_length(self, front: Hashable) -> int:
+    def queue_length(self, front: str) -> int:
         """Return the number of queued pieces."""
         return len(self._queues[front])
