--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -179,8 +179,9 @@
         now = self.clock.seconds()
         faults = "; ".join(snapshot.faults)
         if snapshot.is_missing:
-            absent = f"no file is there for {', '.join(self.config.patterns)}; the last list stays"
-            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or absent)
+            patterns = ", ".join(self.config.patterns)
+            missing = f"no file exists for {patterns}; the last list stays in use"
+            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or missing)
         if faults:
             return self.validator.reject(now, SOURCE_NAME, faults)
         return self.validator.validate(
--- a/myrtlehub/membership/snapshot.py
+++ b/myrtlehub/membership/snapshot.py
@@ -173,14 +173,16 @@
         try:
             content = parse_config(data.decode(), EndpointFile, path)
         except UnicodeDecodeError:
-            self._faults.append(f"{path}:1: not UTF-8 text; is it whole?")
+            self._faults.append(f"{path}:1: not UTF-8 text; is it complete?")
             return None
         except ConfigError as fault:
             self._faults.extend(fault.lines)
             return None
         if self._requires_end_mark and not content.end:
             last_line = data.count(b"\n") + 1
-            self._faults.append(f"{path}:{last_line}: end: missing; write the file whole, end: yes last")
+            self._faults.append(
+                f"{path}:{last_line}: end: missing; write the complete file, with end: yes last"
+            )
             return None
         return content
 
--- a/myrtlehub/membership/validation.py
+++ b/myrtlehub/membership/validation.py
@@ -166,8 +166,8 @@
         confirmed_at = self._confirmed_at(now, candidate, removed)
         if confirmed_at is not None:
             reason = (
-                f"takes away {removed:.0%} of the engines at once, over "
-                f"{self.config.max_removed:.0%}: held until a second reading confirms it"
+                f"removes {removed:.0%} of the engines at once, over "
+                f"{self.config.max_removed:.0%}: deferred until a second snapshot confirms it"
             )
             return Deferred(reason, confirmed_at)
         return self._accept(now, candidate, difference)._replace(recheck_at=damped_until)
--- a/myrtlehub/membership/version_store.py
+++ b/myrtlehub/membership/version_store.py
@@ -115,8 +115,8 @@
             connection.close()
             raise VersionStoreError(
                 self.path,
-                f"is of form {found}, and this version knows forms up to {SCHEMA_VERSION}; "
-                "it is left as it is",
+                f"has schema version {found}, and this program knows versions up to {SCHEMA_VERSION}; "
+                "it is not changed",
             )
         connection.execute(SCHEMA)
         connection.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
@@ -163,7 +163,7 @@
             if endpoints is not None:
                 return StoredVersion(row.number, row.source, endpoints)
         if rows:
-            raise VersionStoreError(self.path, f"none of its {len(rows)} versions is whole")
+            raise VersionStoreError(self.path, f"none of its {len(rows)} versions is intact")
         return None
 
     def close(self) -> None:
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -205,7 +205,9 @@
         assert node.executor.list_label == first
         parsed += not read_snapshot(["list-n0"], tmp_path).faults
     assert parsed > len(cuts) / 2
-    assert "write the file whole, end: yes last" in node.endpoint_source.validator.rejections[-1].reason
+    assert (
+        "write the complete file, with end: yes last" in node.endpoint_source.validator.rejections[-1].reason
+    )
 
 
 def test_a_modification_time_in_the_past_hides_no_change(tmp_path: Path) -> None:
--- a/tests/test_version_store.py
+++ b/tests/test_version_store.py
@@ -59,7 +59,9 @@
     later.close()
     before = path.read_bytes()
     store = VersionStore(path)
-    with pytest.raises(VersionStoreError, match="of form 2, and this version knows forms up to 1"):
+    with pytest.raises(
+        VersionStoreError, match="has schema version 2, and this program knows versions up to 1"
+    ):
         store.save(make_version(8, make_endpoints("r1 w1 w2"), "t", 0.0))
     listed = tmp_path / "list"
     listed.mkdir()
