--- a/myrtlehub/limits/admission.py
+++ b/myrtlehub/limits/admission.py
@@ -51,7 +51,7 @@
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
-        self._least = NEVER
+        self._least = NEVER  # the least recent latency share; no sample yet
         self._least_at = 0.0
         self._mean = 0.0  # 0 before the first sample, and as long as all samples are 0
 
--- a/myrtlehub/membership/file_notifier.py
+++ b/myrtlehub/membership/file_notifier.py
@@ -1,6 +1,7 @@
 """Notification of file changes by inotify, through Twisted. Where there is no inotify, polling has to do."""
 
 from collections.abc import Callable, Iterable
+from functools import partial
 from typing import Protocol
 
 from twisted.internet.interfaces import IReactorFDSet
@@ -37,7 +38,8 @@
     if not HAS_INOTIFY:
         return None
     try:
-        instance: _Inotify = inotify.INotify(reactor)  # type: ignore[no-untyped-call]  # Twisted's
+        # Twisted's inotify module has no annotations.
+        instance: _Inotify = inotify.INotify(reactor)  # type: ignore[no-untyped-call]
         instance.startReading()
     except OSError:
         return None
@@ -69,13 +71,7 @@
         """Call `callback` at each change in these directories; directories of earlier calls stay watched."""
         if self._inotify is None:
             return
-
-        def on_event(ignored: object, path: FilePath[bytes], event: int) -> None:
-            if event & (inotify.IN_DELETE_SELF | inotify.IN_IGNORED):
-                # A directory of the same name may be created later, and has to be watched again.
-                self._watched.discard(path.path.decode() if isinstance(path.path, bytes) else path.path)
-            callback()
-
+        on_event = partial(self._handle_event, callback)
         for directory in directories:
             if directory in self._watched:
                 continue
@@ -84,3 +80,11 @@
             except (OSError, inotify.INotifyError):
                 continue  # the directory is gone again, or the system allows no more watches
             self._watched.add(directory)
+
+    def _handle_event(
+        self, callback: ChangeCallback, ignored: object, path: FilePath[bytes], event: int
+    ) -> None:
+        if event & (inotify.IN_DELETE_SELF | inotify.IN_IGNORED):
+            # A directory of the same name may be created later, and has to be watched again.
+            self._watched.discard(path.path.decode() if isinstance(path.path, bytes) else path.path)
+        callback()
