--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -172,8 +172,7 @@
 
     def _admit(self, node: int) -> None:
         """Send what the node's controller admits now."""
-        now = self.fleet.clock.seconds()
-        while (item := self.controllers[node].admit_next(now)) is not None:
+        while (item := self.controllers[node].admit_next()) is not None:
             self._send(node, *item)
 
     def _shed(self, node: int) -> None:
@@ -183,7 +182,7 @@
             pass
         due = self.controllers[node].next_shed_at()
         timer = self.shed_timers[node]
-        if due < float("inf") and (timer is None or not timer.active()):
+        if due is not None and (timer is None or not timer.active()):
             self.shed_timers[node] = self.fleet.clock.callLater(max(0.001, due - now), self._shed, node)
 
     def _send(self, node: int, request: DecodedRequest, arrived_at: float) -> None:
@@ -193,7 +192,7 @@
 
         def started(client: InProcessClient) -> None:
             now = self.fleet.clock.seconds()
-            self.controllers[node].started(now, waited + client.first_token, SLO[name])
+            self.controllers[node].record_first_token(now, waited + client.first_token, SLO[name])
             self._admit(node)
 
         def ended(client: InProcessClient) -> None:
@@ -208,7 +207,7 @@
         if client.answer == "generated" and waited + client.first_token <= SLO[name]:
             self.utility_in_time += UTILITY[name]
         if not client.first_token:
-            self.controllers[node].failed(self.fleet.clock.seconds(), True)
+            self.controllers[node].record_failure(self.fleet.clock.seconds(), True)
             self._admit(node)
 
 
