--- a/benchmarks/canary_methods.py
+++ b/benchmarks/canary_methods.py
@@ -89,8 +89,8 @@
 
     def share(self, guard: Guard, blocks: list[SampleWindow], role: int) -> float:
         """Return the guard's figure over the nodes of a role."""
-        above = sum(b.figures[guard.figure, guard.traffic][0][b.roles == role].sum() for b in blocks)
-        below = sum(b.figures[guard.figure, guard.traffic][1][b.roles == role].sum() for b in blocks)
+        above = sum(b.metrics[guard.metric, guard.traffic][0][b.roles == role].sum() for b in blocks)
+        below = sum(b.metrics[guard.metric, guard.traffic][1][b.roles == role].sum() for b in blocks)
         return above / below if below else 0.0
 
 
@@ -113,8 +113,8 @@
 
     def worse(self, guard: Guard, watched: list[SampleWindow]) -> bool:
         """Whether the changed nodes are worse by this guard."""
-        above = sum(b.figures[guard.figure, guard.traffic][0] for b in watched)
-        below = sum(b.figures[guard.figure, guard.traffic][1] for b in watched)
+        above = sum(b.metrics[guard.metric, guard.traffic][0] for b in watched)
+        below = sum(b.metrics[guard.metric, guard.traffic][1] for b in watched)
         roles = watched[-1].roles
         of = [
             above[(roles == r) & (below > 0)] / below[(roles == r) & (below > 0)]
--- a/myrtlehub/lab/fleet_model.py
+++ b/myrtlehub/lab/fleet_model.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from myrtlehub.rollout.samples import ALL_TRAFFIC, FigureKey, NodeRatios, NodeRole, SampleWindow
+from myrtlehub.rollout.samples import ALL_TRAFFIC, MetricKey, NodeRatios, NodeRole, SampleWindow
 
 TRAFFIC_TYPES = ("ask", "post", "note")
 TRAFFIC_SHARES = np.array([0.6, 0.3, 0.1])
@@ -103,13 +103,13 @@
         share = SERVED + self._level + self._served_drift + self._zone_drift[self._zone_of] - disturbed
         share = np.clip(share, LEAST_SERVED, MOST_SERVED)
         is_up = roles != NodeRole.UNAVAILABLE
-        figures: dict[FigureKey, NodeRatios] = {}
+        figures: dict[MetricKey, NodeRatios] = {}
         total = self._serve(share, affected, is_up, figures)
         self.asked += total.asked.sum()
-        figures[FigureKey("served", ALL_TRAFFIC)] = NodeRatios(*total)
-        figures[FigureKey("rejected", ALL_TRAFFIC)] = self._rejected(total)
+        figures[MetricKey("served", ALL_TRAFFIC)] = NodeRatios(*total)
+        figures[MetricKey("rejected", ALL_TRAFFIC)] = self._rejected(total)
         latency = self._log_latency(disturbed, affected)
-        figures[FigureKey("first_token", ALL_TRAFFIC)] = self._first_token(total, latency, is_up)
+        figures[MetricKey("first_token", ALL_TRAFFIC)] = self._first_token(total, latency, is_up)
         self.step += 1
         return SampleWindow(roles.copy(), figures, engines, measuring)
 
@@ -154,7 +154,7 @@
         share: np.ndarray,
         affected: np.ndarray,
         is_up: np.ndarray,
-        figures: dict[FigureKey, NodeRatios],
+        figures: dict[MetricKey, NodeRatios],
     ) -> _Traffic:
         """Add the figures of each traffic type; return their sum."""
         total = _Traffic(np.zeros(self._nodes), np.zeros(self._nodes))
@@ -167,7 +167,7 @@
             lost = self._random.binomial(without_change, np.clip(affected * lost_share, 0.0, 1.0))
             self.lost += lost.sum()
             served = (without_change - lost).astype(float)
-            figures[FigureKey("served", name)] = NodeRatios(served, asked.astype(float))
+            figures[MetricKey("served", name)] = NodeRatios(served, asked.astype(float))
             total = _Traffic(total.served + served, total.asked + asked)
         return total
 
--- a/myrtlehub/rollout/canary_analysis.py
+++ b/myrtlehub/rollout/canary_analysis.py
@@ -11,9 +11,9 @@
 import numpy as np
 
 from myrtlehub.rollout.disturbance import SERVED, DisturbanceDetector
-from myrtlehub.rollout.figure_tally import FigureTally
-from myrtlehub.rollout.samples import FigureKey, NodeRole, SampleWindow
-from myrtlehub.rollout.statistics import MIN_WINDOWS, Comparison, ErrorBudget, Guard, compare_figure
+from myrtlehub.rollout.metric_tally import MetricTally
+from myrtlehub.rollout.samples import MetricKey, NodeRole, SampleWindow
+from myrtlehub.rollout.statistics import MIN_WINDOWS, Comparison, ErrorBudget, Guard, compare_metric
 from myrtlehub.rollout.verdict_text import (
     describe_disturbance,
     describe_loss,
@@ -68,7 +68,7 @@
         self.watch = watch
         self.max_lost = max_lost
         self.tallies = {
-            FigureKey(guard.figure, guard.traffic): FigureTally(node_zones, len(zone_names))
+            MetricKey(guard.metric, guard.traffic): MetricTally(node_zones, len(zone_names))
             for guard in self.guards
         }
         self.disturbance = DisturbanceDetector(zone_names, watch)
@@ -79,16 +79,16 @@
     def add(self, window: SampleWindow) -> None:
         """Add a sample window."""
         disturbed = self.disturbance.add(window)
-        if SERVED in window.figures:
-            asked = window.figures[SERVED].denominator
+        if SERVED in window.metrics:
+            asked = window.metrics[SERVED].denominator
             if window.is_baseline:
                 self._baseline_asked.append(float(asked.sum()))
             self._changed_asked += float(asked[window.roles == NodeRole.CHANGED].sum())
         if disturbed.all():
             return
         for key, tally in self.tallies.items():
-            if key in window.figures:
-                tally.add(window.figures[key], window, disturbed)
+            if key in window.metrics:
+                tally.add(window.metrics[key], window, disturbed)
 
     def restart_observation(self) -> None:
         """Observe the stage from here on, or again after a disturbance."""
@@ -105,7 +105,7 @@
 
     def compare(self, guard: Guard) -> Comparison | None:
         """Compare one guard over all windows in which it can be; None where there are too few."""
-        return compare_figure(guard, self.tallies[guard.figure, guard.traffic], self._error_budget)
+        return compare_metric(guard, self.tallies[guard.metric, guard.traffic], self._error_budget)
 
     def verdict(self) -> Verdict:
         """Return what is to be said now of the stage in work."""
@@ -151,7 +151,7 @@
     def _lost_utility(self, comparisons: tuple[Comparison, ...]) -> float:
         """Return the utility that the rollout surely has cost, in windows of what the fleet is asked."""
         for comparison in comparisons:
-            if (comparison.guard.figure, comparison.guard.traffic) == SERVED:
+            if (comparison.guard.metric, comparison.guard.traffic) == SERVED:
                 if comparison.low <= 0.0 or not self._baseline_asked:
                     return 0.0
                 baseline = sum(self._baseline_asked) / len(self._baseline_asked)
--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from myrtlehub.rollout.samples import FigureKey, NodeRole, SampleWindow
+from myrtlehub.rollout.samples import MetricKey, NodeRole, SampleWindow
 from myrtlehub.rollout.statistics import MAX_INFLATION, MIN_WINDOWS
 
 ENGINES_LOST = 0.1  # share of a zone's serving engines that, gone or come within QUIET_WINDOWS, disturbs it
@@ -20,7 +20,7 @@
 SLOW_FALL_SIGMAS = FALL_SIGMAS / 2.0
 BLAME_WATCHES = 2.0  # watches for which a fall of the whole fleet has to last: bursts pass sooner
 QUIET_WINDOWS = 3  # windows without any sign, until a disturbance counts as over
-SERVED = FigureKey("served")
+SERVED = MetricKey("served")
 NO_WINDOW = -1
 
 
@@ -143,9 +143,9 @@
 
 def _served_share(window: SampleWindow) -> float:
     """Return the share of the utility asked that is served: by unchanged nodes, by all where none is left."""
-    if SERVED not in window.figures:
+    if SERVED not in window.metrics:
         return float("nan")
-    served, asked = window.figures[SERVED]
+    served, asked = window.metrics[SERVED]
     unchanged = window.roles == NodeRole.UNCHANGED
     nodes = unchanged if unchanged.any() else window.roles == NodeRole.CHANGED
     total = float(asked[nodes].sum())
--- a/myrtlehub/rollout/figure_tally.py
+++ b/myrtlehub/rollout/metric_tally.py
@@ -72,7 +72,7 @@
 )
 
 
-class FigureTally:
+class MetricTally:
     """Sums of one figure of one traffic type."""
 
     def __init__(self, node_zones: np.ndarray, zone_count: int) -> None:
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -25,9 +25,9 @@
 END_PHASES = frozenset({RolloutPhase.COMMITTED, RolloutPhase.ROLLED_BACK, RolloutPhase.STUCK})
 STATUS_EVENTS = {  # by revision, and whether it is proven
     (OLD, False): NodeEvent.OLD_STARTED,
-    (OLD, True): NodeEvent.OLD_PROVEN,
+    (OLD, True): NodeEvent.OLD_READY,
     (NEW, False): NodeEvent.NEW_STARTED,
-    (NEW, True): NodeEvent.NEW_PROVEN,
+    (NEW, True): NodeEvent.NEW_READY,
 }
 Move = tuple[str, "ModelState", str]  # label, next state, violated guarantee or ""
 
@@ -74,7 +74,7 @@
     return ModelState(initial_state(config.plan), (ProcessState(),) * config.plan.node_count)
 
 
-class ModelMoves:
+class ModelTransitions:
     """All that can happen next; an instance is called with a state and yields moves."""
 
     def __init__(self, config: ModelConfig) -> None:
@@ -133,7 +133,7 @@
         after = state._replace(pending=state.pending[1:])
         process = state.processes[node]
         is_up = process.is_up
-        if kind is NodeAction.LEAVE and is_up:
+        if kind is NodeAction.DRAIN and is_up:
             after = _with_process(after, node, process._replace(is_draining=True))
         elif kind is NodeAction.APPLY_NEW and is_up:
             after = _with_process(after, node, process._replace(revision=NEW))
@@ -174,9 +174,9 @@
                 yield self._take(state, node, NodeEvent.WARMED_UP)
             comes_back = node_state is NodeState.RESTARTING_OLD
             if node_state in MOVING_STATES and (state.processes[node].is_up or comes_back):
-                yield self._take(state, node, NodeEvent.OVERDUE)
+                yield self._take(state, node, NodeEvent.TIMED_OUT)
         if rollout.phase in (RolloutPhase.CHANGING, RolloutPhase.SETTLING, RolloutPhase.ON_HOLD):
-            yield self._take(state, FLEET, RolloutEvent.TIME_LIMIT)
+            yield self._take(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
 
     def _verdict_moves(self, state: ModelState) -> Iterator[Move]:
         is_last = state.rollout.stage == len(self.plan.stages) - 1
@@ -223,7 +223,7 @@
 
 def _status_event(process: ProcessState) -> NodeEvent:
     if not process.is_up:
-        return NodeEvent.EXITED if process.is_own_child else NodeEvent.GONE
+        return NodeEvent.PROCESS_EXITED if process.is_own_child else NodeEvent.PROCESS_MISSING
     if process.is_draining:
         return NodeEvent.SEEN_DRAINING
     return STATUS_EVENTS[process.revision, process.is_proven]
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -38,7 +38,7 @@
 class NodeAction(StrEnum):
     """What has to be done with one node."""
 
-    LEAVE = "leave"
+    DRAIN = "leave"
     APPLY_NEW = "apply"
     APPLY_OLD = "unapply"
     START_NEW = "begin"
@@ -83,14 +83,14 @@
     actions: list[Action]
 
 
-_PROCESS_ENDED = frozenset({NodeEvent.GONE, NodeEvent.EXITED})
+_PROCESS_ENDED = frozenset({NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED})
 _PROCESS_SEEN = frozenset(
     {
         NodeEvent.SEEN_DRAINING,
         NodeEvent.OLD_STARTED,
-        NodeEvent.OLD_PROVEN,
+        NodeEvent.OLD_READY,
         NodeEvent.NEW_STARTED,
-        NodeEvent.NEW_PROVEN,
+        NodeEvent.NEW_READY,
         NodeEvent.OTHER_REVISION,
     }
 )
@@ -179,15 +179,15 @@
     def _carry_out_node_effect(self, node: int, effect: StrEnum) -> None:
         in_place = self.plan.method is ChangeMethod.IN_PLACE
         if effect is NodeEffect.CHANGE:
-            self._add(NodeAction.APPLY_NEW if in_place else NodeAction.LEAVE, node)
+            self._add(NodeAction.APPLY_NEW if in_place else NodeAction.DRAIN, node)
         elif effect is NodeEffect.REVERT:
-            self._add(NodeAction.APPLY_OLD if in_place else NodeAction.LEAVE, node)
+            self._add(NodeAction.APPLY_OLD if in_place else NodeAction.DRAIN, node)
         elif effect in _DIRECT_ACTIONS:
             self._add(_DIRECT_ACTIONS[effect], node)
         elif effect is NodeEffect.FAIL:
             self._add(NodeAction.REPORT, node)
             self.take_rollout_event(RolloutEvent.NODE_FAILED)
-        elif effect is NodeEffect.DIED:
+        elif effect is NodeEffect.COUNT_EXIT:
             self._count_death(node)
 
     def _count_death(self, node: int) -> None:
@@ -231,7 +231,7 @@
     def _change_stage(self, stage: tuple[int, ...]) -> None:
         """Give nodes their turn as far as nodes may be unavailable; end the stage once all are ready."""
         in_place = self.plan.method is ChangeMethod.IN_PLACE
-        turn = NodeEvent.TURN_TO_APPLY if in_place else NodeEvent.TURN_TO_REPLACE
+        turn = NodeEvent.APPLY_SCHEDULED if in_place else NodeEvent.REPLACE_SCHEDULED
         for node in stage:
             waits = self.state.nodes[node] is NodeState.WAITING
             if waits and len(unavailable_nodes(self.state) | {node}) <= self.plan.max_unavailable:
@@ -250,7 +250,7 @@
         moving = any(state in MOVING_STATES for state in self.state.nodes)
         if self.state.phase is RolloutPhase.ROLLING_BACK and not moving:
             # Guards against an old program that no longer starts: no further node is rolled back.
-            self.take_rollout_event(RolloutEvent.BLOCKED)
+            self.take_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
 
     def _roll_back_nodes(self) -> None:
         changed = [
--- a/myrtlehub/rollout/samples.py
+++ b/myrtlehub/rollout/samples.py
@@ -14,7 +14,7 @@
 BYTES_PER_MEGABYTE = 1e6
 SECONDS_PER_MINUTE = 60.0
 
-Figures = dict["FigureKey", "NodeRatios"]
+WindowMetrics = dict["MetricKey", "NodeRatios"]
 
 
 class Revision(NamedTuple):
@@ -30,8 +30,8 @@
     revision: Revision
     incarnation: str
     pid: int = 0
-    draining: bool = False
-    proven: bool = True  # it has an endpoint list and has generated a sequence
+    is_draining: bool = False
+    is_ready: bool = True  # it has an endpoint list and has generated a sequence
     generation: int = 0
     controller: str = ""
 
@@ -67,10 +67,10 @@
     CHANGED = 2
 
 
-class FigureKey(NamedTuple):
+class MetricKey(NamedTuple):
     """A figure of one traffic type, or of all."""
 
-    figure: str
+    metric: str
     traffic: str = ALL_TRAFFIC
 
 
@@ -85,7 +85,7 @@
     """What was seen of all nodes in one span of time; arrays have a value for each node."""
 
     roles: np.ndarray  # of NodeRole
-    figures: Figures
+    metrics: WindowMetrics
     engines: dict[str, int]  # that serve, by zone, as most nodes have it
     is_baseline: bool = False  # nothing is changed yet
 
@@ -95,12 +95,12 @@
 
     An empty part of the new revision is not known yet, and matches anything but the old one's.
     """
-    if status.draining:
+    if status.is_draining:
         return NodeEvent.SEEN_DRAINING
     if status.revision == old:
-        return NodeEvent.OLD_PROVEN if status.proven else NodeEvent.OLD_STARTED
+        return NodeEvent.OLD_READY if status.is_ready else NodeEvent.OLD_STARTED
     if _is_new(status.revision, new, old):
-        return NodeEvent.NEW_PROVEN if status.proven else NodeEvent.NEW_STARTED
+        return NodeEvent.NEW_READY if status.is_ready else NodeEvent.NEW_STARTED
     return NodeEvent.OTHER_REVISION
 
 
@@ -124,10 +124,10 @@
     if state is NodeState.WARMING and not absent and elapsed >= timeouts.warm_up:
         return NodeEvent.WARMED_UP
     if state in (NodeState.DRAINING, NodeState.ROLLING_BACK):
-        return NodeEvent.OVERDUE if elapsed >= timeouts.drain else None
+        return NodeEvent.TIMED_OUT if elapsed >= timeouts.drain else None
     comes_back = absent and (state in (NodeState.READY, NodeState.WARMING) or state in COMPARED_STATES)
     if state in (NodeState.STARTING, NodeState.RESTARTING_OLD) or comes_back:
-        return NodeEvent.OVERDUE if elapsed >= timeouts.start else None
+        return NodeEvent.TIMED_OUT if elapsed >= timeouts.start else None
     return None
 
 
@@ -154,7 +154,7 @@
         A node counts where both polls saw the same process, in the same state.
         """
         roles = np.full(self.node_count, NodeRole.UNAVAILABLE)
-        figures: Figures = {}
+        figures: WindowMetrics = {}
         for node, (now, before) in enumerate(zip(counters, self._last_counters, strict=True)):
             if now is None or before is None or now.incarnation != before.incarnation:
                 continue
@@ -164,7 +164,7 @@
             if roles[node] != NodeRole.UNAVAILABLE:
                 self._add_node(figures, node, now, before, is_baseline)
                 memory = (now.memory - before.memory) / BYTES_PER_MEGABYTE
-                self._add(figures, FigureKey("memory"), node, memory, seconds / SECONDS_PER_MINUTE)
+                self._add(figures, MetricKey("memory"), node, memory, seconds / SECONDS_PER_MINUTE)
         self._last_counters = list(counters)
         self._last_states = list(states)
         if is_baseline:
@@ -172,7 +172,7 @@
         return SampleWindow(roles, figures, _median_engines(counters), is_baseline)
 
     def _add_node(
-        self, figures: Figures, node: int, now: NodeCounters, before: NodeCounters, is_baseline: bool
+        self, figures: WindowMetrics, node: int, now: NodeCounters, before: NodeCounters, is_baseline: bool
     ) -> None:
         for name, sums in now.traffic.items():
             earlier = before.traffic.get(name, TrafficCounters())
@@ -188,9 +188,11 @@
             )
             for traffic in (name, ALL_TRAFFIC):
                 for figure, numerator, denominator in ratios:
-                    self._add(figures, FigureKey(figure, traffic), node, numerator, denominator)
+                    self._add(figures, MetricKey(figure, traffic), node, numerator, denominator)
 
-    def _add(self, figures: Figures, key: FigureKey, node: int, numerator: float, denominator: float) -> None:
+    def _add(
+        self, figures: WindowMetrics, key: MetricKey, node: int, numerator: float, denominator: float
+    ) -> None:
         if key not in figures:
             figures[key] = NodeRatios(np.zeros(self.node_count), np.zeros(self.node_count))
         figures[key].numerator[node] += numerator
--- a/myrtlehub/rollout/states.py
+++ b/myrtlehub/rollout/states.py
@@ -29,21 +29,21 @@
 class NodeEvent(StrEnum):
     """What is seen of a node, decided for it, or due by the clock."""
 
-    TURN_TO_REPLACE = "go"  # its turn has come: by another process
-    TURN_TO_APPLY = "put"  # its turn has come: in the running process
+    REPLACE_SCHEDULED = "go"  # its turn has come: by another process
+    APPLY_SCHEDULED = "put"  # its turn has come: in the running process
     SEEN_DRAINING = "leaving"
     OLD_STARTED = "was"  # answers by the old revision
-    OLD_PROVEN = "old"  # the same, with an endpoint list and a generated sequence
+    OLD_READY = "old"  # the same, with an endpoint list and a generated sequence
     NEW_STARTED = "new"  # answers by the new revision
-    NEW_PROVEN = "proven"  # the same, with an endpoint list and a generated sequence
+    NEW_READY = "proven"  # the same, with an endpoint list and a generated sequence
     OTHER_REVISION = "other"  # answers by a third revision
-    GONE = "gone"  # no process is there
-    EXITED = "quit"  # the process that this controller started has ended by itself
-    REFUSED = "refused"  # it refused an order and said why
+    PROCESS_MISSING = "gone"  # no process is there
+    PROCESS_EXITED = "quit"  # the process that this controller started has ended by itself
+    ORDER_REJECTED = "refused"  # it refused an order and said why
     STAGE_READY = "all"
     WARMED_UP = "warm"
     STAGE_PASSED = "pass"
-    OVERDUE = "overdue"
+    TIMED_OUT = "overdue"
     ROLL_BACK = "undo"
 
 
@@ -56,7 +56,7 @@
     START_OLD = "begin old"
     KILL = "kill"
     FAIL = "fail"
-    DIED = "died"
+    COUNT_EXIT = "died"
     REPORT = "tell"  # tell the operators
 
 
@@ -88,10 +88,10 @@
     DISTURBANCE = "trouble"
     DISTURBANCE_OVER = "clear"
     NODE_FAILED = "failed"  # a changed node did not come up, or died too often
-    TIME_LIMIT = "bound"  # the time for this phase is over
+    PHASE_TIMED_OUT = "bound"  # the time for this phase is over
     ROLL_BACK = "undo"
     ALL_ROLLED_BACK = "back"
-    BLOCKED = "wedged"  # a node is stuck and no other one is in motion
+    ROLLBACK_BLOCKED = "wedged"  # a node is stuck and no other one is in motion
 
 
 class RolloutEffect(StrEnum):
--- a/myrtlehub/rollout/statistics.py
+++ b/myrtlehub/rollout/statistics.py
@@ -15,7 +15,7 @@
 import numpy as np
 from scipy.special import ndtr, stdtrit
 
-from myrtlehub.rollout.figure_tally import FigureTally, TallySum
+from myrtlehub.rollout.metric_tally import MetricTally, TallySum
 from myrtlehub.rollout.samples import ALL_TRAFFIC
 
 MIN_WINDOWS = 3  # that are compared before anything is said: one is a moment, not a difference
@@ -33,7 +33,7 @@
 class Guard(NamedTuple):
     """One figure that may not get worse."""
 
-    figure: str
+    metric: str
     margin: float  # by how much worse is not acceptable, in the figure's unit
     sign: float = 1.0  # 1: higher is worse; -1: lower is worse
     traffic: str = ALL_TRAFFIC
@@ -84,7 +84,7 @@
     trust: np.ndarray  # by node: the part of its offset that is more than noise
 
 
-def compare_figure(guard: Guard, tally: FigureTally, budget: ErrorBudget) -> Comparison | None:
+def compare_metric(guard: Guard, tally: MetricTally, budget: ErrorBudget) -> Comparison | None:
     """Compare changed with unchanged nodes; None where there are too few windows or nodes."""
     sums = tally.sums
     changed = sums[TallySum.CHANGED_WEIGHT] > 0.0
@@ -114,7 +114,7 @@
     )
 
 
-def noise_variance(tally: FigureTally) -> float:
+def noise_variance(tally: MetricTally) -> float:
     """Return the variance of a window's figure times its weight, within nodes.
 
     It is wider where a window resembles the last one.
@@ -139,14 +139,14 @@
     return -float(stdtrit(unchanged - 1.0 + PRIOR_NODES, ndtr(-normal)))
 
 
-def _baseline_offsets(tally: FigureTally, noise: float) -> _BaselineOffsets:
+def _baseline_offsets(tally: MetricTally, noise: float) -> _BaselineOffsets:
     mean, weight = _means(tally.sums[TallySum.BASELINE_OFFSET], tally.sums[TallySum.BASELINE_WEIGHT])
     scatter = _scatter(_Means(mean, weight), noise)
     trust = scatter / (scatter + noise / np.maximum(weight, TINY) + TINY)
     return _BaselineOffsets(mean, scatter, trust)
 
 
-def _corrected_means(tally: FigureTally, changed: np.ndarray, baseline: _BaselineOffsets) -> _Means:
+def _corrected_means(tally: MetricTally, changed: np.ndarray, baseline: _BaselineOffsets) -> _Means:
     """Return each node's mean since the change, less its own offset from before."""
     sums = tally.sums
     of_changed = _means(sums[TallySum.CHANGED_OFFSET], sums[TallySum.CHANGED_WEIGHT])
--- a/myrtlehub/rollout/verdict_text.py
+++ b/myrtlehub/rollout/verdict_text.py
@@ -7,7 +7,7 @@
 
 def describe_guard(guard: Guard) -> str:
     """Name a guard's figure, and the traffic type where it is of one."""
-    return f"{guard.figure} of {guard.traffic}" if guard.traffic else guard.figure
+    return f"{guard.metric} of {guard.traffic}" if guard.traffic else guard.metric
 
 
 def describe_comparison(comparison: Comparison) -> str:
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -199,7 +199,7 @@
         result = self.record.take(node, event, reason, details)
         if result is None:
             return
-        ended = event in (NodeEvent.GONE, NodeEvent.EXITED)
+        ended = event in (NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED)
         if node != FLEET and ended and self.state.nodes[node] in SERVING_STATES:
             # It has as long to come back as any node has to start.
             self.nodes[node].state_since = self._reactor.seconds()
@@ -267,7 +267,7 @@
 
     def _take_refusal(self, node: int) -> None:
         try:
-            self.take(node, NodeEvent.REFUSED, self.reason)
+            self.take(node, NodeEvent.ORDER_REJECTED, self.reason)
         except Exception:  # noqa: BLE001 - whatever it is ends the controller and is printed
             self.action_failed(Failure())
 
--- a/myrtlehub/rollout_controller/node_actions.py
+++ b/myrtlehub/rollout_controller/node_actions.py
@@ -68,7 +68,7 @@
     def carry_out(self, kind: NodeAction, node: int, state: NodeState) -> None:
         """Carry out one action for a node that is in this state."""
         match kind:
-            case NodeAction.LEAVE:
+            case NodeAction.DRAIN:
                 self._leave(node)
             case NodeAction.APPLY_NEW:
                 self._apply_settings(node, PlanSide.NEW)
--- a/myrtlehub/rollout_controller/node_tracker.py
+++ b/myrtlehub/rollout_controller/node_tracker.py
@@ -154,7 +154,7 @@
             return None
         record = self._record
         event = event_of_status(status, record.old_revisions[node], record.new_revision)
-        is_new = event in (NodeEvent.NEW_STARTED, NodeEvent.NEW_PROVEN)
+        is_new = event in (NodeEvent.NEW_STARTED, NodeEvent.NEW_READY)
         if is_new and "" in record.new_revision:
             record.note_new_revision(status.revision)
         return event
@@ -166,11 +166,11 @@
             # It was started anew for that end already: only the end of the new process is another one.
             is_news = self._supervisor.has_exited(node) and not tracked.exit_noted
             tracked.exit_noted = tracked.exit_noted or is_news
-            return NodeEvent.EXITED if is_news else None
+            return NodeEvent.PROCESS_EXITED if is_news else None
         if state in (NodeState.STARTING, NodeState.RESTARTING_OLD):
             if self._supervisor.has_exited(node):
-                return NodeEvent.EXITED
+                return NodeEvent.PROCESS_EXITED
             now = self._reactor.seconds()
             if now - self._started < ADOPT_SECONDS or now - tracked.state_since < ADOPT_SECONDS:
                 return None
-        return NodeEvent.GONE
+        return NodeEvent.PROCESS_MISSING
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -62,7 +62,7 @@
             reason = f"trouble has lasted for {self._sheet.hold:g} s: {self.verdict.reason}"
         else:
             reason = f"{phase} took longer than {limit:g} s"
-        return Decision(RolloutEvent.TIME_LIMIT, reason)
+        return Decision(RolloutEvent.PHASE_TIMED_OUT, reason)
 
     def _phase_limit(self, phase: RolloutPhase) -> float | None:
         sheet = self._sheet
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -159,7 +159,7 @@
     roles[1] = NodeRole.UNAVAILABLE
     for _ in range(5):
         block = fleet.advance(roles)
-        for above, below in block.figures.values():
+        for above, below in block.metrics.values():
             above[1], below[1] = -1e9, 1.0  # whatever such a node says
         analysis.add(block)
     compared = analysis.compare(GUARDS[0])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,7 +12,13 @@
     encode_line,
     last_generation,
 )
-from myrtlehub.rollout.model import END_PHASES, ModelConfig, ModelMoves, ProgramFault, initial_model_state
+from myrtlehub.rollout.model import (
+    END_PHASES,
+    ModelConfig,
+    ModelTransitions,
+    ProgramFault,
+    initial_model_state,
+)
 from myrtlehub.rollout.node_orders import FORMAT_VERSION, Order, OrderValidator
 from myrtlehub.rollout.node_table import NODE_TABLE
 from myrtlehub.rollout.progress import FLEET, ChangeMethod, RolloutPlan, initial_state, step
@@ -79,7 +85,7 @@
 ) -> None:
     """With one fault at any moment: a node dies, the controller dies and resumes, the operator undoes."""
     config = ModelConfig(THREE._replace(method=method), **faults)
-    first, moves = initial_model_state(config), ModelMoves(config)
+    first, moves = initial_model_state(config), ModelTransitions(config)
     found = check_model(first, moves, 200)
     assert found.is_complete and not found.violation, (found.violation, found.trace)
     after: dict = {}
@@ -141,26 +147,30 @@
     ),
     "a node is rolled back by starting the new program, and believed": node(
         {
-            (NodeState.ROLLING_BACK, NodeEvent.GONE): Transition(
+            (NodeState.ROLLING_BACK, NodeEvent.PROCESS_MISSING): Transition(
                 NodeState.RESTARTING_OLD, NodeEffect.START_NEW
             ),
-            (NodeState.ROLLING_BACK, NodeEvent.EXITED): Transition(
+            (NodeState.ROLLING_BACK, NodeEvent.PROCESS_EXITED): Transition(
                 NodeState.RESTARTING_OLD, NodeEffect.START_NEW
             ),
             (NodeState.RESTARTING_OLD, NodeEvent.NEW_STARTED): ROLLED_BACK,
-            (NodeState.RESTARTING_OLD, NodeEvent.NEW_PROVEN): ROLLED_BACK,
+            (NodeState.RESTARTING_OLD, NodeEvent.NEW_READY): ROLLED_BACK,
         }
     ),
     "a node still by the new revision counts as rolled back": node(
         {
             (NodeState.ROLLING_BACK, NodeEvent.NEW_STARTED): ROLLED_BACK,
-            (NodeState.ROLLING_BACK, NodeEvent.NEW_PROVEN): ROLLED_BACK,
+            (NodeState.ROLLING_BACK, NodeEvent.NEW_READY): ROLLED_BACK,
         }
     ),
     "a dead changed node is brought back by the old program": node(
         {
-            (NodeState.OBSERVED, NodeEvent.GONE): Transition(NodeState.OBSERVED, NodeEffect.START_OLD),
-            (NodeState.OBSERVED, NodeEvent.EXITED): Transition(NodeState.OBSERVED, NodeEffect.START_OLD),
+            (NodeState.OBSERVED, NodeEvent.PROCESS_MISSING): Transition(
+                NodeState.OBSERVED, NodeEffect.START_OLD
+            ),
+            (NodeState.OBSERVED, NodeEvent.PROCESS_EXITED): Transition(
+                NodeState.OBSERVED, NodeEffect.START_OLD
+            ),
         }
     ),
     "a node is rolled back by leaving it as it is": node(
@@ -170,18 +180,18 @@
         }
     ),
     "a waiting node is asked to leave when it is seen": node(
-        {(NodeState.WAITING, NodeEvent.OLD_PROVEN): Transition(NodeState.WAITING, NodeEffect.CHANGE)}
+        {(NodeState.WAITING, NodeEvent.OLD_READY): Transition(NodeState.WAITING, NodeEffect.CHANGE)}
     ),
     "a rollout is committed while it is on hold": fleet(
         {
-            (RolloutPhase.ON_HOLD, RolloutEvent.TIME_LIMIT): Transition(
+            (RolloutPhase.ON_HOLD, RolloutEvent.PHASE_TIMED_OUT): Transition(
                 RolloutPhase.COMMITTED, RolloutEffect.FINISH
             )
         }
     ),
     "an order that the clock repeats has no transition": node(
         {
-            (NodeState.ROLLING_BACK, NodeEvent.OVERDUE): Transition(
+            (NodeState.ROLLING_BACK, NodeEvent.TIMED_OUT): Transition(
                 NodeState.ROLLING_BACK, CommonEffect.VIOLATION
             )
         }
@@ -192,7 +202,7 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_seeded_fault_is_found_and_its_trace_replays(name: str) -> None:
     config = ModelConfig(FAULTS[name])
-    first, moves = initial_model_state(config), ModelMoves(config)
+    first, moves = initial_model_state(config), ModelTransitions(config)
     found = check_model(first, moves, 200)
     assert found.violation, name
     assert replay(first, moves, found.trace)[1] == found.violation
@@ -203,17 +213,17 @@
     for who, event in (
         (FLEET, RolloutEvent.BEGIN),
         (FLEET, RolloutEvent.BASELINE_MEASURED),
-        (0, NodeEvent.GONE),
+        (0, NodeEvent.PROCESS_MISSING),
         (0, NodeEvent.NEW_STARTED),
-        (0, NodeEvent.NEW_PROVEN),
+        (0, NodeEvent.NEW_READY),
         (0, NodeEvent.WARMED_UP),
     ):
         s, _ = step(THREE, s, who, event)
     assert s.phase == "watching" and s.nodes == ("watched", "waiting", "waiting")
-    s, actions = step(THREE, s, 0, NodeEvent.EXITED)
+    s, actions = step(THREE, s, 0, NodeEvent.PROCESS_EXITED)
     assert s.phase == "holding" and actions == [("begin", 0), ("hold", FLEET)]
-    s, _ = step(THREE, s, 0, NodeEvent.NEW_PROVEN)
-    s, actions = step(THREE, s, 0, NodeEvent.EXITED)
+    s, _ = step(THREE, s, 0, NodeEvent.NEW_READY)
+    s, actions = step(THREE, s, 0, NodeEvent.PROCESS_EXITED)
     assert s.phase == "undoing" and s.nodes[0] == "undoing" and ("leave", 0) in actions
     with pytest.raises(InvalidTransitionError):
         step(THREE, s, FLEET, RolloutEvent.STAGE_PASSED)
@@ -222,10 +232,10 @@
 def test_no_turn_comes_while_others_are_unavailable() -> None:
     plan = RolloutPlan(4, ((0, 1, 2),), max_unavailable=2)
     s, _ = step(plan, initial_state(plan), FLEET, RolloutEvent.BEGIN)
-    s, _ = step(plan, s, 3, NodeEvent.GONE)  # an unchanged one, and nobody here ordered it
+    s, _ = step(plan, s, 3, NodeEvent.PROCESS_MISSING)  # an unchanged one, and nobody here ordered it
     s, actions = step(plan, s, FLEET, RolloutEvent.BASELINE_MEASURED)
     assert s.nodes == ("draining", "waiting", "waiting", "waiting") and ("leave", 0) in actions
-    s, actions = step(plan, s, 3, NodeEvent.OLD_PROVEN)
+    s, actions = step(plan, s, 3, NodeEvent.OLD_READY)
     assert s.nodes[:3] == ("draining", "draining", "waiting")
 
 
@@ -297,18 +307,18 @@
 
 def test_a_node_status_is_an_event() -> None:
     old, new = Revision("p", "s"), Revision("p", "t")
-    assert event_of_status(NodeStatus(old, "1"), old, new) is NodeEvent.OLD_PROVEN
-    assert event_of_status(NodeStatus(new, "1", proven=False), old, new) is NodeEvent.NEW_STARTED
-    assert event_of_status(NodeStatus(new, "1", draining=True), old, new) is NodeEvent.SEEN_DRAINING
+    assert event_of_status(NodeStatus(old, "1"), old, new) is NodeEvent.OLD_READY
+    assert event_of_status(NodeStatus(new, "1", is_ready=False), old, new) is NodeEvent.NEW_STARTED
+    assert event_of_status(NodeStatus(new, "1", is_draining=True), old, new) is NodeEvent.SEEN_DRAINING
     other = NodeStatus(Revision("q", "s"), "1")
     assert event_of_status(other, old, new) is NodeEvent.OTHER_REVISION
     unstated = Revision("", "s")  # which program it is was not stated
-    assert event_of_status(other, old, unstated) is NodeEvent.NEW_PROVEN
+    assert event_of_status(other, old, unstated) is NodeEvent.NEW_READY
     timeouts = NodeTimeouts(drain=9.0, start=9.0, warm_up=5.0)
     assert timer_event(NodeState.WARMING, 5.0, False, timeouts) is NodeEvent.WARMED_UP
     assert timer_event(NodeState.WARMING, 5.0, True, timeouts) is None
     timeouts = NodeTimeouts(drain=5.0, start=9.0, warm_up=5.0)
-    assert timer_event(NodeState.COMMITTED, 9.0, True, timeouts) is NodeEvent.OVERDUE
+    assert timer_event(NodeState.COMMITTED, 9.0, True, timeouts) is NodeEvent.TIMED_OUT
     assert timer_event(NodeState.COMMITTED, 9.0, False, timeouts) is None
     assert timer_event(NodeState.WAITING, 99.0, True, NodeTimeouts(1.0, 1.0, 1.0)) is None
 
@@ -322,10 +332,10 @@
     waiting = [NodeState.WAITING] * 3
     sampler.window([counted("1", 10)] * 3, waiting, 5.0, True)
     w = sampler.window([counted("1", 30), counted("2", 30), None], waiting, 5.0, True)
-    assert w.roles.tolist() == [1, 0, 0] and w.figures["served", ""][0].tolist() == [20.0, 0.0, 0.0]
-    assert w.engines == {"a": 4} and w.figures["memory", ""][0][0] == 20.0
+    assert w.roles.tolist() == [1, 0, 0] and w.metrics["served", ""][0].tolist() == [20.0, 0.0, 0.0]
+    assert w.engines == {"a": 4} and w.metrics["memory", ""][0][0] == 20.0
     states = [NodeState.OBSERVED, NodeState.WAITING, NodeState.WAITING]
     w = sampler.window([counted("1", 40), counted("2", 40), counted("1", 40)], states, 5.0, False)
     assert w.roles.tolist() == [0, 1, 0]  # the first moved, the third was not there before
     w = sampler.window([counted("1", 60), counted("2", 60), counted("1", 60)], states, 5.0, False)
-    assert w.roles.tolist() == [2, 1, 1] and w.figures["rejected", "ask"][1].tolist() == [20.0] * 3
+    assert w.roles.tolist() == [2, 1, 1] and w.metrics["rejected", "ask"][1].tolist() == [20.0] * 3
