--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -43,7 +43,9 @@
         self.staged: StagedSettings | None = None
 
     def _validate(self, order: pb.Order, method: str) -> None:
-        reason = self.validator.refusal(Order(order.format, order.generation, order.controller, order.run))
+        reason = self.validator.rejection_reason(
+            Order(order.format, order.generation, order.controller, order.run)
+        )
         if reason:
             self.node.log("order refused", order=method, why=reason)
             raise RpcError(Code.PERMISSION_DENIED, reason)
--- a/myrtlehub/rollout/node_orders.py
+++ b/myrtlehub/rollout/node_orders.py
@@ -1,4 +1,4 @@
-"""Whose orders a node takes: those of the controller with the highest generation that it has seen."""
+"""Validation of orders at a node: only the controller with the highest generation seen so far is obeyed."""
 
 from typing import NamedTuple
 
@@ -6,43 +6,47 @@
 
 
 class Order(NamedTuple):
-    """What every order says of itself."""
+    """The header of an order."""
 
     format: int
     generation: int
     controller: str
-    incarnation: str = ""  # the process that is meant; empty: whichever answers
+    incarnation: str = ""  # the process that the order is for; empty, as on the wire: any process of the node
 
 
 class OrderValidator:
-    """Remembers for one process whose orders it takes."""
+    """Decides which orders one process accepts, and remembers the controller that it obeys."""
 
     def __init__(self, incarnation: str, generation: int = 0, controller: str = "") -> None:
+        """Start with the controller that started this process, if there is one.
+
+        Args:
+            incarnation: identifier of this process.
+            generation: generation of that controller; 0 if there is none.
+            controller: identifier of that controller; empty if there is none.
+        """
         self.incarnation = incarnation
         self.generation = generation
         self.controller = controller
 
-    def refusal(self, order: Order) -> str:
-        """Return why an order is not taken; empty where it is, and its generation is then remembered."""
-        reason = self._wrong_format(order) or self._outranked(order)
-        if reason:
-            return reason
-        if order.incarnation and order.incarnation != self.incarnation:
-            return f"the order is for process {order.incarnation}, and this is {self.incarnation}"
-        self.generation = order.generation
-        self.controller = order.controller
-        return ""
+    def rejection_reason(self, order: Order) -> str | None:
+        """Return why an order is rejected, or accept it, remember its controller and return None."""
+        reason = self._format_error(order) or self._generation_error(order) or self._incarnation_error(order)
+        if reason is None:
+            self.generation = order.generation
+            self.controller = order.controller
+        return reason
 
-    def _wrong_format(self, order: Order) -> str:
+    def _format_error(self, order: Order) -> str | None:
         if order.format > FORMAT_VERSION:
             return (
                 f"the order is in format {order.format}, and this node knows formats up to {FORMAT_VERSION}"
             )
         if not order.generation or not order.controller:
             return "an order has to name its generation and its controller"
-        return ""
+        return None
 
-    def _outranked(self, order: Order) -> str:
+    def _generation_error(self, order: Order) -> str | None:
         if order.generation < self.generation:
             return (
                 f"the order is of generation {order.generation}; this node obeys {self.generation} "
@@ -53,4 +57,9 @@
                 f"generation {order.generation} is controller {self.controller}'s; {order.controller} has to "
                 "resume with a higher one"
             )
-        return ""
+        return None
+
+    def _incarnation_error(self, order: Order) -> str | None:
+        if order.incarnation and order.incarnation != self.incarnation:
+            return f"the order is for process {order.incarnation}, and this is {self.incarnation}"
+        return None
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -291,18 +291,18 @@
 
 def test_orders_of_an_older_controller_are_refused_in_words() -> None:
     validator = OrderValidator("run1")
-    assert not validator.refusal(Order(FORMAT_VERSION, 2, "x", "run1")) and not validator.refusal(
+    assert not validator.rejection_reason(Order(FORMAT_VERSION, 2, "x", "run1")) and not validator.rejection_reason(
         Order(FORMAT_VERSION, 2, "x")
     )
-    assert "controller x's" in validator.refusal(Order(FORMAT_VERSION, 2, "y"))
-    assert not validator.refusal(Order(FORMAT_VERSION, 3, "y"))
-    assert "obeys 3" in validator.refusal(Order(FORMAT_VERSION, 2, "x"))
-    assert "for process run0" in validator.refusal(Order(FORMAT_VERSION, 4, "y", "run0"))
+    assert "controller x's" in validator.rejection_reason(Order(FORMAT_VERSION, 2, "y"))
+    assert not validator.rejection_reason(Order(FORMAT_VERSION, 3, "y"))
+    assert "obeys 3" in validator.rejection_reason(Order(FORMAT_VERSION, 2, "x"))
+    assert "for process run0" in validator.rejection_reason(Order(FORMAT_VERSION, 4, "y", "run0"))
     assert (
-        f"format {FORMAT_VERSION + 1}" in validator.refusal(Order(FORMAT_VERSION + 1, 9, "z"))
+        f"format {FORMAT_VERSION + 1}" in validator.rejection_reason(Order(FORMAT_VERSION + 1, 9, "z"))
         and validator.generation == 3
     )
-    assert "name its generation" in validator.refusal(Order(FORMAT_VERSION, 0, "z"))
+    assert "name its generation" in validator.rejection_reason(Order(FORMAT_VERSION, 0, "z"))
 
 
 def test_a_node_status_is_an_event() -> None:
