--- a/benchmarks/canary_methods.py
+++ b/benchmarks/canary_methods.py
@@ -22,17 +22,17 @@
 
 from myrtlehub.lab.fleet_model import Disturbance, FleetModel, Regression, roles_of, stages
 from myrtlehub.rollout.canary_analysis import CanaryAnalysis, Outcome
-from myrtlehub.rollout.samples import NodeRole, SampleWindow
+from myrtlehub.rollout.samples import Metric, MetricKey, NodeRole, SampleWindow
 from myrtlehub.rollout.statistics import Guard
 
 MEASURE, WARM, WATCH, AWAY_SHARE, HOLD_MOST = 24, 2, 12, 0.08, 60
 BLOCK = 5.0
 HOUR = 720  # blocks that an unguarded change stays before somebody sees it
 GUARDS = (
-    Guard("served", 0.005, -1.0),
-    *(Guard("served", 0.01, -1.0, t) for t in ("ask", "post", "note")),
-    Guard("rejected", 0.005),
-    Guard("first_token", 0.05),
+    Guard(Metric.SERVED, 0.005, -1.0),
+    *(Guard(Metric.SERVED, 0.01, -1.0, t) for t in ("ask", "post", "note")),
+    Guard(Metric.REJECTED, 0.005),
+    Guard(Metric.FIRST_TOKEN, 0.05),
 )
 HARMS = {
     "equal": Regression(),
@@ -89,8 +89,12 @@
 
     def share(self, guard: Guard, blocks: list[SampleWindow], role: int) -> float:
         """Return the guard's figure over the nodes of a role."""
-        above = sum(b.metrics[guard.metric, guard.traffic][0][b.roles == role].sum() for b in blocks)
-        below = sum(b.metrics[guard.metric, guard.traffic][1][b.roles == role].sum() for b in blocks)
+        above = sum(
+            b.metrics[MetricKey(guard.metric, guard.traffic)][0][b.roles == role].sum() for b in blocks
+        )
+        below = sum(
+            b.metrics[MetricKey(guard.metric, guard.traffic)][1][b.roles == role].sum() for b in blocks
+        )
         return above / below if below else 0.0
 
 
@@ -113,8 +117,8 @@
 
     def worse(self, guard: Guard, watched: list[SampleWindow]) -> bool:
         """Whether the changed nodes are worse by this guard."""
-        above = sum(b.metrics[guard.metric, guard.traffic][0] for b in watched)
-        below = sum(b.metrics[guard.metric, guard.traffic][1] for b in watched)
+        above = sum(b.metrics[MetricKey(guard.metric, guard.traffic)][0] for b in watched)
+        below = sum(b.metrics[MetricKey(guard.metric, guard.traffic)][1] for b in watched)
         roles = watched[-1].roles
         of = [
             above[(roles == r) & (below > 0)] / below[(roles == r) & (below > 0)]
--- a/myrtlehub/lab/fleet_model.py
+++ b/myrtlehub/lab/fleet_model.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from myrtlehub.rollout.samples import ALL_TRAFFIC, MetricKey, NodeRatios, NodeRole, SampleWindow
+from myrtlehub.rollout.samples import ALL_TRAFFIC, Metric, MetricKey, NodeRatios, NodeRole, SampleWindow
 
 TRAFFIC_TYPES = ("ask", "post", "note")
 TRAFFIC_SHARES = np.array([0.6, 0.3, 0.1])
@@ -106,10 +106,10 @@
         figures: dict[MetricKey, NodeRatios] = {}
         total = self._serve(share, affected, is_up, figures)
         self.asked += total.asked.sum()
-        figures[MetricKey("served", ALL_TRAFFIC)] = NodeRatios(*total)
-        figures[MetricKey("rejected", ALL_TRAFFIC)] = self._rejected(total)
+        figures[MetricKey(Metric.SERVED, ALL_TRAFFIC)] = NodeRatios(*total)
+        figures[MetricKey(Metric.REJECTED, ALL_TRAFFIC)] = self._rejected(total)
         latency = self._log_latency(disturbed, affected)
-        figures[MetricKey("first_token", ALL_TRAFFIC)] = self._first_token(total, latency, is_up)
+        figures[MetricKey(Metric.FIRST_TOKEN, ALL_TRAFFIC)] = self._first_token(total, latency, is_up)
         self.step += 1
         return SampleWindow(roles.copy(), figures, engines, measuring)
 
@@ -167,7 +167,7 @@
             lost = self._random.binomial(without_change, np.clip(affected * lost_share, 0.0, 1.0))
             self.lost += lost.sum()
             served = (without_change - lost).astype(float)
-            figures[MetricKey("served", name)] = NodeRatios(served, asked.astype(float))
+            figures[MetricKey(Metric.SERVED, name)] = NodeRatios(served, asked.astype(float))
             total = _Traffic(total.served + served, total.asked + asked)
         return total
 
--- a/myrtlehub/rollout/__init__.py
+++ b/myrtlehub/rollout/__init__.py
@@ -1,6 +1,6 @@
-"""What a staged rollout decides: states, progress, canary analysis, stages, orders, the journal's format.
+"""The decisions of a staged rollout: state machines, canary analysis, stages, orders, journal format.
 
-Everything here is pure: it knows no node, file, process, socket or clock. `rollout_controller` looks at
-nodes, writes the journal and carries out actions; `model` is explored by `state` to check the transition
-tables.
+All modules here are pure: they use no sockets, files, processes or clock. `rollout_controller` polls the
+nodes, writes the journal and executes the actions. `state.model_checker` explores `model` to verify the
+transition tables.
 """
--- a/myrtlehub/rollout/canary_analysis.py
+++ b/myrtlehub/rollout/canary_analysis.py
@@ -1,17 +1,17 @@
-"""Canary analysis: whether the changed part of a fleet does worse than the unchanged part in the same time.
+"""Canary analysis: whether the changed nodes of a fleet do worse than the unchanged ones in the same time.
 
-It may be looked at after every sample window. Windows in which a disturbance is seen on the unchanged side
-are left out; `statistics` says how the two sides are compared.
+A verdict may be requested after every sample window. Windows with a disturbance are left out. `statistics`
+defines the comparison of the two groups.
 """
 
 from collections.abc import Sequence
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import NamedTuple, TypedDict
 
 import numpy as np
 
-from myrtlehub.rollout.disturbance import SERVED, DisturbanceDetector
-from myrtlehub.rollout.metric_tally import MetricTally
+from myrtlehub.rollout.disturbance import SERVED_KEY, DisturbanceDetector
+from myrtlehub.rollout.metric_tally import MetricTally, TallySnapshot
 from myrtlehub.rollout.samples import MetricKey, NodeRole, SampleWindow
 from myrtlehub.rollout.statistics import MIN_WINDOWS, Comparison, ErrorBudget, Guard, compare_metric
 from myrtlehub.rollout.verdict_text import (
@@ -22,26 +22,35 @@
     describe_worse,
 )
 
-DEFAULT_ALARM = 0.01
+DEFAULT_FALSE_ALARM_RATE = 0.01
 
 
 class Outcome(StrEnum):
-    """What the figures say of a stage."""
+    """The result of the analysis for the current stage."""
 
     PASS = "pass"
     WORSE = "worse"
-    DISTURBANCE = "trouble"  # the stage is held
+    DISTURBANCE = "trouble"  # the stage is put on hold
     UNDECIDED = "unsure"
 
 
 class Verdict(NamedTuple):
-    """What the figures say now, why, and the comparisons that it rests on."""
+    """The outcome, its reason, and the comparisons that it is based on."""
 
     outcome: Outcome
     reason: str
     comparisons: tuple[Comparison, ...] = ()
 
 
+class AnalysisSnapshot(TypedDict):
+    """What the analysis has learned, as a JSON object of the journal; its field names are stored there."""
+
+    usual: list[float]  # served fraction by window, before the change
+    asked: list[float]  # utility offered to the fleet by window, before the change
+    got: float  # utility offered to changed nodes
+    tallies: dict[str, TallySnapshot]  # by metric and traffic type
+
+
 class CanaryAnalysis:
     """Collects sample windows and gives verdicts."""
 
@@ -49,41 +58,44 @@
         self,
         guards: Sequence[Guard],
         zones: Sequence[str],
-        watch: int,
-        alarm: float = DEFAULT_ALARM,
+        observation_windows: int,
+        false_alarm_rate: float = DEFAULT_FALSE_ALARM_RATE,
         max_lost: float = float("inf"),
     ) -> None:
-        """Begin with nothing seen.
+        """Start without windows.
 
         Args:
-            guards: the figures that may not get worse.
-            zones: each node's zone.
-            watch: windows for which a stage is observed.
-            alarm: share of equal versions that may be called worse, over all guards and looks of a stage.
-            max_lost: utility that the whole rollout may cost, as windows of what the fleet is asked.
+            guards: the metrics that must not get worse.
+            zones: the zone of each node.
+            observation_windows: number of windows for which a stage is observed.
+            false_alarm_rate: fraction of equal versions that may be stopped, over all guards and evaluations
+            of
+                a stage.
+            max_lost: utility that the rollout may cost, in units of the utility offered to the fleet in a
+                window.
         """
         zone_names = sorted(set(zones))
         node_zones = np.array([zone_names.index(zone) for zone in zones])
         self.guards = tuple(guards)
-        self.watch = watch
+        self.observation_windows = observation_windows
         self.max_lost = max_lost
         self.tallies = {
             MetricKey(guard.metric, guard.traffic): MetricTally(node_zones, len(zone_names))
             for guard in self.guards
         }
-        self.disturbance = DisturbanceDetector(zone_names, watch)
-        self._error_budget = ErrorBudget(alarm, len(self.guards), watch)
-        self._baseline_asked: list[float] = []  # utility that the fleet was asked for, before the change
-        self._changed_asked = 0.0  # utility that changed nodes were asked for
+        self.disturbance = DisturbanceDetector(zone_names, observation_windows)
+        self._error_budget = ErrorBudget(false_alarm_rate, len(self.guards), observation_windows)
+        self._baseline_offered: list[float] = []  # utility offered to the fleet by window, before the change
+        self._changed_offered = 0.0  # utility offered to changed nodes
 
     def add(self, window: SampleWindow) -> None:
         """Add a sample window."""
         disturbed = self.disturbance.add(window)
-        if SERVED in window.metrics:
-            asked = window.metrics[SERVED].denominator
+        if SERVED_KEY in window.metrics:
+            offered = window.metrics[SERVED_KEY].denominator
             if window.is_baseline:
-                self._baseline_asked.append(float(asked.sum()))
-            self._changed_asked += float(asked[window.roles == NodeRole.CHANGED].sum())
+                self._baseline_offered.append(float(offered.sum()))
+            self._changed_offered += float(offered[window.roles == NodeRole.CHANGED].sum())
         if disturbed.all():
             return
         for key, tally in self.tallies.items():
@@ -91,24 +103,25 @@
                 tally.add(window.metrics[key], window, disturbed)
 
     def restart_observation(self) -> None:
-        """Observe the stage from here on, or again after a disturbance."""
+        """Observe the current stage from the next window on."""
         self.disturbance.restart_observation()
 
     def start_stage(self) -> None:
-        """Note that nodes of another stage are changed from here on."""
+        """Record that nodes of the next stage are changed from the next window on."""
         self.disturbance.start_stage()
 
     @property
     def is_disturbed(self) -> bool:
-        """Whether something that no change did is going on, or was until a moment ago."""
+        """Whether a disturbance is going on or ended only a few windows ago."""
         return self.disturbance.is_active
 
     def compare(self, guard: Guard) -> Comparison | None:
-        """Compare one guard over all windows in which it can be; None where there are too few."""
-        return compare_metric(guard, self.tallies[guard.metric, guard.traffic], self._error_budget)
+        """Compare the metric of a guard over all windows; return None if there are too few."""
+        tally = self.tallies[MetricKey(guard.metric, guard.traffic)]
+        return compare_metric(guard, tally, self._error_budget)
 
     def verdict(self) -> Verdict:
-        """Return what is to be said now of the stage in work."""
+        """Return the verdict on the current stage."""
         compared = [self.compare(guard) for guard in self.guards]
         comparisons = tuple(comparison for comparison in compared if comparison is not None)
         return (
@@ -134,51 +147,54 @@
     def _disturbance_verdict(self, comparisons: tuple[Comparison, ...]) -> Verdict | None:
         if not self.is_disturbed:
             return None
-        blame = self.disturbance.blame()
-        if blame:
-            return Verdict(Outcome.WORSE, blame, comparisons)
+        attribution = self.disturbance.attribution_to_change()
+        if attribution is not None:
+            return Verdict(Outcome.WORSE, attribution, comparisons)
         return Verdict(Outcome.DISTURBANCE, describe_disturbance(self.disturbance.reason), comparisons)
 
     def _progress_verdict(self, comparisons: tuple[Comparison, ...]) -> Verdict | None:
         windows = self.disturbance.windows - self.disturbance.observed_from
-        if windows >= self.watch:
+        if windows >= self.observation_windows:
             return None
-        harmless = comparisons and all(comparison.high < comparison.margin for comparison in comparisons)
-        if harmless and windows >= max(MIN_WINDOWS, self.watch // 2):
+        is_harmless = comparisons and all(comparison.high < comparison.margin for comparison in comparisons)
+        if is_harmless and windows >= max(MIN_WINDOWS, self.observation_windows // 2):
             return None
-        return Verdict(Outcome.UNDECIDED, describe_progress(windows, self.watch), comparisons)
+        return Verdict(Outcome.UNDECIDED, describe_progress(windows, self.observation_windows), comparisons)
 
     def _lost_utility(self, comparisons: tuple[Comparison, ...]) -> float:
-        """Return the utility that the rollout surely has cost, in windows of what the fleet is asked."""
+        """Return the utility that the rollout has cost, in units of the fleet's offered utility per window.
+
+        It is 0 unless the comparison shows a loss with certainty.
+        """
         for comparison in comparisons:
-            if (comparison.guard.metric, comparison.guard.traffic) == SERVED:
-                if comparison.low <= 0.0 or not self._baseline_asked:
+            if MetricKey(comparison.guard.metric, comparison.guard.traffic) == SERVED_KEY:
+                if comparison.low <= 0.0 or not self._baseline_offered:
                     return 0.0
-                baseline = sum(self._baseline_asked) / len(self._baseline_asked)
-                return comparison.harm * self._changed_asked / baseline
+                baseline = sum(self._baseline_offered) / len(self._baseline_offered)
+                return comparison.harm * self._changed_offered / baseline
         return 0.0
 
-    def snapshot(self) -> dict[str, Any]:
-        """Return all that was learned so far as plain numbers, for `restore` in another process."""
+    def snapshot(self) -> AnalysisSnapshot:
+        """Return everything learned so far as plain numbers, for `restore` in another process."""
         return {
             "usual": self.disturbance.baseline_served,
-            "asked": self._baseline_asked,
-            "got": self._changed_asked,
+            "asked": self._baseline_offered,
+            "got": self._changed_offered,
             "tallies": {" ".join(key): tally.snapshot() for key, tally in self.tallies.items()},
         }
 
-    def restore(self, snapshot: dict[str, Any]) -> None:
-        """Go on from a snapshot: what was observed after it is observed anew.
+    def restore(self, snapshot: AnalysisSnapshot) -> None:
+        """Continue from a snapshot. The current stage has to be observed again from its beginning.
 
         Raises:
-            KeyError: a part is missing; another version wrote it.
-            ValueError: it is of another fleet.
+            KeyError: a part is missing, because another version wrote the snapshot.
+            SnapshotMismatchError: the snapshot is of another fleet.
         """
         for key, tally in self.tallies.items():
             tally.restore(snapshot["tallies"][" ".join(key)])
         self.disturbance.baseline_served = list(snapshot["usual"])
-        self._baseline_asked = list(snapshot["asked"])
-        self._changed_asked = float(snapshot["got"])
+        self._baseline_offered = list(snapshot["asked"])
+        self._changed_offered = float(snapshot["got"])
 
 
 def _pass_verdict(comparisons: tuple[Comparison, ...]) -> Verdict:
--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -1,53 +1,62 @@
-"""Disturbances: what hits unchanged nodes too, and whether the change may be its cause.
+"""Detection of disturbances: changes in the fleet that affect unchanged nodes as well.
 
-Engines that come or go and bursts are not put down to the change. A change that hurts the other nodes looks
-like a burst, so the stage is held at first; time tells them apart.
+A change in the number of serving engines or a burst of traffic is not attributed to the rollout. A revision
+that harms the other nodes looks like a burst at first, so the stage is put on hold; a fall that outlasts
+every burst is then attributed to the change.
 """
 
 from collections.abc import Sequence
 
 import numpy as np
 
-from myrtlehub.rollout.samples import MetricKey, NodeRole, SampleWindow
+from myrtlehub.rollout.samples import BoolArray, Metric, MetricKey, NodeRole, SampleWindow
 from myrtlehub.rollout.statistics import MAX_INFLATION, MIN_WINDOWS
 
-ENGINES_LOST = 0.1  # share of a zone's serving engines that, gone or come within QUIET_WINDOWS, disturbs it
-FALL = (
-    0.05  # by which the unchanged nodes' served share falls in a disturbance; also FALL_SIGMAS of its scatter
-)
-FALL_SIGMAS = 4.0
-SLOW_FALL = 0.02  # the same over half a watch or more, and SLOW_FALL_SIGMAS
-SLOW_FALL_SIGMAS = FALL_SIGMAS / 2.0
-BLAME_WATCHES = 2.0  # watches for which a fall of the whole fleet has to last: bursts pass sooner
-QUIET_WINDOWS = 3  # windows without any sign, until a disturbance counts as over
-SERVED = MetricKey("served")
-NO_WINDOW = -1
+ENGINE_CHANGE = 0.1  # fraction of a zone's serving engines whose change within QUIET_WINDOWS is a disturbance
+# Fall of the unchanged nodes' served fraction within one window that is a disturbance. It also has to exceed
+# so many standard deviations of the baseline, as a noisy fleet falls that far by itself.
+SUDDEN_FALL = 0.05
+SUDDEN_FALL_DEVIATIONS = 4.0
+# The same thresholds for a mean over half an observation or more, which varies less than one window.
+SLOW_FALL = 0.02
+SLOW_FALL_DEVIATIONS = SUDDEN_FALL_DEVIATIONS / 2.0
+# Observation lengths for which a fall has to last before it is attributed to the change: bursts end sooner.
+OBSERVATIONS_TO_ATTRIBUTE = 2.0
+QUIET_WINDOWS = 3  # consecutive windows without a sign of a disturbance until it counts as over
+SERVED_KEY = MetricKey(Metric.SERVED)
 
 
 class DisturbanceDetector:
-    """Follows engines and the served share of the unchanged nodes, window by window."""
+    """Tracks serving engines and the served fraction of the unchanged nodes, window by window."""
 
-    def __init__(self, zone_names: Sequence[str], watch: int) -> None:
+    def __init__(self, zone_names: Sequence[str], observation_windows: int) -> None:
+        """Start without windows.
+
+        Args:
+            zone_names: the zones of the fleet, in the order of the results.
+            observation_windows: number of windows for which a stage is observed.
+        """
         self.zone_names = zone_names
-        self.watch = watch  # windows for which a stage is observed
-        self.windows = 0  # so far
-        self.baseline_served: list[float] = []  # share of the utility asked, by window before the change
-        self.disturbed_zones: list[np.ndarray] = []  # by window: which zones were disturbed
-        self.reason = ""  # of the last disturbance
-        self.observed_from = 0  # window from which the stage in work is observed
-        self._engines: list[dict[str, int]] = []  # that serve, by zone, in the last windows
-        self._stage_engines: dict[str, int] = {}  # the same when the stage in work was begun
-        self._served: list[float] = []  # by window, of the unchanged nodes
-        self._stage_from = 0  # window in which the first node of the stage in work was changed
-        self._fallen_from = NO_WINDOW  # from which the fleet serves less, and no engine came or went
-
-    def add(self, window: SampleWindow) -> np.ndarray:
-        """Add a window and return by zone whether it is disturbed."""
+        self.observation_windows = observation_windows
+        self.windows = 0  # added so far
+        self.baseline_served: list[float] = []  # served fraction by window, before the change
+        self.disturbed_zones: list[BoolArray] = []  # by window, then by zone
+        self.reason = ""  # describes the last disturbance
+        self.observed_from = 0  # window from which the current stage is observed
+        self._engines: list[dict[str, int]] = []  # serving engines by zone, in the last windows
+        self._stage_engines: dict[str, int] = {}  # serving engines by zone at the start of the current stage
+        self._served: list[float] = []  # served fraction of the unchanged nodes, by window
+        self._stage_from = 0  # window in which the first node of the current stage was changed
+        # Window from which the fleet has served less without any change of the engines; None: it does not.
+        self._fallen_from: int | None = None
+
+    def add(self, window: SampleWindow) -> BoolArray:
+        """Add a window and return whether each zone is disturbed in it."""
         self.windows += 1
-        self._engines = [*self._engines[-QUIET_WINDOWS:], window.engines]
+        self._engines = [*self._engines[-QUIET_WINDOWS:], window.serving_engines]
         if window.is_baseline:
-            self._stage_engines = window.engines
-        self._served.append(_served_share(window))
+            self._stage_engines = window.serving_engines
+        self._served.append(_served_fraction(window))
         if window.is_baseline and not np.isnan(self._served[-1]):
             self.baseline_served.append(self._served[-1])
         disturbed = self._disturbed(window.is_baseline)
@@ -55,98 +64,113 @@
         return disturbed
 
     def restart_observation(self) -> None:
-        """Observe the stage from here on, or again after a disturbance."""
+        """Observe the current stage from the next window on."""
         self.observed_from = self.windows
 
     def start_stage(self) -> None:
-        """Note that nodes of another stage are changed from here on."""
+        """Record that nodes of the next stage are changed from the next window on."""
         self._stage_from = self.windows
-        self._fallen_from = NO_WINDOW
+        self._fallen_from = None
         if self._engines:
             self._stage_engines = self._engines[-1]
 
     @property
     def is_active(self) -> bool:
-        """Whether something that no change did is going on, or was until a moment ago."""
+        """Whether there was a disturbance in one of the last QUIET_WINDOWS windows."""
         return any(zones.any() for zones in self.disturbed_zones[-QUIET_WINDOWS:])
 
-    def blame(self) -> str:
-        """Return why a fall of the whole fleet is put down to the change; empty where it is not.
+    def attribution_to_change(self) -> str | None:
+        """Return why a fall of the whole fleet is attributed to the change; None if it is not.
 
-        It began with this stage, lasts for longer than a burst does, the newest half of a watch is no better,
-        and as many engines serve as when the stage was begun.
+        All of these have to hold: the fall began within the current stage, it has outlasted any burst, the
+        last half observation is no better, and as many engines serve as at the start of the stage.
         """
-        lasts = self.windows - self._fallen_from
-        if self._fallen_from < self._stage_from or lasts < BLAME_WATCHES * self.watch:
-            return ""
-        if any(
-            _differ(self._engines[-1].get(zone, 0), self._stage_engines.get(zone, 0))
-            for zone in self.zone_names
-        ):
-            return ""
-        newest = self._served[-max(1, self.watch // 2) :]
-        baseline = float(np.mean(self.baseline_served))
-        if np.isnan(newest).any() or baseline - float(np.mean(newest)) <= SLOW_FALL:
-            return ""
+        if self._fallen_from is None or self._fallen_from < self._stage_from:
+            return None
+        duration = self.windows - self._fallen_from
+        if duration < OBSERVATIONS_TO_ATTRIBUTE * self.observation_windows:
+            return None
+        if self._engines_differ_from_stage_start() or not self._is_still_fallen():
+            return None
         return (
             f"{self.reason}; it began {self._fallen_from - self._stage_from} blocks after this stage was "
-            f"begun, has lasted for {lasts}, and as many engines serve as then: the change hurts the others"
+            f"begun, has lasted for {duration}, and as many engines serve as then: "
+            "the change hurts the others"
+        )
+
+    def _engines_differ_from_stage_start(self) -> bool:
+        engines = self._engines[-1]
+        return any(
+            _has_changed(engines.get(zone, 0), self._stage_engines.get(zone, 0)) for zone in self.zone_names
         )
 
-    def _disturbed(self, is_baseline: bool) -> np.ndarray:
-        """Return by zone whether engines came or went, or the unchanged nodes fell, in the newest window."""
+    def _is_still_fallen(self) -> bool:
+        newest = self._served[-max(1, self.observation_windows // 2) :]
+        baseline = float(np.mean(self.baseline_served))
+        return not np.isnan(newest).any() and baseline - float(np.mean(newest)) > SLOW_FALL
+
+    def _disturbed(self, is_baseline: bool) -> BoolArray:
+        """Return whether each zone is disturbed in the newest window, and update the reason."""
         disturbed = np.zeros(len(self.zone_names), bool)
         for index, zone in enumerate(self.zone_names):
             counts = [engines.get(zone, 0) for engines in self._engines]
-            if counts and _differ(max(counts), min(counts)):
+            if counts and _has_changed(max(counts), min(counts)):
                 disturbed[index] = True
                 self.reason = f"serving engines of zone {zone} went from {counts[0]} to {counts[-1]}"
-        fall = "" if is_baseline else self._fall()
-        if disturbed.any() or not fall:
-            self._fallen_from = NO_WINDOW
-        elif self._fallen_from == NO_WINDOW:
+        fall = None if is_baseline else self._fall()
+        if disturbed.any() or fall is None:
+            self._fallen_from = None
+        elif self._fallen_from is None:
             self._fallen_from = self.windows - 1
-        if fall:
+        if fall is not None:
             disturbed[:] = True
             self.reason = fall
         return disturbed
 
-    def _fall(self) -> str:
-        """Return how the whole fleet serves less than before the change; empty where it does not.
+    def _fall(self) -> str | None:
+        """Describe by how much the whole fleet serves less than in the baseline; None if it does not.
 
-        Guards against a change that hurts the others: beside them it looks no worse.
+        A change that harms unchanged nodes as much as changed ones shows no difference between the two
+        groups, so only this check finds it (tests/test_canary_analysis.py,
+        test_a_change_that_hurts_the_others_...).
         """
         baseline = np.array(self.baseline_served)
         newest = self._served[-1]
         if len(baseline) < MIN_WINDOWS or np.isnan(newest):
-            return ""
+            return None
         mean = float(baseline.mean())
-        sigma = float(baseline.std(ddof=1))
-        if mean - newest > max(FALL, FALL_SIGMAS * sigma):
+        deviation = float(baseline.std(ddof=1))
+        if mean - newest > max(SUDDEN_FALL, SUDDEN_FALL_DEVIATIONS * deviation):
             return f"the fleet serves {newest:.3f} of the utility asked, {mean:.3f} before the change"
-        watched = np.array(self._served[max(self.observed_from, self.windows - self.watch) :])
-        if len(watched) < self.watch // 2 or np.isnan(watched).any():
-            return ""
-        wide = sigma * (MAX_INFLATION / max(1, len(watched)) + MAX_INFLATION / len(baseline)) ** 0.5
-        if mean - float(watched.mean()) > max(SLOW_FALL, SLOW_FALL_SIGMAS * wide):
+        observed_from = max(self.observed_from, self.windows - self.observation_windows)
+        observed = np.array(self._served[observed_from:])
+        if len(observed) < self.observation_windows // 2 or np.isnan(observed).any():
+            return None
+        standard_error = (
+            deviation * (MAX_INFLATION / max(1, len(observed)) + MAX_INFLATION / len(baseline)) ** 0.5
+        )
+        if mean - float(observed.mean()) > max(SLOW_FALL, SLOW_FALL_DEVIATIONS * standard_error):
             return (
-                f"the fleet serves {watched.mean():.3f} of the utility asked since this stage is watched, "
+                f"the fleet serves {observed.mean():.3f} of the utility asked since this stage is watched, "
                 f"{mean:.3f} before the change"
             )
-        return ""
+        return None
+
 
+def _has_changed(count: int, other_count: int) -> bool:
+    """Whether two counts of a zone's serving engines differ by enough to be a disturbance."""
+    return abs(count - other_count) > ENGINE_CHANGE * max(count, other_count)
 
-def _differ(count: int, other_count: int) -> bool:
-    """Whether so many engines of a zone have gone or come that it is a disturbance."""
-    return abs(count - other_count) > ENGINES_LOST * max(count, other_count)
 
+def _served_fraction(window: SampleWindow) -> float:
+    """Return the served fraction of the unchanged nodes, or of the changed ones if there are no others.
 
-def _served_share(window: SampleWindow) -> float:
-    """Return the share of the utility asked that is served: by unchanged nodes, by all where none is left."""
-    if SERVED not in window.metrics:
+    The result is NaN if no utility was offered.
+    """
+    if SERVED_KEY not in window.metrics:
         return float("nan")
-    served, asked = window.metrics[SERVED]
+    served, offered = window.metrics[SERVED_KEY]
     unchanged = window.roles == NodeRole.UNCHANGED
     nodes = unchanged if unchanged.any() else window.roles == NodeRole.CHANGED
-    total = float(asked[nodes].sum())
+    total = float(offered[nodes].sum())
     return float(served[nodes].sum()) / total if total > 0 else float("nan")
--- a/myrtlehub/rollout/journal_format.py
+++ b/myrtlehub/rollout/journal_format.py
@@ -1,56 +1,59 @@
-"""The journal's entries on disk: what happened, one line each, every line with its own checksum.
+"""The format of the journal file: one entry per line, each line with its own checksum.
 
-The progress of a rollout is made of its journal alone: whoever takes its events once more stands where the
-writer stood. A line is on disk before the actions that follow from it. A last line that was not wholly
-written is dropped; any other damaged line is an error, as nothing after it can be trusted.
+Replaying the events of a journal restores the state of its rollout. A line is on disk before the actions that
+follow from it are executed. An incomplete last line is dropped. Any other damaged line is an error, because
+the entries after it cannot be trusted either.
 """
 
 from collections.abc import Iterable
 from enum import StrEnum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 import xxhash
 
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
+from myrtlehub.rollout.rollout_state import FLEET
+
+JsonObject = dict[str, Any]
 
 
 class JournalFormatError(Exception):
-    """The journal cannot be resumed from; the text says why."""
+    """The rollout cannot be resumed from this journal; the text says why."""
 
 
 class BookkeepingEvent(StrEnum):
-    """Entries that move neither a node nor the rollout."""
+    """Events of entries that change neither the state of a node nor that of the rollout."""
 
-    CONTROLLER = "controller"  # another controller goes on, with a higher generation
-    REVISION = "revision"  # what the new program turned out to show
+    CONTROLLER = "controller"  # another controller continues, with a higher generation
+    REVISION = "revision"  # the revision that the new program reports
     PROCESS = "process"  # another process answers for a node
 
 
 class JournalEntry(msgspec.Struct, omit_defaults=True):
-    """One line. `wall_time` is for people: nothing is computed from it."""
+    """One line of the journal. `wall_time` is informative only; nothing is computed from it."""
 
     wall_time: float = msgspec.field(name="at")
     event: str
-    node: int = msgspec.field(name="who", default=-1)  # a node's index; -1: the whole rollout
+    node: int = msgspec.field(name="who", default=FLEET)
     reason: str = msgspec.field(name="why", default="")
-    details: dict = msgspec.field(name="more", default_factory=dict)
+    details: JsonObject = msgspec.field(name="more", default_factory=dict)
 
 
 class JournalHeader(msgspec.Struct):
-    """The first line: which rollout this is. Unknown fields of later versions are ignored."""
+    """The first line, which identifies the rollout. Unknown fields of later versions are ignored."""
 
     format: int
     plan: str  # digest of the plan's text
-    nodes: list[str]  # names, in the order of their indices
+    nodes: list[str]  # names of the nodes, in the order of their indices
 
 
 class DecodedJournal(NamedTuple):
-    """What a journal's file holds."""
+    """The contents of a journal file."""
 
     header: JournalHeader
     entries: list[JournalEntry]
-    intact_size: int  # bytes; what comes after them is a torn last line
+    intact_size: int  # bytes; the rest of the file is an incomplete last line
 
 
 def encode_line(entry: JournalEntry | JournalHeader) -> bytes:
@@ -60,10 +63,10 @@
 
 
 def decode_journal(data: bytes) -> DecodedJournal:
-    """Decode a journal's file as far as it is intact.
+    """Decode the intact part of a journal file.
 
     Raises:
-        JournalFormatError: it is no journal, of a later format, or damaged before its last line.
+        JournalFormatError: the file is not a journal, has a later format, or is damaged before its last line.
     """
     header: JournalHeader | None = None
     entries: list[JournalEntry] = []
@@ -73,7 +76,9 @@
         checksum, _, body = line.partition(b" ")
         if _checksum(body) != checksum:
             if number == len(lines) - 1:
-                break  # the last line, torn by a page that was not written: dropped like a shorter one
+                # The file was extended, but a page of the last line was not written before a power failure:
+                # the line is dropped like an incomplete one (test_a_journal_cut_at_any_byte_...).
+                break
             raise JournalFormatError(
                 f"line {number} is not whole, and others follow it; nothing after it is sure"
             )
@@ -88,7 +93,7 @@
 
 
 def last_generation(entries: Iterable[JournalEntry]) -> int:
-    """Return the highest generation that a controller of this journal has used; 0 where there was none."""
+    """Return the highest generation of a controller in this journal; 0 if there is none."""
     return max(
         (
             int(entry.details.get("generation", 0))
--- a/myrtlehub/rollout/metric_tally.py
+++ b/myrtlehub/rollout/metric_tally.py
@@ -1,29 +1,34 @@
-"""One guarded figure over all sample windows so far, as sums by node.
+"""Running sums of one guarded metric over all sample windows, by node.
 
-Sums, not windows, are what is remembered: a look costs no more late in a rollout, and a resumed controller
-reads them from the journal. The names of the sums are stored there and do not change.
+Sums are kept instead of windows, so that the cost of an analysis does not grow with the rollout and a resumed
+controller can load them from the journal. The names of the sums are stored there and never change.
 """
 
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, TypeVar
 
 import numpy as np
 
-from myrtlehub.rollout.samples import NodeRatios, NodeRole, SampleWindow
+from myrtlehub.rollout.errors import SnapshotMismatchError
+from myrtlehub.rollout.samples import BoolArray, FloatArray, IntArray, NodeRatios, NodeRole, SampleWindow
 
-STORED_DIGITS = 9  # significant ones, of each sum in the journal
+STORED_DIGITS = 9  # significant digits of each sum in the journal
+WINDOWS_FIELD = "blocks"  # stored name of `MetricTally.windows`
+
+# A JSON object: the rows of sums by their stored names, and the number of windows under WINDOWS_FIELD.
+TallySnapshot = dict[str, Any]
 
 
 class TallySum(StrEnum):
-    """A sum by node. An offset is a node's distance to the unchanged nodes, times its weight."""
+    """A sum by node. An offset is a node's distance from the unchanged nodes, times its weight."""
 
-    BASELINE_OFFSET = "pre_off"  # before the change
+    BASELINE_OFFSET = "pre_off"  # of the windows before the change
     BASELINE_WEIGHT = "pre_weight"
     CHANGED_OFFSET = "changed_off"
     CHANGED_WEIGHT = "changed_weight"
     CHANGED_NUMERATOR = "changed_above"
     CHANGED_DENOMINATOR = "changed_below"
-    UNCHANGED_OFFSET = "still_off"  # of unchanged nodes, since the first one was changed
+    UNCHANGED_OFFSET = "still_off"  # of unchanged nodes, since the first node was changed
     UNCHANGED_WEIGHT = "still_weight"
     UNCHANGED_NUMERATOR = "still_above"
     UNCHANGED_DENOMINATOR = "still_below"
@@ -31,8 +36,8 @@
     WEIGHT = "weight"
     SQUARE = "square"
     COUNT = "count"
-    # Of neighbouring windows, weighted by the root of the product of their weights: whether one resembles the
-    # last.
+    # Sums over pairs of consecutive windows, weighted by the square root of the product of their weights.
+    # They give the autocorrelation.
     PAIR_PRODUCT = "both_ab"
     PAIR_NEW = "both_a"
     PAIR_LAST = "both_b"
@@ -45,12 +50,12 @@
 class ZoneSum(StrEnum):
     """A sum by zone."""
 
-    LEAD = "lead"  # by how much it differed from the fleet before the change
-    WINDOWS = "led"  # in how many windows it did
+    OFFSET = "lead"  # the zone's distance from the fleet in the windows before the change
+    WINDOWS = "led"  # number of those windows
 
 
 class _GroupSums(NamedTuple):
-    """The sums of one side of the comparison."""
+    """The sums of one group of the comparison."""
 
     offset: TallySum
     weight: TallySum
@@ -71,33 +76,48 @@
     TallySum.UNCHANGED_DENOMINATOR,
 )
 
+_SumName = TypeVar("_SumName", TallySum, ZoneSum)
+
 
 class MetricTally:
-    """Sums of one figure of one traffic type."""
-
-    def __init__(self, node_zones: np.ndarray, zone_count: int) -> None:
-        self.node_zones = node_zones  # index of each node's zone
-        self.zone_sums = {name: np.zeros(zone_count) for name in ZoneSum}
-        self.sums = {name: np.zeros(len(node_zones)) for name in TallySum}
-        self.windows = 0  # with a changed node
-
-    def add(self, ratios: NodeRatios, window: SampleWindow, disturbed: np.ndarray) -> None:
-        """Add a window; zones where it was `disturbed` are left out."""
-        live = (ratios.denominator > 0.0) & (window.roles != NodeRole.UNAVAILABLE)
-        live &= ~disturbed[self.node_zones]
+    """The sums of one metric of one traffic type."""
+
+    def __init__(self, node_zones: IntArray, zone_count: int) -> None:
+        """Start with all sums at zero.
+
+        Args:
+            node_zones: index of each node's zone.
+            zone_count: number of zones.
+        """
+        self.node_zones = node_zones
+        self.zone_sums: dict[ZoneSum, FloatArray] = {name: np.zeros(zone_count) for name in ZoneSum}
+        self.sums: dict[TallySum, FloatArray] = {name: np.zeros(len(node_zones)) for name in TallySum}
+        self.windows = 0  # with at least one changed node
+
+    def add(self, ratios: NodeRatios, window: SampleWindow, disturbed: BoolArray) -> None:
+        """Add a window.
+
+        Args:
+            ratios: the metric in this window.
+            window: the window.
+            disturbed: whether each zone was disturbed; disturbed zones are left out.
+        """
+        is_counted = (ratios.denominator > 0.0) & (window.roles != NodeRole.UNAVAILABLE)
+        is_counted &= ~disturbed[self.node_zones]
         value = np.divide(
-            ratios.numerator, ratios.denominator, out=np.zeros_like(ratios.numerator), where=live
+            ratios.numerator, ratios.denominator, out=np.zeros_like(ratios.numerator), where=is_counted
         )
-        unchanged = live & (window.roles == NodeRole.UNCHANGED)
+        unchanged = is_counted & (window.roles == NodeRole.UNCHANGED)
         reference = self._reference(value, np.where(unchanged, ratios.denominator, 0.0), window.is_baseline)
-        live &= ~np.isnan(reference)
-        offset = np.where(live, value - np.nan_to_num(reference), 0.0)
-        weight = np.where(live, ratios.denominator, 0.0)
-        changed = live & (window.roles == NodeRole.CHANGED)
+        is_counted &= ~np.isnan(reference)
+        offset = np.where(is_counted, value - np.nan_to_num(reference), 0.0)
+        weight = np.where(is_counted, ratios.denominator, 0.0)
+        changed = is_counted & (window.roles == NodeRole.CHANGED)
         self.windows += bool(changed.any())
         self._add_group(_CHANGED, changed, offset, weight, ratios)
         if self.windows and not window.is_baseline:
-            self._add_group(_UNCHANGED, live & (window.roles == NodeRole.UNCHANGED), offset, weight, ratios)
+            unchanged = is_counted & (window.roles == NodeRole.UNCHANGED)
+            self._add_group(_UNCHANGED, unchanged, offset, weight, ratios)
         if window.is_baseline:
             self.sums[TallySum.BASELINE_OFFSET] += offset * weight
             self.sums[TallySum.BASELINE_WEIGHT] += weight
@@ -107,9 +127,9 @@
     def _add_group(
         self,
         names: _GroupSums,
-        members: np.ndarray,
-        offset: np.ndarray,
-        weight: np.ndarray,
+        members: BoolArray,
+        offset: FloatArray,
+        weight: FloatArray,
         ratios: NodeRatios,
     ) -> None:
         self.sums[names.offset] += np.where(members, offset * weight, 0.0)
@@ -117,13 +137,13 @@
         self.sums[names.numerator] += np.where(members, ratios.numerator, 0.0)
         self.sums[names.denominator] += np.where(members, ratios.denominator, 0.0)
 
-    def _add_totals(self, offset: np.ndarray, weight: np.ndarray) -> None:
+    def _add_totals(self, offset: FloatArray, weight: FloatArray) -> None:
         self.sums[TallySum.OFFSET] += offset * weight
         self.sums[TallySum.WEIGHT] += weight
         self.sums[TallySum.SQUARE] += offset * offset * weight
         self.sums[TallySum.COUNT] += weight > 0.0
 
-    def _add_pairs(self, offset: np.ndarray, weight: np.ndarray) -> None:
+    def _add_pairs(self, offset: FloatArray, weight: FloatArray) -> None:
         sums = self.sums
         pair_weight = np.sqrt(weight * sums[TallySum.LAST_WEIGHT])
         sums[TallySum.PAIR_PRODUCT] += pair_weight * offset * sums[TallySum.LAST_OFFSET]
@@ -134,45 +154,60 @@
         sums[TallySum.LAST_OFFSET] = offset
         sums[TallySum.LAST_WEIGHT] = weight
 
-    def _reference(self, value: np.ndarray, weight: np.ndarray, is_baseline: bool) -> np.ndarray:
-        """Return by node the figure of the unchanged nodes of its zone; `weight` is 0 of all other nodes.
+    def _reference(self, value: FloatArray, weight: FloatArray, is_baseline: bool) -> FloatArray:
+        """Return for each node the metric of the unchanged nodes of its zone.
 
-        Where a zone has none it is that of all unchanged nodes, and by how much the zone differed from them
-        before the change.
+        For a zone without unchanged nodes, it is the metric of all unchanged nodes plus the zone's mean
+        offset from the fleet before the change.
+
+        Args:
+            value: the metric by node.
+            weight: the weight of each unchanged node; 0 for all others.
+            is_baseline: whether the window is before the change.
         """
-        lead = self.zone_sums[ZoneSum.LEAD]
-        weight_by_zone = np.bincount(self.node_zones, weight, len(lead))
-        sum_by_zone = np.bincount(self.node_zones, value * weight, len(lead))
+        zone_offset = self.zone_sums[ZoneSum.OFFSET]
+        weight_by_zone = np.bincount(self.node_zones, weight, len(zone_offset))
+        sum_by_zone = np.bincount(self.node_zones, value * weight, len(zone_offset))
         total = float(weight.sum())
         fleet = float(sum_by_zone.sum()) / total if total > 0.0 else float("nan")
-        nothing = np.full(len(lead), np.nan)
-        own = np.divide(sum_by_zone, weight_by_zone, out=nothing, where=weight_by_zone > 0.0)
+        unknown = np.full(len(zone_offset), np.nan)
+        own = np.divide(sum_by_zone, weight_by_zone, out=unknown, where=weight_by_zone > 0.0)
         if is_baseline and total > 0.0:
-            seen = ~np.isnan(own)
-            lead[seen] += own[seen] - fleet
-            self.zone_sums[ZoneSum.WINDOWS] += seen
-        mean_lead = lead / np.maximum(self.zone_sums[ZoneSum.WINDOWS], 1.0)
-        return np.where(np.isnan(own), fleet + mean_lead, own)[self.node_zones]
-
-    def snapshot(self) -> dict[str, Any]:
-        """Return all of it as plain numbers, for `restore` in another process."""
-        rows = {
-            str(name): [float(f"{value:.{STORED_DIGITS}g}") for value in values]
-            for name, values in {**self.sums, **self.zone_sums}.items()
-        }
-        return {"blocks": self.windows, **rows}
-
-    def restore(self, snapshot: dict[str, Any]) -> None:
-        """Go on from a snapshot.
+            is_known = ~np.isnan(own)
+            zone_offset[is_known] += own[is_known] - fleet
+            self.zone_sums[ZoneSum.WINDOWS] += is_known
+        mean_offset = zone_offset / np.maximum(self.zone_sums[ZoneSum.WINDOWS], 1.0)
+        by_zone: FloatArray = np.where(np.isnan(own), fleet + mean_offset, own)
+        return by_zone[self.node_zones]
+
+    def snapshot(self) -> TallySnapshot:
+        """Return all sums as plain numbers, for `restore` in another process."""
+        snapshot: TallySnapshot = {WINDOWS_FIELD: self.windows}
+        for tally_name, values in self.sums.items():
+            snapshot[str(tally_name)] = _rounded(values)
+        for zone_name, values in self.zone_sums.items():
+            snapshot[str(zone_name)] = _rounded(values)
+        return snapshot
+
+    def restore(self, snapshot: TallySnapshot) -> None:
+        """Continue from a snapshot.
 
         Raises:
-            KeyError: a sum is missing; another version wrote it.
-            ValueError: it is of another fleet.
+            KeyError: a sum is missing, because another version wrote the snapshot.
+            SnapshotMismatchError: the snapshot is of another fleet.
         """
-        for sums in (self.sums, self.zone_sums):
-            for name in sums:
-                row = np.array(snapshot[name], float)
-                if row.shape != sums[name].shape:
-                    raise ValueError(f"{name}: {row.shape} values, and there are {sums[name].shape}")
-                sums[name] = row
-        self.windows = int(snapshot["blocks"])
+        _restore_rows(self.sums, snapshot)
+        _restore_rows(self.zone_sums, snapshot)
+        self.windows = int(snapshot[WINDOWS_FIELD])
+
+
+def _rounded(values: FloatArray) -> list[float]:
+    return [float(f"{value:.{STORED_DIGITS}g}") for value in values]
+
+
+def _restore_rows(sums: dict[_SumName, FloatArray], snapshot: TallySnapshot) -> None:
+    for name in sums:
+        row = np.array(snapshot[name], float)
+        if row.shape != sums[name].shape:
+            raise SnapshotMismatchError(f"{name}: {row.shape} values, and there are {sums[name].shape}")
+        sums[name] = row
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -1,39 +1,47 @@
-"""A small model around the progress of a rollout, for exhaustive search.
+"""A model of a rollout for `state.model_checker`: the progress, the processes of the nodes, and faults.
 
-Nodes come, go and die, and the controller dies at any boundary. Beside what the controller believes stands
-what is true of each process, and on that the guarantees are checked.
+Nodes and the controller may fail at any point. The model holds the actual state of each process in addition
+to what the controller knows of it, and the invariants are checked against the actual state.
 """
 
 from collections.abc import Iterator
-from enum import StrEnum
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
-from myrtlehub.rollout.progress import (
+from myrtlehub.rollout.progress import step
+from myrtlehub.rollout.rollout_state import (
     FLEET,
     Action,
     NodeAction,
     RolloutPlan,
     RolloutState,
     initial_state,
-    step,
 )
 from myrtlehub.rollout.states import MOVING_STATES, NodeEvent, NodeState, RolloutEvent, RolloutPhase
 from myrtlehub.state.state_machine import InvalidTransitionError
 
-OLD = 0
-NEW = 1
 END_PHASES = frozenset({RolloutPhase.COMMITTED, RolloutPhase.ROLLED_BACK, RolloutPhase.STUCK})
-STATUS_EVENTS = {  # by revision, and whether it is proven
+
+
+class ModelRevision(IntEnum):
+    """The revision of a process in the model."""
+
+    OLD = 0
+    NEW = 1
+
+
+OLD = ModelRevision.OLD
+NEW = ModelRevision.NEW
+STATUS_EVENTS = {  # by revision and readiness
     (OLD, False): NodeEvent.OLD_STARTED,
     (OLD, True): NodeEvent.OLD_READY,
     (NEW, False): NodeEvent.NEW_STARTED,
     (NEW, True): NodeEvent.NEW_READY,
 }
-Move = tuple[str, "ModelState", str]  # label, next state, violated guarantee or ""
 
 
 class ProgramFault(StrEnum):
-    """What a program does wrong once it is started."""
+    """What a program does wrong after its start."""
 
     NONE = ""
     EXITS = "exits"
@@ -41,41 +49,49 @@
 
 
 class ProcessState(NamedTuple):
-    """What is true of one node."""
+    """The actual state of a node's process."""
 
-    revision: int = OLD
+    revision: ModelRevision = OLD
     is_up: bool = True
     is_draining: bool = False
-    is_proven: bool = True
-    is_own_child: bool = False  # the controller that now runs started it
-    was_killed: bool = False  # a fault took it down: that is nobody's order
+    is_ready: bool = True
+    is_own_child: bool = False  # started by the running controller, which therefore sees it exit
+    was_killed: bool = False  # by a fault, so that it does not count as unavailable by order
 
 
 class ModelState(NamedTuple):
-    """All of it."""
+    """The state of the whole model."""
 
     rollout: RolloutState
-    processes: tuple[ProcessState, ...]
-    pending: tuple[Action, ...] = ()  # asked for, not yet carried out
+    processes: tuple[ProcessState, ...]  # by node
+    pending: tuple[Action, ...] = ()  # required and not yet executed
     faults: int = 0
 
 
+class Move(NamedTuple):
+    """A move of the model."""
+
+    label: str
+    state: ModelState  # after the move
+    violation: str = ""  # the invariant that the state violates; empty, as for the model checker: none
+
+
 class ModelConfig(NamedTuple):
-    """How large it is, and what may go wrong."""
+    """The size of the model and the faults that may happen."""
 
     plan: RolloutPlan
-    max_faults: int = 1  # deaths of nodes and of the controller, orders to roll back, in one history together
+    max_faults: int = 1  # killed nodes, restarts of the controller and operator's rollbacks in one history
     new_fault: ProgramFault = ProgramFault.NONE
-    old_fault: ProgramFault = ProgramFault.NONE  # of the old program, once it is started anew
+    old_fault: ProgramFault = ProgramFault.NONE  # of the old program after a restart
 
 
 def initial_model_state(config: ModelConfig) -> ModelState:
-    """Return the state before anything was done."""
+    """Return the state before the rollout begins."""
     return ModelState(initial_state(config.plan), (ProcessState(),) * config.plan.node_count)
 
 
 class ModelTransitions:
-    """All that can happen next; an instance is called with a state and yields moves."""
+    """The possible moves; an instance is called with a state and yields the moves from it."""
 
     def __init__(self, config: ModelConfig) -> None:
         self.config = config
@@ -84,7 +100,7 @@
     def __call__(self, state: ModelState) -> Iterator[Move]:
         """Yield all moves from a state."""
         if state.pending:
-            yield self._carry_out_action(state)
+            yield self._execute_action(state)
         else:
             yield from self._status_moves(state)
             yield from self._timer_moves(state)
@@ -98,13 +114,13 @@
         try:
             result = step(self.plan, state.rollout, node, event)
         except InvalidTransitionError as error:
-            return label, state, f"broken: {error}"
+            return Move(label, state, f"invalid transition: {error}")
         node_actions = tuple(action for action in result.actions if action.node != FLEET)
         after = state._replace(rollout=result.state, pending=state.pending + node_actions)
         return self._checked(label, after)
 
     def _checked(self, label: str, after: ModelState) -> Move:
-        return label, after, self._violation(after)
+        return Move(label, after, self._violation(after))
 
     def _violation(self, state: ModelState) -> str:
         rollout = state.rollout
@@ -113,22 +129,22 @@
         if rollout.phase is RolloutPhase.COMMITTED and not all(
             state.processes[node].revision == NEW for stage in self.plan.stages for node in stage
         ):
-            return "kept, and a node has the old revision"
+            return "committed, and a node has the old revision"
         if rollout.phase is RolloutPhase.ROLLED_BACK and any(
             process.is_up and process.revision == NEW and not process.is_draining
             for process in state.processes
         ):
-            return "undone, and a node has the new revision"
+            return "rolled back, and a node has the new revision"
         unavailable = [
             node
             for node, process in enumerate(state.processes)
             if (not process.is_up or process.is_draining) and not process.was_killed
         ]
         if len(unavailable) > self.plan.max_unavailable:
-            return f"nodes {unavailable} are away by order, {self.plan.max_unavailable} may be"
+            return f"nodes {unavailable} are unavailable by order, {self.plan.max_unavailable} may be"
         return ""
 
-    def _carry_out_action(self, state: ModelState) -> Move:
+    def _execute_action(self, state: ModelState) -> Move:
         kind, node = state.pending[0]
         after = state._replace(pending=state.pending[1:])
         process = state.processes[node]
@@ -147,33 +163,33 @@
             after = _with_process(after, node, process._replace(is_up=False, is_draining=False))
         return self._checked(f"{kind} {node}", after)
 
-    def _started(self, state: ModelState, node: int, revision: int) -> ModelState:
+    def _started(self, state: ModelState, node: int, revision: ModelRevision) -> ModelState:
         process = state.processes[node]._replace(
             revision=revision,
             is_up=self._fault_of(revision) is not ProgramFault.EXITS,
             is_draining=False,
-            is_proven=False,
+            is_ready=False,
             is_own_child=True,
         )
         return _with_process(state, node, process)
 
-    def _fault_of(self, revision: int) -> ProgramFault:
+    def _fault_of(self, revision: ModelRevision) -> ProgramFault:
         return self.config.new_fault if revision == NEW else self.config.old_fault
 
     def _status_moves(self, state: ModelState) -> Iterator[Move]:
         for node, process in enumerate(state.processes):
             event = _status_event(process)
-            label, after, violation = self._take(state, node, event, f"{node} is seen {event}")
-            if violation or after != state:
-                yield label, after, violation
+            move = self._take(state, node, event, f"{node} is seen {event}")
+            if move.violation or move.state != state:
+                yield move
 
     def _timer_moves(self, state: ModelState) -> Iterator[Move]:
         rollout = state.rollout
         for node, node_state in enumerate(rollout.nodes):
             if node_state is NodeState.WARMING:
                 yield self._take(state, node, NodeEvent.WARMED_UP)
-            comes_back = node_state is NodeState.RESTARTING_OLD
-            if node_state in MOVING_STATES and (state.processes[node].is_up or comes_back):
+            is_restarting = node_state is NodeState.RESTARTING_OLD
+            if node_state in MOVING_STATES and (state.processes[node].is_up or is_restarting):
                 yield self._take(state, node, NodeEvent.TIMED_OUT)
         if rollout.phase in (RolloutPhase.CHANGING, RolloutPhase.SETTLING, RolloutPhase.ON_HOLD):
             yield self._take(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
@@ -193,32 +209,24 @@
     def _process_moves(self, state: ModelState) -> Iterator[Move]:
         for node, process in enumerate(state.processes):
             if process.is_draining:
-                after = _with_process(
-                    state, node, process._replace(is_up=False, is_draining=False, is_own_child=False)
-                )
-                yield self._checked(f"{node} has left", after)
+                exited = process._replace(is_up=False, is_draining=False, is_own_child=False)
+                yield self._checked(f"{node} has drained and exited", _with_process(state, node, exited))
             never_ready = self._fault_of(process.revision) is ProgramFault.NEVER_READY
-            if process.is_up and not process.is_proven and not never_ready:
-                yield (
-                    f"{node} proves itself",
-                    _with_process(state, node, process._replace(is_proven=True)),
-                    "",
-                )
+            if process.is_up and not process.is_ready and not never_ready:
+                ready = process._replace(is_ready=True)
+                yield Move(f"{node} becomes ready", _with_process(state, node, ready))
 
     def _fault_moves(self, state: ModelState) -> Iterator[Move]:
         faulty = state._replace(faults=state.faults + 1)
         phase = state.rollout.phase
         if phase is not RolloutPhase.PLANNED and phase not in END_PHASES:
-            yield self._take(faulty, FLEET, RolloutEvent.ROLL_BACK, "the operator undoes")
+            yield self._take(faulty, FLEET, RolloutEvent.ROLL_BACK, "the operator rolls back")
         orphans = tuple(process._replace(is_own_child=False) for process in faulty.processes)
-        yield "the controller dies and resumes", faulty._replace(pending=(), processes=orphans), ""
+        yield Move("the controller is killed and resumed", faulty._replace(pending=(), processes=orphans))
         for node, process in enumerate(state.processes):
             if process.is_up and not process.is_draining:
-                yield (
-                    f"{node} is killed",
-                    _with_process(faulty, node, process._replace(is_up=False, was_killed=True)),
-                    "",
-                )
+                killed = process._replace(is_up=False, was_killed=True)
+                yield Move(f"{node} is killed", _with_process(faulty, node, killed))
 
 
 def _status_event(process: ProcessState) -> NodeEvent:
@@ -226,7 +234,7 @@
         return NodeEvent.PROCESS_EXITED if process.is_own_child else NodeEvent.PROCESS_MISSING
     if process.is_draining:
         return NodeEvent.SEEN_DRAINING
-    return STATUS_EVENTS[process.revision, process.is_proven]
+    return STATUS_EVENTS[process.revision, process.is_ready]
 
 
 def _with_process(state: ModelState, node: int, process: ProcessState) -> ModelState:
--- a/myrtlehub/rollout/node_table.py
+++ b/myrtlehub/rollout/node_table.py
@@ -1,9 +1,17 @@
-"""Transition table of one node: every event in every state has a stated transition."""
+"""Transition table of one node; it defines a transition for every event in every state."""
 
 from myrtlehub.rollout.states import NodeEffect, NodeEvent, NodeState
 from myrtlehub.state.state_machine import TransitionTable, forbid, on
 
-# Of each state in which a node serves by the new revision.
+# Row of each state in which the progress of the stage does not concern the node.
+NO_STAGE_EVENTS_ROW = forbid(
+    NodeEvent.REPLACE_SCHEDULED,
+    NodeEvent.APPLY_SCHEDULED,
+    NodeEvent.STAGE_READY,
+    NodeEvent.WARMED_UP,
+    NodeEvent.STAGE_PASSED,
+)
+# Rows of each state in which a node serves with the new revision.
 SERVING_NEW_ROWS = (
     on(NodeEvent.NEW_STARTED, NodeEvent.NEW_READY, NodeEvent.SEEN_DRAINING),
     on(NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED, effect=NodeEffect.COUNT_EXIT),
@@ -18,7 +26,7 @@
     on(NodeEvent.ORDER_REJECTED),
     on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
 )
-# Of each state in which a node waits for a rollback, or for people.
+# Rows of each state in which a node waits for a rollback or for an operator.
 FAILED_ROWS = (
     on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
     on(
@@ -90,13 +98,7 @@
                 effect=NodeEffect.FAIL,
             ),
             on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK),
-            forbid(
-                NodeEvent.REPLACE_SCHEDULED,
-                NodeEvent.APPLY_SCHEDULED,
-                NodeEvent.STAGE_READY,
-                NodeEvent.WARMED_UP,
-                NodeEvent.STAGE_PASSED,
-            ),
+            NO_STAGE_EVENTS_ROW,
         ),
         NodeState.STARTING: (
             on(NodeEvent.NEW_STARTED),
@@ -113,13 +115,7 @@
                 effect=NodeEffect.FAIL,
             ),
             on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
-            forbid(
-                NodeEvent.REPLACE_SCHEDULED,
-                NodeEvent.APPLY_SCHEDULED,
-                NodeEvent.STAGE_READY,
-                NodeEvent.WARMED_UP,
-                NodeEvent.STAGE_PASSED,
-            ),
+            NO_STAGE_EVENTS_ROW,
         ),
         NodeState.READY: (
             on(NodeEvent.STAGE_READY, to=NodeState.WARMING),
@@ -153,13 +149,7 @@
         ),
         NodeState.COMMITTED: (
             *SERVING_NEW_ROWS,
-            forbid(
-                NodeEvent.REPLACE_SCHEDULED,
-                NodeEvent.APPLY_SCHEDULED,
-                NodeEvent.STAGE_READY,
-                NodeEvent.WARMED_UP,
-                NodeEvent.STAGE_PASSED,
-            ),
+            NO_STAGE_EVENTS_ROW,
         ),
         NodeState.ROLLING_BACK: (
             on(NodeEvent.SEEN_DRAINING),
@@ -180,13 +170,7 @@
                 effect=NodeEffect.REPORT,
             ),
             on(NodeEvent.ROLL_BACK),
-            forbid(
-                NodeEvent.REPLACE_SCHEDULED,
-                NodeEvent.APPLY_SCHEDULED,
-                NodeEvent.STAGE_READY,
-                NodeEvent.WARMED_UP,
-                NodeEvent.STAGE_PASSED,
-            ),
+            NO_STAGE_EVENTS_ROW,
         ),
         NodeState.RESTARTING_OLD: (
             on(NodeEvent.OLD_STARTED),
@@ -207,13 +191,7 @@
                 effect=NodeEffect.REPORT,
             ),
             on(NodeEvent.ROLL_BACK),
-            forbid(
-                NodeEvent.REPLACE_SCHEDULED,
-                NodeEvent.APPLY_SCHEDULED,
-                NodeEvent.STAGE_READY,
-                NodeEvent.WARMED_UP,
-                NodeEvent.STAGE_PASSED,
-            ),
+            NO_STAGE_EVENTS_ROW,
         ),
         NodeState.FAILED: FAILED_ROWS,
         NodeState.STUCK: FAILED_ROWS,
--- a/myrtlehub/rollout/rollout_table.py
+++ b/myrtlehub/rollout/rollout_table.py
@@ -1,9 +1,9 @@
-"""Transition table of the whole rollout: every event in every phase has a stated transition."""
+"""Transition table of the whole rollout; it defines a transition for every event in every phase."""
 
 from myrtlehub.rollout.states import RolloutEffect, RolloutEvent, RolloutPhase
 from myrtlehub.state.state_machine import TransitionTable, forbid, on
 
-# Of each phase in which nodes are changed or observed.
+# Row of each phase in which nodes are changed or observed.
 ROLL_BACK_ROW = on(
     RolloutEvent.WORSE,
     RolloutEvent.NODE_FAILED,
@@ -13,6 +13,10 @@
     to=RolloutPhase.ROLLING_BACK,
     effect=RolloutEffect.ROLL_BACK,
 )
+# Row of each phase of a rollback: no verdict can pass anything.
+NO_PASS_ROW = forbid(
+    RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED
+)
 
 ROLLOUT_TABLE = TransitionTable.build(
     "change",
@@ -126,7 +130,7 @@
                 RolloutEvent.STAGE_READY,
                 RolloutEvent.WARMED_UP,
             ),
-            forbid(RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED),
+            NO_PASS_ROW,
         ),
         RolloutPhase.STUCK: (
             on(RolloutEvent.ROLL_BACK, to=RolloutPhase.ROLLING_BACK, effect=RolloutEffect.ROLL_BACK),
@@ -142,7 +146,7 @@
                 RolloutEvent.WARMED_UP,
                 RolloutEvent.ROLLBACK_BLOCKED,
             ),
-            forbid(RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED),
+            NO_PASS_ROW,
         ),
         RolloutPhase.COMMITTED: (
             on(RolloutEvent.ROLL_BACK, to=RolloutPhase.ROLLING_BACK, effect=RolloutEffect.ROLL_BACK),
--- a/myrtlehub/rollout/states.py
+++ b/myrtlehub/rollout/states.py
@@ -1,45 +1,44 @@
 """States, events and effects of one node and of the whole rollout.
 
-`node_table` and `rollout_table` say how they follow each other; `progress` says when a node's turn comes and
-how many nodes may be unavailable; `canary_analysis` says what the figures show; `rollout_controller` and
-`node` look and carry out. The values of the enumerations are the words of journals, printed events and
-diagrams: they do not change.
+`node_table` and `rollout_table` define the transitions, `progress` decides when each node is changed, and
+`canary_analysis` decides what the metrics show. The values of the enumerations are stored in journals,
+printed in events and shown in diagrams, so they never change.
 """
 
 from enum import StrEnum
 
 
 class NodeState(StrEnum):
-    """Where one node stands in the rollout."""
-
-    WAITING = "waiting"  # unchanged, its turn has not come
-    DRAINING = "draining"  # asked to leave, so that its process can be replaced
-    STARTING = "starting"  # gets the new revision
-    READY = "ready"  # has the new revision and has generated a sequence
-    WARMING = "warming"  # serves, and is not compared yet
-    OBSERVED = "watched"  # compared with unchanged nodes
+    """The state of one node in the rollout."""
+
+    WAITING = "waiting"  # unchanged; the node has not been scheduled yet
+    DRAINING = "draining"  # ordered to drain, so that its process can be replaced
+    STARTING = "starting"  # receiving the new revision
+    READY = "ready"  # runs the new revision and has generated a sequence
+    WARMING = "warming"  # serves, but is not compared yet
+    OBSERVED = "watched"  # compared with the unchanged nodes
     COMMITTED = "kept"  # its stage has passed
     ROLLING_BACK = "undoing"
-    RESTARTING_OLD = "returning"  # its process starts by the old revision
-    FAILED = "failed"  # the change did not work, and is still to be rolled back
-    STUCK = "stuck"  # rolling back did not work, or nobody here ordered what it shows: people are needed
+    RESTARTING_OLD = "returning"  # its process starts with the old revision
+    FAILED = "failed"  # the change failed and has not been rolled back yet
+    STUCK = "stuck"  # the rollback failed, or the node runs a revision that no order asked for
     ROLLED_BACK = "undone"
 
 
 class NodeEvent(StrEnum):
-    """What is seen of a node, decided for it, or due by the clock."""
+    """An observation of a node, a scheduling decision or a timeout."""
 
-    REPLACE_SCHEDULED = "go"  # its turn has come: by another process
-    APPLY_SCHEDULED = "put"  # its turn has come: in the running process
+    REPLACE_SCHEDULED = "go"  # the node is next, and its process is to be replaced
+    APPLY_SCHEDULED = "put"  # the node is next, and its running process is to apply the new settings
     SEEN_DRAINING = "leaving"
-    OLD_STARTED = "was"  # answers by the old revision
-    OLD_READY = "old"  # the same, with an endpoint list and a generated sequence
-    NEW_STARTED = "new"  # answers by the new revision
-    NEW_READY = "proven"  # the same, with an endpoint list and a generated sequence
-    OTHER_REVISION = "other"  # answers by a third revision
-    PROCESS_MISSING = "gone"  # no process is there
-    PROCESS_EXITED = "quit"  # the process that this controller started has ended by itself
-    ORDER_REJECTED = "refused"  # it refused an order and said why
+    OLD_STARTED = "was"  # a process with the old revision answers
+    OLD_READY = "old"  # that process has an endpoint list and has generated a sequence
+    NEW_STARTED = "new"  # a process with the new revision answers
+    NEW_READY = "proven"  # that process has an endpoint list and has generated a sequence
+    OTHER_REVISION = "other"  # a process with neither revision answers
+    PROCESS_MISSING = "gone"  # no process runs
+    PROCESS_EXITED = "quit"  # the process that this controller started has exited unexpectedly
+    ORDER_REJECTED = "refused"
     STAGE_READY = "all"
     WARMED_UP = "warm"
     STAGE_PASSED = "pass"
@@ -48,54 +47,54 @@
 
 
 class NodeEffect(StrEnum):
-    """What a transition of a node asks for, beside the effects of every table."""
+    """What a transition of a node requires, in addition to `CommonEffect`."""
 
-    CHANGE = "change"  # give it the new revision: leave and start anew, or apply in place
-    REVERT = "unchange"  # the same with the old revision
+    CHANGE = "change"  # install the new revision: drain and restart the process, or apply in place
+    REVERT = "unchange"  # install the old revision in the same way
     START_NEW = "begin"
     START_OLD = "begin old"
     KILL = "kill"
-    FAIL = "fail"
-    COUNT_EXIT = "died"
-    REPORT = "tell"  # tell the operators
+    FAIL = "fail"  # report the node and roll the rollout back
+    COUNT_EXIT = "died"  # count an unexpected exit and restart the process
+    REPORT = "tell"  # report the node to the operators
 
 
 class RolloutPhase(StrEnum):
-    """Where the whole rollout stands."""
+    """The phase of the whole rollout."""
 
     PLANNED = "planned"
-    MEASURING = "measuring"  # the unchanged fleet is observed first
-    CHANGING = "changing"  # nodes of the stage get the new revision
-    SETTLING = "settling"  # they warm up
-    OBSERVING = "watching"  # they are compared
-    ON_HOLD = "holding"  # something else disturbs the fleet
+    MEASURING = "measuring"  # the baseline of the unchanged fleet is measured
+    CHANGING = "changing"  # nodes of the current stage receive the new revision
+    SETTLING = "settling"  # nodes of the current stage warm up
+    OBSERVING = "watching"  # changed nodes are compared with unchanged ones
+    ON_HOLD = "holding"  # a disturbance affects the fleet, and the stage waits for its end
     ROLLING_BACK = "undoing"
-    STUCK = "stuck"
+    STUCK = "stuck"  # a node could not be rolled back; an operator has to intervene
     COMMITTED = "kept"
     ROLLED_BACK = "undone"
 
 
 class RolloutEvent(StrEnum):
-    """What happens to the whole rollout."""
+    """An event of the whole rollout."""
 
     BEGIN = "begin"
-    BASELINE_MEASURED = "measured"  # the unchanged fleet was observed for long enough
+    BASELINE_MEASURED = "measured"
     STAGE_READY = "ready"  # all nodes of the stage are ready
-    WARMED_UP = "warm"  # and warm
+    WARMED_UP = "warm"  # all nodes of the stage have warmed up
     STAGE_PASSED = "pass"
     LAST_STAGE_PASSED = "last"
-    WORSE = "worse"
+    WORSE = "worse"  # the canary analysis found a regression
     DISTURBANCE = "trouble"
     DISTURBANCE_OVER = "clear"
-    NODE_FAILED = "failed"  # a changed node did not come up, or died too often
-    PHASE_TIMED_OUT = "bound"  # the time for this phase is over
-    ROLL_BACK = "undo"
+    NODE_FAILED = "failed"  # a changed node did not start, or exited too often
+    PHASE_TIMED_OUT = "bound"
+    ROLL_BACK = "undo"  # requested by the operator
     ALL_ROLLED_BACK = "back"
-    ROLLBACK_BLOCKED = "wedged"  # a node is stuck and no other one is in motion
+    ROLLBACK_BLOCKED = "wedged"  # a node is stuck, and no other node is being rolled back
 
 
 class RolloutEffect(StrEnum):
-    """What a transition of the rollout asks for, beside the effects of every table."""
+    """What a transition of the rollout requires, in addition to `CommonEffect`."""
 
     MEASURE = "measure"
     NEXT_STAGE = "next"
@@ -103,7 +102,7 @@
     HOLD = "hold"
     ROLL_BACK = "undo"
     FINISH = "finish"
-    REPORT = "tell"  # tell the operators
+    REPORT = "tell"  # report to the operators
 
 
 # A node in one of these states may be unavailable.
@@ -113,5 +112,5 @@
 ROLLBACK_STATES = frozenset({NodeState.ROLLING_BACK, NodeState.RESTARTING_OLD})
 SERVING_STATES = frozenset({NodeState.READY, NodeState.WARMING, NodeState.OBSERVED, NodeState.COMMITTED})
 COMPARED_STATES = frozenset({NodeState.OBSERVED, NodeState.COMMITTED})
-# The change has been ordered for a node in one of these states, and may have to be rolled back.
+# The change has been ordered for a node in one of these states and may have to be rolled back.
 CHANGED_STATES = MOVING_STATES | SERVING_STATES | {NodeState.FAILED}
--- a/myrtlehub/rollout/statistics.py
+++ b/myrtlehub/rollout/statistics.py
@@ -1,60 +1,62 @@
-"""Statistics of the canary analysis: how far a figure of changed nodes is from that of unchanged ones.
+"""Statistics of the canary analysis: the difference of a metric between changed and unchanged nodes.
 
-Requests of one node are not independent and nodes differ, so a thousand requests of one changed node prove
-nothing about the change: the node is the unit. What is compared is, node by node, its figure against the
-unchanged nodes of its zone in the same sample window, less by how much it differed from them before anything
-was changed. Engines that fail and bursts hit both sides alike and cancel.
+The requests of one node are not independent and nodes differ from each other, so the sampling unit is the
+node, not the request. For each node and sample window, the metric is compared with that of the unchanged
+nodes of the same zone, minus the node's own offset from them before the change. Engine failures and bursts
+affect both groups alike and cancel out.
 
-The result may be looked at after every window: its bounds are a normal mixture's (a confidence sequence:
-Robbins 1970; Howard, Ramdas, McAuliffe, Sekhon 2021, "Time-uniform, nonparametric, nonasymptotic confidence
-sequences"), widened from normal to Student's t, as the scatter between nodes is known from few of them.
+The result may be evaluated after every window: the bounds form a confidence sequence of a normal mixture
+(Robbins 1970; Howard, Ramdas, McAuliffe, Sekhon 2021, "Time-uniform, nonparametric, nonasymptotic confidence
+sequences"). They are widened from the normal to Student's t distribution, as the variance between nodes is
+estimated from few nodes.
 """
 
 from typing import NamedTuple
 
 import numpy as np
-from scipy.special import ndtr, stdtrit
+from scipy.special import ndtr, stdtrit  # type: ignore[import-untyped]  # scipy has no type information
 
 from myrtlehub.rollout.metric_tally import MetricTally, TallySum
-from myrtlehub.rollout.samples import ALL_TRAFFIC
+from myrtlehub.rollout.samples import ALL_TRAFFIC, BoolArray, FloatArray, Metric
 
-MIN_WINDOWS = 3  # that are compared before anything is said: one is a moment, not a difference
-PRIOR_NODES = 4.0  # nodes' worth of belief in the scatter that margins are made for, beside what is seen
-PRIOR_SCATTER = 0.25  # of the margin: the scatter between like nodes that is believed before any was seen
-MAX_INFLATION = 4.0  # by which windows that resemble the last one may widen the noise
-MAX_AUTOCORRELATION = 0.6
-# Of the share of false alarms that is granted, what bounds are made for: noise and scatter are estimated and
-# not known, and with all of it 1.2 to 1.4 in 100 equal versions were stopped where 1 was granted.
-ALARM_SPENT = 0.5
-WATCHES_TO_TIGHTEST = 8.0  # bounds are tightest at about the end of the watch
-TINY = 1e-12
+MIN_WINDOWS = 3  # windows before a comparison is made: fewer show a momentary difference only
+PRIOR_NODES = 4.0  # weight, in nodes, of the prior of the variance between nodes
+PRIOR_DEVIATION = 0.25  # standard deviation between equal nodes in that prior, as a fraction of the margin
+MAX_INFLATION = 4.0  # largest factor by which autocorrelation increases the noise variance
+MAX_AUTOCORRELATION = 0.6  # largest estimate used: a higher one would come from few windows
+# Fraction of the permitted false-alarm rate for which the bounds are computed. Noise and variance are
+# estimates; with the full rate, 1.2 to 1.4 of 100 equal versions were stopped where 1 was permitted.
+FALSE_ALARM_RATE_USED = 0.5
+# Ratio of the observation length to the mixture's rho; with 8 the bounds are tightest near the end of it.
+OBSERVATION_OVER_RHO = 8.0
+EPSILON = 1e-12  # keeps divisors above zero
 
 
 class Guard(NamedTuple):
-    """One figure that may not get worse."""
+    """A metric that must not get worse."""
 
-    metric: str
-    margin: float  # by how much worse is not acceptable, in the figure's unit
-    sign: float = 1.0  # 1: higher is worse; -1: lower is worse
+    metric: Metric
+    margin: float  # smallest unacceptable harm, in the metric's unit
+    sign: float = 1.0  # 1.0: higher is worse; -1.0: lower is worse
     traffic: str = ALL_TRAFFIC
-    relative: bool = False  # the margin is a share of the unchanged nodes' figure
+    relative: bool = False  # the margin is a fraction of the unchanged nodes' metric
 
 
 class NodeCounts(NamedTuple):
-    """How many nodes were compared."""
+    """The number of nodes in each group."""
 
     changed: int
     unchanged: int
 
 
 class Comparison(NamedTuple):
-    """One guard, as far as it is known. In the figure's unit; `harm` more than 0 is worse."""
+    """The comparison of one guarded metric, in the metric's unit. A positive harm means worse."""
 
     guard: Guard
-    changed: float  # the changed nodes' figure in the windows compared
-    unchanged: float
+    changed: float  # the changed nodes' metric in the compared windows
+    unchanged: float  # the unchanged nodes' metric in the compared windows
     harm: float
-    low: float  # bounds of the harm, valid at all looks together
+    low: float  # bounds of the harm, valid for all evaluations together
     high: float
     windows: int
     nodes: NodeCounts
@@ -62,30 +64,30 @@
 
 
 class ErrorBudget(NamedTuple):
-    """What the bounds are made for."""
+    """The false-alarm rate that the bounds of one stage are computed for."""
 
-    alarm: float  # share of equal versions that may be called worse, over all guards and looks of a stage
-    guards: int
-    watch: int  # windows for which a stage is observed
+    false_alarm_rate: float  # fraction of equal versions that may be stopped, over all guards and evaluations
+    guards: int  # number of guards
+    observation_windows: int  # number of windows for which a stage is observed
 
 
 class _Means(NamedTuple):
-    """Each node's mean of a figure's offsets, and the weight that it rests on."""
+    """The mean offset of each node and its weight."""
 
-    mean: np.ndarray
-    weight: np.ndarray
+    mean: FloatArray
+    weight: FloatArray
 
 
 class _BaselineOffsets(NamedTuple):
-    """How nodes differed from each other before the change."""
+    """The differences between nodes before the change."""
 
-    mean: np.ndarray
-    scatter: float  # variance between nodes
-    trust: np.ndarray  # by node: the part of its offset that is more than noise
+    mean: FloatArray
+    variance: float  # between nodes
+    trust: FloatArray  # by node: the fraction of its mean that is not noise
 
 
 def compare_metric(guard: Guard, tally: MetricTally, budget: ErrorBudget) -> Comparison | None:
-    """Compare changed with unchanged nodes; None where there are too few windows or nodes."""
+    """Compare changed with unchanged nodes; return None if there are too few windows or nodes."""
     sums = tally.sums
     changed = sums[TallySum.CHANGED_WEIGHT] > 0.0
     unchanged = (sums[TallySum.UNCHANGED_WEIGHT] > 0.0) & ~changed
@@ -102,22 +104,22 @@
     width = deviation * bound_multiple(budget, tally.windows, int(unchanged.sum()))
     harm = guard.sign * float(difference)
     return Comparison(
-        guard,
-        _ratio(sums[TallySum.CHANGED_NUMERATOR], sums[TallySum.CHANGED_DENOMINATOR]),
-        reference,
-        harm,
-        harm - width,
-        harm + width,
-        tally.windows,
-        NodeCounts(int(changed.sum()), int(unchanged.sum())),
-        margin,
+        guard=guard,
+        changed=_ratio(sums[TallySum.CHANGED_NUMERATOR], sums[TallySum.CHANGED_DENOMINATOR]),
+        unchanged=reference,
+        harm=harm,
+        low=harm - width,
+        high=harm + width,
+        windows=tally.windows,
+        nodes=NodeCounts(int(changed.sum()), int(unchanged.sum())),
+        margin=margin,
     )
 
 
 def noise_variance(tally: MetricTally) -> float:
-    """Return the variance of a window's figure times its weight, within nodes.
+    """Return the variance within nodes of a window's metric, times its weight.
 
-    It is wider where a window resembles the last one.
+    It is increased by the autocorrelation of consecutive windows.
     """
     sums = tally.sums
     mean, weight = _means(sums[TallySum.OFFSET], sums[TallySum.WEIGHT])
@@ -126,14 +128,20 @@
     products = sums[TallySum.PAIR_PRODUCT] - mean * (sums[TallySum.PAIR_NEW] + sums[TallySum.PAIR_LAST])
     products = products + mean * mean * sums[TallySum.PAIR_WEIGHT]
     covariance = float(products.sum()) / max(1.0, float(sums[TallySum.PAIR_COUNT].sum()))
-    correlation = min(MAX_AUTOCORRELATION, max(0.0, covariance / max(noise, TINY)))
+    correlation = min(MAX_AUTOCORRELATION, max(0.0, covariance / max(noise, EPSILON)))
     return noise * min(MAX_INFLATION, (1.0 + correlation) / (1.0 - correlation))
 
 
 def bound_multiple(budget: ErrorBudget, windows: int, unchanged: int) -> float:
-    """Return how many standard deviations away a bound lies after so many windows, at any number of looks."""
-    alpha = ALARM_SPENT * budget.alarm / max(1, budget.guards)
-    rho = max(1.0, budget.watch / WATCHES_TO_TIGHTEST)
+    """Return the distance of a bound from the estimate, in standard deviations.
+
+    Args:
+        budget: the permitted false-alarm rate.
+        windows: number of windows compared.
+        unchanged: number of unchanged nodes compared.
+    """
+    alpha = FALSE_ALARM_RATE_USED * budget.false_alarm_rate / max(1, budget.guards)
+    rho = max(1.0, budget.observation_windows / OBSERVATION_OVER_RHO)
     growth = np.log((windows + rho) / rho) + 2.0 * np.log(1.0 / alpha)
     normal = np.sqrt((windows + rho) / windows * growth)
     return -float(stdtrit(unchanged - 1.0 + PRIOR_NODES, ndtr(-normal)))
@@ -141,13 +149,13 @@
 
 def _baseline_offsets(tally: MetricTally, noise: float) -> _BaselineOffsets:
     mean, weight = _means(tally.sums[TallySum.BASELINE_OFFSET], tally.sums[TallySum.BASELINE_WEIGHT])
-    scatter = _scatter(_Means(mean, weight), noise)
-    trust = scatter / (scatter + noise / np.maximum(weight, TINY) + TINY)
-    return _BaselineOffsets(mean, scatter, trust)
+    variance = _variance_between_nodes(_Means(mean, weight), noise)
+    trust = variance / (variance + noise / np.maximum(weight, EPSILON) + EPSILON)
+    return _BaselineOffsets(mean, variance, trust)
 
 
-def _corrected_means(tally: MetricTally, changed: np.ndarray, baseline: _BaselineOffsets) -> _Means:
-    """Return each node's mean since the change, less its own offset from before."""
+def _corrected_means(tally: MetricTally, changed: BoolArray, baseline: _BaselineOffsets) -> _Means:
+    """Return each node's mean since the change, minus its own offset before the change."""
     sums = tally.sums
     of_changed = _means(sums[TallySum.CHANGED_OFFSET], sums[TallySum.CHANGED_WEIGHT])
     of_unchanged = _means(sums[TallySum.UNCHANGED_OFFSET], sums[TallySum.UNCHANGED_WEIGHT])
@@ -156,48 +164,58 @@
 
 
 def _node_weights(
-    means: _Means, baseline: _BaselineOffsets, noise: float, unchanged: np.ndarray, margin: float
-) -> np.ndarray:
-    """Return by node the inverse of its mean's variance: noise, offset from before, drift since."""
-    noise_of_mean = noise / np.maximum(means.weight, TINY)
-    known = noise_of_mean + baseline.scatter * (1.0 - baseline.trust)
-    drift = _scatter(
+    means: _Means, baseline: _BaselineOffsets, noise: float, unchanged: BoolArray, margin: float
+) -> FloatArray:
+    """Return the inverse variance of each node's mean: noise, baseline offset, and drift since the change."""
+    noise_of_mean = noise / np.maximum(means.weight, EPSILON)
+    known = noise_of_mean + baseline.variance * (1.0 - baseline.trust)
+    drift = _variance_between_nodes(
         _Means(means.mean[unchanged], means.weight[unchanged]),
         noise,
-        (PRIOR_SCATTER * margin) ** 2,
+        (PRIOR_DEVIATION * margin) ** 2,
         PRIOR_NODES,
         (known - noise_of_mean)[unchanged],
     )
-    return 1.0 / (known + drift + TINY)
+    weights: FloatArray = 1.0 / (known + drift + EPSILON)
+    return weights
 
 
-def _scatter(
+def _variance_between_nodes(
     means: _Means,
     noise: float,
     prior: float = 0.0,
     prior_nodes: float = 0.0,
-    known: np.ndarray | None = None,
+    known: FloatArray | None = None,
 ) -> float:
-    """Return the variance between nodes beyond what noise explains, moderated by a prior of so many nodes."""
+    """Return the variance between nodes that noise does not explain.
+
+    Args:
+        means: the nodes' means.
+        noise: the variance within nodes, times the weight.
+        prior: the variance that is expected.
+        prior_nodes: the weight of the prior, in nodes.
+        known: by node, a further part of the variance that is explained already.
+    """
     mean, weight = means
-    seen = weight > 0
-    if seen.sum() < 2:
+    has_weight = weight > 0
+    if has_weight.sum() < 2:
         return prior
-    centre = float((mean[seen] * weight[seen]).sum() / weight[seen].sum())
-    extra = (mean[seen] - centre) ** 2 - noise / weight[seen] - (0.0 if known is None else known[seen])
-    freedom = float(seen.sum()) - 1.0
+    centre = float((mean[has_weight] * weight[has_weight]).sum() / weight[has_weight].sum())
+    explained = 0.0 if known is None else known[has_weight]
+    extra = (mean[has_weight] - centre) ** 2 - noise / weight[has_weight] - explained
+    freedom = float(has_weight.sum()) - 1.0
     variance = max(0.0, float(extra.sum()) / freedom)
     return max(0.0, (variance * freedom + prior * prior_nodes) / (freedom + prior_nodes))
 
 
-def _weighted_mean(weights: np.ndarray, mean: np.ndarray, nodes: np.ndarray) -> float:
-    return (weights[nodes] @ mean[nodes]) / weights[nodes].sum()
+def _weighted_mean(weights: FloatArray, mean: FloatArray, nodes: BoolArray) -> np.float64:
+    return np.float64(weights[nodes] @ mean[nodes]) / np.float64(weights[nodes].sum())
 
 
-def _means(offset: np.ndarray, weight: np.ndarray) -> _Means:
+def _means(offset: FloatArray, weight: FloatArray) -> _Means:
     return _Means(np.divide(offset, weight, out=np.zeros(len(weight)), where=weight > 0), weight)
 
 
-def _ratio(numerator: np.ndarray, denominator: np.ndarray) -> float:
+def _ratio(numerator: FloatArray, denominator: FloatArray) -> float:
     total = float(denominator.sum())
     return float(numerator.sum()) / total if total > 0 else 0.0
--- a/myrtlehub/rollout/verdict_text.py
+++ b/myrtlehub/rollout/verdict_text.py
@@ -1,4 +1,4 @@
-"""The wording of verdicts, for people: in the journal, in printed events and in the rollout's last line."""
+"""The texts of verdicts: reasons in the journal, in printed events and in the last line of the output."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 def describe_guard(guard: Guard) -> str:
-    """Name a guard's figure, and the traffic type where it is of one."""
+    """Return the name of a guard's metric, with the traffic type if it covers only one."""
     return f"{guard.metric} of {guard.traffic}" if guard.traffic else guard.metric
 
 
 def describe_comparison(comparison: Comparison) -> str:
-    """State one comparison: figure, both groups, interval."""
+    """Describe a comparison: the metric, both groups and the interval of the harm."""
     return (
         f"{describe_guard(comparison.guard)}: "
         f"{comparison.changed:.4f} on {comparison.nodes.changed} changed nodes, "
@@ -23,30 +23,30 @@
 
 
 def describe_worse(comparisons: Iterable[Comparison]) -> str:
-    """State all comparisons that show harm."""
+    """Describe all comparisons that show harm."""
     return "; ".join(map(describe_comparison, comparisons))
 
 
 def describe_loss(lost: float, max_lost: float) -> str:
-    """State that the rollout has cost more utility than it may."""
+    """Describe a loss of utility above the limit; both are in windows of the whole fleet."""
     return (
         f"the change has cost the utility of {lost:.1f} blocks of the whole fleet, {max_lost:.1f} may be lost"
     )
 
 
 def describe_disturbance(reason: str) -> str:
-    """State that something else disturbs the fleet."""
+    """Describe a disturbance that is not attributed to the change."""
     return f"{reason}: not put down to the change"
 
 
-def describe_progress(windows: int, watch: int) -> str:
-    """State how much of the watch is over."""
-    return f"{windows} of {watch} blocks watched"
+def describe_progress(windows: int, observation_windows: int) -> str:
+    """Describe how many windows of the observation have passed."""
+    return f"{windows} of {observation_windows} blocks watched"
 
 
 def describe_pass(doubtful: list[Comparison]) -> str:
-    """State a pass, and of which figures it could not be shown that harm is below the margin."""
+    """Describe a pass, naming the metrics whose harm was not shown to be below the margin."""
     if not doubtful:
         return "within all margins"
-    figures = ", ".join(describe_guard(comparison.guard) for comparison in doubtful)
-    return f"not shown to be worse; less than the margin is not shown either for {figures}"
+    metrics = ", ".join(describe_guard(comparison.guard) for comparison in doubtful)
+    return f"not shown to be worse; less than the margin is not shown either for {metrics}"
--- /dev/null
+++ b/myrtlehub/rollout/window_sampler.py
@@ -0,0 +1,157 @@
+"""Computes sample windows from the counters of successive polls."""
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+import numpy as np
+
+from myrtlehub.rollout.samples import (
+    ALL_TRAFFIC,
+    Metric,
+    MetricKey,
+    NodeCounters,
+    NodeRatios,
+    NodeRole,
+    SampleWindow,
+    TrafficCounters,
+    WindowMetrics,
+)
+from myrtlehub.rollout.states import COMPARED_STATES, NodeState
+
+TAIL_QUANTILE = 0.95  # of the baseline's times to first token; later first tokens are the slow tail
+BYTES_PER_MEGABYTE = 1e6
+SECONDS_PER_MINUTE = 60.0
+
+
+class _MetricSums(NamedTuple):
+    """One metric of one node and traffic type over a window, as two sums."""
+
+    metric: Metric
+    numerator: float
+    denominator: float
+
+
+class WindowSampler:
+    """Computes sample windows from the counters of successive polls."""
+
+    def __init__(self, node_count: int, tail_quantile: float = TAIL_QUANTILE) -> None:
+        """Start without samples.
+
+        Args:
+            node_count: number of nodes in the fleet.
+            tail_quantile: fraction of the baseline's first tokens that are not in the slow tail.
+        """
+        self.node_count = node_count
+        self.tail_quantile = tail_quantile
+        # Microseconds; later first tokens are in the slow tail. 0.0, as stored in journals: not measured yet.
+        self.slow_first_token_us = 0.0
+        self._last_counters: list[NodeCounters | None] = [None] * node_count
+        self._last_states: list[NodeState | None] = [None] * node_count
+        self._baseline_first_tokens: dict[int, int] = {}
+
+    def window(
+        self,
+        counters: Sequence[NodeCounters | None],
+        states: Sequence[NodeState],
+        seconds: float,
+        is_baseline: bool,
+    ) -> SampleWindow:
+        """Return the sample window between the previous poll and this one.
+
+        A node is available in the window if both polls saw the same process in the same state.
+
+        Args:
+            counters: the counters of each node at this poll; None for a node that did not answer.
+            states: the state of each node at this poll.
+            seconds: time since the previous poll.
+            is_baseline: whether no node is changed yet.
+        """
+        roles = np.full(self.node_count, NodeRole.UNAVAILABLE)
+        metrics: WindowMetrics = {}
+        for node, (now, before) in enumerate(zip(counters, self._last_counters, strict=True)):
+            if now is None or before is None or now.incarnation != before.incarnation:
+                continue
+            if states[node] != self._last_states[node]:
+                continue
+            roles[node] = _role_of(states[node])
+            if roles[node] != NodeRole.UNAVAILABLE:
+                self._add_node(metrics, node, now, before, is_baseline)
+                memory = (now.memory_bytes - before.memory_bytes) / BYTES_PER_MEGABYTE
+                growth = _MetricSums(Metric.MEMORY, memory, seconds / SECONDS_PER_MINUTE)
+                self._add(metrics, node, ALL_TRAFFIC, growth)
+        self._last_counters = list(counters)
+        self._last_states = list(states)
+        if is_baseline:
+            self.slow_first_token_us = self._baseline_quantile()
+        return SampleWindow(roles, metrics, _median_engines(counters), is_baseline)
+
+    def _add_node(
+        self, metrics: WindowMetrics, node: int, now: NodeCounters, before: NodeCounters, is_baseline: bool
+    ) -> None:
+        for traffic, counters in now.traffic.items():
+            earlier = before.traffic.get(traffic, TrafficCounters())
+            traffic_sums = self._traffic_sums(counters, earlier, is_baseline)
+            for key_traffic in (traffic, ALL_TRAFFIC):
+                for sums in traffic_sums:
+                    self._add(metrics, node, key_traffic, sums)
+
+    def _traffic_sums(
+        self, now: TrafficCounters, before: TrafficCounters, is_baseline: bool
+    ) -> list[_MetricSums]:
+        requests = now.requests - before.requests
+        started = now.answers_started - before.answers_started
+        offered_utility = now.offered_utility - before.offered_utility
+        first_token_log_sum = now.first_token_log_sum - before.first_token_log_sum
+        return [
+            _MetricSums(Metric.SERVED, now.earned_utility - before.earned_utility, offered_utility),
+            _MetricSums(Metric.REJECTED, now.rejected - before.rejected, requests),
+            _MetricSums(Metric.ABORTED, now.aborted - before.aborted, requests),
+            _MetricSums(Metric.ATTEMPTS, now.attempts - before.attempts, requests),
+            _MetricSums(Metric.FIRST_TOKEN, first_token_log_sum, started),
+            _MetricSums(Metric.TAIL, self._slow_first_tokens(now, before, is_baseline), started),
+        ]
+
+    def _add(self, metrics: WindowMetrics, node: int, traffic: str, sums: _MetricSums) -> None:
+        key = MetricKey(sums.metric, traffic)
+        if key not in metrics:
+            metrics[key] = NodeRatios(np.zeros(self.node_count), np.zeros(self.node_count))
+        metrics[key].numerator[node] += sums.numerator
+        metrics[key].denominator[node] += sums.denominator
+
+    def _slow_first_tokens(self, now: TrafficCounters, before: TrafficCounters, is_baseline: bool) -> float:
+        """Count the first tokens in the slow tail; in the baseline, also record all of them."""
+        counts = dict(now.first_token_histogram)
+        for microseconds, count in before.first_token_histogram:
+            counts[microseconds] = counts.get(microseconds, 0) - count
+        if is_baseline:
+            baseline = self._baseline_first_tokens
+            for microseconds, count in counts.items():
+                baseline[microseconds] = baseline.get(microseconds, 0) + count
+        if not self.slow_first_token_us:
+            return 0.0
+        return float(
+            sum(count for microseconds, count in counts.items() if microseconds > self.slow_first_token_us)
+        )
+
+    def _baseline_quantile(self) -> float:
+        total = sum(self._baseline_first_tokens.values())
+        count_so_far = 0
+        for microseconds in sorted(self._baseline_first_tokens):
+            count_so_far += self._baseline_first_tokens[microseconds]
+            if count_so_far >= self.tail_quantile * total:
+                return float(microseconds)
+        return 0.0
+
+
+def _role_of(state: NodeState) -> NodeRole:
+    if state is NodeState.WAITING:
+        return NodeRole.UNCHANGED
+    return NodeRole.CHANGED if state in COMPARED_STATES else NodeRole.UNAVAILABLE
+
+
+def _median_engines(counters: Sequence[NodeCounters | None]) -> dict[str, int]:
+    counts_by_zone: dict[str, list[int]] = {}
+    for node in counters:
+        for zone, count in (node.serving_engines if node else {}).items():
+            counts_by_zone.setdefault(zone, []).append(count)
+    return {zone: sorted(counts)[len(counts) // 2] for zone, counts in counts_by_zone.items()}
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -13,8 +13,8 @@
 
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
 from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry, last_generation
-from myrtlehub.rollout.progress import FLEET, Action, NodeAction, RolloutState
-from myrtlehub.rollout.samples import timer_event
+from myrtlehub.rollout.node_status import timer_event
+from myrtlehub.rollout.rollout_state import FLEET, Action, NodeAction, RolloutState
 from myrtlehub.rollout.states import SERVING_STATES, NodeEvent, RolloutEffect, RolloutEvent, RolloutPhase
 from myrtlehub.rollout_controller.errors import END_CODES, ExitCode, RolloutError
 from myrtlehub.rollout_controller.journal_store import (
--- a/myrtlehub/rollout_controller/node_actions.py
+++ b/myrtlehub/rollout_controller/node_actions.py
@@ -8,7 +8,7 @@
 
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
-from myrtlehub.rollout.progress import NodeAction
+from myrtlehub.rollout.rollout_state import NodeAction
 from myrtlehub.rollout.states import ROLLBACK_STATES, NodeState
 from myrtlehub.rollout_controller.node_client import OrderMessage, OrderMethod
 from myrtlehub.rollout_controller.node_tracker import TrackedNode
--- a/myrtlehub/rollout_controller/node_client.py
+++ b/myrtlehub/rollout_controller/node_client.py
@@ -9,7 +9,8 @@
 
 from myrtlehub.node.admin.service import SERVICE
 from myrtlehub.proto import admin_pb2 as pb
-from myrtlehub.rollout.samples import NodeCounters, NodeStatus, Revision, TrafficCounters
+from myrtlehub.rollout.node_status import NodeStatus, Revision
+from myrtlehub.rollout.samples import NodeCounters, TrafficCounters
 from myrtlehub.rpc.channel import Channel
 
 ANSWER_TIMEOUT = 1.5  # seconds for a node's answer; one that is late counts as not reached at this poll
--- a/myrtlehub/rollout_controller/node_tracker.py
+++ b/myrtlehub/rollout_controller/node_tracker.py
@@ -3,7 +3,8 @@
 from twisted.internet.defer import Deferred, DeferredList, maybeDeferred
 from twisted.internet.interfaces import IReactorTime
 
-from myrtlehub.rollout.samples import NodeCounters, NodeStatus, Revision, event_of_status
+from myrtlehub.rollout.node_status import NodeStatus, Revision, event_of_status
+from myrtlehub.rollout.samples import NodeCounters
 from myrtlehub.rollout.states import SERVING_STATES, NodeEvent, NodeState
 from myrtlehub.rollout_controller.errors import RolloutError, SupersededError
 from myrtlehub.rollout_controller.node_client import NodeClient
--- a/myrtlehub/rollout_controller/plan_files.py
+++ b/myrtlehub/rollout_controller/plan_files.py
@@ -14,8 +14,8 @@
 from myrtlehub.rollout.canary_analysis import CanaryAnalysis
 from myrtlehub.rollout.journal_format import JournalHeader
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
-from myrtlehub.rollout.progress import ChangeMethod, RolloutPlan
-from myrtlehub.rollout.samples import Revision
+from myrtlehub.rollout.node_status import Revision
+from myrtlehub.rollout.rollout_state import ChangeMethod, RolloutPlan
 from myrtlehub.rollout.stage_plan import assign_stages
 from myrtlehub.rollout.statistics import MIN_WINDOWS, Guard
 from myrtlehub.rollout_controller.errors import RolloutError
--- a/myrtlehub/rollout_controller/rollout_record.py
+++ b/myrtlehub/rollout_controller/rollout_record.py
@@ -5,9 +5,11 @@
 from typing import Any, NamedTuple, Protocol
 
 from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry
-from myrtlehub.rollout.progress import FLEET, StepResult, initial_state, step
-from myrtlehub.rollout.samples import Revision, WindowSampler
+from myrtlehub.rollout.node_status import Revision
+from myrtlehub.rollout.progress import StepResult, step
+from myrtlehub.rollout.rollout_state import FLEET, initial_state
 from myrtlehub.rollout.states import NodeEvent, RolloutEvent
+from myrtlehub.rollout.window_sampler import WindowSampler
 from myrtlehub.rollout_controller.errors import JournalNotWritableError
 from myrtlehub.rollout_controller.journal_store import JournalStore
 from myrtlehub.rollout_controller.plan_files import PlanFiles
@@ -82,7 +84,7 @@
         """Restore what the analysis had learned when a stage was passed; without it, bounds are wider."""
         try:
             self.analysis.restore(learned)
-            self.sampler.slow_first_token = float(learned["slow"])
+            self.sampler.slow_first_token_us = float(learned["slow"])
         except (KeyError, TypeError, ValueError) as error:
             self._print_event(
                 "unlearned", text=f"the journal's figures cannot be used: {error}; bounds are wider"
@@ -129,7 +131,7 @@
 
     def learned(self) -> Details:
         """Return what the next controller has to know of figures, should this one end."""
-        return {LEARNED: {**self.analysis.snapshot(), "slow": self.sampler.slow_first_token}}
+        return {LEARNED: {**self.analysis.snapshot(), "slow": self.sampler.slow_first_token_us}}
 
     def _note(self, event: BookkeepingEvent, node: int, details: Details) -> None:
         self.append(JournalEntry(time.time(), str(event), node, details=details))
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -4,8 +4,8 @@
 
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
 from myrtlehub.rollout.canary_analysis import Outcome, Verdict
-from myrtlehub.rollout.progress import stage_nodes
-from myrtlehub.rollout.samples import NodeTimeouts
+from myrtlehub.rollout.node_status import NodeTimeouts
+from myrtlehub.rollout.rollout_state import stage_nodes
 from myrtlehub.rollout.states import RolloutEvent, RolloutPhase
 from myrtlehub.rollout_controller.node_tracker import TrackedNode
 from myrtlehub.rollout_controller.rollout_record import Details, RolloutRecord
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -7,15 +7,15 @@
 
 from myrtlehub.lab.fleet_model import Disturbance, FleetModel, Regression, roles_of
 from myrtlehub.rollout.canary_analysis import CanaryAnalysis, Outcome, Verdict
-from myrtlehub.rollout.samples import NodeRole
+from myrtlehub.rollout.samples import Metric, NodeRole
 from myrtlehub.rollout.statistics import Guard
 from myrtlehub.rollout.verdict_text import describe_comparison
 
 GUARDS = (
-    Guard("served", 0.005, -1.0),
-    Guard("served", 0.01, -1.0, "post"),
-    Guard("rejected", 0.005),
-    Guard("first_token", 0.05),
+    Guard(Metric.SERVED, 0.005, -1.0),
+    Guard(Metric.SERVED, 0.01, -1.0, "post"),
+    Guard(Metric.REJECTED, 0.005),
+    Guard(Metric.FIRST_TOKEN, 0.05),
 )
 
 
@@ -95,7 +95,7 @@
             seed,
             verdict.reason,
         )
-        assert 2 * analysis.watch <= windows < 40 and not any(c.low > 0.0 for c in verdict.comparisons)
+        assert 2 * analysis.observation_windows <= windows < 40 and not any(c.low > 0.0 for c in verdict.comparisons)
 
 
 @pytest.mark.parametrize("trouble", [Disturbance(26, 12, -1, 0.1, 0.0), Disturbance(26, 99, 0, 0.1, 0.35)])
@@ -138,7 +138,7 @@
 
 
 def test_utility_lost_bounds_a_change_whose_harm_is_below_every_margin() -> None:
-    loose = (Guard("served", 0.5, -1.0),)
+    loose = (Guard(Metric.SERVED, 0.5, -1.0),)
     fleet = FleetModel(24, 2, 5, 5.0, Regression(0.2))
     analysis = CanaryAnalysis(loose, fleet.zones, 12, max_lost=0.2)
     for _ in range(24):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -20,19 +20,12 @@
     initial_model_state,
 )
 from myrtlehub.rollout.node_orders import FORMAT_VERSION, Order, OrderValidator
+from myrtlehub.rollout.node_status import NodeStatus, NodeTimeouts, Revision, event_of_status, timer_event
 from myrtlehub.rollout.node_table import NODE_TABLE
-from myrtlehub.rollout.progress import FLEET, ChangeMethod, RolloutPlan, initial_state, step
+from myrtlehub.rollout.progress import step
+from myrtlehub.rollout.rollout_state import FLEET, ChangeMethod, RolloutPlan, initial_state
 from myrtlehub.rollout.rollout_table import ROLLOUT_TABLE
-from myrtlehub.rollout.samples import (
-    NodeCounters,
-    NodeStatus,
-    NodeTimeouts,
-    Revision,
-    TrafficCounters,
-    WindowSampler,
-    event_of_status,
-    timer_event,
-)
+from myrtlehub.rollout.samples import NodeCounters, TrafficCounters
 from myrtlehub.rollout.stage_plan import assign_stages
 from myrtlehub.rollout.states import (
     NodeEffect,
@@ -42,6 +35,7 @@
     RolloutEvent,
     RolloutPhase,
 )
+from myrtlehub.rollout.window_sampler import WindowSampler
 from myrtlehub.state.model_checker import check_model, replay
 from myrtlehub.state.state_machine import (
     CommonEffect,
@@ -291,9 +285,9 @@
 
 def test_orders_of_an_older_controller_are_refused_in_words() -> None:
     validator = OrderValidator("run1")
-    assert not validator.rejection_reason(Order(FORMAT_VERSION, 2, "x", "run1")) and not validator.rejection_reason(
-        Order(FORMAT_VERSION, 2, "x")
-    )
+    assert not validator.rejection_reason(
+        Order(FORMAT_VERSION, 2, "x", "run1")
+    ) and not validator.rejection_reason(Order(FORMAT_VERSION, 2, "x"))
     assert "controller x's" in validator.rejection_reason(Order(FORMAT_VERSION, 2, "y"))
     assert not validator.rejection_reason(Order(FORMAT_VERSION, 3, "y"))
     assert "obeys 3" in validator.rejection_reason(Order(FORMAT_VERSION, 2, "x"))
@@ -333,7 +327,7 @@
     sampler.window([counted("1", 10)] * 3, waiting, 5.0, True)
     w = sampler.window([counted("1", 30), counted("2", 30), None], waiting, 5.0, True)
     assert w.roles.tolist() == [1, 0, 0] and w.metrics["served", ""][0].tolist() == [20.0, 0.0, 0.0]
-    assert w.engines == {"a": 4} and w.metrics["memory", ""][0][0] == 20.0
+    assert w.serving_engines == {"a": 4} and w.metrics["memory", ""][0][0] == 20.0
     states = [NodeState.OBSERVED, NodeState.WAITING, NodeState.WAITING]
     w = sampler.window([counted("1", 40), counted("2", 40), counted("1", 40)], states, 5.0, False)
     assert w.roles.tolist() == [0, 1, 0]  # the first moved, the third was not there before
