--- a/myrtlehub/rollout_controller/__init__.py
+++ b/myrtlehub/rollout_controller/__init__.py
@@ -1,7 +1,7 @@
-"""The controller of a rollout as a process.
+"""The rollout controller as a process.
 
-It polls nodes, writes the journal, supervises processes and gives orders. It decides nothing:
-`rollout.progress` says what comes next, `rollout.canary_analysis` what the figures show. An action is carried
-out only once the event that it follows from is on disk; a node that cannot be reached is left as it is. The
-command line is `cli.rollout`; what a node does with an order is in `node`.
+It polls nodes, writes the journal, supervises processes and sends orders. The decisions are made in
+`rollout.progress` and `rollout.canary_analysis`. An action is executed only after the event that requires it
+is on disk. A node that cannot be reached is left unchanged. The command line is `cli.rollout`; `node.admin`
+handles the orders.
 """
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -1,6 +1,6 @@
-"""The controller of a rollout: polls nodes, takes events, carries out the actions that follow.
+"""The controller of a rollout: polls nodes, applies events and executes the actions that they require.
 
-An action is carried out only once the event that it follows from is in the journal.
+An action is executed only after the event that requires it is in the journal.
 """
 
 import time
@@ -8,13 +8,14 @@
 from uuid import uuid4
 
 from twisted.internet.defer import Deferred, FirstError
-from twisted.internet.interfaces import IReactorTime
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Clock
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
-from myrtlehub.log_events import LogEvent
-from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry, last_generation
-from myrtlehub.rollout.node_status import timer_event
+from myrtlehub.log_events import Log
+from myrtlehub.rollout.journal_details import ControllerDetails, encode_details
+from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry, JsonObject, last_generation
+from myrtlehub.rollout.node_status import Revision, timer_event
 from myrtlehub.rollout.rollout_state import FLEET, Action, NodeAction, RolloutState
 from myrtlehub.rollout.states import SERVING_STATES, NodeEvent, RolloutEffect, RolloutEvent, RolloutPhase
 from myrtlehub.rollout_controller.errors import END_CODES, ExitCode, RolloutError
@@ -24,240 +25,231 @@
     no_boundary_hook,
     rollback_request,
 )
-from myrtlehub.rollout_controller.node_actions import NodeActions, Refusal
+from myrtlehub.rollout_controller.node_actions import NodeActions, Rejection
 from myrtlehub.rollout_controller.node_client import Dialer, NodeClient
 from myrtlehub.rollout_controller.node_tracker import NodeTracker, TrackedNode
 from myrtlehub.rollout_controller.plan_files import PlanFiles
 from myrtlehub.rollout_controller.process_supervisor import ProcessSupervisor
+from myrtlehub.rollout_controller.progress_log import ProgressLog
 from myrtlehub.rollout_controller.remote_supervisor import make_supervisor
-from myrtlehub.rollout_controller.rollout_record import Details, EventPrinter, RolloutRecord
-from myrtlehub.rollout_controller.stage_supervision import StageSupervision, node_timeouts
+from myrtlehub.rollout_controller.rollout_record import RolloutRecord
+from myrtlehub.rollout_controller.stage_supervision import Decision, StageSupervision, node_timeouts
 
-OPERATOR_REQUEST = "the operator asked for it"
-CONTROLLER_ID_LENGTH = 12
+OPERATOR_REQUEST = "the operator asked for it"  # reason of a rollback that the operator requested
+CONTROLLER_ID_LENGTH = 12  # hexadecimal digits, which make identifiers of two controllers differ
 
 
 class RolloutController:
-    """One controller at work; `done` fires with the exit code."""
+    """One controller of a rollout."""
 
     def __init__(
         self,
-        sheet: RolloutPlanConfig,
+        config: RolloutPlanConfig,
         text: str,
         base: Path,
-        reactor: IReactorTime,
+        clock: Clock,
         dial: Dialer,
-        print_event: EventPrinter,
+        log: Log,
         on_boundary: BoundaryHook = no_boundary_hook,
         supervisor: ProcessSupervisor | None = None,
     ) -> None:
-        """Prepare a controller; nothing is read, asked or written before `run`.
+        """Prepare a controller; it reads, sends and writes nothing before `run`.
 
         Args:
-            sheet: the plan.
-            text: the plan's text, by whose digest its journal is known.
-            base: the folder that the plan's paths are relative to.
-            reactor: the clock that all timers go by.
-            dial: gives what a channel connects to an address by.
-            print_event: prints what the controller does.
+            config: the plan.
+            text: the plan's text, whose digest identifies the plan in the journal.
+            base: the folder to which the plan's paths are relative.
+            clock: the clock of all timers.
+            dial: returns the connect function of an address.
+            log: logs the progress of the rollout.
             on_boundary: called before and after each write, sync and action.
-            supervisor: of the nodes' processes; by default that of the plan.
+            supervisor: of the nodes' processes; None: the one that the plan states.
 
         Raises:
             RolloutError: the plan's stages do not fit the fleet.
         """
-        self.files = PlanFiles(sheet, text, base)
-        self.sheet = sheet
+        self.files = PlanFiles(config, text, base)
+        self.config = config
         self.journal = JournalStore(self.files.journal_path, on_boundary)
-        self.record = RolloutRecord(self.files, self.journal, print_event)
-        self.nodes = [TrackedNode(NodeClient(reactor, dial, node.admin)) for node in sheet.nodes]
-        self.reason = ""  # of the last refusal, or of what ended the controller
-        self.done: Deferred[ExitCode] = Deferred()
-        supervisor = supervisor or make_supervisor(sheet, base)
-        self._reactor = reactor
-        self._print_event = print_event
+        self.record = RolloutRecord(self.files, self.journal, log)
+        self.nodes = [TrackedNode(NodeClient(clock, dial, node.admin)) for node in config.nodes]
+        self.done: Deferred[ExitCode] = Deferred()  # fires when the controller ends
+        supervisor = supervisor or make_supervisor(config, base)
+        self._clock = clock
         self._on_boundary = on_boundary
-        self._tracker = NodeTracker(self.nodes, self.record, supervisor, reactor)
-        self._stage = StageSupervision(sheet, self.record, self.nodes)
+        self._progress_log = ProgressLog(self.files.names, log)
+        self._tracker = NodeTracker(self.nodes, self.record, supervisor, clock)
+        self._stage = StageSupervision(config, self.record, self.nodes)
         controller = uuid4().hex[:CONTROLLER_ID_LENGTH]
-        self._actions = NodeActions(self.files, self.nodes, supervisor, controller, self, print_event)
+        self._actions = NodeActions(self.files, self.nodes, supervisor, controller, self, log)
         self._is_over = False
 
     @property
     def state(self) -> RolloutState:
-        """Where the rollout stands."""
+        """The state of the rollout."""
         return self.record.state
 
-    # -- beginning --------------------------------------------------------------------------------
+    @property
+    def reason(self) -> str:
+        """The reason of the last rejection, rollback or hold, or of the error that ended the controller."""
+        return self._progress_log.reason
+
+    # -- start ------------------------------------------------------------------------------------
 
     def run(self, resume: bool = False, roll_back: bool = False) -> Deferred[ExitCode]:
-        """Begin the rollout, or resume it, or roll it back.
+        """Begin the rollout, or continue one.
+
+        Args:
+            resume: whether to continue the rollout of an existing journal.
+            roll_back: whether to roll it back.
 
         Raises:
             RolloutError: the journal does not allow it.
         """
-        torn = self.journal.open(self.files.header, resume)
-        if torn:
-            self._print_event(
-                LogEvent.JOURNAL_TAIL_DROPPED,
-                text=f"{torn} bytes of a last line that was not wholly written were dropped",
-            )
+        torn_size = self.journal.open(self.files.header, resume)
+        if torn_size:
+            self._progress_log.journal_tail_dropped(torn_size)
         for entry in self.journal.entries:
             self.record.replay(entry)
         phase = self.state.phase
         if phase is RolloutPhase.ROLLED_BACK or (phase is RolloutPhase.COMMITTED and not roll_back):
             self.journal.close()
             raise RolloutError(f"the change is over: {phase}")
-        self._stage.start(self._reactor.seconds())
+        self._stage.start(self._clock.seconds())
         self._tracker.start()
-        self._tracker.poll().addCallback(self._first_poll_done, roll_back).addErrback(self.action_failed)
+        polled = self._tracker.poll().addCallback(self._first_poll_done, roll_back)
+        polled.addErrback(self.controller_failed)
         return self.done
 
-    def _first_poll_done(self, ignored: object, roll_back: bool) -> None:
-        if not self.record.is_begun:
-            self._tracker.require_whole_fleet()
-        self._take_command()
+    def _first_poll_done(self, _ignored: object, roll_back: bool) -> None:
+        revisions = None if self.record.has_begun else self._tracker.fleet_revisions()
+        self._start_generation()
         for node in range(len(self.nodes)):
-            self._actions.announce(node)
-        if not self.record.is_begun:
-            self._begin()
+            self._actions.announce_controller(node)
+        if revisions is not None:
+            self._begin(revisions)
         if roll_back:
-            self.take(FLEET, RolloutEvent.ROLL_BACK, OPERATOR_REQUEST)
+            self.apply_event(FLEET, RolloutEvent.ROLL_BACK, OPERATOR_REQUEST)
         elif self.state.phase in (RolloutPhase.OBSERVING, RolloutPhase.ON_HOLD):
-            # A predecessor may have died between an event and its actions: what is seen of a node in motion
-            # brings its event once more, and with it the action. What it observed is observed anew.
+            # The previous controller may have ended after it wrote an event and before it executed the
+            # actions. The polls show such nodes in the same state, so their events and actions are repeated.
+            # Windows of the previous observation are lost, so the stage is observed again
+            # (test_a_controller_killed_at_any_boundary_is_resumed_to_the_same_end).
             self.record.analysis.restart_observation()
-        self._schedule_poll(None)
+        self._schedule_poll()
 
-    def _take_command(self) -> None:
-        """Take a generation higher than that of any controller before."""
-        seen = max((tracked.status.generation for tracked in self.nodes if tracked.status), default=0)
+    def _start_generation(self) -> None:
+        """Use a generation higher than that of any previous controller, and record it."""
+        highest = max((tracked.status.generation for tracked in self.nodes if tracked.status), default=0)
         actions = self._actions
-        actions.generation = max(seen, last_generation(self.journal.entries)) + 1
-        identity = {"generation": actions.generation, "controller": actions.controller}
-        self.journal.append(JournalEntry(time.time(), str(BookkeepingEvent.CONTROLLER), details=identity))
-        self._print_event(LogEvent.CONTROLLER_STARTED, **identity, node_count=len(self.nodes))
+        actions.generation = max(highest, last_generation(self.journal.entries)) + 1
+        details = encode_details(ControllerDetails(actions.generation, actions.controller))
+        self.journal.append(JournalEntry(time.time(), str(BookkeepingEvent.CONTROLLER), details=details))
+        self._progress_log.controller_started(actions.generation, actions.controller)
 
-    def _begin(self) -> None:
-        old = [tracked.status.revision for tracked in self.nodes]
+    def _begin(self, old: list[Revision]) -> None:
         new = self.files.new_revision(old)
         details = self.record.begin(old, new, self.files.traffic_types())
-        self.take(FLEET, RolloutEvent.BEGIN, details=details)
+        self.apply_event(FLEET, RolloutEvent.BEGIN, details=details)
 
     # -- polling ----------------------------------------------------------------------------------
 
-    def _schedule_poll(self, ignored: None) -> None:
+    def _schedule_poll(self, _ignored: None = None) -> None:
         if not self._is_over:
-            self._reactor.callLater(self.sheet.look, self._poll)
+            self._clock.callLater(self.config.look, self._poll)
 
     def _poll(self) -> None:
         if not self._is_over:
             polled = self._tracker.poll().addCallback(self._poll_done)
-            polled.addCallback(self._schedule_poll).addErrback(self.action_failed)
+            polled.addCallback(self._schedule_poll).addErrback(self.controller_failed)
 
-    def _poll_done(self, ignored: object) -> None:
+    def _poll_done(self, _ignored: object) -> None:
         self._tracker.check_not_superseded(self._actions.generation, self._actions.controller)
-        request = rollback_request(self.journal.path)
-        if request.exists():
-            request.unlink()
-            self.take(FLEET, RolloutEvent.ROLL_BACK, OPERATOR_REQUEST)
+        self._check_rollback_request()
         for node in range(len(self.nodes)):
             event = self._tracker.event(node)
             if event:
-                self.take(node, event)
-        self._check_timers()
-        now = self._reactor.seconds()
-        if self._stage.window_is_over(now) and not self._is_over:
-            decision = self._stage.close_window(now)
-            if decision:
-                self.take(FLEET, *decision)
-
-    def _check_timers(self) -> None:
+                self.apply_event(node, event)
+        now = self._clock.seconds()
+        self._check_node_timers(now)
+        self._apply_decision(self._stage.time_limit(now))
+        now = self._clock.seconds()
+        if self._stage.is_window_over(now) and not self._is_over:
+            self._apply_decision(self._stage.close_window(now))
+
+    def _check_rollback_request(self) -> None:
+        request = rollback_request(self.journal.path)
+        if request.exists():
+            request.unlink()
+            self.apply_event(FLEET, RolloutEvent.ROLL_BACK, OPERATOR_REQUEST)
+
+    def _check_node_timers(self, now: float) -> None:
         absent = self.state.absent
-        now = self._reactor.seconds()
         for node, tracked in enumerate(self.nodes):
-            timeouts = node_timeouts(self.sheet, tracked.is_unreachable)
+            timeouts = node_timeouts(self.config, tracked.is_unreachable)
             event = timer_event(self.state.nodes[node], now - tracked.state_since, node in absent, timeouts)
             if event:
-                tracked.state_since = now  # an action that did not help is tried again after as long
-                self.take(node, event)
-        decision = self._stage.time_limit(now)
-        if decision:
-            self.take(FLEET, *decision)
+                tracked.state_since = now  # an action without success is repeated after the same time
+                self.apply_event(node, event)
+
+    def _apply_decision(self, decision: Decision | None) -> None:
+        if decision is not None:
+            self.apply_event(FLEET, decision.event, decision.reason, decision.details)
 
     # -- events and actions -----------------------------------------------------------------------
 
-    def take(
+    def apply_event(
         self,
         node: int,
         event: NodeEvent | RolloutEvent,
         reason: str = "",
-        details: Details | None = None,
+        details: JsonObject | None = None,
     ) -> None:
-        """Take an event: into the journal, then into the state, then carry out what it asks for."""
+        """Write an event to the journal, apply it, and execute the actions that it requires.
+
+        Args:
+            node: index of the node, or FLEET.
+            event: the event.
+            reason: the reason, for the operator.
+            details: further fields of the journal entry.
+        """
         if self._is_over:
             return
         before = self.state
-        result = self.record.take(node, event, reason, details)
+        result = self.record.apply_event(node, event, reason, details)
         if result is None:
             return
-        ended = event in (NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED)
-        if node != FLEET and ended and self.state.nodes[node] in SERVING_STATES:
-            # It has as long to come back as any node has to start.
-            self.nodes[node].state_since = self._reactor.seconds()
-        self._note_node_changes(before, event)
-        self._note_phase_change(before, event, node, reason)
+        has_exited = event in (NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED)
+        if node != FLEET and has_exited and self.state.nodes[node] in SERVING_STATES:
+            # The restarted process gets the full start timeout.
+            self.nodes[node].state_since = self._clock.seconds()
+        self._handle_state_changes(before, node, event, reason)
         for action in result.actions:
             self._on_boundary(f"act {action.kind}")
-            self._carry_out(action)
+            self._execute(action)
             self._on_boundary(f"acted {action.kind}")
 
-    def _note_node_changes(self, before: RolloutState, event: NodeEvent | RolloutEvent) -> None:
-        for node, (was, now) in enumerate(zip(before.nodes, self.state.nodes, strict=True)):
-            if was != now:
-                self.nodes[node].state_since = self._reactor.seconds()
-                self._print_event(
-                    LogEvent.NODE_STATE_CHANGED,
-                    node=self.files.names[node],
-                    previous_state=was,
-                    state=now,
-                    cause=event,
-                )
-
-    def _note_phase_change(
-        self, before: RolloutState, event: NodeEvent | RolloutEvent, node: int, reason: str
+    def _handle_state_changes(
+        self, before: RolloutState, node: int, event: NodeEvent | RolloutEvent, reason: str
     ) -> None:
         after = self.state
-        if before.phase == after.phase and before.stage == after.stage:
-            return
-        self._stage.phase_since = self._reactor.seconds()
-        if after.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ON_HOLD):
-            name = "" if node == FLEET else self.files.names[node]
-            self.reason = reason or self.reason or f"{event} {name}".strip()
-        self._print_event(
-            LogEvent.PHASE_CHANGED,
-            previous_phase=before.phase,
-            phase=after.phase,
-            stage=after.stage + 1,
-            cause=event,
-            reason=reason,
-        )
-
-    def _carry_out(self, action: Action) -> None:
-        node = action.node
-        if node == FLEET:
-            self._carry_out_for_fleet(action.kind)
+        for index, tracked in enumerate(self.nodes):
+            if before.nodes[index] != after.nodes[index]:
+                tracked.state_since = self._clock.seconds()
+                self._progress_log.node_state_changed(index, before, after, event)
+        if before.phase != after.phase or before.stage != after.stage:
+            self._stage.phase_since = self._clock.seconds()
+            self._progress_log.phase_changed(before, after, node, event, reason)
+
+    def _execute(self, action: Action) -> None:
+        if isinstance(action.kind, RolloutEffect):
+            self._execute_for_fleet(action.kind)
         elif action.kind is NodeAction.REPORT:
-            self._print_event(
-                LogEvent.OPERATOR_NEEDED,
-                node=self.files.names[node],
-                state=self.state.nodes[node],
-                reason=self.reason,
-            )
+            self._progress_log.operator_needed(action.node, self.state)
         else:
-            self._actions.carry_out(action.kind, node, self.state.nodes[node])
+            self._actions.execute(action.kind, action.node, self.state.nodes[action.node])
 
-    def _carry_out_for_fleet(self, effect: RolloutEffect) -> None:
+    def _execute_for_fleet(self, effect: RolloutEffect) -> None:
         if effect is RolloutEffect.NEXT_STAGE:
             self.record.analysis.start_stage()
         elif effect is RolloutEffect.OBSERVE:
@@ -267,55 +259,47 @@
         elif effect is RolloutEffect.REPORT:
             self._end(ExitCode.STUCK)
 
-    def order_refused(self, node: int, refusal: Refusal) -> None:
-        """Take note that a node refused an order."""
-        self._note_refusal(node, refusal)
-        self._take_refusal(node)
-
-    def start_failed(self, node: int, refusal: Refusal) -> None:
-        """Take note that a node's process could not be started, once the event at hand is done with."""
-        self._note_refusal(node, refusal)
-        self._reactor.callLater(0, self._take_refusal, node)
-
-    def _note_refusal(self, node: int, refusal: Refusal) -> None:
-        self.reason = refusal.reason
-        self._print_event(
-            LogEvent.NODE_CALL_REJECTED,
-            node=self.files.names[node],
-            method=refusal.order,
-            reason=refusal.message,
-        )
-
-    def _take_refusal(self, node: int) -> None:
+    def order_rejected(self, node: int, rejection: Rejection) -> None:
+        """Apply the event of an order that a node rejected."""
+        self._progress_log.order_rejected(node, rejection)
+        self._apply_rejection(node)
+
+    def start_failed(self, node: int, rejection: Rejection) -> None:
+        """Apply the event of a process that could not be started, after the present event is complete."""
+        self._progress_log.order_rejected(node, rejection)
+        self._clock.callLater(0, self._apply_rejection, node)
+
+    def _apply_rejection(self, node: int) -> None:
         try:
-            self.take(node, NodeEvent.ORDER_REJECTED, self.reason)
-        except Exception:  # noqa: BLE001 - whatever it is ends the controller and is printed
-            self.action_failed(Failure())
+            self.apply_event(node, NodeEvent.ORDER_REJECTED, self.reason)
+        except Exception:  # noqa: BLE001 - any error ends the controller and is logged
+            self.controller_failed(Failure())  # type: ignore[no-untyped-call]  # Twisted does not annotate it
 
-    # -- ends -------------------------------------------------------------------------------------
+    # -- end --------------------------------------------------------------------------------------
 
-    def action_failed(self, failure: Failure) -> None:
-        """End the controller because of an error: nodes are left as they are."""
-        if failure.check(FirstError):
+    def controller_failed(self, failure: Failure) -> None:
+        """End the controller because of an error; nodes are left unchanged."""
+        if isinstance(failure.value, FirstError):
             failure = failure.value.subFailure
-        if failure.check(RolloutError):
-            code = failure.value.exit_code
+        error = failure.value
+        if isinstance(error, RolloutError):
+            code = error.exit_code
         else:
-            self._print_event(LogEvent.UNEXPECTED_ERROR, traceback=failure.getTraceback())
+            self._progress_log.unexpected_error(failure)
             code = ExitCode.INVALID
-        self.reason = str(failure.value)
+        self._progress_log.reason = str(error)
         self._end(code)
 
     def _end(self, code: ExitCode) -> None:
         if self._is_over:
             return
         self.abandon()
-        self._print_event(LogEvent.ROLLOUT_ENDED, phase=self.state.phase, reason=self.reason, exit_code=code)
+        self._progress_log.rollout_ended(self.state.phase, code)
         for tracked in self.nodes:
             tracked.client.close()
         self.journal.close()
-        self._reactor.callLater(0, self.done.callback, code)
+        self._clock.callLater(0, self.done.callback, code)
 
     def abandon(self) -> None:
-        """Take no further event."""
+        """Ignore all further events, without an end of the rollout."""
         self._is_over = True
--- a/myrtlehub/rollout_controller/errors.py
+++ b/myrtlehub/rollout_controller/errors.py
@@ -1,4 +1,4 @@
-"""Why a rollout cannot begin or go on, and the exit codes of `hub-rollout`."""
+"""Errors of a rollout, and the exit codes of `hub-rollout`."""
 
 from enum import IntEnum
 
@@ -10,8 +10,8 @@
 
     COMMITTED = 0
     ROLLED_BACK = 1
-    INVALID = 2  # the plan or the fleet is wrong
-    STUCK = 3  # people are needed
+    INVALID = 2  # the plan or the fleet does not allow the rollout
+    STUCK = 3  # an operator has to intervene
     JOURNAL_NOT_WRITABLE = 4
     SUPERSEDED = 5  # another controller has taken over
 
@@ -23,7 +23,7 @@
 
 
 class RolloutError(Exception):
-    """The rollout cannot begin or go on; the text says why and what to do."""
+    """The rollout cannot begin or continue; the text says why and what to do."""
 
     exit_code = ExitCode.INVALID
 
--- a/myrtlehub/rollout_controller/node_actions.py
+++ b/myrtlehub/rollout_controller/node_actions.py
@@ -1,4 +1,4 @@
-"""Carries out actions for nodes: orders over RPC, starting and killing processes."""
+"""Executes actions on nodes: sends orders by RPC, starts and kills processes."""
 
 import time
 from typing import NamedTuple, Protocol
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from myrtlehub.log_events import LogEvent
+from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
 from myrtlehub.rollout.rollout_state import NodeAction
@@ -15,35 +15,37 @@
 from myrtlehub.rollout_controller.node_tracker import TrackedNode
 from myrtlehub.rollout_controller.plan_files import PlanFiles, PlanSide
 from myrtlehub.rollout_controller.process_supervisor import ProcessSupervisor
-from myrtlehub.rollout_controller.rollout_record import EventPrinter
 from myrtlehub.rpc.status import Code, RpcError
 
-REFUSAL_CODES = (Code.FAILED_PRECONDITION, Code.INVALID_ARGUMENT)
+# Status codes by which a node rejects the content of an order. An order of a superseded controller is
+# rejected with PERMISSION_DENIED; the next poll shows the other controller.
+REJECTION_CODES = (Code.FAILED_PRECONDITION, Code.INVALID_ARGUMENT)
+START_ORDER = "begin"  # name of a start in a rejection
 
 
-class Refusal(NamedTuple):
-    """What a node, or this machine, did not do."""
+class Rejection(NamedTuple):
+    """An order that a node rejected, or a process that could not be started."""
 
     order: str
-    message: str
-    reason: str  # the same for people who do not know of which node it is
+    message: str  # the reason, without the name of the node
+    reason: str  # the reason, with the names of the node and the order
 
 
 class ActionObserver(Protocol):
-    """Who hears how actions end."""
+    """Is notified of actions that fail."""
 
-    def order_refused(self, node: int, refusal: Refusal) -> None:
-        """Take note that a node refused an order."""
+    def order_rejected(self, node: int, rejection: Rejection) -> None:
+        """Handle an order that a node rejected."""
 
-    def start_failed(self, node: int, refusal: Refusal) -> None:
-        """Take note that a node's process could not be started."""
+    def start_failed(self, node: int, rejection: Rejection) -> None:
+        """Handle a process that could not be started."""
 
-    def action_failed(self, failure: Failure) -> None:
-        """Take note of an error that ends the controller."""
+    def controller_failed(self, failure: Failure) -> None:
+        """Handle an error that ends the controller."""
 
 
 class NodeActions:
-    """Carries out actions in the name of one controller."""
+    """Executes actions for one controller."""
 
     def __init__(
         self,
@@ -52,25 +54,41 @@
         supervisor: ProcessSupervisor,
         controller: str,
         observer: ActionObserver,
-        print_event: EventPrinter,
+        log: Log,
     ) -> None:
+        """Create an executor; `generation` has to be set before the first order.
+
+        Args:
+            files: the plan and its files.
+            nodes: the nodes of the fleet.
+            supervisor: starts and kills their processes.
+            controller: identifier of the controller.
+            observer: is notified of actions that fail.
+            log: logs killed processes.
+        """
         self.generation = 0
         self.controller = controller
         self._files = files
         self._nodes = nodes
         self._supervisor = supervisor
         self._observer = observer
-        self._print_event = print_event
+        self._log = log
 
-    def announce(self, node: int) -> None:
-        """Tell a node whom it obeys; one that is not reached hears it with its next order."""
+    def announce_controller(self, node: int) -> None:
+        """Order a node to obey this controller; an unreachable node learns of it with its next order."""
         self._order(node, OrderMethod.OBEY, self._header())
 
-    def carry_out(self, kind: NodeAction, node: int, state: NodeState) -> None:
-        """Carry out one action for a node that is in this state."""
-        match kind:
+    def execute(self, action: NodeAction, node: int, state: NodeState) -> None:
+        """Execute an action on a node.
+
+        Args:
+            action: the action; REPORT is not executed here.
+            node: index of the node.
+            state: the node's present state.
+        """
+        match action:
             case NodeAction.DRAIN:
-                self._leave(node)
+                self._drain(node)
             case NodeAction.APPLY_NEW:
                 self._apply_settings(node, PlanSide.NEW)
             case NodeAction.APPLY_OLD:
@@ -80,21 +98,20 @@
             case NodeAction.START_OLD:
                 self._start(node, PlanSide.OLD)
             case NodeAction.KILL:
-                self._print_event(
-                    LogEvent.PROCESS_KILLED, node=self._files.names[node], killed_at_s=time.monotonic()
-                )
-                self._supervisor.kill(node, self._nodes[node].process)
+                self._kill(node)
+            case NodeAction.REPORT:
+                pass
 
-    def _leave(self, node: int) -> None:
+    def _drain(self, node: int) -> None:
         status = self._nodes[node].status
         if status and status.incarnation:
             self._order(node, OrderMethod.LEAVE, self._header(incarnation=status.incarnation))
 
     def _apply_settings(self, node: int, side: PlanSide) -> None:
-        """Stage the settings at the node, then apply what it staged."""
+        """Send the settings to the node, then order it to apply them."""
         text = self._files.settings_path(node, side).read_text()
         staged = self._order(node, OrderMethod.STAGE, pb.StagedSettings(order=self._header(), text=text))
-        staged.addCallback(self._apply_staged, node).addErrback(self._observer.action_failed)
+        staged.addCallback(self._apply_staged, node).addErrback(self._observer.controller_failed)
 
     def _apply_staged(self, reply: bytes | None, node: int) -> Deferred[bytes | None]:
         if reply is None:
@@ -106,11 +123,15 @@
         name = self._files.names[node]
         command = self._files.start_command(node, side)
         try:
-            self._nodes[node].exit_noted = False
+            self._nodes[node].is_exit_handled = False
             self._supervisor.start(node, name, command, f"{self.generation} {self.controller}")
         except OSError as error:
             reason = f"{name}: {command}: {error.strerror}"
-            self._observer.start_failed(node, Refusal("begin", reason, reason))
+            self._observer.start_failed(node, Rejection(START_ORDER, reason, reason))
+
+    def _kill(self, node: int) -> None:
+        self._log(LogEvent.PROCESS_KILLED, node=self._files.names[node], killed_at_s=time.monotonic())
+        self._supervisor.kill(node, self._nodes[node].process)
 
     def _header(self, incarnation: str = "", settings: str = "") -> pb.Order:
         return pb.Order(
@@ -122,14 +143,15 @@
         )
 
     def _order(self, node: int, method: OrderMethod, message: OrderMessage) -> Deferred[bytes | None]:
-        """Give an order; the reply, or None where it was not taken."""
-        done = self._nodes[node].client.order(method, message)
-        return done.addErrback(self._not_taken, node, method)
-
-    def _not_taken(self, failure: Failure, node: int, method: OrderMethod) -> None:
-        """Pass on why the node refused; an order that was not heard shows at the next poll."""
-        if failure.check(RpcError) and failure.value.status.code in REFUSAL_CODES:
+        """Send an order; the result is the reply, or None if the order was rejected or not answered."""
+        reply = self._nodes[node].client.order(method, message)
+        return reply.addErrback(self._order_failed, node, method)
+
+    def _order_failed(self, failure: Failure, node: int, method: OrderMethod) -> None:
+        """Notify the observer of a rejection; the next poll shows whether a lost order has to be repeated."""
+        error = failure.value
+        if isinstance(error, RpcError) and error.status.code in REJECTION_CODES:
             order = method.lower()
-            message = failure.value.status.message
+            message = error.status.message
             reason = f"{self._files.names[node]} refused {order}: {message}"
-            self._observer.order_refused(node, Refusal(order, message, reason))
+            self._observer.order_rejected(node, Rejection(order, message, reason))
--- a/myrtlehub/rollout_controller/node_client.py
+++ b/myrtlehub/rollout_controller/node_client.py
@@ -1,27 +1,30 @@
-"""RPC to the admin service of one node: its status and counters, and orders to it."""
+"""RPC client of one node's admin service: reads its status and counters, and sends orders."""
 
 from collections.abc import Callable
 from enum import StrEnum
 from typing import Protocol
 
 from twisted.internet.defer import Deferred
-from twisted.internet.interfaces import IReactorTime
+from twisted.internet.protocol import Factory
 
+from myrtlehub.clock import Clock
 from myrtlehub.node.admin.service import SERVICE
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_status import NodeStatus, Revision
 from myrtlehub.rollout.samples import NodeCounters, TrafficCounters
 from myrtlehub.rpc.channel import Channel
+from myrtlehub.rpc.client_protocol import ClientProtocol
 
-ANSWER_TIMEOUT = 1.5  # seconds for a node's answer; one that is late counts as not reached at this poll
-ORDER_TIMEOUT = 5.0
-CONNECT_TIMEOUT = 1.0
+POLL_TIMEOUT = 1.5  # seconds; a node that answers later counts as unreachable at this poll
+ORDER_TIMEOUT = 5.0  # seconds; applying settings takes longer than reading a status
+CONNECT_TIMEOUT = 1.0  # seconds; less than POLL_TIMEOUT, so that a poll fails by its connection first
 
-Dialer = Callable[[str], Callable]  # address -> what a channel connects by
+Connect = Callable[[Factory], Deferred[ClientProtocol]]
+Dialer = Callable[[str], Connect]  # returns the connect function of an address
 
 
 class OrderMethod(StrEnum):
-    """Orders that a node takes."""
+    """RPC methods of the admin service that carry an order."""
 
     OBEY = "Obey"
     LEAVE = "Leave"
@@ -30,49 +33,56 @@
 
 
 class OrderMessage(Protocol):
-    """A protobuf message of an order."""
+    """A protobuf message with an order."""
 
     def SerializeToString(self) -> bytes:  # noqa: N802 - protobuf's name
-        """Return its bytes."""
+        """Return the encoded message."""
 
 
 class NodeClient:
-    """A channel to one node's admin address."""
+    """An RPC channel to the admin address of one node."""
 
-    def __init__(self, reactor: IReactorTime, dial: Dialer, address: str) -> None:
-        self._reactor = reactor
+    def __init__(self, clock: Clock, dial: Dialer, address: str) -> None:
+        """Create a client; the channel connects with the first call.
+
+        Args:
+            clock: the clock of all timeouts.
+            dial: returns the connect function of an address.
+            address: the admin address of the node, as host:port.
+        """
+        self._clock = clock
         self._dial = dial
         self._address = address
-        self._channel = self._connect()
+        self._channel = self._new_channel()
 
-    def _connect(self) -> Channel:
+    def _new_channel(self) -> Channel:
         connect = self._dial(self._address)
-        return Channel(self._reactor, connect, self._address, connect_timeout=CONNECT_TIMEOUT)
+        return Channel(self._clock, connect, self._address, connect_timeout=CONNECT_TIMEOUT)
 
     def reconnect(self) -> None:
-        """Use a channel of its own for the next poll: this one may be waiting to connect again."""
+        """Replace the channel, so that the next poll does not wait for the backoff of the old one."""
         self.close()
-        self._channel = self._connect()
+        self._channel = self._new_channel()
 
     def close(self) -> None:
-        """End the channel."""
+        """Close the channel."""
         self._channel.close()
 
     def status(self) -> Deferred[NodeStatus | None]:
-        """Ask for the node's status; None where it does not answer."""
-        return self._ask("Show").addCallback(_decode_status)
+        """Request the node's status; the result is None if the node does not answer."""
+        return self._poll("Show").addCallback(_decode_status)
 
     def counters(self) -> Deferred[NodeCounters | None]:
-        """Ask for the node's counters; None where it does not answer."""
-        return self._ask("Figures").addCallback(_decode_counters)
+        """Request the node's counters; the result is None if the node does not answer."""
+        return self._poll("Figures").addCallback(_decode_counters)
 
     def order(self, method: OrderMethod, message: OrderMessage) -> Deferred[bytes]:
-        """Give an order; fails with RpcError where it is not taken or not heard."""
+        """Send an order; fails with RpcError if the node rejects it or does not answer."""
         return self._channel.unary(SERVICE + method, message.SerializeToString(), timeout=ORDER_TIMEOUT)
 
-    def _ask(self, method: str) -> Deferred[bytes | None]:
-        answer = self._channel.unary(SERVICE + method, b"", timeout=ANSWER_TIMEOUT)
-        return answer.addErrback(lambda failure: None)
+    def _poll(self, method: str) -> Deferred[bytes | None]:
+        reply: Deferred[bytes] = self._channel.unary(SERVICE + method, b"", timeout=POLL_TIMEOUT)
+        return reply.addErrback(lambda failure: None)
 
 
 def _decode_status(data: bytes | None) -> NodeStatus | None:
@@ -80,13 +90,13 @@
         return None
     message = pb.NodeState.FromString(data)
     return NodeStatus(
-        Revision(message.program, message.settings),
-        message.run,
-        message.pid,
-        message.leaving,
-        message.proven,
-        message.generation,
-        message.controller,
+        revision=Revision(message.program, message.settings),
+        incarnation=message.run,
+        pid=message.pid,
+        is_draining=message.leaving,
+        is_ready=message.proven,
+        generation=message.generation,
+        controller=message.controller,
     )
 
 
@@ -94,19 +104,19 @@
     if data is None:
         return None
     message = pb.NodeFigures.FromString(data)
-    traffic = {figures.name: _decode_traffic(figures) for figures in message.traffic}
+    traffic = {counters.name: _decode_traffic(counters) for counters in message.traffic}
     return NodeCounters(message.run, traffic, message.memory, dict(message.engines))
 
 
 def _decode_traffic(message: pb.TrafficFigures) -> TrafficCounters:
     return TrafficCounters(
-        message.asked,
-        message.utility,
-        message.served,
-        message.answers.get("rejected", 0),
-        message.answers.get("aborted", 0),
-        message.attempts,
-        message.begun,
-        message.first_log,
-        tuple(message.first.items()),
+        requests=message.asked,
+        offered_utility=message.utility,
+        earned_utility=message.served,
+        rejected=message.answers.get("rejected", 0),
+        aborted=message.answers.get("aborted", 0),
+        attempts=message.attempts,
+        answers_started=message.begun,
+        first_token_log_sum=message.first_log,
+        first_token_histogram=tuple(message.first.items()),
     )
--- a/myrtlehub/rollout_controller/plan_files.py
+++ b/myrtlehub/rollout_controller/plan_files.py
@@ -1,4 +1,4 @@
-"""What a plan's sheet comes to: stages, guards, paths of settings files, command lines."""
+"""A plan and the files that it names: stages, guards, paths of settings files, command lines."""
 
 import shlex
 from collections.abc import Sequence
@@ -9,87 +9,98 @@
 
 from myrtlehub.config.loader import ConfigError, load_config
 from myrtlehub.config.node import NodeConfig
-from myrtlehub.config.rollout_plan import RolloutPlanConfig
+from myrtlehub.config.rollout_plan import ProgramChange, RolloutPlanConfig, SettingsChange, StageConfig
 from myrtlehub.node.revision import settings_digest
 from myrtlehub.rollout.canary_analysis import CanaryAnalysis
+from myrtlehub.rollout.errors import StagePlanError
 from myrtlehub.rollout.journal_format import JournalHeader
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
 from myrtlehub.rollout.node_status import Revision
 from myrtlehub.rollout.rollout_state import ChangeMethod, RolloutPlan
+from myrtlehub.rollout.samples import Metric
 from myrtlehub.rollout.stage_plan import assign_stages
 from myrtlehub.rollout.statistics import MIN_WINDOWS, Guard
 from myrtlehub.rollout_controller.errors import RolloutError
 
-DEFAULT_JOURNAL = "roll.journal"
-EACH_TRAFFIC_TYPE = "each"
-LOWER_IS_WORSE = frozenset({"served"})  # all other figures are worse when higher
+DEFAULT_JOURNAL = "roll.journal"  # file name, beside the plan
+EACH_TRAFFIC_TYPE = "each"  # value of a guard's `traffic` in a plan: one guard for each traffic type
+LOWER_IS_WORSE = frozenset({Metric.SERVED})  # all other metrics are worse when higher
 
 
 class PlanSide(StrEnum):
-    """Before or after the change; the values are fields of the plan."""
+    """Before or after the change; the values are the names of the plan's fields."""
 
     OLD = "was"
     NEW = "now"
 
 
 class PlanFiles:
-    """A plan and the files beside it."""
+    """A plan and the files that it names."""
 
-    def __init__(self, sheet: RolloutPlanConfig, text: str, base: Path) -> None:
-        """Take a plan's sheet and text; `base` is the folder that its paths are relative to.
+    def __init__(self, config: RolloutPlanConfig, text: str, base: Path) -> None:
+        """Derive the stages from a plan.
+
+        Args:
+            config: the plan.
+            text: its text, whose digest identifies the plan in the journal.
+            base: the folder to which its paths are relative.
 
         Raises:
-            RolloutError: its stages do not fit the fleet.
+            RolloutError: the stages do not fit the fleet.
         """
-        self.sheet = sheet
+        self.config = config
         self.base = base
-        self.names = [node.name for node in sheet.nodes]
+        self.names = [node.name for node in config.nodes]
         self.plan = self._rollout_plan()
         self.header = JournalHeader(FORMAT_VERSION, xxhash.xxh3_64_hexdigest(text.encode()), self.names)
-        self.journal_path = base / (sheet.journal or DEFAULT_JOURNAL)
+        self.journal_path = base / (config.journal or DEFAULT_JOURNAL)
 
     def _rollout_plan(self) -> RolloutPlan:
-        zones = [node.zone for node in self.sheet.nodes]
-        sizes = [stage.nodes or stage.share for stage in self.sheet.stages]
+        zones = [node.zone for node in self.config.nodes]
+        sizes = [_stage_size(stage) for stage in self.config.stages]
         try:
-            stages = assign_stages(zones, sizes, self.sheet.one_zone)
-        except ValueError as error:
+            stages = assign_stages(zones, sizes, self.config.one_zone)
+        except StagePlanError as error:
             raise RolloutError(str(error)) from error
-        method = ChangeMethod.REPLACE if self.sheet.change.program else ChangeMethod.IN_PLACE
-        return RolloutPlan(len(zones), stages, method, self.sheet.most_away)
+        method = ChangeMethod.REPLACE if self.config.change.program else ChangeMethod.IN_PLACE
+        return RolloutPlan(len(zones), stages, method, self.config.most_away)
 
-    def analysis(self, traffic: Sequence[str]) -> CanaryAnalysis:
-        """Make the analysis of the plan's guards for these traffic types."""
-        sheet = self.sheet
+    def analysis(self, traffic_types: Sequence[str]) -> CanaryAnalysis:
+        """Return a new analysis with the plan's guards for these traffic types."""
+        config = self.config
         return CanaryAnalysis(
-            self._guards(traffic),
-            [node.zone for node in sheet.nodes],
-            max(MIN_WINDOWS, round(sheet.watch / sheet.block)),
-            sheet.alarm,
-            sheet.most_lost / sheet.block,
+            self._guards(traffic_types),
+            [node.zone for node in config.nodes],
+            max(MIN_WINDOWS, round(config.watch / config.block)),
+            config.alarm,
+            config.most_lost / config.block,
         )
 
-    def _guards(self, traffic: Sequence[str]) -> list[Guard]:
+    def _guards(self, traffic_types: Sequence[str]) -> list[Guard]:
         guards = []
-        for row in self.sheet.guards:
-            sign = -1.0 if row.figure in LOWER_IS_WORSE else 1.0
-            names = traffic if row.traffic == EACH_TRAFFIC_TYPE else [row.traffic]
-            guards += [Guard(row.figure, row.worse, sign, name) for name in names]
+        for guard in self.config.guards:
+            metric = Metric(guard.figure)
+            sign = -1.0 if metric in LOWER_IS_WORSE else 1.0
+            names = traffic_types if guard.traffic == EACH_TRAFFIC_TYPE else [guard.traffic]
+            guards += [Guard(metric, guard.worse, sign, name) for name in names]
         return guards
 
     def new_revision(self, old: Sequence[Revision]) -> Revision:
-        """Return the revision that nodes of these old ones get; an empty part is not known yet.
+        """Return the revision of the rollout; a part that the plan does not state is unknown.
+
+        Args:
+            old: the present revision of each node.
 
         Raises:
-            RolloutError: the nodes differ, or have it already.
+            RolloutError: the nodes differ, or have the new revision already.
         """
         if len(set(old)) > 1:
             found = sorted({f"program {program} settings {settings}" for program, settings in old})
             raise RolloutError(
                 f"the fleet has more than one revision already: {', '.join(found)}; make it one first"
             )
-        change = self.sheet.change
-        program = old[0].program if change.settings else change.program.revision
+        program_change = self.config.change.program
+        program = program_change.revision if program_change else old[0].program
         new = Revision(program, settings_digest(self.settings(0, PlanSide.NEW)))
         if new == old[0]:
             raise RolloutError("the nodes have this revision already")
@@ -101,15 +112,15 @@
 
     def settings_path(self, node: int, side: PlanSide) -> Path:
         """Return the path of a node's settings file."""
-        settings_change = self.sheet.change.settings
-        pattern = getattr(settings_change, side) if settings_change else self.sheet.settings
+        change = self.config.change.settings
+        pattern = _text_of(change, side) if change else self.config.settings
         return self.base / pattern.format(name=self.names[node], settings="")
 
     def settings(self, node: int, side: PlanSide) -> NodeConfig:
         """Load a node's settings file.
 
         Raises:
-            RolloutError: it is not there, or wrong.
+            RolloutError: the file is missing or invalid.
         """
         try:
             return load_config(self.settings_path(node, side), NodeConfig)
@@ -118,7 +129,20 @@
 
     def start_command(self, node: int, side: PlanSide) -> str:
         """Return the command line that starts a node."""
-        program = self.sheet.change.program
-        command = getattr(program, side) if program else self.sheet.start
+        change = self.config.change.program
+        command = _text_of(change, side) if change else self.config.start
         settings = shlex.quote(str(self.settings_path(node, side)))
         return command.format(name=self.names[node], settings=settings)
+
+
+def _text_of(change: SettingsChange | ProgramChange, side: PlanSide) -> str:
+    return change.was if side is PlanSide.OLD else change.now
+
+
+def _stage_size(stage: StageConfig) -> int | float:
+    """Return the size of a stage, as a count (int) or a fraction (float) of the fleet."""
+    if stage.nodes is not None:
+        return stage.nodes
+    if stage.share is not None:
+        return stage.share
+    raise RolloutError("a stage has neither nodes nor share")
--- a/myrtlehub/rollout_controller/process_supervisor.py
+++ b/myrtlehub/rollout_controller/process_supervisor.py
@@ -1,4 +1,4 @@
-"""Processes of nodes on this machine: whether one is there, starting and ending them."""
+"""Supervision of node processes on this machine: liveness, start and kill."""
 
 import os
 import shlex
@@ -10,29 +10,35 @@
 from twisted.internet.defer import Deferred
 
 from myrtlehub.node.admin.orders import GENERATION_VARIABLE
+from myrtlehub.rollout.journal_details import UNKNOWN_START
 
-UNKNOWN_START = 0
-STAT_START_TIME = 19  # index of the start time among the fields of /proc/PID/stat after the program's name
+STAT_START_TIME = 19  # index of the start time among the fields after the program's name in /proc/PID/stat
 
 
 class ProcessIdentity(NamedTuple):
-    """A process by its number and by when it began, which tells it from a later one of the same number."""
+    """A process, identified by its number and start time, as numbers are reused."""
 
     pid: int
-    start_ticks: int  # since the machine's start; 0: not known
+    start_ticks: int  # clock ticks from the start of the machine; UNKNOWN_START: not known
 
 
 class ProcessSupervisor:
     """Starts nodes as processes of this machine that outlive the controller."""
 
     def __init__(self, log_folder: Path) -> None:
+        """Start without child processes.
+
+        Args:
+            log_folder: the folder for the output of the nodes, one file each.
+        """
         self.log_folder = log_folder
-        self.children: dict[int, subprocess.Popen] = {}
+        self.children: dict[int, subprocess.Popen[bytes]] = {}  # by node, the process started last
 
     def start_ticks(self, pid: int) -> int:
-        """Return the ticks from the machine's start to that of a process; 0 where it is not known.
+        """Return the start time of a process in ticks since the start of the machine, or UNKNOWN_START.
 
-        Wall clocks are set meanwhile, and would tell a living process from itself.
+        A start time by the wall clock would change when the clock is set, and a running process would then be
+        mistaken for another one.
         """
         try:
             stat = Path(f"/proc/{pid}/stat").read_text()
@@ -41,33 +47,48 @@
             return UNKNOWN_START
 
     def is_alive(self, node: int, known: ProcessIdentity | None) -> bool | Deferred[bool]:
-        """Whether the process that last answered there, or was started by us, still runs."""
+        """Return whether a node's process runs: the child started here, or the process that answered last.
+
+        Args:
+            node: index of the node.
+            known: the process that answered last; None if none has.
+        """
+        return self._is_running(node, known)
+
+    def _is_running(self, node: int, known: ProcessIdentity | None) -> bool:
         child = self.children.get(node)
         if child is not None and child.poll() is None:
             return True
         if known is None or (child is not None and child.pid == known.pid):
             return False
         try:
-            # The number may be another process's by now: ours began when the one that answered did.
-            same = not known.start_ticks or self.start_ticks(known.pid) == known.start_ticks
-            return same and psutil.Process(known.pid).status() != psutil.STATUS_ZOMBIE
+            # The node may have exited and its number been given to a process that started later
+            # (test_a_process_is_known_by_when_it_began_and_not_by_a_clock_that_is_set).
+            is_same = not known.start_ticks or self.start_ticks(known.pid) == known.start_ticks
+            return is_same and psutil.Process(known.pid).status() != psutil.STATUS_ZOMBIE
         except psutil.NoSuchProcess:
             return False
 
     def is_starting(self, node: int, known: ProcessIdentity | None) -> bool:
-        """Whether the process that we started there runs and has not answered yet."""
+        """Return whether the process started here is running but has not answered yet."""
         child = self.children.get(node)
         return child is not None and child.poll() is None and (known is None or known.pid != child.pid)
 
     def has_exited(self, node: int) -> bool:
-        """Whether the process that we started there has ended."""
+        """Return whether the process started here has exited."""
         return node in self.children and self.children[node].poll() is not None
 
     def start(self, node: int, name: str, command: str, generation: str) -> None:
-        """Start a node that outlives us.
+        """Start a node in a session of its own, so that it outlives the controller.
+
+        Args:
+            node: index of the node.
+            name: name of the node, and of its log file.
+            command: the command line.
+            generation: "GENERATION CONTROLLER", which the node obeys from its start.
 
         Raises:
-            OSError: there is no such program.
+            OSError: the program cannot be started.
         """
         with (self.log_folder / f"{name}.log").open("ab") as log:
             self.children[node] = subprocess.Popen(
@@ -80,11 +101,9 @@
             )
 
     def kill(self, node: int, known: ProcessIdentity | None) -> None:
-        """Kill the node's process if it still runs."""
-        if not self.is_alive(node, known):
-            return
+        """Kill the node's process if it is running."""
         child = self.children.get(node)
         if child is not None and child.poll() is None:
             child.kill()
-        else:
+        elif known is not None and self._is_running(node, known):
             psutil.Process(known.pid).kill()
--- a/myrtlehub/rollout_controller/remote_supervisor.py
+++ b/myrtlehub/rollout_controller/remote_supervisor.py
@@ -1,4 +1,4 @@
-"""Processes of nodes on other machines, started, looked at and killed by an operator's commands."""
+"""Supervision of node processes on other machines, by commands of the operator."""
 
 import shlex
 import subprocess
@@ -8,44 +8,47 @@
 from twisted.internet.threads import deferToThread
 
 from myrtlehub.config.rollout_plan import ProcessCommands, RolloutPlanConfig
-from myrtlehub.rollout_controller.process_supervisor import (
-    UNKNOWN_START,
-    ProcessIdentity,
-    ProcessSupervisor,
-)
+from myrtlehub.rollout.journal_details import UNKNOWN_START
+from myrtlehub.rollout_controller.process_supervisor import ProcessIdentity, ProcessSupervisor
 
-COMMAND_TIMEOUT = 5.0  # seconds for an operator's command
-COMMAND_FAILED = -1  # in place of an exit code
-NO_PROCESS = 1  # exit code of the command `alive` where it surely found none
+COMMAND_TIMEOUT = 5.0  # seconds for a command of the operator
+NO_PROCESS = 1  # exit code by which the command `alive` says that the process does not run
 
 
 class RemoteSupervisor(ProcessSupervisor):
-    """Runs an operator's commands for nodes on other machines."""
+    """Runs the operator's commands for nodes on other machines."""
 
     def __init__(self, log_folder: Path, names: list[str], commands: ProcessCommands) -> None:
+        """Start without child processes.
+
+        Args:
+            log_folder: the folder for the output of the start commands, one file for each node.
+            names: the names of the nodes.
+            commands: the operator's commands.
+        """
         super().__init__(log_folder)
         self.names = names
         self.commands = commands
 
     def start_ticks(self, pid: int) -> int:
-        """Return that it is not known."""
+        """Return UNKNOWN_START, as processes of other machines are not visible here."""
         return UNKNOWN_START
 
     def is_alive(self, node: int, known: ProcessIdentity | None) -> bool | Deferred[bool]:
-        """Ask the operator's command; only a plain 1 says that no process is there.
+        """Run the operator's command; the process does not run only if its exit code is NO_PROCESS.
 
-        Where nobody knows, a node may be serving.
+        If the command fails in another way, the node may still be serving, so it counts as alive.
         """
         if known is None or not known.pid:
             return False
         return deferToThread(lambda: self._run(self.commands.alive, node, known) != NO_PROCESS)
 
     def is_starting(self, node: int, known: ProcessIdentity | None) -> bool:
-        """Return False: the command that starts a node there may end long before the node, and well."""
+        """Return False: the start command may exit with success long before the node is ready."""
         return False
 
     def has_exited(self, node: int) -> bool:
-        """Whether the command that starts the node has failed."""
+        """Return whether the command that starts the node has failed."""
         child = self.children.get(node)
         return child is not None and bool(child.poll())
 
@@ -54,20 +57,20 @@
         if known is not None and known.pid:
             deferToThread(self._run, self.commands.kill, node, known)
 
-    def _run(self, command: str, node: int, known: ProcessIdentity) -> int:
-        """Return the command's exit code; COMMAND_FAILED where it could not be run or did not end in time."""
+    def _run(self, command: str, node: int, known: ProcessIdentity) -> int | None:
+        """Return the exit code of a command; None if it could not be run or did not exit in time."""
         words = shlex.split(command.format(name=self.names[node], pid=known.pid))
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 words, stdin=subprocess.DEVNULL, capture_output=True, timeout=COMMAND_TIMEOUT
             )
         except (OSError, subprocess.SubprocessError):
-            return COMMAND_FAILED
-        return done.returncode
+            return None
+        return completed.returncode
 
 
-def make_supervisor(sheet: RolloutPlanConfig, base: Path) -> ProcessSupervisor:
-    """Make the supervisor that a plan asks for; logs of nodes that it starts go to the plan's folder."""
-    if sheet.processes:
-        return RemoteSupervisor(base, [node.name for node in sheet.nodes], sheet.processes)
+def make_supervisor(config: RolloutPlanConfig, base: Path) -> ProcessSupervisor:
+    """Return the supervisor of a plan; logs of nodes go to the folder of the plan."""
+    if config.processes:
+        return RemoteSupervisor(base, [node.name for node in config.nodes], config.processes)
     return ProcessSupervisor(base)
--- a/myrtlehub/rollout_controller/rollout_record.py
+++ b/myrtlehub/rollout_controller/rollout_record.py
@@ -1,11 +1,19 @@
-"""What a controller knows of a rollout and writes to the journal, and what a resumed one reads from it."""
+"""The state of a rollout as recorded in its journal: written by a controller, replayed by its successor."""
 
 import time
 from collections.abc import Sequence
-from typing import Any, NamedTuple, Protocol
-
-from myrtlehub.log_events import LogEvent
-from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry
+from typing import NamedTuple
+
+from myrtlehub.log_events import Log, LogEvent
+from myrtlehub.rollout.canary_analysis import AnalysisSnapshot
+from myrtlehub.rollout.journal_details import (
+    BeginDetails,
+    ProcessDetails,
+    RevisionDetails,
+    decode_details,
+    encode_details,
+)
+from myrtlehub.rollout.journal_format import BookkeepingEvent, JournalEntry, JsonObject
 from myrtlehub.rollout.node_status import Revision
 from myrtlehub.rollout.progress import StepResult, step
 from myrtlehub.rollout.rollout_state import FLEET, initial_state
@@ -14,98 +22,111 @@
 from myrtlehub.rollout_controller.errors import JournalNotWritableError
 from myrtlehub.rollout_controller.journal_store import JournalStore
 from myrtlehub.rollout_controller.plan_files import PlanFiles
-from myrtlehub.rollout_controller.process_supervisor import UNKNOWN_START, ProcessIdentity
+from myrtlehub.rollout_controller.process_supervisor import ProcessIdentity
 
-Details = dict[str, Any]
-LEARNED = "judged"  # detail of an entry: what the analysis had learned when a stage was passed
+ANALYSIS_FIELD = "judged"  # stored name of the analysis in the details of an entry
 
 
-class EventPrinter(Protocol):
-    """Prints what a controller does, for people and for programs that follow it."""
+class StoredAnalysis(AnalysisSnapshot):
+    """The analysis and the sampler's threshold, as a JSON object of the journal."""
 
-    def __call__(self, event: LogEvent, /, **fields: object) -> None:
-        """Print one event."""
+    slow: float  # `WindowSampler.slow_first_token_us`
 
 
 class KnownProcess(NamedTuple):
-    """The process that last answered for a node, by the journal."""
+    """The process that last answered for a node, according to the journal."""
 
     incarnation: str
     identity: ProcessIdentity
 
 
 class RolloutRecord:
-    """State, revisions and figures of one rollout, as far as its journal goes."""
+    """State, revisions and metrics of one rollout, as far as its journal records them."""
+
+    def __init__(self, files: PlanFiles, journal: JournalStore, log: Log) -> None:
+        """Create the record of a rollout that has not begun.
 
-    def __init__(self, files: PlanFiles, journal: JournalStore, print_event: EventPrinter) -> None:
+        Args:
+            files: the plan and its files.
+            journal: the journal that entries are appended to.
+            log: logs a stored analysis that cannot be used.
+        """
         self.files = files
         self.plan = files.plan
         self.journal = journal
         self.state = initial_state(self.plan)
-        self.old_revisions: list[Revision] = []  # by node; none before the rollout was begun
+        self.old_revisions: list[Revision] = []  # by node; empty until the rollout begins
         self.new_revision = Revision("", "")
-        self.analysis = files.analysis([])  # of the traffic types, once the rollout was begun
+        self.analysis = files.analysis([])  # replaced when the rollout begins and the traffic types are known
         self.sampler = WindowSampler(self.plan.node_count)
         self.known_processes: dict[int, KnownProcess] = {}
-        self._print_event = print_event
+        self._log = log
 
     @property
-    def is_begun(self) -> bool:
-        """Whether anything may have been changed."""
+    def has_begun(self) -> bool:
+        """Whether the rollout has begun, so that nodes may have been changed."""
         return bool(self.old_revisions)
 
     # -- reading ----------------------------------------------------------------------------------
 
     def replay(self, entry: JournalEntry) -> None:
-        """Take an entry of the journal once more."""
+        """Apply an entry of the journal."""
         if entry.event in set(BookkeepingEvent):
             self._replay_bookkeeping(entry)
         else:
             if entry.event == RolloutEvent.BEGIN and entry.node == FLEET:
-                self._replay_begin(entry.details)
+                self._replay_begin(decode_details(entry.details, BeginDetails))
             event = RolloutEvent(entry.event) if entry.node == FLEET else NodeEvent(entry.event)
             self.state = step(self.plan, self.state, entry.node, event).state
-        if LEARNED in entry.details:
-            self._restore(entry.details[LEARNED])
+        if ANALYSIS_FIELD in entry.details:
+            self._restore_analysis(entry.details[ANALYSIS_FIELD])
 
-    def _replay_begin(self, details: Details) -> None:
-        self.old_revisions = [Revision(*revision) for revision in details["old"]]
-        self.new_revision = Revision(*details["new"])
-        self.analysis = self.files.analysis(details["traffic"])
+    def _replay_begin(self, details: BeginDetails) -> None:
+        self.old_revisions = details.old
+        self.new_revision = details.new
+        self.analysis = self.files.analysis(details.traffic)
 
     def _replay_bookkeeping(self, entry: JournalEntry) -> None:
         if entry.event == BookkeepingEvent.REVISION:
-            self.new_revision = Revision(*entry.details["new"])
+            self.new_revision = decode_details(entry.details, RevisionDetails).new
         elif entry.event == BookkeepingEvent.PROCESS:
-            # Guards against a node that the resumed controller cannot reach: its process is still known.
-            identity = ProcessIdentity(entry.details["pid"], entry.details.get("born", UNKNOWN_START))
-            self.known_processes[entry.node] = KnownProcess(entry.details["run"], identity)
-
-    def _restore(self, learned: Details) -> None:
-        """Restore what the analysis had learned when a stage was passed; without it, bounds are wider."""
+            # A node may be unreachable when its controller is resumed. Its process is then known from the
+            # journal, and the node does not count as missing while that process runs.
+            process = decode_details(entry.details, ProcessDetails)
+            identity = ProcessIdentity(process.pid, process.start_ticks)
+            self.known_processes[entry.node] = KnownProcess(process.incarnation, identity)
+
+    def _restore_analysis(self, stored: StoredAnalysis) -> None:
+        """Restore the analysis as of the last passed stage; if that fails, bounds are wider."""
         try:
-            self.analysis.restore(learned)
-            self.sampler.slow_first_token_us = float(learned["slow"])
+            self.analysis.restore(stored)
+            self.sampler.slow_first_token_us = float(stored["slow"])
         except (KeyError, TypeError, ValueError) as error:
-            self._print_event(
+            self._log(
                 LogEvent.SAMPLES_UNUSABLE,
                 text=f"the journal's figures cannot be used: {error}; bounds are wider",
             )
 
     # -- writing ----------------------------------------------------------------------------------
 
-    def take(
+    def apply_event(
         self,
         node: int,
         event: NodeEvent | RolloutEvent,
         reason: str = "",
-        details: Details | None = None,
+        details: JsonObject | None = None,
     ) -> StepResult | None:
-        """Take an event and write it to the journal; None where nothing follows from it.
+        """Append an event to the journal and apply it; return None if it has no effect.
+
+        Args:
+            node: index of the node, or FLEET.
+            event: the event.
+            reason: the reason, for the operator.
+            details: further fields of the entry.
 
         Raises:
-            InvalidTransitionError: it cannot happen now.
-            JournalNotWritableError: it may be in the journal or not.
+            InvalidTransitionError: the event is forbidden in this state.
+            JournalNotWritableError: the entry may be on disk or not.
         """
         result = step(self.plan, self.state, node, event)
         if result.state == self.state and not result.actions:
@@ -114,35 +135,42 @@
         self.state = result.state
         return result
 
-    def begin(self, old: list[Revision], new: Revision, traffic: Sequence[str]) -> Details:
-        """Note what is to be changed; return the details of the entry that begins the rollout."""
+    def begin(self, old: list[Revision], new: Revision, traffic_types: Sequence[str]) -> JsonObject:
+        """Set the revisions; return the details of the entry that begins the rollout.
+
+        Args:
+            old: the present revision of each node.
+            new: the revision of the rollout.
+            traffic_types: the names of the traffic types.
+        """
         self.old_revisions = old
         self.new_revision = new
-        self.analysis = self.files.analysis(traffic)
-        return {"old": old, "new": new, "traffic": traffic}
+        self.analysis = self.files.analysis(traffic_types)
+        return encode_details(BeginDetails(old, new, list(traffic_types)))
 
-    def note_new_revision(self, revision: Revision) -> None:
-        """Note the revision that the new program turned out to show."""
+    def append_new_revision(self, revision: Revision) -> None:
+        """Record the complete new revision, which a node with the new program reported."""
         self.new_revision = revision
-        self._note(BookkeepingEvent.REVISION, FLEET, {"new": revision})
+        self._append_bookkeeping(BookkeepingEvent.REVISION, FLEET, encode_details(RevisionDetails(revision)))
 
-    def note_process(self, node: int, incarnation: str, identity: ProcessIdentity) -> None:
-        """Note the process that answers for a node from now on."""
-        details = {"run": incarnation, "pid": identity.pid, "born": identity.start_ticks}
-        self._note(BookkeepingEvent.PROCESS, node, details)
+    def append_process(self, node: int, incarnation: str, identity: ProcessIdentity) -> None:
+        """Record the process that answers for a node from now on."""
+        details = ProcessDetails(incarnation, identity.pid, identity.start_ticks)
+        self._append_bookkeeping(BookkeepingEvent.PROCESS, node, encode_details(details))
 
-    def learned(self) -> Details:
-        """Return what the next controller has to know of figures, should this one end."""
-        return {LEARNED: {**self.analysis.snapshot(), "slow": self.sampler.slow_first_token_us}}
+    def analysis_details(self) -> JsonObject:
+        """Return the details of an entry by which a resumed controller restores the analysis."""
+        stored: StoredAnalysis = {**self.analysis.snapshot(), "slow": self.sampler.slow_first_token_us}
+        return {ANALYSIS_FIELD: stored}
 
-    def _note(self, event: BookkeepingEvent, node: int, details: Details) -> None:
+    def _append_bookkeeping(self, event: BookkeepingEvent, node: int, details: JsonObject) -> None:
         self.append(JournalEntry(time.time(), str(event), node, details=details))
 
     def append(self, entry: JournalEntry) -> None:
-        """Write an entry to the journal.
+        """Append an entry to the journal.
 
         Raises:
-            JournalNotWritableError: it may be there or not.
+            JournalNotWritableError: the entry may be on disk or not.
         """
         try:
             self.journal.append(entry)
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -1,88 +1,94 @@
-"""When a phase or a node's state has lasted too long, and what a sample window says of the stage in work."""
+"""Supervision of the current stage: time limits of its phase, and decisions by its sample windows."""
 
 from typing import NamedTuple
 
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
 from myrtlehub.rollout.canary_analysis import Outcome, Verdict
+from myrtlehub.rollout.journal_format import JsonObject
 from myrtlehub.rollout.node_status import NodeTimeouts
 from myrtlehub.rollout.rollout_state import stage_nodes
 from myrtlehub.rollout.states import RolloutEvent, RolloutPhase
 from myrtlehub.rollout_controller.node_tracker import TrackedNode
-from myrtlehub.rollout_controller.rollout_record import Details, RolloutRecord
+from myrtlehub.rollout_controller.rollout_record import RolloutRecord
 
+# Phases in which a verdict of WORSE rolls the rollout back.
 HARM_PHASES = frozenset(
     {RolloutPhase.CHANGING, RolloutPhase.SETTLING, RolloutPhase.OBSERVING, RolloutPhase.ON_HOLD}
 )
 
 
 class Decision(NamedTuple):
-    """An event of the rollout, and why."""
+    """An event of the rollout, its reason, and the details of its journal entry."""
 
     event: RolloutEvent
     reason: str = ""
-    details: Details | None = None
+    details: JsonObject | None = None
 
 
-def node_timeouts(sheet: RolloutPlanConfig, is_unreachable: bool) -> NodeTimeouts:
-    """Return how long a node may be in a state; one that cannot be reached is not hurried."""
-    extra = sheet.hold if is_unreachable else 0.0
-    return NodeTimeouts(sheet.drain_within + extra, sheet.start_within + extra, sheet.warm)
+def node_timeouts(config: RolloutPlanConfig, is_unreachable: bool) -> NodeTimeouts:
+    """Return how long a node may stay in a state; longer for a node that cannot be reached."""
+    extra = config.hold if is_unreachable else 0.0
+    return NodeTimeouts(config.drain_within + extra, config.start_within + extra, config.warm)
 
 
 class StageSupervision:
-    """Watches the clock of the phase and the figures of the stage."""
+    """Enforces the time limits of phases and evaluates the sample windows of a stage."""
 
-    def __init__(self, sheet: RolloutPlanConfig, record: RolloutRecord, nodes: list[TrackedNode]) -> None:
+    def __init__(self, config: RolloutPlanConfig, record: RolloutRecord, nodes: list[TrackedNode]) -> None:
+        """Create a supervision; `start` has to be called before anything else."""
         self.verdict = Verdict(Outcome.UNDECIDED, "nothing was watched yet")
-        self.phase_since = 0.0  # seconds of the reactor's clock
-        self._sheet = sheet
+        self.phase_since = 0.0  # seconds of the controller's clock
+        self._config = config
         self._record = record
         self._nodes = nodes
-        self._window_since = 0.0
-        self._quiet_windows = 0  # without a disturbance, before the change
+        self._window_since = 0.0  # seconds of the controller's clock
+        self._quiet_windows = 0  # consecutive baseline windows without a disturbance
 
     def start(self, now: float) -> None:
-        """Begin to watch."""
+        """Start the time of the phase and of the first window."""
         self.phase_since = now
         self._window_since = now
 
-    # -- time -------------------------------------------------------------------------------------
+    # -- time limits ------------------------------------------------------------------------------
 
     def time_limit(self, now: float) -> Decision | None:
-        """Return the end of the phase where its time is over."""
+        """Return the decision that follows if the phase has exceeded its time limit."""
         phase = self._record.state.phase
-        is_held = phase is RolloutPhase.ON_HOLD
-        if is_held and any(self._nodes[node].is_unreachable for node in self._stage_nodes()):
-            self.phase_since = now  # nodes go on serving as they are, however long nobody reaches them
+        is_on_hold = phase is RolloutPhase.ON_HOLD
+        if is_on_hold and any(self._nodes[node].is_unreachable for node in self._stage_nodes()):
+            # An unreachable node keeps serving. The limit starts once the controller reaches it again
+            # (test_a_node_that_the_controller_cannot_reach_is_left_alone_until_it_can).
+            self.phase_since = now
             return None
         limit = self._phase_limit(phase)
         if limit is None or now - self.phase_since <= limit:
             return None
-        if is_held:
-            reason = f"trouble has lasted for {self._sheet.hold:g} s: {self.verdict.reason}"
+        if is_on_hold:
+            reason = f"trouble has lasted for {self._config.hold:g} s: {self.verdict.reason}"
         else:
             reason = f"{phase} took longer than {limit:g} s"
         return Decision(RolloutEvent.PHASE_TIMED_OUT, reason)
 
     def _phase_limit(self, phase: RolloutPhase) -> float | None:
-        sheet = self._sheet
-        rounds = -(-len(self._stage_nodes()) // self._record.plan.max_unavailable)
+        """Return the time limit of a phase in seconds; None if it has none."""
+        config = self._config
+        batches = -(-len(self._stage_nodes()) // self._record.plan.max_unavailable)  # rounded up
         limits = {
-            RolloutPhase.CHANGING: rounds * (sheet.drain_within + sheet.start_within) + sheet.hold,
-            RolloutPhase.SETTLING: sheet.warm + sheet.start_within + sheet.hold,
-            RolloutPhase.ON_HOLD: sheet.hold,
-            RolloutPhase.MEASURING: sheet.measure + sheet.hold,
+            RolloutPhase.CHANGING: batches * (config.drain_within + config.start_within) + config.hold,
+            RolloutPhase.SETTLING: config.warm + config.start_within + config.hold,
+            RolloutPhase.ON_HOLD: config.hold,
+            RolloutPhase.MEASURING: config.measure + config.hold,
         }
         return limits.get(phase)
 
-    # -- figures ----------------------------------------------------------------------------------
+    # -- sample windows ---------------------------------------------------------------------------
 
-    def window_is_over(self, now: float) -> bool:
-        """Whether a sample window is complete."""
-        return now - self._window_since >= self._sheet.block
+    def is_window_over(self, now: float) -> bool:
+        """Return whether the current sample window is complete."""
+        return now - self._window_since >= self._config.block
 
     def close_window(self, now: float) -> Decision | None:
-        """Add the sample window that is over to the analysis; return what follows for the rollout."""
+        """Add the current sample window to the analysis and return the decision that follows, if any."""
         record = self._record
         phase = record.state.phase
         is_baseline = phase is RolloutPhase.MEASURING
@@ -105,8 +111,8 @@
     def _baseline_decision(self) -> Decision | None:
         is_disturbed = self._record.analysis.is_disturbed
         self._quiet_windows = 0 if is_disturbed else self._quiet_windows + 1
-        if self._quiet_windows * self._sheet.block >= self._sheet.measure:
-            return Decision(RolloutEvent.BASELINE_MEASURED, details=self._record.learned())
+        if self._quiet_windows * self._config.block >= self._config.measure:
+            return Decision(RolloutEvent.BASELINE_MEASURED, details=self._record.analysis_details())
         return None
 
     def _hold_decision(self) -> Decision | None:
@@ -117,18 +123,19 @@
     def _observation_decision(self) -> Decision | None:
         silent = self._silent_nodes()
         if silent:
-            # Guards against a stage that passes as nothing is heard of it: what is not seen is not compared.
+            # A node that does not answer is not compared, so the stage could pass without it: it is put on
+            # hold (test_a_node_that_the_controller_cannot_reach_is_left_alone_until_it_can).
             return Decision(RolloutEvent.DISTURBANCE, f"no contact with {', '.join(silent)}")
         if self.verdict.outcome is Outcome.DISTURBANCE:
             return Decision(RolloutEvent.DISTURBANCE, self.verdict.reason)
         if self.verdict.outcome is Outcome.PASS:
             is_last = self._record.state.stage == len(self._record.plan.stages) - 1
             event = RolloutEvent.LAST_STAGE_PASSED if is_last else RolloutEvent.STAGE_PASSED
-            return Decision(event, self.verdict.reason, self._record.learned())
+            return Decision(event, self.verdict.reason, self._record.analysis_details())
         return None
 
     def _silent_nodes(self) -> list[str]:
-        """Name the nodes of the stage in work of which nothing is heard."""
+        """Return the names of the nodes of the stage that did not answer the last poll."""
         names = self._record.files.names
         return [names[node] for node in self._stage_nodes() if self._nodes[node].counters is None]
 
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -95,7 +95,9 @@
             seed,
             verdict.reason,
         )
-        assert 2 * analysis.observation_windows <= windows < 40 and not any(c.low > 0.0 for c in verdict.comparisons)
+        assert 2 * analysis.observation_windows <= windows < 40 and not any(
+            c.low > 0.0 for c in verdict.comparisons
+        )
 
 
 @pytest.mark.parametrize("trouble", [Disturbance(26, 12, -1, 0.1, 0.0), Disturbance(26, 99, 0, 0.1, 0.35)])
