--- a/myrtlehub/rollout/statistics.py
+++ b/myrtlehub/rollout/statistics.py
@@ -39,7 +39,6 @@
     margin: float  # smallest unacceptable harm, in the metric's unit
     sign: float = 1.0  # 1.0: higher is worse; -1.0: lower is worse
     traffic: str = ALL_TRAFFIC
-    relative: bool = False  # the margin is a fraction of the unchanged nodes' metric
 
 
 class NodeCounts(NamedTuple):
@@ -97,8 +96,7 @@
     baseline = _baseline_offsets(tally, noise)
     means = _corrected_means(tally, changed, baseline)
     reference = _ratio(sums[TallySum.UNCHANGED_NUMERATOR], sums[TallySum.UNCHANGED_DENOMINATOR])
-    margin = guard.margin * (abs(reference) if guard.relative else 1.0)
-    weights = _node_weights(means, baseline, noise, unchanged, margin)
+    weights = _node_weights(means, baseline, noise, unchanged, guard.margin)
     difference = _weighted_mean(weights, means.mean, changed) - _weighted_mean(weights, means.mean, unchanged)
     deviation = float(np.sqrt(1.0 / weights[changed].sum() + 1.0 / weights[unchanged].sum()))
     width = deviation * bound_multiple(budget, tally.windows, int(unchanged.sum()))
@@ -112,7 +110,7 @@
         high=harm + width,
         windows=tally.windows,
         nodes=NodeCounts(int(changed.sum()), int(unchanged.sum())),
-        margin=margin,
+        margin=guard.margin,
     )
 
 
--- a/myrtlehub/rollout/window_sampler.py
+++ b/myrtlehub/rollout/window_sampler.py
@@ -34,15 +34,13 @@
 class WindowSampler:
     """Computes sample windows from the counters of successive polls."""
 
-    def __init__(self, node_count: int, tail_quantile: float = TAIL_QUANTILE) -> None:
+    def __init__(self, node_count: int) -> None:
         """Start without samples.
 
         Args:
             node_count: number of nodes in the fleet.
-            tail_quantile: fraction of the baseline's first tokens that are not in the slow tail.
         """
         self.node_count = node_count
-        self.tail_quantile = tail_quantile
         # Microseconds; later first tokens are in the slow tail. 0.0, as stored in journals: not measured yet.
         self.slow_first_token_us = 0.0
         self._last_counters: list[NodeCounters | None] = [None] * node_count
@@ -138,7 +136,7 @@
         count_so_far = 0
         for microseconds in sorted(self._baseline_first_tokens):
             count_so_far += self._baseline_first_tokens[microseconds]
-            if count_so_far >= self.tail_quantile * total:
+            if count_so_far >= TAIL_QUANTILE * total:
                 return float(microseconds)
         return 0.0
 
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -80,8 +80,7 @@
         self._progress_log = ProgressLog(self.files.names, log)
         self._tracker = NodeTracker(self.nodes, self.record, supervisor, clock)
         self._stage = StageSupervision(config, self.record, self.nodes)
-        controller = uuid4().hex[:CONTROLLER_ID_LENGTH]
-        self._actions = NodeActions(self.files, self.nodes, supervisor, controller, self, log)
+        self._actions = NodeActions(self.files, self.nodes, supervisor, _new_identifier(), self, log)
         self._is_over = False
 
     @property
@@ -303,3 +302,7 @@
     def abandon(self) -> None:
         """Ignore all further events, without an end of the rollout."""
         self._is_over = True
+
+
+def _new_identifier() -> str:
+    return uuid4().hex[:CONTROLLER_ID_LENGTH]
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -36,7 +36,7 @@
 
     def __init__(self, config: RolloutPlanConfig, record: RolloutRecord, nodes: list[TrackedNode]) -> None:
         """Create a supervision; `start` has to be called before anything else."""
-        self.verdict = Verdict(Outcome.UNDECIDED, "nothing was watched yet")
+        self.verdict = Verdict(Outcome.UNDECIDED, "no sample window was observed yet")
         self.phase_since = 0.0  # seconds of the controller's clock
         self._config = config
         self._record = record
@@ -64,7 +64,7 @@
         if limit is None or now - self.phase_since <= limit:
             return None
         if is_on_hold:
-            reason = f"trouble has lasted for {self._config.hold:g} s: {self.verdict.reason}"
+            reason = f"the disturbance has lasted for {self._config.hold:g} s: {self.verdict.reason}"
         else:
             reason = f"{phase} took longer than {limit:g} s"
         return Decision(RolloutEvent.PHASE_TIMED_OUT, reason)
@@ -118,7 +118,7 @@
     def _hold_decision(self) -> Decision | None:
         if self._record.analysis.is_disturbed or self._silent_nodes():
             return None
-        return Decision(RolloutEvent.DISTURBANCE_OVER, "nothing of it was seen any more")
+        return Decision(RolloutEvent.DISTURBANCE_OVER, "no sign of the disturbance in the last windows")
 
     def _observation_decision(self) -> Decision | None:
         silent = self._silent_nodes()
