--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -130,9 +130,9 @@
     def _fall(self) -> str | None:
         """Describe by how much the whole fleet serves less than in the baseline; None if it does not.
 
-        A change that harms unchanged nodes as much as changed ones shows no difference between the two
-        groups, so only this check finds it (tests/test_canary_analysis.py,
-        test_a_change_that_hurts_the_others_...).
+        A change that harms unchanged nodes as much as changed ones shows no difference between the groups, so
+        only this check finds it
+        (test_a_change_that_harms_unchanged_nodes_is_stopped_once_it_has_outlasted_a_burst).
         """
         baseline = np.array(self.baseline_served)
         newest = self._served[-1]
--- a/myrtlehub/rollout/journal_format.py
+++ b/myrtlehub/rollout/journal_format.py
@@ -76,8 +76,9 @@
         checksum, _, body = line.partition(b" ")
         if _checksum(body) != checksum:
             if number == len(lines) - 1:
-                # The file was extended, but a page of the last line was not written before a power failure:
-                # the line is dropped like an incomplete one (test_a_journal_cut_at_any_byte_...).
+                # The machine lost power after the file was extended and before a page of the last line was
+                # written: the line is dropped like an incomplete one
+                # (test_a_journal_cut_at_any_byte_gives_its_complete_lines).
                 break
             raise JournalFormatError(
                 f"line {number} is not whole, and others follow it; nothing after it is sure"
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -185,7 +185,7 @@
         is_moving = any(state in MOVING_STATES for state in self.state.nodes)
         if self.state.phase is RolloutPhase.ROLLING_BACK and not is_moving:
             # A node was rolled back, and its old program did not start: rolling back further nodes could lose
-            # them as well (test_an_old_program_that_does_not_start_any_more_leaves_it_stuck_and_told).
+            # them as well (test_an_old_program_that_does_not_start_leaves_the_node_stuck_and_reported).
             self.take_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
 
     def _schedule_rollbacks(self) -> None:
--- a/myrtlehub/rollout_controller/process_supervisor.py
+++ b/myrtlehub/rollout_controller/process_supervisor.py
@@ -63,7 +63,7 @@
             return False
         try:
             # The node may have exited and its number been given to a process that started later
-            # (test_a_process_is_known_by_when_it_began_and_not_by_a_clock_that_is_set).
+            # (test_a_process_is_identified_by_its_start_time_even_if_the_clock_is_set).
             is_same = not known.start_ticks or self.start_ticks(known.pid) == known.start_ticks
             return is_same and psutil.Process(known.pid).status() != psutil.STATUS_ZOMBIE
         except psutil.NoSuchProcess:
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -57,7 +57,7 @@
         is_on_hold = phase is RolloutPhase.ON_HOLD
         if is_on_hold and any(self._nodes[node].is_unreachable for node in self._stage_nodes()):
             # An unreachable node keeps serving. The limit starts once the controller reaches it again
-            # (test_a_node_that_the_controller_cannot_reach_is_left_alone_until_it_can).
+            # (test_an_unreachable_node_is_left_unchanged_until_it_is_reachable).
             self.phase_since = now
             return None
         limit = self._phase_limit(phase)
@@ -124,7 +124,7 @@
         silent = self._silent_nodes()
         if silent:
             # A node that does not answer is not compared, so the stage could pass without it: it is put on
-            # hold (test_a_node_that_the_controller_cannot_reach_is_left_alone_until_it_can).
+            # hold (test_an_unreachable_node_is_left_unchanged_until_it_is_reachable).
             return Decision(RolloutEvent.DISTURBANCE, f"no contact with {', '.join(silent)}")
         if self.verdict.outcome is Outcome.DISTURBANCE:
             return Decision(RolloutEvent.DISTURBANCE, self.verdict.reason)
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The canary analysis on modelled fleets: who is stopped, who is not, what is put down to something else."""
+"""The canary analysis on modelled fleets: changes that are stopped, changes that pass, and disturbances."""
 
 import json
 
@@ -7,6 +7,7 @@
 
 from myrtlehub.lab.fleet_model import Disturbance, FleetModel, Regression, roles_of
 from myrtlehub.rollout.canary_analysis import CanaryAnalysis, Outcome, Verdict
+from myrtlehub.rollout.errors import SnapshotMismatchError
 from myrtlehub.rollout.samples import Metric, NodeRole
 from myrtlehub.rollout.statistics import Guard
 from myrtlehub.rollout.verdict_text import describe_comparison
@@ -19,22 +20,22 @@
 )
 
 
-def watch(
+def observe(
     nodes: int,
     changed: int,
     seed: int,
-    most: int = 40,
+    max_windows: int = 40,
     harm: Regression | None = None,
-    troubles: tuple[Disturbance, ...] = (),
-    **more: float,
+    disturbances: tuple[Disturbance, ...] = (),
+    **options: float,
 ) -> tuple[Verdict, CanaryAnalysis, int]:
-    """Measure 24 windows, then watch until something is said."""
-    fleet = FleetModel(nodes, 2, seed, 5.0, harm, troubles)
-    analysis = CanaryAnalysis(GUARDS, fleet.zones, 12, **more)
+    """Measure a baseline of 24 windows, then observe until the verdict is final."""
+    fleet = FleetModel(nodes, 2, seed, 5.0, harm, disturbances)
+    analysis = CanaryAnalysis(GUARDS, fleet.zones, 12, **options)
     for _ in range(24):
         analysis.add(fleet.advance(roles_of(nodes, 0), True))
     analysis.restart_observation()
-    for _ in range(most):
+    for _ in range(max_windows):
         analysis.add(fleet.advance(roles_of(nodes, changed)))
         verdict = analysis.verdict()
         if verdict.outcome in (Outcome.WORSE, Outcome.PASS):
@@ -45,22 +46,22 @@
 @pytest.mark.parametrize("nodes", [24, 200])
 def test_equal_versions_pass(nodes: int) -> None:
     for seed in range(20):
-        verdict, _, _ = watch(nodes, nodes // 10, seed)
+        verdict, _, _ = observe(nodes, nodes // 10, seed)
         assert verdict.outcome == Outcome.PASS, (seed, verdict.reason)
 
 
 @pytest.mark.parametrize(
-    ("harm", "figure"),
+    ("harm", "metric"),
     [
         (Regression(0.1), "served: "),
         (Regression(slower=0.3), "first_token"),
         (Regression(0.3, one_type=True), "served of post"),
     ],
 )
-def test_a_worse_version_is_stopped_and_its_figure_named(harm: Regression, figure: str) -> None:
+def test_a_worse_version_is_stopped_and_its_metric_named(harm: Regression, metric: str) -> None:
     for seed in range(8):
-        verdict, _, windows = watch(24, 3, seed, harm=harm)
-        assert verdict.outcome == Outcome.WORSE and figure in verdict.reason and windows <= 13, (
+        verdict, _, windows = observe(24, 3, seed, harm=harm)
+        assert verdict.outcome == Outcome.WORSE and metric in verdict.reason and windows <= 13, (
             seed,
             verdict,
         )
@@ -71,16 +72,16 @@
         )
 
 
-def test_an_engine_failure_where_the_only_changed_node_is_does_not_stop_it() -> None:
-    """A tenth of the utility of one zone goes, with a third of its engines, while stage one is watched."""
+def test_an_engine_failure_in_the_zone_of_the_only_changed_node_does_not_stop_it() -> None:
+    """One zone loses a third of its engines and a tenth of its utility while stage one is observed."""
     for seed in range(10):
-        verdict, analysis, windows = watch(24, 1, seed, troubles=(Disturbance(28, 8, 0, 0.1, 0.35),))
+        verdict, analysis, windows = observe(24, 1, seed, disturbances=(Disturbance(28, 8, 0, 0.1, 0.35),))
         assert verdict.outcome == Outcome.PASS and windows >= 12, (seed, verdict)
-        assert any(t.any() for t in analysis.disturbance.disturbed_zones)
+        assert any(zones.any() for zones in analysis.disturbance.disturbed_zones)
 
 
-def test_a_burst_that_hits_all_is_a_disturbance_and_named() -> None:
-    verdict, analysis, _ = watch(24, 3, 1, most=6, troubles=(Disturbance(26, 99, -1, 0.2, 0.0),))
+def test_a_burst_in_the_whole_fleet_is_a_named_disturbance() -> None:
+    verdict, analysis, _ = observe(24, 3, 1, max_windows=6, disturbances=(Disturbance(26, 99, -1, 0.2, 0.0),))
     assert (
         verdict.outcome == Outcome.DISTURBANCE
         and "the fleet serves" in verdict.reason
@@ -88,9 +89,9 @@
     )
 
 
-def test_a_change_that_hurts_the_others_is_held_and_named_once_it_has_outlasted_a_burst() -> None:
+def test_a_change_that_harms_unchanged_nodes_is_stopped_once_it_has_outlasted_a_burst() -> None:
     for seed in range(5):
-        verdict, analysis, windows = watch(24, 12, seed, harm=Regression(0.05, others_from=0.5))
+        verdict, analysis, windows = observe(24, 12, seed, harm=Regression(0.05, others_from=0.5))
         assert verdict.outcome == Outcome.WORSE and "hurts the others" in verdict.reason, (
             seed,
             verdict.reason,
@@ -100,10 +101,14 @@
         )
 
 
-@pytest.mark.parametrize("trouble", [Disturbance(26, 12, -1, 0.1, 0.0), Disturbance(26, 99, 0, 0.1, 0.35)])
-def test_a_burst_that_passes_or_engines_that_go_are_not_blamed_on_the_change(trouble: Disturbance) -> None:
+@pytest.mark.parametrize(
+    "disturbance", [Disturbance(26, 12, -1, 0.1, 0.0), Disturbance(26, 99, 0, 0.1, 0.35)]
+)
+def test_a_short_burst_or_lost_engines_are_not_attributed_to_the_change(
+    disturbance: Disturbance,
+) -> None:
     for seed in range(5):
-        verdict, _, _ = watch(24, 12, seed, most=45, troubles=(trouble,))
+        verdict, _, _ = observe(24, 12, seed, max_windows=45, disturbances=(disturbance,))
         assert verdict.outcome in (Outcome.PASS, Outcome.DISTURBANCE), (seed, verdict.reason)
 
 
@@ -117,29 +122,30 @@
         analysis.start_stage()
         analysis.restart_observation()
     for _ in range(8):
-        block = fleet.advance(roles_of(24, 3))
-        first.add(block)
-        second.add(block)
+        window = fleet.advance(roles_of(24, 3))
+        first.add(window)
+        second.add(window)
     for guard in GUARDS:
-        a, b = first.compare(guard), second.compare(guard)
-        assert a.windows == b.windows == 8
-        assert np.allclose([a.harm, a.low, a.high], [b.harm, b.low, b.high], rtol=0.02), (a, b)
+        original, restored = first.compare(guard), second.compare(guard)
+        assert original.windows == restored.windows == 8
+        intervals = [(compared.harm, compared.low, compared.high) for compared in (original, restored)]
+        assert np.allclose(*intervals, rtol=0.02), (original, restored)
     assert first.verdict().outcome == second.verdict().outcome == Outcome.WORSE
     other = CanaryAnalysis(GUARDS, fleet.zones[:-1], 12)
-    with pytest.raises(ValueError, match="24,"):
+    with pytest.raises(SnapshotMismatchError, match="24,"):
         other.restore(first.snapshot())
 
 
 def test_a_verdict_needs_windows_and_both_groups() -> None:
-    verdict, _, _ = watch(24, 3, 3, most=2, harm=Regression(0.5))
+    verdict, _, _ = observe(24, 3, 3, max_windows=2, harm=Regression(0.5))
     assert verdict.outcome == Outcome.UNDECIDED and not verdict.comparisons
-    everybody, _, _ = watch(24, 24, 3)
+    all_changed, _, _ = observe(24, 24, 3)
     assert (
-        everybody.outcome == Outcome.PASS and not everybody.comparisons
-    )  # nobody is left to compare with: the fleet is watched
+        all_changed.outcome == Outcome.PASS and not all_changed.comparisons
+    )  # there is no unchanged node to compare with: the fleet is only observed
 
 
-def test_utility_lost_bounds_a_change_whose_harm_is_below_every_margin() -> None:
+def test_the_limit_on_lost_utility_stops_a_change_whose_harm_is_below_every_margin() -> None:
     loose = (Guard(Metric.SERVED, 0.5, -1.0),)
     fleet = FleetModel(24, 2, 5, 5.0, Regression(0.2))
     analysis = CanaryAnalysis(loose, fleet.zones, 12, max_lost=0.2)
@@ -152,7 +158,7 @@
     assert verdict.outcome == Outcome.WORSE and "may be lost" in verdict.reason
 
 
-def test_an_unavailable_node_counts_for_nothing() -> None:
+def test_an_unavailable_node_is_not_counted() -> None:
     fleet = FleetModel(6, 2, 9)
     analysis = CanaryAnalysis(GUARDS, fleet.zones, 3)
     for _ in range(5):
@@ -160,9 +166,9 @@
     roles = roles_of(6, 1)
     roles[1] = NodeRole.UNAVAILABLE
     for _ in range(5):
-        block = fleet.advance(roles)
-        for above, below in block.metrics.values():
-            above[1], below[1] = -1e9, 1.0  # whatever such a node says
-        analysis.add(block)
+        window = fleet.advance(roles)
+        for numerator, denominator in window.metrics.values():
+            numerator[1], denominator[1] = -1e9, 1.0  # values that would dominate every comparison
+        analysis.add(window)
     compared = analysis.compare(GUARDS[0])
     assert compared.nodes == (1, 4) and abs(compared.harm) < 0.2 and np.isfinite(compared.low)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,9 +1,10 @@
-"""Progress of a rollout: complete tables, a model searched whole, seeded faults all found."""
+"""Progress of a rollout: complete tables, an exhaustively checked model, seeded faults that are found."""
 
 from pathlib import Path
 
 import pytest
 
+from myrtlehub.rollout.errors import StagePlanError
 from myrtlehub.rollout.journal_format import (
     JournalEntry,
     JournalFormatError,
@@ -46,7 +47,7 @@
 
 TABLES = (NODE_TABLE, ROLLOUT_TABLE)
 PAGE = Path(__file__).parents[1] / "docs" / "design" / "rolling-change.md"
-THREE = RolloutPlan(3, ((0,), (1, 2)))
+THREE_NODES = RolloutPlan(3, ((0,), (1, 2)))
 
 
 @pytest.mark.parametrize("table", TABLES, ids=[table.name for table in TABLES])
@@ -74,72 +75,72 @@
     ],
     ids=["sound", "new exits", "new never ready", "old exits"],
 )
-def test_a_small_fleet_is_searched_whole_and_every_history_can_end(
+def test_a_small_fleet_is_checked_exhaustively_and_every_history_can_end(
     method: ChangeMethod, faults: dict[str, ProgramFault]
 ) -> None:
-    """With one fault at any moment: a node dies, the controller dies and resumes, the operator undoes."""
-    config = ModelConfig(THREE._replace(method=method), **faults)
-    first, moves = initial_model_state(config), ModelTransitions(config)
-    found = check_model(first, moves, 200)
+    """One fault may happen at any point: a killed node, a resumed controller, an operator's rollback."""
+    config = ModelConfig(THREE_NODES._replace(method=method), **faults)
+    first, transitions = initial_model_state(config), ModelTransitions(config)
+    found = check_model(first, transitions, 200)
     assert found.is_complete and not found.violation, (found.violation, found.trace)
-    after: dict = {}
+    successors: dict = {}
     todo = [first]
     while todo:
-        w = todo.pop()
-        if w not in after:
-            after[w] = [x for _, x, _ in moves(w)]
-            todo += after[w]
-    assert len(after) == found.states > 200
-    before: dict = {}
-    for w, nexts in after.items():
-        for x in nexts:
-            before.setdefault(x, []).append(w)
-    # Whatever became of it, a way leads on to an end: there is no trap, and so an undo always gets somewhere.
-    ends = [w for w in after if w.rollout.phase in END_PHASES]
+        state = todo.pop()
+        if state not in successors:
+            successors[state] = [move.state for move in transitions(state)]
+            todo += successors[state]
+    assert len(successors) == found.states > 200
+    predecessors: dict = {}
+    for state, next_states in successors.items():
+        for next_state in next_states:
+            predecessors.setdefault(next_state, []).append(state)
+    # An end is reachable from every state, so that a rollback always completes.
+    ends = [state for state in successors if state.rollout.phase in END_PHASES]
     always = {RolloutPhase.ROLLED_BACK}
     expected = always if faults.get("new_fault") else always | {RolloutPhase.COMMITTED}
-    assert {w.rollout.phase for w in ends} >= expected
-    live, todo = set(ends), list(ends)
+    assert {state.rollout.phase for state in ends} >= expected
+    can_end, todo = set(ends), list(ends)
     while todo:
-        for w in before.get(todo.pop(), ()):
-            if w not in live:
-                live.add(w)
-                todo.append(w)
-    assert len(live) == len(after)
+        for state in predecessors.get(todo.pop(), ()):
+            if state not in can_end:
+                can_end.add(state)
+                todo.append(state)
+    assert len(can_end) == len(successors)
 
 
 Transitions = dict[tuple, Transition]
 
 
-def changed(table: TransitionTable, transitions: Transitions) -> TransitionTable:
-    """Return a table with some transitions changed."""
+def with_transitions(table: TransitionTable, transitions: Transitions) -> TransitionTable:
+    """Return a table with some transitions replaced."""
     assert all(table.transitions[key] != transition for key, transition in transitions.items())
     return table._replace(transitions={**table.transitions, **transitions})
 
 
-def node(transitions: Transitions) -> RolloutPlan:
-    """Return a plan with a faulty table of nodes."""
-    return THREE._replace(node_table=changed(NODE_TABLE, transitions))
+def with_node_fault(transitions: Transitions) -> RolloutPlan:
+    """Return a plan with a faulty transition table of nodes."""
+    return THREE_NODES._replace(node_table=with_transitions(NODE_TABLE, transitions))
 
 
-def fleet(transitions: Transitions) -> RolloutPlan:
-    """Return a plan with a faulty table of the rollout."""
-    return THREE._replace(rollout_table=changed(ROLLOUT_TABLE, transitions))
+def with_rollout_fault(transitions: Transitions) -> RolloutPlan:
+    """Return a plan with a faulty transition table of the rollout."""
+    return THREE_NODES._replace(rollout_table=with_transitions(ROLLOUT_TABLE, transitions))
 
 
 TO_NEXT_STAGE = Transition(RolloutPhase.CHANGING, RolloutEffect.NEXT_STAGE)
 ROLLED_BACK = Transition(NodeState.ROLLED_BACK, CommonEffect.NOTHING)
 FAULTS = {
-    "a stage is promoted as soon as it is warm": fleet(
+    "a stage is promoted as soon as it is warm": with_rollout_fault(
         {(RolloutPhase.SETTLING, RolloutEvent.WARMED_UP): TO_NEXT_STAGE}
     ),
-    "a disturbance is taken for a pass": fleet(
+    "a disturbance counts as a pass": with_rollout_fault(
         {(RolloutPhase.OBSERVING, RolloutEvent.DISTURBANCE): TO_NEXT_STAGE}
     ),
-    "a node that drains counts as back at once": node(
+    "a draining node counts as ready at once": with_node_fault(
         {(NodeState.DRAINING, NodeEvent.SEEN_DRAINING): Transition(NodeState.READY, CommonEffect.NOTHING)}
     ),
-    "a node is rolled back by starting the new program, and believed": node(
+    "a node is rolled back by starting the new program, and counts as rolled back": with_node_fault(
         {
             (NodeState.ROLLING_BACK, NodeEvent.PROCESS_MISSING): Transition(
                 NodeState.RESTARTING_OLD, NodeEffect.START_NEW
@@ -151,13 +152,13 @@
             (NodeState.RESTARTING_OLD, NodeEvent.NEW_READY): ROLLED_BACK,
         }
     ),
-    "a node still by the new revision counts as rolled back": node(
+    "a node with the new revision counts as rolled back": with_node_fault(
         {
             (NodeState.ROLLING_BACK, NodeEvent.NEW_STARTED): ROLLED_BACK,
             (NodeState.ROLLING_BACK, NodeEvent.NEW_READY): ROLLED_BACK,
         }
     ),
-    "a dead changed node is brought back by the old program": node(
+    "a changed node that exited is restarted with the old program": with_node_fault(
         {
             (NodeState.OBSERVED, NodeEvent.PROCESS_MISSING): Transition(
                 NodeState.OBSERVED, NodeEffect.START_OLD
@@ -167,23 +168,23 @@
             ),
         }
     ),
-    "a node is rolled back by leaving it as it is": node(
+    "a node is rolled back by leaving it as it is": with_node_fault(
         {
             (NodeState.COMMITTED, NodeEvent.ROLL_BACK): ROLLED_BACK,
             (NodeState.OBSERVED, NodeEvent.ROLL_BACK): ROLLED_BACK,
         }
     ),
-    "a waiting node is asked to leave when it is seen": node(
+    "a waiting node is ordered to drain when it is seen": with_node_fault(
         {(NodeState.WAITING, NodeEvent.OLD_READY): Transition(NodeState.WAITING, NodeEffect.CHANGE)}
     ),
-    "a rollout is committed while it is on hold": fleet(
+    "a rollout is committed while it is on hold": with_rollout_fault(
         {
             (RolloutPhase.ON_HOLD, RolloutEvent.PHASE_TIMED_OUT): Transition(
                 RolloutPhase.COMMITTED, RolloutEffect.FINISH
             )
         }
     ),
-    "an order that the clock repeats has no transition": node(
+    "a timeout that repeats an order has no transition": with_node_fault(
         {
             (NodeState.ROLLING_BACK, NodeEvent.TIMED_OUT): Transition(
                 NodeState.ROLLING_BACK, CommonEffect.VIOLATION
@@ -196,15 +197,15 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_seeded_fault_is_found_and_its_trace_replays(name: str) -> None:
     config = ModelConfig(FAULTS[name])
-    first, moves = initial_model_state(config), ModelTransitions(config)
-    found = check_model(first, moves, 200)
+    first, transitions = initial_model_state(config), ModelTransitions(config)
+    found = check_model(first, transitions, 200)
     assert found.violation, name
-    assert replay(first, moves, found.trace)[1] == found.violation
+    assert replay(first, transitions, found.trace)[1] == found.violation
 
 
-def test_a_second_death_of_a_changed_node_rolls_back_and_a_first_one_holds() -> None:
-    s = initial_state(THREE)
-    for who, event in (
+def test_a_second_exit_of_a_changed_node_rolls_back_and_the_first_one_holds() -> None:
+    state = initial_state(THREE_NODES)
+    for node, event in (
         (FLEET, RolloutEvent.BEGIN),
         (FLEET, RolloutEvent.BASELINE_MEASURED),
         (0, NodeEvent.PROCESS_MISSING),
@@ -212,25 +213,27 @@
         (0, NodeEvent.NEW_READY),
         (0, NodeEvent.WARMED_UP),
     ):
-        s, _ = step(THREE, s, who, event)
-    assert s.phase == "watching" and s.nodes == ("watched", "waiting", "waiting")
-    s, actions = step(THREE, s, 0, NodeEvent.PROCESS_EXITED)
-    assert s.phase == "holding" and actions == [("begin", 0), ("hold", FLEET)]
-    s, _ = step(THREE, s, 0, NodeEvent.NEW_READY)
-    s, actions = step(THREE, s, 0, NodeEvent.PROCESS_EXITED)
-    assert s.phase == "undoing" and s.nodes[0] == "undoing" and ("leave", 0) in actions
+        state, _ = step(THREE_NODES, state, node, event)
+    assert state.phase == "watching" and state.nodes == ("watched", "waiting", "waiting")
+    state, actions = step(THREE_NODES, state, 0, NodeEvent.PROCESS_EXITED)
+    assert state.phase == "holding" and actions == [("begin", 0), ("hold", FLEET)]
+    state, _ = step(THREE_NODES, state, 0, NodeEvent.NEW_READY)
+    state, actions = step(THREE_NODES, state, 0, NodeEvent.PROCESS_EXITED)
+    assert state.phase == "undoing" and state.nodes[0] == "undoing" and ("leave", 0) in actions
     with pytest.raises(InvalidTransitionError):
-        step(THREE, s, FLEET, RolloutEvent.STAGE_PASSED)
+        step(THREE_NODES, state, FLEET, RolloutEvent.STAGE_PASSED)
 
 
-def test_no_turn_comes_while_others_are_unavailable() -> None:
+def test_no_node_is_scheduled_while_others_are_unavailable() -> None:
     plan = RolloutPlan(4, ((0, 1, 2),), max_unavailable=2)
-    s, _ = step(plan, initial_state(plan), FLEET, RolloutEvent.BEGIN)
-    s, _ = step(plan, s, 3, NodeEvent.PROCESS_MISSING)  # an unchanged one, and nobody here ordered it
-    s, actions = step(plan, s, FLEET, RolloutEvent.BASELINE_MEASURED)
-    assert s.nodes == ("draining", "waiting", "waiting", "waiting") and ("leave", 0) in actions
-    s, actions = step(plan, s, 3, NodeEvent.OLD_READY)
-    assert s.nodes[:3] == ("draining", "draining", "waiting")
+    state, _ = step(plan, initial_state(plan), FLEET, RolloutEvent.BEGIN)
+    state, _ = step(
+        plan, state, 3, NodeEvent.PROCESS_MISSING
+    )  # an unchanged node, which no order made unavailable
+    state, actions = step(plan, state, FLEET, RolloutEvent.BASELINE_MEASURED)
+    assert state.nodes == ("draining", "waiting", "waiting", "waiting") and ("leave", 0) in actions
+    state, actions = step(plan, state, 3, NodeEvent.OLD_READY)
+    assert state.nodes[:3] == ("draining", "draining", "waiting")
 
 
 def test_stages_are_assigned_by_zone() -> None:
@@ -239,31 +242,31 @@
         (0,),
         (2, 1),
         (4, 3, 5),
-    )  # a third, a half, all of their zones
+    )  # a third, a half and all of the nodes of each zone
     assert assign_stages(zones, [2, 1.0], 1)[0] == (0, 2)
-    with pytest.raises(ValueError, match="largest, 'a', has 3"):
+    with pytest.raises(StagePlanError, match="largest, 'a', has 3"):
         assign_stages(zones, [4, 1.0], 1)
-    with pytest.raises(ValueError, match="have to grow"):
+    with pytest.raises(StagePlanError, match="have to grow"):
         assign_stages(zones, [2, 2], 0)
 
 
-def test_a_journal_cut_at_any_byte_gives_its_whole_lines() -> None:
+def test_a_journal_cut_at_any_byte_gives_its_complete_lines() -> None:
     lines = [
         encode_line(JournalHeader(FORMAT_VERSION, "p", ["a", "b"])),
         *(encode_line(JournalEntry(1.5, f"e{i}", i - 1, "why", {"generation": i})) for i in range(4)),
     ]
     data, ends = b"".join(lines), [sum(map(len, lines[: i + 1])) for i in range(5)]
     for cut in range(len(data) + 1):
-        whole = sum(end <= cut for end in ends)
-        if not whole:
+        complete = sum(end <= cut for end in ends)
+        if not complete:
             with pytest.raises(JournalFormatError):
                 decode_journal(data[:cut])
             continue
         header, entries, size = decode_journal(data[:cut])
-        assert header.nodes == ["a", "b"] and len(entries) == whole - 1 and size == ends[whole - 1]
+        assert header.nodes == ["a", "b"] and len(entries) == complete - 1 and size == ends[complete - 1]
     _, entries, _ = decode_journal(
         data + b"0123456789abcdef {}\n"
-    )  # a last line with a wrong sum: a torn page
+    )  # a last line with a wrong checksum: a torn page
     assert len(entries) == 4
     assert last_generation([JournalEntry(0.0, "controller", details={"generation": 3}), *entries]) == 3
     flipped = bytearray(data)
@@ -283,7 +286,7 @@
     assert decode_journal(header + line).entries == [entry]
 
 
-def test_orders_of_an_older_controller_are_refused_in_words() -> None:
+def test_orders_of_an_older_controller_are_rejected_with_a_reason() -> None:
     validator = OrderValidator("run1")
     assert not validator.rejection_reason(
         Order(FORMAT_VERSION, 2, "x", "run1")
@@ -299,14 +302,14 @@
     assert "name its generation" in validator.rejection_reason(Order(FORMAT_VERSION, 0, "z"))
 
 
-def test_a_node_status_is_an_event() -> None:
+def test_a_node_status_gives_an_event() -> None:
     old, new = Revision("p", "s"), Revision("p", "t")
     assert event_of_status(NodeStatus(old, "1"), old, new) is NodeEvent.OLD_READY
     assert event_of_status(NodeStatus(new, "1", is_ready=False), old, new) is NodeEvent.NEW_STARTED
     assert event_of_status(NodeStatus(new, "1", is_draining=True), old, new) is NodeEvent.SEEN_DRAINING
     other = NodeStatus(Revision("q", "s"), "1")
     assert event_of_status(other, old, new) is NodeEvent.OTHER_REVISION
-    unstated = Revision("", "s")  # which program it is was not stated
+    unstated = Revision("", "s")  # the program is unknown
     assert event_of_status(other, old, unstated) is NodeEvent.NEW_READY
     timeouts = NodeTimeouts(drain=9.0, start=9.0, warm_up=5.0)
     assert timer_event(NodeState.WARMING, 5.0, False, timeouts) is NodeEvent.WARMED_UP
@@ -317,19 +320,20 @@
     assert timer_event(NodeState.WAITING, 99.0, True, NodeTimeouts(1.0, 1.0, 1.0)) is None
 
 
-def test_windows_leave_out_nodes_with_another_process_or_state() -> None:
-    def counted(run: str, n: float) -> NodeCounters:
-        sums = TrafficCounters(n, n, n - 1, 1, 0, n, n, 0.0, ((100, int(n) - 1), (900, 1)))
-        return NodeCounters(run, {"ask": sums}, 1e6 * n, {"a": 4})
+def test_windows_exclude_nodes_with_another_process_or_state() -> None:
+    def counted(run: str, count: float) -> NodeCounters:
+        histogram = ((100, int(count) - 1), (900, 1))
+        sums = TrafficCounters(count, count, count - 1, 1, 0, count, count, 0.0, histogram)
+        return NodeCounters(run, {"ask": sums}, 1e6 * count, {"a": 4})
 
     sampler = WindowSampler(3)
     waiting = [NodeState.WAITING] * 3
     sampler.window([counted("1", 10)] * 3, waiting, 5.0, True)
-    w = sampler.window([counted("1", 30), counted("2", 30), None], waiting, 5.0, True)
-    assert w.roles.tolist() == [1, 0, 0] and w.metrics["served", ""][0].tolist() == [20.0, 0.0, 0.0]
-    assert w.serving_engines == {"a": 4} and w.metrics["memory", ""][0][0] == 20.0
+    window = sampler.window([counted("1", 30), counted("2", 30), None], waiting, 5.0, True)
+    assert window.roles.tolist() == [1, 0, 0] and window.metrics["served", ""][0].tolist() == [20.0, 0.0, 0.0]
+    assert window.serving_engines == {"a": 4} and window.metrics["memory", ""][0][0] == 20.0
     states = [NodeState.OBSERVED, NodeState.WAITING, NodeState.WAITING]
-    w = sampler.window([counted("1", 40), counted("2", 40), counted("1", 40)], states, 5.0, False)
-    assert w.roles.tolist() == [0, 1, 0]  # the first moved, the third was not there before
-    w = sampler.window([counted("1", 60), counted("2", 60), counted("1", 60)], states, 5.0, False)
-    assert w.roles.tolist() == [2, 1, 1] and w.metrics["rejected", "ask"][1].tolist() == [20.0] * 3
+    window = sampler.window([counted("1", 40), counted("2", 40), counted("1", 40)], states, 5.0, False)
+    assert window.roles.tolist() == [0, 1, 0]  # the first changed its state, the third did not answer before
+    window = sampler.window([counted("1", 60), counted("2", 60), counted("1", 60)], states, 5.0, False)
+    assert window.roles.tolist() == [2, 1, 1] and window.metrics["rejected", "ask"][1].tolist() == [20.0] * 3
