--- a/myrtlehub/rollout/canary_analysis.py
+++ b/myrtlehub/rollout/canary_analysis.py
@@ -69,8 +69,7 @@
             zones: the zone of each node.
             observation_windows: number of windows for which a stage is observed.
             false_alarm_rate: fraction of equal versions that may be stopped, over all guards and evaluations
-            of
-                a stage.
+                of a stage.
             max_lost: utility that the rollout may cost, in units of the utility offered to the fleet in a
                 window.
         """
--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -14,7 +14,7 @@
 
 ENGINE_CHANGE = 0.1  # fraction of a zone's serving engines whose change within QUIET_WINDOWS is a disturbance
 # Fall of the unchanged nodes' served fraction within one window that is a disturbance. It also has to exceed
-# so many standard deviations of the baseline, as a noisy fleet falls that far by itself.
+# SUDDEN_FALL_DEVIATIONS standard deviations of the baseline, because a noisy fleet varies that much.
 SUDDEN_FALL = 0.05
 SUDDEN_FALL_DEVIATIONS = 4.0
 # The same thresholds for a mean over half an observation or more, which varies less than one window.
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -94,6 +94,7 @@
     """The possible moves; an instance is called with a state and yields the moves from it."""
 
     def __init__(self, config: ModelConfig) -> None:
+        """Create the moves of a model of this size."""
         self.config = config
         self.plan = config.plan
 
@@ -109,7 +110,7 @@
         if state.faults < self.config.max_faults:
             yield from self._fault_moves(state)
 
-    def _take(self, state: ModelState, node: int, event: NodeEvent | RolloutEvent, label: str = "") -> Move:
+    def _apply(self, state: ModelState, node: int, event: NodeEvent | RolloutEvent, label: str = "") -> Move:
         label = label or f"{event} {'' if node == FLEET else node}".strip()
         try:
             result = step(self.plan, state.rollout, node, event)
@@ -179,7 +180,7 @@
     def _status_moves(self, state: ModelState) -> Iterator[Move]:
         for node, process in enumerate(state.processes):
             event = _status_event(process)
-            move = self._take(state, node, event, f"{node} is seen {event}")
+            move = self._apply(state, node, event, f"{node} is seen {event}")
             if move.violation or move.state != state:
                 yield move
 
@@ -187,12 +188,12 @@
         rollout = state.rollout
         for node, node_state in enumerate(rollout.nodes):
             if node_state is NodeState.WARMING:
-                yield self._take(state, node, NodeEvent.WARMED_UP)
+                yield self._apply(state, node, NodeEvent.WARMED_UP)
             is_restarting = node_state is NodeState.RESTARTING_OLD
             if node_state in MOVING_STATES and (state.processes[node].is_up or is_restarting):
-                yield self._take(state, node, NodeEvent.TIMED_OUT)
+                yield self._apply(state, node, NodeEvent.TIMED_OUT)
         if rollout.phase in (RolloutPhase.CHANGING, RolloutPhase.SETTLING, RolloutPhase.ON_HOLD):
-            yield self._take(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
+            yield self._apply(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
 
     def _verdict_moves(self, state: ModelState) -> Iterator[Move]:
         is_last = state.rollout.stage == len(self.plan.stages) - 1
@@ -204,7 +205,7 @@
             RolloutPhase.ON_HOLD: (RolloutEvent.DISTURBANCE_OVER, RolloutEvent.WORSE),
         }
         for event in events.get(state.rollout.phase, ()):
-            yield self._take(state, FLEET, event)
+            yield self._apply(state, FLEET, event)
 
     def _process_moves(self, state: ModelState) -> Iterator[Move]:
         for node, process in enumerate(state.processes):
@@ -220,7 +221,7 @@
         faulty = state._replace(faults=state.faults + 1)
         phase = state.rollout.phase
         if phase is not RolloutPhase.PLANNED and phase not in END_PHASES:
-            yield self._take(faulty, FLEET, RolloutEvent.ROLL_BACK, "the operator rolls back")
+            yield self._apply(faulty, FLEET, RolloutEvent.ROLL_BACK, "the operator rolls back")
         orphans = tuple(process._replace(is_own_child=False) for process in faulty.processes)
         yield Move("the controller is killed and resumed", faulty._replace(pending=(), processes=orphans))
         for node, process in enumerate(state.processes):
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -1,7 +1,8 @@
 """Progress of a rollout: `step` takes one event and returns the new state and the actions that it requires.
 
 `RolloutState` is the complete state. A controller that resumes a rollout restores it by replaying the events
-of the journal. Every action is idempotent: it names the wanted revision and does nothing where a node has it.
+of the journal. Every action is idempotent: it names the wanted revision and does nothing if the node has it
+already.
 """
 
 from collections.abc import Iterable
@@ -76,9 +77,9 @@
     """
     stepper = _Stepper(plan, state)
     if isinstance(event, RolloutEvent):
-        stepper.take_rollout_event(event)
+        stepper.apply_rollout_event(event)
     else:
-        stepper.take_node_event(node, event)
+        stepper.apply_node_event(node, event)
     stepper.advance()
     return StepResult(stepper.state, stepper.actions)
 
@@ -98,7 +99,7 @@
         self.state = state
         self.actions: list[Action] = []
 
-    def take_node_event(self, node: int, event: NodeEvent) -> None:
+    def apply_node_event(self, node: int, event: NodeEvent) -> None:
         """Apply an event of one node."""
         next_state, effect = _transition(self.plan.node_table, self.state.nodes[node], event)
         absent = self.state.absent
@@ -120,7 +121,7 @@
             self._add(_DIRECT_ACTIONS[effect], node)
         elif effect is NodeEffect.FAIL:
             self._add(NodeAction.REPORT, node)
-            self.take_rollout_event(RolloutEvent.NODE_FAILED)
+            self.apply_rollout_event(RolloutEvent.NODE_FAILED)
         elif effect is NodeEffect.COUNT_EXIT:
             self._count_unexpected_exit(node)
 
@@ -131,14 +132,14 @@
         self.state = self.state._replace(unexpected_exits=all_exits)
         self._add(NodeAction.START_NEW, node)
         has_failed = exits > MAX_TOLERATED_EXITS
-        self.take_rollout_event(RolloutEvent.NODE_FAILED if has_failed else RolloutEvent.DISTURBANCE)
+        self.apply_rollout_event(RolloutEvent.NODE_FAILED if has_failed else RolloutEvent.DISTURBANCE)
 
-    def take_rollout_event(self, event: RolloutEvent) -> None:
+    def apply_rollout_event(self, event: RolloutEvent) -> None:
         """Apply an event of the whole rollout."""
         next_phase, effect = _transition(self.plan.rollout_table, self.state.phase, event)
         if effect is RolloutEffect.ROLL_BACK and self.state.phase is RolloutPhase.STUCK:
             stuck = [node for node, state in enumerate(self.state.nodes) if state is NodeState.STUCK]
-            self._take_node_events(stuck, NodeEvent.ROLL_BACK)
+            self._apply_node_events(stuck, NodeEvent.ROLL_BACK)
         if effect is RolloutEffect.NEXT_STAGE:
             if event is RolloutEvent.STAGE_PASSED:
                 self._pass_stage()
@@ -150,7 +151,7 @@
             self._add(effect, FLEET)
 
     def _pass_stage(self) -> None:
-        self._take_node_events(stage_nodes(self.plan, self.state), NodeEvent.STAGE_PASSED)
+        self._apply_node_events(stage_nodes(self.plan, self.state), NodeEvent.STAGE_PASSED)
         self.state = self.state._replace(stages_passed=self.state.stages_passed + 1)
 
     def advance(self) -> None:
@@ -159,7 +160,7 @@
         if self.state.phase is RolloutPhase.CHANGING:
             self._change_stage(stage)
         if self.state.phase is RolloutPhase.SETTLING and self._all_in(stage, NodeState.OBSERVED):
-            self.take_rollout_event(RolloutEvent.WARMED_UP)
+            self.apply_rollout_event(RolloutEvent.WARMED_UP)
         if self.state.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.STUCK):
             self._roll_back()
 
@@ -170,23 +171,23 @@
         for node in stage:
             is_waiting = self.state.nodes[node] is NodeState.WAITING
             if is_waiting and len(unavailable_nodes(self.state) | {node}) <= self.plan.max_unavailable:
-                self.take_node_event(node, scheduled)
+                self.apply_node_event(node, scheduled)
         if self._all_in(stage, NodeState.READY) and not self.state.absent & set(stage):
-            self._take_node_events(stage, NodeEvent.STAGE_READY)
-            self.take_rollout_event(RolloutEvent.STAGE_READY)
+            self._apply_node_events(stage, NodeEvent.STAGE_READY)
+            self.apply_rollout_event(RolloutEvent.STAGE_READY)
 
     def _roll_back(self) -> None:
         """Continue the rollback, and end it once no node has the change."""
         if self.state.phase is RolloutPhase.ROLLING_BACK:
             self._schedule_rollbacks()
         if all(state in _UNCHANGED_STATES for state in self.state.nodes):
-            self.take_rollout_event(RolloutEvent.ALL_ROLLED_BACK)
+            self.apply_rollout_event(RolloutEvent.ALL_ROLLED_BACK)
             return
         is_moving = any(state in MOVING_STATES for state in self.state.nodes)
         if self.state.phase is RolloutPhase.ROLLING_BACK and not is_moving:
             # A node was rolled back, and its old program did not start: rolling back further nodes could lose
             # them as well (test_an_old_program_that_does_not_start_leaves_the_node_stuck_and_reported).
-            self.take_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
+            self.apply_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
 
     def _schedule_rollbacks(self) -> None:
         """Roll back unavailable nodes first, then as many others as may be unavailable."""
@@ -205,11 +206,11 @@
                 if self.state.nodes[other] is not NodeState.WAITING
             }
             if node in counted or len(counted | {node}) <= self.plan.max_unavailable:
-                self.take_node_event(node, NodeEvent.ROLL_BACK)
+                self.apply_node_event(node, NodeEvent.ROLL_BACK)
 
-    def _take_node_events(self, nodes: Iterable[int], event: NodeEvent) -> None:
+    def _apply_node_events(self, nodes: Iterable[int], event: NodeEvent) -> None:
         for node in nodes:
-            self.take_node_event(node, event)
+            self.apply_node_event(node, event)
 
     def _all_in(self, nodes: Iterable[int], state: NodeState) -> bool:
         return all(self.state.nodes[node] is state for node in nodes)
