--- a/myrtlehub/rollout/rollout_table.py
+++ b/myrtlehub/rollout/rollout_table.py
@@ -1,18 +1,22 @@
-"""Transition table of the whole rollout: every event in every phase has a stated transition."""
+"""Transition table of the whole rollout; it defines a transition for every event in every phase."""
 
 from myrtlehub.rollout.states import RolloutEffect, RolloutEvent, RolloutPhase
 from myrtlehub.state.state_machine import TransitionTable, forbid, on
 
-# Of each phase in which nodes are changed or observed.
+# Row of each phase in which nodes are changed or observed.
 ROLL_BACK_ROW = on(
     RolloutEvent.WORSE,
     RolloutEvent.NODE_FAILED,
-    RolloutEvent.TIME_LIMIT,
+    RolloutEvent.PHASE_TIMED_OUT,
     RolloutEvent.ROLL_BACK,
-    RolloutEvent.BLOCKED,
+    RolloutEvent.ROLLBACK_BLOCKED,
     to=RolloutPhase.ROLLING_BACK,
     effect=RolloutEffect.ROLL_BACK,
 )
+# Row of each phase of a rollback: no verdict can pass anything.
+NO_PASS_ROW = forbid(
+    RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED
+)
 
 ROLLOUT_TABLE = TransitionTable.build(
     "change",
@@ -33,16 +37,16 @@
                 RolloutEvent.DISTURBANCE,
                 RolloutEvent.DISTURBANCE_OVER,
                 RolloutEvent.NODE_FAILED,
-                RolloutEvent.TIME_LIMIT,
+                RolloutEvent.PHASE_TIMED_OUT,
                 RolloutEvent.ALL_ROLLED_BACK,
-                RolloutEvent.BLOCKED,
+                RolloutEvent.ROLLBACK_BLOCKED,
             ),
         ),
         RolloutPhase.MEASURING: (
             on(RolloutEvent.BASELINE_MEASURED, to=RolloutPhase.CHANGING, effect=RolloutEffect.NEXT_STAGE),
             on(RolloutEvent.DISTURBANCE, RolloutEvent.DISTURBANCE_OVER, RolloutEvent.BEGIN),
             on(
-                RolloutEvent.TIME_LIMIT,
+                RolloutEvent.PHASE_TIMED_OUT,
                 RolloutEvent.ROLL_BACK,
                 RolloutEvent.WORSE,
                 RolloutEvent.NODE_FAILED,
@@ -55,7 +59,7 @@
                 RolloutEvent.STAGE_PASSED,
                 RolloutEvent.LAST_STAGE_PASSED,
                 RolloutEvent.ALL_ROLLED_BACK,
-                RolloutEvent.BLOCKED,
+                RolloutEvent.ROLLBACK_BLOCKED,
             ),
         ),
         RolloutPhase.CHANGING: (
@@ -114,19 +118,19 @@
         ),
         RolloutPhase.ROLLING_BACK: (
             on(RolloutEvent.ALL_ROLLED_BACK, to=RolloutPhase.ROLLED_BACK, effect=RolloutEffect.FINISH),
-            on(RolloutEvent.BLOCKED, to=RolloutPhase.STUCK, effect=RolloutEffect.REPORT),
+            on(RolloutEvent.ROLLBACK_BLOCKED, to=RolloutPhase.STUCK, effect=RolloutEffect.REPORT),
             on(
                 RolloutEvent.ROLL_BACK,
                 RolloutEvent.WORSE,
                 RolloutEvent.NODE_FAILED,
-                RolloutEvent.TIME_LIMIT,
+                RolloutEvent.PHASE_TIMED_OUT,
                 RolloutEvent.DISTURBANCE,
                 RolloutEvent.DISTURBANCE_OVER,
                 RolloutEvent.BEGIN,
                 RolloutEvent.STAGE_READY,
                 RolloutEvent.WARMED_UP,
             ),
-            forbid(RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED),
+            NO_PASS_ROW,
         ),
         RolloutPhase.STUCK: (
             on(RolloutEvent.ROLL_BACK, to=RolloutPhase.ROLLING_BACK, effect=RolloutEffect.ROLL_BACK),
@@ -134,26 +138,26 @@
             on(
                 RolloutEvent.WORSE,
                 RolloutEvent.NODE_FAILED,
-                RolloutEvent.TIME_LIMIT,
+                RolloutEvent.PHASE_TIMED_OUT,
                 RolloutEvent.DISTURBANCE,
                 RolloutEvent.DISTURBANCE_OVER,
                 RolloutEvent.BEGIN,
                 RolloutEvent.STAGE_READY,
                 RolloutEvent.WARMED_UP,
-                RolloutEvent.BLOCKED,
+                RolloutEvent.ROLLBACK_BLOCKED,
             ),
-            forbid(RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED),
+            NO_PASS_ROW,
         ),
         RolloutPhase.COMMITTED: (
             on(RolloutEvent.ROLL_BACK, to=RolloutPhase.ROLLING_BACK, effect=RolloutEffect.ROLL_BACK),
             on(
                 RolloutEvent.WORSE,
                 RolloutEvent.NODE_FAILED,
-                RolloutEvent.TIME_LIMIT,
+                RolloutEvent.PHASE_TIMED_OUT,
                 RolloutEvent.DISTURBANCE,
                 RolloutEvent.DISTURBANCE_OVER,
                 RolloutEvent.BEGIN,
-                RolloutEvent.BLOCKED,
+                RolloutEvent.ROLLBACK_BLOCKED,
             ),
             forbid(
                 RolloutEvent.BASELINE_MEASURED,
