--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -2,12 +2,12 @@
 
 from typing import NamedTuple
 
-from myrtlehub.node.action_executor import NEVER, ActionExecutor
+from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.attempt_watcher import AttemptWatcher
 from myrtlehub.node.engine_transport.batch_attempt import BatchWatcher
 from myrtlehub.node.engine_transport.read_attempt import ReadWatcher
 from myrtlehub.node.engine_transport.write_attempt import WriteWatcher
-from myrtlehub.node.sequences import Attempt
+from myrtlehub.node.sequences import NEVER, Attempt
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import Ownership
 
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -7,16 +7,17 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from typing import TYPE_CHECKING, Protocol, TypeAlias
+from typing import TYPE_CHECKING, Any, Protocol, TypeAlias
 
 if TYPE_CHECKING:
     from myrtlehub.node.endpoint_index import EndpointIndex
     from myrtlehub.node.sequences import Attempt
     from myrtlehub.routing import contract
 
-# Types that the executor passes on without looking into them:
+# Values that the executor passes on without looking into them. The transport and the response sinks of a
+# program agree on the type of its token messages; other types are narrowed by the one part that uses them.
 RequestPayload: TypeAlias = object  # what the transport sends to engines
-TokenMessage: TypeAlias = object  # tokens as an engine sent them, for the response sink
+TokenMessage: TypeAlias = Any  # tokens as an engine sent them, for the response sink
 StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
 TransportCall: TypeAlias = object  # the transport's own object for one attempt
 
@@ -40,17 +41,33 @@
 class TrafficTypeRow(Protocol):
     """What the executor reads of the settings of a traffic type."""
 
-    name: str
-    front: str
+    @property
+    def name(self) -> str:
+        """The name of the traffic type."""
+
+    @property
+    def front(self) -> str:
+        """The front that serves it."""
 
 
 class Decoder(Protocol):
     """Maps names from outside to dense indices."""
 
-    rows: Sequence[TrafficTypeRow]  # by traffic type
-    kinds: Mapping[str, int]
-    zones: Mapping[str, int]
-    engines: EndpointIndex
+    @property
+    def rows(self) -> Sequence[TrafficTypeRow]:
+        """Settings by the index of the traffic type."""
+
+    @property
+    def kinds(self) -> Mapping[str, int]:
+        """Indices of engine kinds, by name."""
+
+    @property
+    def zones(self) -> Mapping[str, int]:
+        """Indices of zones, by name."""
+
+    @property
+    def engines(self) -> EndpointIndex:
+        """Indices of engines."""
 
 
 class EngineTransport(Protocol):
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -18,6 +18,8 @@
 )
 from myrtlehub.state.state_machine import StateMachine
 
+NEVER = float("inf")  # seconds; the deadline of a sequence that has none
+
 # Read for each token message: looking a member up in its enumeration costs more than the comparison.
 _STREAMING = AttemptState.STREAMING
 _NO_STATE = ReadStateStatus.NONE
--- a/myrtlehub/state/state_machine.py
+++ b/myrtlehub/state/state_machine.py
@@ -18,10 +18,12 @@
 
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
-from typing import Generic, NamedTuple, Self, TypeVar
+from typing import Generic, NamedTuple, Never, Self, TypeVar, overload
 
 StateT = TypeVar("StateT", bound=StrEnum)
 EventT = TypeVar("EventT", bound=StrEnum)
+StateT_co = TypeVar("StateT_co", bound=StrEnum, covariant=True)
+EventT_co = TypeVar("EventT_co", bound=StrEnum, covariant=True)
 
 
 class CommonEffect(StrEnum):
@@ -44,14 +46,18 @@
     effect: StrEnum
 
 
-class Row(NamedTuple, Generic[StateT, EventT]):
+class Row(NamedTuple, Generic[StateT_co, EventT_co]):
     """Events that have the same transition in a state; `next_state` None leaves the state as it is."""
 
-    events: tuple[EventT, ...]
-    next_state: StateT | None
+    events: tuple[EventT_co, ...]
+    next_state: StateT_co | None
     effect: StrEnum
 
 
+@overload
+def on(*events: EventT, effect: StrEnum = ...) -> Row[Never, EventT]: ...
+@overload
+def on(*events: EventT, to: StateT, effect: StrEnum = ...) -> Row[StateT, EventT]: ...
 def on(
     *events: EventT, to: StateT | None = None, effect: StrEnum = CommonEffect.NOTHING
 ) -> Row[StateT, EventT]:
@@ -59,7 +65,7 @@
     return Row(events, to, effect)
 
 
-def forbid(*events: EventT) -> Row[StateT, EventT]:
+def forbid(*events: EventT) -> Row[Never, EventT]:
     """Return a row by which these events cannot occur."""
     return Row(events, None, CommonEffect.VIOLATION)
 
