--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -5,32 +5,32 @@
 
 import pytest
 
-SET = """
+PROGRAM = """
 import time
-true, off = time.time, [0.0]
-time.time = lambda: true() + off[0]
+wall_time, offset = time.time, [0.0]
+time.time = lambda: wall_time() + offset[0]
 from twisted.internet import reactor
 from myrtlehub.node.clock import SteadyClock
 clock = SteadyClock(reactor)
-said = []
-def over():
-    print(round(clock.seconds() - began, 1), said)
+early_timers = []
+def end():
+    print(round(clock.seconds() - started_at, 1), early_timers)
     reactor.stop()
-def late():
-    said.append("too early")
-began = clock.seconds()
-far = clock.callLater(600.0, late)
-clock.callLater(0.3, over)
-off[0] = {by}
+def fire_early():
+    early_timers.append("too early")
+started_at = clock.seconds()
+far = clock.callLater(600.0, fire_early)
+clock.callLater(0.3, end)
+offset[0] = {offset}
 reactor.run()
 """
 
 
-@pytest.mark.parametrize("by", [-3600.0, 3600.0])
-def test_timers_do_not_go_by_the_wall_clock(by: float) -> None:
-    """Set back, they would come an hour late; set ahead, all at once."""
+@pytest.mark.parametrize("offset", [-3600.0, 3600.0])
+def test_timers_do_not_go_by_the_wall_clock(offset: float) -> None:
+    """With the wall clock set back they would fire an hour late; with it set ahead, all at once."""
     run = subprocess.run(
-        [sys.executable, "-c", SET.format(by=by)], capture_output=True, text=True, timeout=60
+        [sys.executable, "-c", PROGRAM.format(offset=offset)], capture_output=True, text=True, timeout=60
     )
-    took, _, said = run.stdout.strip().partition(" ")
-    assert 0.3 <= float(took) < 5.0 and said == "[]", run
+    duration, _, early_timers = run.stdout.strip().partition(" ")
+    assert 0.3 <= float(duration) < 5.0 and early_timers == "[]", run
