--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -17,7 +17,7 @@
 # Values that the executor passes on without looking into them. The transport and the response sinks of a
 # program agree on the type of its token messages; other types are narrowed by the one part that uses them.
 RequestPayload: TypeAlias = object  # what the transport sends to engines
-TokenMessage: TypeAlias = Any  # tokens as an engine sent them, for the response sink
+TokenMessage: TypeAlias = Any  # tokens as an engine sent them; transport and response sink agree on the type
 StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
 TransportCall: TypeAlias = object  # the transport's own object for one attempt
 
@@ -43,11 +43,11 @@
 
     @property
     def name(self) -> str:
-        """The name of the traffic type."""
+        """The name of the traffic type in the settings."""
 
     @property
     def front(self) -> str:
-        """The front that serves it."""
+        """The kind of front that serves it."""
 
 
 class Decoder(Protocol):
@@ -55,19 +55,11 @@
 
     @property
     def rows(self) -> Sequence[TrafficTypeRow]:
-        """Settings by the index of the traffic type."""
+        """The traffic types, by index."""
 
-    @property
-    def kinds(self) -> Mapping[str, int]:
-        """Indices of engine kinds, by name."""
-
-    @property
-    def zones(self) -> Mapping[str, int]:
-        """Indices of zones, by name."""
-
-    @property
-    def engines(self) -> EndpointIndex:
-        """Indices of engines."""
+    kinds: Mapping[str, int]
+    zones: Mapping[str, int]
+    engines: EndpointIndex
 
 
 class EngineTransport(Protocol):
