--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -72,7 +72,7 @@
             self.transport.start(attempt)
         except BaseException:
             # The transport writes nothing before a later turn, so the attempt has certainly not been sent
-            # (`test_a_request_whose_send_raised_goes_again`).
+            # (`test_a_request_whose_send_raised_is_retried`).
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             raise
 
--- a/myrtlehub/node/router_calls.py
+++ b/myrtlehub/node/router_calls.py
@@ -66,7 +66,7 @@
         If a handler raises, the actions after it are executed in the next turn of the event loop. The last
         action of a call often schedules the router's next wake-up: without it, sequences would be neither
         retried nor answered at their deadline
-        (`test_a_deadline_is_kept_though_an_action_before_its_timer_raised`).
+        (`test_a_deadline_is_kept_although_an_action_before_its_wakeup_raised`).
         """
         while actions:
             action = actions.popleft()
