--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -14,7 +14,8 @@
     from myrtlehub.node.sequences import Attempt
     from myrtlehub.routing import contract
 
-# Types that the executor passes on without looking into them:
+# Values that the executor passes on without looking into them. The transport and the response sinks of a
+# program agree on the type of its token messages; other types are narrowed by the one part that uses them.
 RequestPayload: TypeAlias = object  # what the transport sends to engines
 TokenMessage: TypeAlias = Any  # tokens as an engine sent them; transport and response sink agree on the type
 StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
