--- a/myrtlehub/rollout/node_table.py
+++ b/myrtlehub/rollout/node_table.py
@@ -1,10 +1,10 @@
 """Transition table of one node; it defines a transition for every event in every state."""
 
 from myrtlehub.rollout.states import NodeEffect, NodeEvent, NodeState
-from myrtlehub.state.state_machine import TransitionTable, forbid, on
+from myrtlehub.state.state_machine import Row, TransitionTable, forbid, on
 
 # Row of each state in which the progress of the stage does not concern the node.
-NO_STAGE_EVENTS_ROW = forbid(
+NO_STAGE_EVENTS_ROW: Row[NodeState, NodeEvent] = forbid(
     NodeEvent.REPLACE_SCHEDULED,
     NodeEvent.APPLY_SCHEDULED,
     NodeEvent.STAGE_READY,
@@ -12,7 +12,7 @@
     NodeEvent.STAGE_PASSED,
 )
 # Rows of each state in which a node serves with the new revision.
-SERVING_NEW_ROWS = (
+SERVING_NEW_ROWS: tuple[Row[NodeState, NodeEvent], ...] = (
     on(NodeEvent.NEW_STARTED, NodeEvent.NEW_READY, NodeEvent.SEEN_DRAINING),
     on(NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED, effect=NodeEffect.COUNT_EXIT),
     on(
@@ -27,7 +27,7 @@
     on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
 )
 # Rows of each state in which a node waits for a rollback or for an operator.
-FAILED_ROWS = (
+FAILED_ROWS: tuple[Row[NodeState, NodeEvent], ...] = (
     on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
     on(
         NodeEvent.SEEN_DRAINING,
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -30,7 +30,14 @@
     RolloutEvent,
     RolloutPhase,
 )
-from myrtlehub.state.state_machine import CommonEffect, InvalidTransitionError, Transition, TransitionTable
+from myrtlehub.state.state_machine import (
+    CommonEffect,
+    EventT,
+    InvalidTransitionError,
+    StateT,
+    Transition,
+    TransitionTable,
+)
 
 MAX_TOLERATED_EXITS = 1  # unexpected exits of one changed node: a single one may have an unrelated cause
 
@@ -84,7 +91,7 @@
     return StepResult(stepper.state, stepper.actions)
 
 
-def _transition(table: TransitionTable, state: StrEnum, event: StrEnum) -> Transition:
+def _transition(table: TransitionTable[StateT, EventT], state: StateT, event: EventT) -> Transition[StateT]:
     transition = table.transitions.get((state, event))
     if transition is None or transition.effect is CommonEffect.VIOLATION:
         raise InvalidTransitionError(table.name, state, event)
@@ -107,7 +114,7 @@
             absent |= {node}
         elif event in _PROCESS_SEEN:
             absent -= {node}
-        nodes = _replace_item(self.state.nodes, node, NodeState(next_state))
+        nodes = _replace_item(self.state.nodes, node, next_state)
         self.state = self.state._replace(nodes=nodes, absent=absent)
         self._apply_node_effect(node, effect)
 
--- a/myrtlehub/rollout/rollout_state.py
+++ b/myrtlehub/rollout/rollout_state.py
@@ -6,7 +6,14 @@
 from myrtlehub.rollout.errors import StagePlanError
 from myrtlehub.rollout.node_table import NODE_TABLE
 from myrtlehub.rollout.rollout_table import ROLLOUT_TABLE
-from myrtlehub.rollout.states import MOVING_STATES, NodeState, RolloutEffect, RolloutPhase
+from myrtlehub.rollout.states import (
+    MOVING_STATES,
+    NodeEvent,
+    NodeState,
+    RolloutEffect,
+    RolloutEvent,
+    RolloutPhase,
+)
 from myrtlehub.state.state_machine import TransitionTable
 
 FLEET = -1  # in place of a node's index: the whole rollout; the journal omits it as the default
@@ -46,8 +53,8 @@
     stages: tuple[tuple[int, ...], ...]  # names each node at most once, in the order of the changes
     method: ChangeMethod = ChangeMethod.REPLACE
     max_unavailable: int = 1  # nodes
-    node_table: TransitionTable = NODE_TABLE
-    rollout_table: TransitionTable = ROLLOUT_TABLE
+    node_table: TransitionTable[NodeState, NodeEvent] = NODE_TABLE
+    rollout_table: TransitionTable[RolloutPhase, RolloutEvent] = ROLLOUT_TABLE
 
 
 class RolloutState(NamedTuple):
--- a/myrtlehub/rollout/rollout_table.py
+++ b/myrtlehub/rollout/rollout_table.py
@@ -1,7 +1,7 @@
 """Transition table of the whole rollout; it defines a transition for every event in every phase."""
 
 from myrtlehub.rollout.states import RolloutEffect, RolloutEvent, RolloutPhase
-from myrtlehub.state.state_machine import TransitionTable, forbid, on
+from myrtlehub.state.state_machine import Row, TransitionTable, forbid, on
 
 # Row of each phase in which nodes are changed or observed.
 ROLL_BACK_ROW = on(
@@ -14,7 +14,7 @@
     effect=RolloutEffect.ROLL_BACK,
 )
 # Row of each phase of a rollback: no verdict can pass anything.
-NO_PASS_ROW = forbid(
+NO_PASS_ROW: Row[RolloutPhase, RolloutEvent] = forbid(
     RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED
 )
 
