--- a/myrtlehub/log_events.py
+++ b/myrtlehub/log_events.py
@@ -1,8 +1,8 @@
 """The registry of log events: all events that our programs log, and the protocol by which they are logged.
 
-`docs/oncall.md` explains each of them; `tests/test_log_events.py` compares the two. Fields have the names of
-`docs/glossary.md`, with the unit as suffix where there is one (`duration_s`, `size_bytes`). Common fields are
-`sequence_id`, `reason`, `engine`, `peer` and `list_version`.
+`docs/oncall.md` explains each of them, and a test compares the two (`tests/test_log_events.py`). Fields have
+the names of `docs/glossary.md`, with the unit as suffix where there is one (`duration_s`, `size_bytes`).
+Common fields are `sequence_id`, `reason`, `engine`, `peer` and `list_version`.
 """
 
 from enum import StrEnum
