--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -23,7 +23,7 @@
 EXPECTED_OUTPUT_SHARE = 0.25  # of the maximum output tokens, which an answer is expected to produce
 READ_TIMEOUT_SHARE = 0.6  # of the time left, for a first read, so that another attempt fits in the rest
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence; load reports are as frequent
+RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, as each costs a full one
 PROBED_RETRY_INTERVAL = 0.4  # the same where engines report load to probes only: reports are fewer
 MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
 
