--- a/benchmarks/list_propagation.py
+++ b/benchmarks/list_propagation.py
@@ -24,7 +24,8 @@
 from myrtlehub.lab.processes import free_ports
 from myrtlehub.membership.file_notifier import FileNotifier
 from myrtlehub.membership.reader_process import ReaderProcess
-from myrtlehub.node.node import Node
+from myrtlehub.node.endpoint_list_source import FileAccess
+from myrtlehub.node.node import Node, NodeEnvironment
 from myrtlehub.proto import chat_pb2
 from myrtlehub.records import Recorder
 from myrtlehub.rpc.channel import Channel
@@ -114,12 +115,16 @@
         aside = ReaderProcess(reactor).start()
         node = self.node = Node(
             parse_config(SHEET, NodeConfig),
-            CLOCK,
-            self.dial,
-            base=self.folder,
-            notify=FileNotifier(reactor).watch,
-            reader=aside.read,
-            beside=lambda work, then: deferToThread(work).addCallback(then),
+            NodeEnvironment(
+                CLOCK,
+                self.dial,
+                files=FileAccess(
+                    base=self.folder,
+                    notify=FileNotifier(reactor).watch,
+                    reader=aside.read,
+                    run_in_background=lambda work, then: deferToThread(work).addCallback(then),
+                ),
+            ),
         )
         start = node.transport.start
 
--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -74,7 +74,7 @@
         first_token_latency=0.2,
     )
     counters = TrafficCounters()
-    counters.follow(host)
+    counters.follow(host, host.decoder.rows)
     began = time.process_time()
     for i in range(times):
         sequence.first_token_latency = 0.1 + i % 100 / 500.0
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -53,21 +53,19 @@
     from myrtlehub.membership.file_notifier import FileNotifier
     from myrtlehub.membership.reader_process import ReaderProcess
     from myrtlehub.node.clock import SteadyClock
-    from myrtlehub.node.node import Node
+    from myrtlehub.node.endpoint_list_source import FileAccess
+    from myrtlehub.node.node import Node, NodeEnvironment
 
-    run = f"{time.time_ns() // 1000 % 2**40:x}-{os.getpid():x}"
+    incarnation = f"{time.time_ns() // 1000 % 2**40:x}-{os.getpid():x}"
     notify = FileNotifier(reactor).watch if settings.list.files else poll_only
-    return Node(
-        settings,
-        SteadyClock(reactor),
-        dialer(reactor),
-        run,
-        log,
+    files = FileAccess(
         base=base,
         notify=notify,
         reader=ReaderProcess(reactor).start().read if settings.list.files else None,
-        beside=lambda work, callback: deferToThread(work).addCallback(callback),
+        run_in_background=lambda work, callback: deferToThread(work).addCallback(callback),
     )
+    environment = NodeEnvironment(SteadyClock(reactor), dialer(reactor), incarnation, log, files=files)
+    return Node(settings, environment)
 
 
 def _listen(settings: NodeConfig, node: "Node", reactor: ReactorBase) -> IListeningPort:
@@ -87,7 +85,7 @@
             node.drain().addCallback(lambda ignored: reactor.stop())
 
     call_on_termination(drain, reactor)
-    node.on_leave = drain
+    node.on_drain_requested = drain
 
 
 def _log_ready(settings: NodeConfig, node: "Node", log: Log) -> None:
@@ -99,7 +97,7 @@
         engines=len(settings.list.engines),
         program=node.program,
         settings=settings_digest(settings),
-        incarnation=node.run,
+        incarnation=node.incarnation,
     )
 
 
--- a/myrtlehub/limits/resource_ledger.py
+++ b/myrtlehub/limits/resource_ledger.py
@@ -7,7 +7,9 @@
 
 from collections.abc import Hashable, Iterable
 from enum import StrEnum
-from typing import NamedTuple
+from typing import Generic, NamedTuple, TypeVar
+
+KeyT = TypeVar("KeyT", bound=Hashable)  # key of a stream
 
 MIN_UTILITY = 1e-9  # keeps the division by a utility of 0 defined
 
@@ -85,10 +87,10 @@
     excess: int  # bytes
 
 
-class StreamUsage(NamedTuple):
+class StreamUsage(NamedTuple, Generic[KeyT]):
     """What decides whether a stream is cut off when memory has to be freed."""
 
-    key: Hashable
+    key: KeyT
     in_use: int  # bytes
     utility: float
     stalled_seconds: float  # time since the peer last read anything; 0 if nothing waits for it
@@ -102,23 +104,23 @@
     tenant: Hashable
 
 
-class ResourceLedger:
-    """All accounts of a node."""
+class ResourceLedger(Generic[KeyT]):
+    """All accounts of a node; the caller chooses the keys of streams."""
 
     def __init__(self, budgets: MemoryBudgets) -> None:
         self.budgets = budgets
         self.node = Account()
         self.peers: dict[Hashable, Account] = {}
         self.tenants: dict[Hashable, Account] = {}
-        self._streams: dict[Hashable, StreamEntry] = {}
+        self._streams: dict[KeyT, StreamEntry] = {}
 
-    def open(self, key: Hashable, peer: Hashable, tenant: Hashable) -> None:
+    def open(self, key: KeyT, peer: Hashable, tenant: Hashable) -> None:
         """Open the account of a stream that uses no memory yet."""
         self._streams[key] = StreamEntry(Account(), peer, tenant)
         self.peers.setdefault(peer, Account()).streams += 1
         self.tenants.setdefault(tenant, Account()).streams += 1
 
-    def update(self, key: Hashable, current: Counters) -> None:
+    def update(self, key: KeyT, current: Counters) -> None:
         """Set a stream's account to its current counters, and add the changes to the sums."""
         account, peer, tenant = self._streams[key]
         change = Counters(
@@ -130,7 +132,7 @@
         for changed in (account, self.node, self.peers[peer], self.tenants[tenant]):
             changed.add(change)
 
-    def close(self, key: Hashable) -> None:
+    def close(self, key: KeyT) -> None:
         """Close the account of a stream; the bytes that it still uses count as dropped."""
         account, peer, tenant = self._streams[key]
         dropped = account.dropped + account.in_use
@@ -143,7 +145,7 @@
                 # account retains the totals.
                 del accounts[name]
 
-    def usage(self, key: Hashable) -> int:
+    def usage(self, key: KeyT) -> int:
         """Return the bytes that a stream uses."""
         return self._streams[key].account.in_use
 
@@ -194,7 +196,7 @@
         if self.node.in_use > node_limit:
             yield BudgetOverrun(BudgetScope.NODE, None, self.node.in_use - node_limit)
 
-    def streams_of(self, scope: BudgetScope, name: Hashable) -> list[Hashable]:
+    def streams_of(self, scope: BudgetScope, name: Hashable) -> list[KeyT]:
         """Return the streams that a budget applies to."""
         match scope:
             case BudgetScope.NODE:
@@ -205,7 +207,7 @@
                 return [key for key, entry in self._streams.items() if entry.tenant == name]
 
 
-def select_streams_to_shed(streams: Iterable[StreamUsage], size: int) -> list[Hashable]:
+def select_streams_to_shed(streams: Iterable[StreamUsage[KeyT]], size: int) -> list[KeyT]:
     """Return the streams to cut off so that at least `size` bytes become free.
 
     Streams whose peer has stalled come first; among equals, those with the most bytes for each unit of
@@ -221,5 +223,5 @@
     return selected
 
 
-def _shed_order(stream: StreamUsage) -> tuple[bool, float, str]:
+def _shed_order(stream: StreamUsage[KeyT]) -> tuple[bool, float, str]:
     return not stream.stalled_seconds, -stream.in_use / max(stream.utility, MIN_UTILITY), str(stream.key)
--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -33,6 +33,18 @@
     def kind(self) -> str:
         """The name of the engine kind, which says what the engine can run."""
 
+    @property
+    def zone(self) -> str:
+        """The name of the engine's zone."""
+
+    @property
+    def cell(self) -> int:
+        """The number of the engine's cell, the group of engines with fast links between them."""
+
+    @property
+    def model(self) -> str:
+        """The version of the model that the engine serves; empty if the list does not state it."""
+
     @property
     def weight(self) -> float:
         """The engine's share of load relative to others of its kind; 0 drains it."""
--- a/myrtlehub/node/admin/endpoint_list_push.py
+++ b/myrtlehub/node/admin/endpoint_list_push.py
@@ -1,25 +1,20 @@
 """Changes of the endpoint list that a client of the admin service pushes."""
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
-
 from pydantic import ValidationError
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.node import check_endpoints
+from myrtlehub.membership.endpoint_source import StaticEndpointSource
+from myrtlehub.node.admin.interfaces import AdministeredNode
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rpc.status import Code, RpcError
 
-if TYPE_CHECKING:
-    from myrtlehub.node.node import Node
-
 DEFAULT_WEIGHT = 1.0
 DEFAULT_STATE = "serving"
 
 
-def push_endpoint_list(node: Node, data: bytes) -> pb.ListTaken:
-    """Take a complete list or a change to it, whole or not at all.
+def push_endpoint_list(node: AdministeredNode, data: bytes) -> pb.ListTaken:
+    """Apply a complete list, or a change to it; if one endpoint is malformed, nothing is applied.
 
     Raises:
         RpcError: the node's list is not pushed, or an endpoint is malformed.
@@ -32,20 +27,25 @@
         check_endpoints(node.sheet, endpoints)
     except ValueError as error:
         raise RpcError(Code.INVALID_ARGUMENT, _describe(error)) from error
-    node.endpoint_source.push(endpoints, message.whole)
+    source = node.endpoint_source
+    if not isinstance(source, StaticEndpointSource):
+        raise RpcError(Code.FAILED_PRECONDITION, "list.files: this node's list comes from files")
+    source.push(endpoints, message.whole)
     return pb.ListTaken(version=node.executor.list_version)
 
 
 def _endpoint(engine: pb.ListedEngine) -> EndpointConfig:
-    return EndpointConfig(
-        address=engine.address,
-        kind=engine.kind,
-        zone=engine.zone,
-        cell=engine.cell,
-        weight=engine.weight or DEFAULT_WEIGHT,
-        state=engine.state or DEFAULT_STATE,
-        age=f"{engine.age:.6f}s",
-        model=engine.model,
+    return EndpointConfig.model_validate(
+        {
+            "address": engine.address,
+            "kind": engine.kind,
+            "zone": engine.zone,
+            "cell": engine.cell,
+            "weight": engine.weight or DEFAULT_WEIGHT,
+            "state": engine.state or DEFAULT_STATE,
+            "age": f"{engine.age:.6f}s",
+            "model": engine.model,
+        }
     )
 
 
--- a/myrtlehub/node/admin/figures.py
+++ b/myrtlehub/node/admin/figures.py
@@ -1,24 +1,18 @@
-"""A node's counters since its start, as a message: canary analysis compares them between nodes."""
-
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
+"""A node's counters since its start, as a message; canary analysis compares them between nodes."""
 
 from myrtlehub.membership.endpoint_source import EndpointSource
+from myrtlehub.node.admin.interfaces import AdministeredNode
 from myrtlehub.node.process_usage import cpu_seconds, resident_memory
 from myrtlehub.node.traffic_counters import TrafficTypeCounters
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
 
-if TYPE_CHECKING:
-    from myrtlehub.node.node import Node
-
 
-def node_figures(node: Node) -> pb.NodeFigures:
+def node_figures(node: AdministeredNode) -> pb.NodeFigures:
     """Return the counters of a node."""
     return pb.NodeFigures(
         format=FORMAT_VERSION,
-        run=node.run,
+        run=node.incarnation,
         memory=resident_memory(),
         processor=cpu_seconds(),
         age=node.clock.seconds() - node.started_at,
--- /dev/null
+++ b/myrtlehub/node/admin/interfaces.py
@@ -0,0 +1,53 @@
+"""What the admin service needs of the node that it serves."""
+
+from typing import Protocol
+
+from myrtlehub.clock import Clock
+from myrtlehub.config.node import NodeConfig
+from myrtlehub.log_events import Log
+from myrtlehub.membership.endpoint_source import StaticEndpointSource
+from myrtlehub.membership.endpoint_watcher import EndpointWatcher
+from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.client_limits import ClientLimits
+from myrtlehub.node.traffic_counters import TrafficCounters
+
+
+class AdministeredNode(Protocol):
+    """A node, as its admin service sees it."""
+
+    clock: Clock
+    log: Log
+    incarnation: str
+    program: str
+    started_at: float
+    counters: TrafficCounters
+    is_draining: bool
+
+    @property
+    def sheet(self) -> NodeConfig:
+        """The settings that apply to new sequences."""
+
+    @property
+    def executor(self) -> ActionExecutor:
+        """The action executor of these settings."""
+
+    @property
+    def client_limits(self) -> ClientLimits:
+        """The limits on clients of these settings."""
+
+    @property
+    def endpoint_source(self) -> StaticEndpointSource | EndpointWatcher:
+        """The source of the endpoint list."""
+
+    @property
+    def is_proven(self) -> bool:
+        """Whether it has an endpoint list and has generated an answer with these settings."""
+
+    def replaced_sequence_count(self) -> int:
+        """Count the in-flight sequences of replaced settings."""
+
+    def apply(self, sheet: NodeConfig) -> None:
+        """Apply validated settings, from the next sequence on."""
+
+    def request_drain(self) -> None:
+        """Start the graceful shutdown of the process."""
--- a/myrtlehub/node/admin/limits_state.py
+++ b/myrtlehub/node/admin/limits_state.py
@@ -1,4 +1,4 @@
-"""What is accounted to clients, and who was cut off, as a message."""
+"""Memory accounted to clients, and the clients that were disconnected, as a message."""
 
 from myrtlehub.limits.resource_ledger import BudgetScope
 from myrtlehub.node.client_limits import ClientLimits
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -1,29 +1,25 @@
-"""What a node runs and routes by, as a message."""
-
-from __future__ import annotations
+"""The state of a node as a message: its program, settings, sequences and endpoint list."""
 
 import os
-from typing import TYPE_CHECKING
 
+from myrtlehub.membership.endpoint_watcher import EndpointWatcher
 from myrtlehub.membership.validation import ListValidator
+from myrtlehub.node.admin.interfaces import AdministeredNode
+from myrtlehub.node.admin.orders import OrderHandlers
 from myrtlehub.node.endpoint_index import EndpointIndex
 from myrtlehub.node.revision import settings_digest
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_orders import FORMAT_VERSION
 
-if TYPE_CHECKING:
-    from myrtlehub.node.admin.orders import OrderHandlers
-    from myrtlehub.node.node import Node
-
 
-def node_state(node: Node, orders: OrderHandlers) -> pb.NodeState:
+def node_state(node: AdministeredNode, orders: OrderHandlers) -> pb.NodeState:
     """Return the state of a node."""
     now = node.clock.seconds()
     executor = node.executor
     state = pb.NodeState(
         program=node.program,
         settings=settings_digest(node.sheet),
-        run=node.run,
+        run=node.incarnation,
         pid=os.getpid(),
         age=now - node.started_at,
         leaving=node.is_draining,
@@ -40,10 +36,9 @@
         answered=dict(executor.answer_counts),
         engines=_listed_engines(executor.decoder.engines),
     )
-    # Only a list that comes from files is validated.
-    validator = getattr(node.endpoint_source, "validator", None)
-    if validator is not None:
-        _add_list_state(state, validator, now)
+    source = node.endpoint_source
+    if isinstance(source, EndpointWatcher):  # only a list that comes from files is validated
+        _add_list_state(state, source.validator, now)
     return state
 
 
--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -1,13 +1,12 @@
-"""Orders of a rollout's controller: stage and apply settings, obey, leave."""
-
-from __future__ import annotations
+"""Orders of a rollout's controller: stage settings, apply them, accept its command, drain."""
 
 import os
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from myrtlehub.config.loader import ConfigError
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.log_events import LogEvent
+from myrtlehub.node.admin.interfaces import AdministeredNode
 from myrtlehub.node.revision import settings_digest
 from myrtlehub.node.settings_change import SettingsChangeError, parse_settings, validate_change
 from myrtlehub.proto import admin_pb2 as pb
@@ -15,22 +14,19 @@
 from myrtlehub.rpc.server_call import ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-if TYPE_CHECKING:
-    from myrtlehub.node.node import Node
-
 # Environment variable with which a controller starts a node: "GENERATION CONTROLLER".
 GENERATION_VARIABLE = "HUB_ROLL_GENERATION"
 
 
 class StagedSettings(NamedTuple):
-    """Settings that were validated and wait to be applied."""
+    """Validated settings that have not been applied yet."""
 
     digest: str
     settings: NodeConfig
 
 
 def _initial_validator(incarnation: str) -> OrderValidator:
-    """Return a validator that knows the controller which started this process, if one did."""
+    """Return the validator of orders; it accepts the controller that started this process, if one did."""
     generation, _, controller = os.environ.get(GENERATION_VARIABLE, "").partition(" ")
     return OrderValidator(incarnation, int(generation) if generation.isdecimal() else 0, controller)
 
@@ -38,9 +34,9 @@
 class OrderHandlers:
     """The methods of NodeAdmin that carry an `Order`."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: AdministeredNode) -> None:
         self.node = node
-        self.validator = _initial_validator(node.run)
+        self.validator = _initial_validator(node.incarnation)
         self.staged: StagedSettings | None = None
 
     def _validate(self, order: pb.Order, method: str) -> None:
@@ -52,7 +48,7 @@
             raise RpcError(Code.PERMISSION_DENIED, reason)
 
     def stage(self, _call: ServerCall, data: bytes) -> bytes:
-        """Validate settings, and keep them until they are applied."""
+        """Validate settings, and stage them until they are applied."""
         request = pb.StagedSettings.FromString(data)
         self._validate(request.order, "stage")
         try:
@@ -76,9 +72,9 @@
         order = pb.Order.FromString(data)
         self._validate(order, "apply")
         if order.settings == settings_digest(self.node.sheet):
-            return pb.OrderTaken(settings=order.settings).SerializeToString()  # it was applied before
+            return pb.OrderTaken(settings=order.settings).SerializeToString()  # a repeated order
         staged = self._take_staged(order.settings)
-        self._validate_change(staged.settings)  # the endpoint list may have changed since
+        self._validate_change(staged.settings)  # the endpoint list may have changed since they were staged
         self.node.apply(staged.settings)
         self.node.log(
             LogEvent.SETTINGS_APPLIED,
@@ -97,14 +93,14 @@
         return staged
 
     def obey(self, _call: ServerCall, data: bytes) -> bytes:
-        """Note the controller's generation: orders of an older controller are refused from here on."""
+        """Accept the controller's generation; orders with a lower one are rejected from now on."""
         self._validate(pb.Order.FromString(data), "obey")
         return pb.OrderTaken(settings=settings_digest(self.node.sheet)).SerializeToString()
 
     def leave(self, _call: ServerCall, data: bytes) -> bytes:
-        """Drain and end."""
+        """Drain, and end the process."""
         self._validate(pb.Order.FromString(data), "leave")
         changed = not self.node.is_draining
         if changed:
-            self.node.clock.callLater(0, self.node.on_leave)  # the reply leaves first
+            self.node.clock.callLater(0, self.node.request_drain)  # after the reply was written
         return pb.OrderTaken(settings=settings_digest(self.node.sheet), changed=changed).SerializeToString()
--- a/myrtlehub/node/admin/service.py
+++ b/myrtlehub/node/admin/service.py
@@ -1,11 +1,8 @@
 """The methods of the admin service."""
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
-
 from myrtlehub.node.admin.endpoint_list_push import push_endpoint_list
 from myrtlehub.node.admin.figures import node_figures
+from myrtlehub.node.admin.interfaces import AdministeredNode
 from myrtlehub.node.admin.limits_state import limits_state
 from myrtlehub.node.admin.node_state import node_state
 from myrtlehub.node.admin.orders import OrderHandlers
@@ -13,16 +10,13 @@
 from myrtlehub.rpc.server import Server
 from myrtlehub.rpc.server_call import ServerCall
 
-if TYPE_CHECKING:
-    from myrtlehub.node.node import Node
-
 SERVICE = "/myrtlehub.v1.NodeAdmin/"
 
 
 class NodeAdmin:
     """Serves NodeAdmin for a node."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: AdministeredNode) -> None:
         self.node = node
         self.orders = OrderHandlers(node)
 
--- a/myrtlehub/node/batch_fronts/__init__.py
+++ b/myrtlehub/node/batch_fronts/__init__.py
@@ -1,10 +1,13 @@
-"""The fronts for batches: embeddings and rerank, served beside chat.
+"""The fronts for batches: embeddings and rerank, served in addition to chat.
 
-`embeddings` and `rerank` decode and encode messages, `grpc_front` serves their calls. `coordinator` has all
-batches of a node; an `in_flight_batch` is one client request until its final answer, an `engine_batch` what
-one engine gets at a time, and `dispatcher` sends these as the front's share of common engines allows.
-`front_capacity` has what the endpoint list says of each front's engines.
+    embeddings, rerank   decode requests and encode replies
+    grpc_front           serves their calls
+    coordinator          all batches of a node: acceptance, result cache, dynamic batching
+    in_flight_batch      one client request, until its final answer
+    engine_batch         the parts of batches that one engine runs together
+    dispatcher           sends engine batches when the front's share of common engines allows it
+    front_capacity       the engines of each front, by the endpoint list and the settings
+    interfaces           what these modules need of one another
 
-The algorithms are in `batching/` and in `limits/`.
-Which engine runs an engine batch is the router's decision.
+The algorithms are in `batching/` and in `limits/`. The router decides which engine runs an engine batch.
 """
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -8,18 +8,21 @@
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.membership.endpoint import is_serving
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.batch_fronts.batch_request import BatchClient, BatchRequest
+from myrtlehub.node.batch_fronts.batch_request import BatchRequest
 from myrtlehub.node.batch_fronts.dispatcher import BatchDispatcher
 from myrtlehub.node.batch_fronts.engine_batch import EngineBatch
 from myrtlehub.node.batch_fronts.front_capacity import FrontCapacity
 from myrtlehub.node.batch_fronts.in_flight_batch import InFlightBatch
-from myrtlehub.node.request_decoder import InvalidRequestError
+from myrtlehub.node.batch_fronts.interfaces import BatchClient
+from myrtlehub.node.request_decoder import InvalidRequestError, RequestDecoder
 from myrtlehub.proto.engine_pb2 import ItemResult
+from myrtlehub.routing.contract import RetrySemantics
 
 
 class GroupKey(NamedTuple):
-    """What requests that share an engine batch have in common."""
+    """The properties that requests must have in common to share an engine batch."""
 
     front: str
     traffic_type: str
@@ -31,9 +34,13 @@
 class BatchCoordinator:
     """The batches of a node."""
 
-    def __init__(self, executor: ActionExecutor, sheet: NodeConfig, clock: Clock) -> None:
+    def __init__(
+        self, executor: ActionExecutor, decoder: RequestDecoder, sheet: NodeConfig, clock: Clock
+    ) -> None:
         settings = sheet.batches
         self.executor = executor
+        self.decoder = decoder
+        self.log = executor.log
         self.clock = clock
         self.retry_after = sheet.node.max_wait
         self.in_flight: set[InFlightBatch] = set()
@@ -43,19 +50,19 @@
                 settings.gather, settings.gather_tokens, settings.gather_items, settings.gather_left
             )
         )
-        self.dispatcher = BatchDispatcher(executor, sheet, clock)
+        self.dispatcher = BatchDispatcher(executor, decoder, sheet, clock)
         self.shares = self.dispatcher.shares
         self.capacity = FrontCapacity(sheet, self.dispatcher.fronts)
         self._sheet = sheet
-        self._timer: Timer | None = None  # of the batcher
+        self._timer: Timer | None = None  # fires when the next group of the batcher has waited long enough
 
     def endpoints_changed(self) -> None:
-        """Take note that the endpoint list has changed."""
+        """Update capacity, shares and cached versions after a change of the endpoint list."""
         if not self.dispatcher.fronts:
-            return  # a node that serves chat alone has no use for it
+            return  # the node serves chat only
         engines = self.executor.decoder.engines
-        serving = [engines.rows[index] for index in engines.index_of.values()]
-        serving = [row for row in serving if row.state == "serving"]
+        listed = [engines.rows[index] for index in engines.index_of.values()]
+        serving = [row for row in listed if is_serving(row)]
         self.capacity.update(serving)
         self.dispatcher.update_shares(serving, self.capacity)
         self.cache.set_models(frozenset(row.model for row in serving if row.model))
@@ -63,14 +70,14 @@
 
     def utility(self, traffic_type: str) -> float:
         """Return the utility of one batch."""
-        decoder = self.executor.decoder
+        decoder = self.decoder
         return decoder.rows[decoder.traffic[traffic_type]].utility
 
     def accept(self, request: BatchRequest, client: BatchClient) -> InFlightBatch:
-        """Take a request.
+        """Accept a request, or reject it if the node is full.
 
         Raises:
-            InvalidRequestError: the request is malformed; the text names the field.
+            InvalidRequestError: the request is malformed; the message names the field.
         """
         self._check_items(request)
         total_tokens = sum(item.tokens + request.shared_tokens for item in request.items)
@@ -78,9 +85,9 @@
             prompt_tokens=max(1, total_tokens), max_output_tokens=1, front=request.front
         )
         now = self.clock.seconds()
-        arrival = self.executor.decoder.arrival(terms, now)
-        traffic = self.executor.decoder.rows[arrival.traffic]
-        is_repeatable = traffic.repeats == "repeatable"
+        arrival = self.decoder.arrival(terms, now)
+        traffic = self.decoder.rows[arrival.traffic]
+        is_repeatable = RetrySemantics(traffic.repeats) is RetrySemantics.IDEMPOTENT
         if not is_repeatable:
             self._check_fits_one_engine(request, traffic.name, total_tokens)
         abandon_at = now + arrival.time_left
@@ -90,7 +97,7 @@
             batch.answer(BatchAnswer(BatchOutcome.REJECTED, self.retry_after, "the node is full"))
             return batch
         self.in_flight.add(batch)
-        # What waits here, and not at an engine, is answered by the same moment.
+        # Parts that are queued here, and not at an engine, have to be answered by the same deadline.
         batch.timer = self.clock.callLater(max(0.0, arrival.time_left), batch.deadline_passed)
         self.shares.add_demand(now, request.front, total_tokens)
         batch.begin()
@@ -116,13 +123,13 @@
         return len(self.executor.in_flight) + len(self.in_flight) >= self._sheet.node.most_sequences
 
     def closed(self, batch: InFlightBatch) -> None:
-        """Take note that a batch is over."""
+        """Forget a batch that is over."""
         self.in_flight.discard(batch)
         if batch.waiting_key is not None:
             self.batcher.remove(batch.waiting_key, batch)
 
     def share_engine_batch(self, batch: InFlightBatch, indices: list[int]) -> bool:
-        """Let a small request share an engine batch; return False if it is not to."""
+        """Queue a small batch to share an engine batch with others; return False if it has to run alone."""
         window = self.batcher.window
         tokens = sum(batch.request.cost(index) for index in indices)
         if not window.max_wait or tokens >= window.max_tokens or len(indices) >= window.max_items:
@@ -139,6 +146,17 @@
         self._arm_timer()
         return True
 
+    def send_parts(self, batch: InFlightBatch, parts: list[list[int]]) -> None:
+        """Send each part in an engine batch of its own, until the batch is over."""
+        engine_batches = []
+        for indices in parts:
+            engine_batch = EngineBatch(self.dispatcher, batch.request, batch.model)
+            engine_batch.add(batch.new_part(indices))
+            engine_batches.append(engine_batch)
+        for engine_batch in engine_batches:
+            if not batch.is_over:
+                self.dispatcher.send(engine_batch)
+
     def _send_group(self, group: list[InFlightBatch]) -> None:
         group = [batch for batch in group if not batch.is_over]
         if not group:
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -1,36 +1,50 @@
-"""Sends engine batches, as far as each front's share of common engines allows; the others wait here."""
+"""Sends engine batches when the front's share of common engines allows it, and queues the others."""
 
 from collections.abc import Sequence
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.config.traffic import Front
 from myrtlehub.limits.fair_share import FairShare
 from myrtlehub.membership.endpoint import Endpoint
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.batch_fronts.engine_batch import EngineBatch
 from myrtlehub.node.batch_fronts.front_capacity import FrontCapacity
 from myrtlehub.node.executor_observer import ExecutorObserver
+from myrtlehub.node.request_decoder import RequestDecoder, decoded_request_of
 from myrtlehub.node.sequences import Attempt
 
 CHAT_FRONT = "chat"
-BATCH_FRONTS = ("embed", "rank")
+BATCH_FRONTS: tuple[Front, ...] = ("embed", "rank")
 
 
 class BatchDispatcher(ExecutorObserver):
-    """The engine batches of a node, and what its fronts have at common engines."""
+    """The engine batches of a node, and the work that its fronts have at common engines.
 
-    def __init__(self, executor: ActionExecutor, sheet: NodeConfig, clock: Clock) -> None:
+    Attributes:
+        shares: the shares of the fronts, and the queued engine batches.
+        fronts: the batch fronts that the settings have traffic types of.
+        pooled_fronts: the fronts in the order of the engine pools; empty if there is one router only.
+    """
+
+    def __init__(
+        self, executor: ActionExecutor, decoder: RequestDecoder, sheet: NodeConfig, clock: Clock
+    ) -> None:
         self.executor = executor
+        self.decoder = decoder
         self.clock = clock
-        self.shares = FairShare(_utility_by_front(sheet))
-        self.fronts = [front for front in BATCH_FRONTS if front in self.shares.utility]
-        self.pooled_fronts: list[str] = []  # in the order of the engine pools; empty: there is one router
+        self._utility = _utility_by_front(sheet)
+        self.shares: FairShare[EngineBatch] = FairShare(
+            {str(front): utility for front, utility in self._utility.items()}
+        )
+        self.fronts: list[Front] = [front for front in BATCH_FRONTS if front in self._utility]
+        self.pooled_fronts: Sequence[Front] = ()
         self._sheet = sheet
         self._common_kinds: set[str] = set()  # kinds of engines that serve several fronts
         executor.add_observer(self)
 
     def send(self, engine_batch: EngineBatch) -> None:
-        """Send an engine batch now, or once the front's share allows it."""
+        """Send an engine batch now, or queue it until the front's share allows it."""
         now = self.clock.seconds()
         front = engine_batch.request.front
         size = engine_batch.token_count
@@ -42,18 +56,18 @@
         engine_batch.start()
 
     def drop(self, engine_batch: EngineBatch) -> None:
-        """Remove an engine batch that waits, and that nobody wants any more."""
+        """Remove a queued engine batch that no batch waits for."""
         self.shares.cancel(engine_batch.request.front, engine_batch)
 
     def ended(self, engine_batch: EngineBatch) -> None:
-        """Take note that an engine batch ended; another one may be sent."""
+        """Handle the end of an engine batch: another one may be sent."""
         front = engine_batch.request.front
         self.shares.record_done(front, engine_batch.token_count)
         self._update_share(front, 0.0)
         self.clock.callLater(0, self._send_waiting_of, front)
 
     def send_waiting(self) -> None:
-        """Send what waits, as far as capacity has grown."""
+        """Send queued engine batches, as far as the shares allow it now."""
         for front in self.fronts:
             self._send_waiting_of(front)
 
@@ -65,12 +79,12 @@
                 self.shares.record_done(front, engine_batch.token_count)
 
     def update_shares(self, serving: Sequence[Endpoint], capacity: FrontCapacity) -> None:
-        """Take the engines that serve, by the endpoint list: the shares are of the common ones."""
+        """Update the shares after a change of the endpoint list; `serving` are the engines that serve."""
         kinds = {kind.name: kind for kind in self._sheet.kinds}
         node_count = self._sheet.node.nodes
         for front in self.fronts:
             self.shares.set_engine_count(front, capacity.engine_count(front), node_count)
-        fronts = self.shares.utility
+        fronts = self._utility
         self._common_kinds = {
             kind.name for kind in kinds.values() if sum(kind.serves(front) for front in fronts) > 1
         }
@@ -83,20 +97,21 @@
 
     def attempt_started(self, attempt: Attempt) -> None:
         """Add an attempt's tokens to those of its front at common engines."""
-        self._attempt_moved(attempt, 1)
+        self._add_attempt_tokens(attempt, 1)
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Take an attempt's tokens off those of its front at common engines."""
-        self._attempt_moved(attempt, -1)
+        """Subtract an attempt's tokens from those of its front at common engines."""
+        self._add_attempt_tokens(attempt, -1)
 
-    def _attempt_moved(self, attempt: Attempt, sign: int) -> None:
-        """Take note that an attempt was sent to an engine, or has ended there."""
-        request = attempt.sequence.request
-        if self.pooled_fronts and request.front != CHAT_FRONT and attempt.kind in self._common_kinds:
+    def _add_attempt_tokens(self, attempt: Attempt, sign: int) -> None:
+        if not self.pooled_fronts:
+            return
+        request = decoded_request_of(attempt.sequence)
+        if request.front != CHAT_FRONT and attempt.kind in self._common_kinds:
             self._update_share(request.front, sign * request.prompt_tokens)
 
     def _update_share(self, front: str, tokens: float) -> None:
-        """Open or close common engines to a front, after it has so many more or fewer tokens there."""
+        """Add tokens to those of a front at common engines, and admit it there or exclude it accordingly."""
         if not (self.pooled_fronts and self.shares.common_capacity):
             return
         if self.shares.update_common_tokens(self.clock.seconds(), front, tokens):
@@ -104,7 +119,7 @@
             self.clock.callLater(0, self.executor.set_pool_closed, pool, self.shares.is_excluded[front])
 
 
-def _utility_by_front(sheet: NodeConfig) -> dict[str, float]:
+def _utility_by_front(sheet: NodeConfig) -> dict[Front, float]:
     return {
         front: max(traffic.utility for traffic in sheet.traffic if traffic.front == front)
         for front in {traffic.front for traffic in sheet.traffic}
--- a/myrtlehub/node/batch_fronts/embeddings.py
+++ b/myrtlehub/node/batch_fronts/embeddings.py
@@ -8,7 +8,7 @@
 
 
 def decode_request(request: pb.EmbedRequest, is_stream: bool) -> BatchRequest:
-    """Decode a request; vectors depend on input and model alone, so they are cacheable."""
+    """Decode a request; vectors depend on input and model only, so they are cacheable."""
     task = engine_pb2.BatchRequest(task="embed", dimensions=request.dimensions, normalise=request.normalise)
     return BatchRequest(
         front="embed",
--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -1,41 +1,35 @@
-"""What one engine gets at a time: a part of one batch, or parts of several that share an engine batch."""
-
-from collections.abc import Sequence
-from typing import TYPE_CHECKING, NamedTuple
+"""Engine batches: the parts of one or several batches that one engine runs together."""
 
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome
 from myrtlehub.node.batch_fronts.batch_request import BatchRequest
+from myrtlehub.node.batch_fronts.interfaces import BatchPart, EngineBatchRunner, PartOwner
+from myrtlehub.node.engine_transport.batch_attempt import EngineResults
 from myrtlehub.node.request_decoder import DecodedRequest, InvalidRequestError
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.proto import engine_pb2
 
-if TYPE_CHECKING:
-    from myrtlehub.node.batch_fronts.dispatcher import BatchDispatcher
-    from myrtlehub.node.batch_fronts.in_flight_batch import InFlightBatch
-
-MIN_TIME_LEFT = 0.001  # seconds; no time left would stand for the traffic type's abandon time
-
-
-class BatchPart(NamedTuple):
-    """A part of a batch."""
-
-    batch: "InFlightBatch"
-    number: int
-    indices: list[int]  # of its items
+MIN_TIME_LEFT = 0.001  # seconds; in a request, 0 stands for the traffic type's abandon time
 
 
 class EngineBatch:
-    """Parts that run together, as one sequence of the router. The client of that sequence."""
+    """Parts that run together as one sequence of the router; the response sink of that sequence."""
+
+    def __init__(self, runner: "EngineBatchRunner[EngineBatch]", request: BatchRequest, model: str) -> None:
+        """Make an engine batch without parts.
 
-    def __init__(self, dispatcher: "BatchDispatcher", request: BatchRequest, model: str) -> None:
-        self.request = request  # of the first part; the others agree in all that is common
+        Args:
+            runner: the dispatcher that will run it.
+            request: the request of its first part; those of the other parts have the same common fields.
+            model: the version of the model that has to run it; empty: any.
+        """
+        self.request = request
         self.model = model
         self.parts: list[BatchPart] = []
-        self.wanted_by: set[InFlightBatch] = set()
+        self.wanted_by: set[PartOwner] = set()  # batches that wait for its results
         self.token_count = 0
         self.sequence: InFlightSequence | None = None
         self.is_over = False
-        self._dispatcher = dispatcher
+        self._runner = runner
 
     def add(self, part: BatchPart) -> None:
         """Add a part."""
@@ -43,24 +37,22 @@
         self.parts.append(part)
         self.wanted_by.add(batch)
         self.token_count += sum(batch.request.cost(index) for index in part.indices)
-        batch.engine_batches[part.number] = self
+        batch.part_assigned(part.number, self)
 
     def start(self) -> None:
-        """Run it as a sequence of its own."""
+        """Have the executor run it as a sequence."""
         self.parts = [part for part in self.parts if part.batch in self.wanted_by]
-        executor = self._dispatcher.executor
+        executor = self._runner.executor
         request = self._sequence_request()
         try:
-            arrival = executor.decoder.arrival(request, self._dispatcher.clock.seconds())
-        except (
-            InvalidRequestError
-        ) as error:  # the batches were accepted, so this is about a part: nothing ran
-            self.rejected(0.0, str(error))
+            arrival = self._runner.decoder.arrival(request, self._runner.clock.seconds())
+        except InvalidRequestError as error:
+            self.rejected(0.0, str(error))  # not accepted, so nothing ran
             return
         self.sequence = executor.accept(request, arrival, self)
 
     def _sequence_request(self) -> DecodedRequest:
-        time_left = min(part.batch.abandon_at for part in self.parts) - self._dispatcher.clock.seconds()
+        time_left = min(part.batch.abandon_at for part in self.parts) - self._runner.clock.seconds()
         return self.request.terms._replace(
             prompt_tokens=max(1, self.token_count),
             max_output_tokens=1,
@@ -80,9 +72,9 @@
                 task.items.add(text=item.text, tokens=item.tokens)
         return task
 
-    def tokens(self, raw: tuple[str, Sequence[engine_pb2.ItemResult]]) -> None:
-        """Hand the results of an engine, and its model version, to the batches that wait for them."""
-        model, results = raw
+    def tokens(self, message: EngineResults) -> None:
+        """Pass the results of an engine to the batches that wait for them."""
+        model, results = message
         begin = 0
         for part in self.parts:
             end = begin + len(part.indices)
@@ -90,15 +82,15 @@
             begin = end
 
     def generated(self, tokens: int) -> None:
-        """Take note that the sequence is complete."""
+        """Handle the end of the sequence."""
         self._end()
 
     def rejected(self, retry_after: float, reason: str = "") -> None:
-        """Take note that the sequence was rejected."""
+        """Handle a rejection of the sequence."""
         self._fail(BatchAnswer(BatchOutcome.REJECTED, retry_after, reason))
 
     def aborted(self, reason: str) -> None:
-        """Take note that the sequence was aborted."""
+        """Handle an abort of the sequence."""
         self._fail(BatchAnswer(BatchOutcome.ABORTED, 0.0, reason))
 
     def _fail(self, failure: BatchAnswer) -> None:
@@ -109,16 +101,21 @@
     def _end(self) -> None:
         if not self.is_over:
             self.is_over = True
-            self._dispatcher.ended(self)
+            self._runner.ended(self)
+
+    @property
+    def is_started(self) -> bool:
+        """Whether the action executor has accepted it as a sequence."""
+        return self.sequence is not None
 
-    def batch_left(self, batch: "InFlightBatch") -> None:
-        """Take note that a batch does not wait for it any more; with the last one it is stopped."""
+    def batch_left(self, batch: PartOwner) -> None:
+        """Stop waiting on behalf of a batch; once no batch waits, stop the sequence."""
         self.wanted_by.discard(batch)
         if self.wanted_by:
             return
         if self.sequence is None:
             self.is_over = True
-            self._dispatcher.drop(self)
+            self._runner.drop(self)
         elif not self.is_over:
-            self._dispatcher.executor.client_left(self.sequence)
+            self._runner.executor.client_left(self.sequence)
             self._end()
--- a/myrtlehub/node/batch_fronts/front_capacity.py
+++ b/myrtlehub/node/batch_fronts/front_capacity.py
@@ -1,24 +1,25 @@
-"""What the endpoint list and the settings say of the engines of each batch front."""
+"""The engines of each batch front, by the endpoint list and the settings."""
 
 from collections import Counter
 from collections.abc import Sequence
 
 from myrtlehub.batching.batch_split import PartLimits
 from myrtlehub.config.node import NodeConfig
+from myrtlehub.config.traffic import Front
 from myrtlehub.membership.endpoint import Endpoint
 
 
 class FrontCapacity:
     """Engines, their common part limits and their model version, by front."""
 
-    def __init__(self, sheet: NodeConfig, fronts: Sequence[str]) -> None:
+    def __init__(self, sheet: NodeConfig, fronts: Sequence[Front]) -> None:
         self._sheet = sheet
         self._fronts = fronts
-        self._models: dict[str, str] = {}
-        self._engine_counts: dict[str, int] = {}
+        self._models: dict[Front, str] = {}
+        self._engine_counts: dict[Front, int] = {}
         self._part_limits = {front: self._common_limits(front) for front in fronts}
 
-    def _common_limits(self, front: str) -> PartLimits:
+    def _common_limits(self, front: Front) -> PartLimits:
         kinds = [kind for kind in self._sheet.kinds if kind.serves(front)]
         return PartLimits(
             min((kind.batch for kind in kinds), default=1.0),
@@ -26,20 +27,20 @@
             self._sheet.batches.least_part,
         )
 
-    def part_limits(self, front: str) -> PartLimits:
-        """Return the limits that every kind of engine of the front observes."""
+    def part_limits(self, front: Front) -> PartLimits:
+        """Return the limits that apply to every kind of engine of the front."""
         return self._part_limits[front]
 
-    def engine_count(self, front: str) -> int:
+    def engine_count(self, front: Front) -> int:
         """Return the number of engines that serve the front, at least 1."""
         return self._engine_counts.get(front, 1)
 
-    def model(self, front: str) -> str:
-        """Return the version that most engines of the front have; empty where the list names none."""
+    def model(self, front: Front) -> str:
+        """Return the model version of most engines of the front; empty if the list states none."""
         return self._models.get(front, "")
 
     def update(self, serving: Sequence[Endpoint]) -> None:
-        """Take the engines that serve, by the endpoint list."""
+        """Update the counts and versions; `serving` are the engines that serve by the endpoint list."""
         kinds = {kind.name: kind for kind in self._sheet.kinds}
         for front in self._fronts:
             rows = [row for row in serving if kinds[row.kind].serves(front)]
--- a/myrtlehub/node/batch_fronts/grpc_front.py
+++ b/myrtlehub/node/batch_fronts/grpc_front.py
@@ -1,12 +1,13 @@
 """The gRPC calls of batch fronts: one request, and one reply or a stream of replies."""
 
 from collections.abc import Callable
-from typing import NamedTuple
+from typing import Generic, NamedTuple, TypeAlias, TypeVar
 
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome
+from myrtlehub.config.traffic import Front
 from myrtlehub.node.batch_fronts.batch_request import BatchRequest, BatchSummary, IndexedResult
 from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
-from myrtlehub.node.batch_fronts.in_flight_batch import InFlightBatch
+from myrtlehub.node.batch_fronts.interfaces import AcceptedBatch
 from myrtlehub.node.client_limits import ClientLimits, LimitedCall
 from myrtlehub.node.request_decoder import DecodedRequest, InvalidRequestError
 from myrtlehub.proto import items_pb2 as pb
@@ -16,26 +17,26 @@
 from myrtlehub.rpc.server_call import Receiver, ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-BYTES_PER_TOKEN = 4  # taken where a client states no tokens
-MAX_RESULTS_PER_MESSAGE = 256  # of a stream
+BYTES_PER_TOKEN = 4  # estimate for inputs whose tokens the client does not state
+MAX_RESULTS_PER_MESSAGE = 256  # of a stream, so that messages stay small
 
-RequestMessage = pb.EmbedRequest | pb.RankRequest
-ReplyMessage = pb.EmbedReply | pb.RankReply
+RequestT = TypeVar("RequestT", pb.EmbedRequest, pb.RankRequest)
+ReplyMessage: TypeAlias = pb.EmbedReply | pb.RankReply
 
 
-class BatchFront(NamedTuple):
-    """What makes a front."""
+class BatchFront(NamedTuple, Generic[RequestT]):
+    """The methods and messages of a front."""
 
-    name: str
+    name: Front
     unary_path: str
     stream_path: str
-    request_type: type[RequestMessage]
-    decode_request: Callable[[RequestMessage, bool], BatchRequest]  # ValueError names the field
-    encode_reply: Callable[[list[IndexedResult], RequestMessage], ReplyMessage]
+    request_type: type[RequestT]
+    decode_request: Callable[[RequestT, bool], BatchRequest]  # raises ValueError with the name of the field
+    encode_reply: Callable[[list[IndexedResult], RequestT], ReplyMessage]
 
 
 def decode_terms(terms: pb.Terms, deadline_in: float) -> DecodedRequest:
-    """Decode what all batches have in common with chat."""
+    """Decode the terms that batches and chat have in common."""
     return DecodedRequest(
         terms.traffic_type,
         terms.tenant,
@@ -49,27 +50,29 @@
 
 
 def item_tokens(item: pb.Input) -> int:
-    """Return the tokens of an input as stated, else an estimate by its length."""
+    """Return the stated tokens of an input, or an estimate by its length."""
     return item.tokens or max(1, len(item.text) // BYTES_PER_TOKEN)
 
 
-class BatchCall(Receiver):
-    """One client's call."""
+class BatchCall(Receiver, Generic[RequestT]):
+    """One client's call; implements `BatchClient`."""
 
-    def __init__(self, front: BatchFront, call: ServerCall, request: RequestMessage, is_stream: bool) -> None:
-        self._front = front
+    def __init__(
+        self, front: BatchFront[RequestT], call: ServerCall, request: RequestT, is_stream: bool
+    ) -> None:
+        self._front: BatchFront[RequestT] = front
         self._call = call
-        self._request = request
+        self._request: RequestT = request
         self._is_stream = is_stream
-        self._batch: InFlightBatch | None = None
+        self._batch: AcceptedBatch | None = None
         self._unsent: list[IndexedResult] = []
 
-    def accepted(self, batch: InFlightBatch) -> None:
-        """Take the batch."""
+    def accepted(self, batch: AcceptedBatch) -> None:
+        """Store the batch, which is to be stopped if the client disconnects."""
         self._batch = batch
 
     def send_results(self, results: list[IndexedResult]) -> None:
-        """Take results: send them on a stream, else collect them for the one reply."""
+        """Send results if the call is a stream, else collect them for the reply."""
         self._unsent.extend(results)
         if not self._is_stream:
             return
@@ -77,7 +80,7 @@
             self._send(self._unsent[:MAX_RESULTS_PER_MESSAGE])
             del self._unsent[:MAX_RESULTS_PER_MESSAGE]
         if self._unsent:
-            # Results that are ready in this turn of the reactor share one message.
+            # Results that are ready in the same turn of the event loop share one message.
             self._call.server.clock.callLater(0, self._send_unsent)
 
     def _send_unsent(self) -> None:
@@ -115,30 +118,30 @@
         )
 
     def lost(self, code: Code) -> None:
-        """Take note that the client went away."""
+        """Handle the disconnect of the client."""
         if self._batch is not None:
             self._batch.client_left()
 
 
-class BatchMethod:
+class BatchMethod(Generic[RequestT]):
     """One method of a front."""
 
     def __init__(
         self,
-        front: BatchFront,
+        front: BatchFront[RequestT],
         coordinator: BatchCoordinator,
         is_closed: Callable[[], bool],
         client_limits: ClientLimits,
         is_stream: bool,
     ) -> None:
-        self._front = front
+        self._front: BatchFront[RequestT] = front
         self._coordinator = coordinator
         self._is_closed = is_closed
         self._client_limits = client_limits
         self._is_stream = is_stream
 
     def accept(self, call: ServerCall, data: bytes) -> Receiver:
-        """Take a call with its request."""
+        """Handle a call with its request."""
         request = self._parse(data)
         batch_call = BatchCall(self._front, call, request, self._is_stream)
         terms = request.terms
@@ -161,16 +164,17 @@
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from error
         return batch_call
 
-    def _parse(self, data: bytes) -> RequestMessage:
-        request_type = self._front.request_type
+    def _parse(self, data: bytes) -> RequestT:
         try:
-            return request_type.FromString(data)
+            request: RequestT = self._front.request_type.FromString(data)
         except ValueError as error:
-            raise RpcError(Code.INVALID_ARGUMENT, f"not a {request_type.__name__}: {error}") from error
+            name = self._front.request_type.__name__
+            raise RpcError(Code.INVALID_ARGUMENT, f"not a {name}: {error}") from error
+        return request
 
 
 def serve_front(
-    front: BatchFront,
+    front: BatchFront[RequestT],
     coordinator: BatchCoordinator,
     server: Server,
     is_closed: Callable[[], bool],
--- a/myrtlehub/node/batch_fronts/in_flight_batch.py
+++ b/myrtlehub/node/batch_fronts/in_flight_batch.py
@@ -1,7 +1,7 @@
 """One batch, from its request to its final answer."""
 
 from collections.abc import Hashable, Sequence
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 import xxhash
 
@@ -9,23 +9,15 @@
 from myrtlehub.batching.result_merger import BatchAnswer, BatchOutcome, MergeVerdict, ResultMerger
 from myrtlehub.clock import Timer
 from myrtlehub.log_events import LogEvent
-from myrtlehub.node.batch_fronts.batch_request import (
-    BatchClient,
-    BatchRequest,
-    BatchSummary,
-    IndexedResult,
-)
-from myrtlehub.node.batch_fronts.engine_batch import BatchPart, EngineBatch
+from myrtlehub.node.batch_fronts.batch_request import BatchRequest, BatchSummary, IndexedResult
+from myrtlehub.node.batch_fronts.interfaces import BatchClient, BatchPart, BatchRegistry, RunningEngineBatch
 from myrtlehub.proto.engine_pb2 import ItemResult
 
-if TYPE_CHECKING:
-    from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
-
-CACHE_ENTRY_OVERHEAD = 400  # bytes that a cached result takes beside itself
+CACHE_ENTRY_OVERHEAD = 400  # bytes of memory that a cached result takes in addition to its own size
 
 
 class ItemKey(NamedTuple):
-    """What a result depends on, beside the model; the key of the cache, and of duplicates in one batch."""
+    """Everything that a result depends on except the model: the key of the cache, and of duplicate items."""
 
     text_digest: bytes
     tokens: int
@@ -33,11 +25,11 @@
 
 
 class InFlightBatch:
-    """A batch: its items, the parts that run, and what has come of them."""
+    """A batch: its items, the parts that run, and their results."""
 
     def __init__(
         self,
-        coordinator: "BatchCoordinator",
+        coordinator: "BatchRegistry[InFlightBatch]",
         request: BatchRequest,
         client: BatchClient,
         abandon_at: float,
@@ -47,27 +39,28 @@
         self.client = client
         self.abandon_at = abandon_at
         self.is_repeatable = is_repeatable
-        self.engine_batches: dict[int, EngineBatch] = {}  # by part
+        self.engine_batches: dict[int, RunningEngineBatch] = {}  # by number of the part
         self.is_over = False
         self.timer: Timer | None = None
-        self.waiting_items: list[int] = []  # while the batch waits for others to share an engine batch,
-        self.waiting_key: Hashable | None = None  # and under which key
+        # Set while the batch waits for others to share an engine batch: its items, and the key of the group.
+        self.waiting_items: list[int] = []
+        self.waiting_key: Hashable | None = None
         self._coordinator = coordinator
         model = coordinator.capacity.model(request.front)
         self._merger: ResultMerger[ItemResult] = ResultMerger(len(request.items), request.is_stream, model)
-        self._keys: list[ItemKey] = []  # by item, once the batch has begun
-        self._duplicates: dict[int, list[int]] = {}  # by the first item of the same key
+        self._keys: list[ItemKey] = []  # by item; set when the batch begins
+        self._duplicates: dict[int, list[int]] = {}  # by the first item with the same key
         self._cached_count = 0
         self._error_count = 0
         self._part_count = 0
 
     @property
     def model(self) -> str:
-        """The version that the batch is pinned to; empty if to none yet."""
+        """The model version that all results must be of; empty if it is not known yet."""
         return self._merger.model
 
     def begin(self) -> None:
-        """Answer items from the cache, and send the others to engines."""
+        """Take the results of cached items from the cache, and send the other items to engines."""
         if not self._keys:
             self._keys = self._item_keys()
         cached, uncached = self._look_up(self._find_duplicates())
@@ -77,9 +70,9 @@
         if self._merger.answer_if_complete():
             self._finish()
         elif not self.is_repeatable:
-            self._send_parts([uncached])
+            self._coordinator.send_parts(self, [uncached])
         elif not self._coordinator.share_engine_batch(self, uncached):
-            self._send_parts(self._split(uncached))
+            self._coordinator.send_parts(self, self._split(uncached))
 
     def _item_keys(self) -> list[ItemKey]:
         digest = xxhash.xxh3_128_digest
@@ -87,7 +80,7 @@
         return [ItemKey(digest(item.text), item.tokens, group_key) for item in self.request.items]
 
     def _find_duplicates(self) -> list[int]:
-        """Note items with the key of an earlier one, and return all others."""
+        """Record items that have the same key as an earlier one, and return all others."""
         self._duplicates.clear()
         first_of: dict[ItemKey, int] = {}
         for index, key in enumerate(self._keys):
@@ -98,7 +91,7 @@
         return list(first_of.values())
 
     def _look_up(self, indices: list[int]) -> tuple[list[IndexedResult], list[int]]:
-        """Return the results that are cached, and the items that are not."""
+        """Return the cached results, and the items without one."""
         if not (self.request.is_cacheable and self.is_repeatable and self.model):
             return [], indices
         cache = self._coordinator.cache.cache_of(self.request.terms.tenant, self.model)
@@ -128,24 +121,18 @@
         parts = split_batch(costs, capacity.part_limits(front), capacity.engine_count(front))
         return [[indices[position] for position in part] for part in parts]
 
-    def _send_parts(self, parts: list[list[int]]) -> None:
-        engine_batches = []
-        for indices in parts:
-            engine_batch = EngineBatch(self._coordinator.dispatcher, self.request, self.model)
-            engine_batch.add(self.new_part(indices))
-            engine_batches.append(engine_batch)
-        for engine_batch in engine_batches:
-            if not self.is_over:
-                self._coordinator.dispatcher.send(engine_batch)
-
     def new_part(self, indices: list[int]) -> BatchPart:
-        """Make a part of these items."""
+        """Make a part with these items."""
         self._part_count += 1
         self._merger.begin_part(self._part_count, indices)
         return BatchPart(self, self._part_count, indices)
 
+    def part_assigned(self, number: int, engine_batch: RunningEngineBatch) -> None:
+        """Record the engine batch that runs a part."""
+        self.engine_batches[number] = engine_batch
+
     def part_generated(self, part: BatchPart, results: Sequence[ItemResult], model: str) -> None:
-        """Take the results of a part, made by this version of the model."""
+        """Handle the results of a part, which were made by this version of the model."""
         engine_batch = self.engine_batches.pop(part.number, None)
         if self.is_over or engine_batch is None:
             return
@@ -165,7 +152,7 @@
         if self._merger.may_restart():
             self._restart(model)
         else:
-            self._send_parts([part.indices])
+            self._coordinator.send_parts(self, [part.indices])
 
     def _take_result(self, index: int, result: ItemResult, model: str) -> None:
         if self.request.is_cacheable and self.is_repeatable and not _is_error(result):
@@ -178,13 +165,13 @@
             self._merger.set_result(same, result)
 
     def part_failed(self, number: int, failure: BatchAnswer) -> None:
-        """Take note that a part ended without results."""
+        """Handle the end of a part without results."""
         if self.is_over or self.engine_batches.pop(number, None) is None:
             return
         if failure.outcome == BatchOutcome.REJECTED:
             served_model = self._coordinator.capacity.model(self.request.front)
-            is_model_gone = served_model not in ("", self.model)
-            if is_model_gone and self._merger.may_restart():
+            is_model_replaced = served_model not in ("", self.model)
+            if is_model_replaced and self._merger.may_restart():
                 self._restart(served_model)
                 return
         self._fail(number, failure)
@@ -199,23 +186,23 @@
         self.begin()
 
     def client_left(self) -> None:
-        """End without an answer: the client went away."""
+        """End without an answer: the client disconnected."""
         if not self.is_over:
             self._close()
 
     def deadline_passed(self) -> None:
-        """Answer that the time is over. The router has given up the parts at engines at the same moment."""
-        is_sent = any(engine_batch.sequence is not None for engine_batch in self.engine_batches.values())
+        """Answer that the deadline has passed; at this time the router gives up the parts at engines too."""
+        is_sent = any(engine_batch.is_started for engine_batch in self.engine_batches.values())
         may_have_run = is_sent and not self.is_repeatable
         outcome = BatchOutcome.ABORTED if may_have_run else BatchOutcome.REJECTED
         self.answer(BatchAnswer(outcome, self._coordinator.retry_after, "its time was over"))
 
     def cut_off(self, reason: str) -> None:
-        """Abort: the client takes too little, or too much memory is in use for it."""
+        """Abort: the client reads too slowly, or uses too much memory."""
         self.answer(BatchAnswer(BatchOutcome.ABORTED, 0.0, reason))
 
     def answer(self, answer: BatchAnswer) -> None:
-        """Give this answer, whatever the parts do; nothing happens if there is one already."""
+        """Give this answer, whatever the parts do; does nothing if there is an answer already."""
         if not self.is_over:
             self._merger.answer = answer
             self._finish()
@@ -226,7 +213,11 @@
             return
         self._close()
         if answer.outcome == BatchOutcome.GENERATED:
-            results = [IndexedResult(index, result) for index, result in enumerate(self._merger.results)]
+            results = [
+                IndexedResult(index, result)
+                for index, result in enumerate(self._merger.results)
+                if result is not None
+            ]
             self._error_count = sum(_is_error(result) for _, result in results)
             if not self.request.is_stream:
                 self.client.send_results(results)
@@ -234,7 +225,7 @@
         self.client.send_answer(answer, BatchSummary(self.model, self._error_count, self._cached_count))
 
     def _log_answer(self, outcome: BatchOutcome) -> None:
-        self._coordinator.executor.log(
+        self._coordinator.log(
             LogEvent.BATCH_ANSWERED,
             answer=outcome.value,
             traffic_type=self.request.terms.traffic_type,
@@ -259,4 +250,4 @@
 
 
 def _is_error(result: ItemResult) -> bool:
-    return result.WhichOneof("result") == "error"
+    return result.HasField("error")
--- a/myrtlehub/node/batch_fronts/rerank.py
+++ b/myrtlehub/node/batch_fronts/rerank.py
@@ -10,7 +10,11 @@
 
 
 def decode_request(request: pb.RankRequest, is_stream: bool) -> BatchRequest:
-    """Decode a request; each document is read together with the query, whose tokens count for each."""
+    """Decode a request; the engine reads the query with each document, so its tokens count for each.
+
+    Raises:
+        ValueError: a stream with `top`.
+    """
     if is_stream and request.top:
         raise ValueError("top: is for Rank; RankStream gives scores as they are ready")
     query = request.query
@@ -27,7 +31,7 @@
 
 
 def encode_reply(results: list[IndexedResult], request: pb.RankRequest) -> pb.RankReply:
-    """Encode scores by index, or the best `top` in falling order; of equals the earlier document is first."""
+    """Encode scores by index, or the best `top` in descending order, and equal scores by index."""
     if request.top:
         results = sorted(results, key=_rank)[: request.top]
     return pb.RankReply(
@@ -38,7 +42,7 @@
 def _rank(indexed: IndexedResult) -> tuple[bool, float, int]:
     """Return a sort key: errors last, high scores first."""
     is_error = indexed.result.WhichOneof("result") == "error"
-    return (is_error, -indexed.result.score, indexed.index)
+    return (is_error, -indexed.result.score, indexed.item)
 
 
 RERANK = BatchFront(
--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -4,41 +4,56 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import NamedTuple, Protocol
 
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.config.traffic import TrafficTypeConfig
 from myrtlehub.limits.admission import AdmissionController
-from myrtlehub.node.request_decoder import DecodedRequest
 from myrtlehub.routing.contract import Arrival
 
-if TYPE_CHECKING:
-    from myrtlehub.node.chat_front.chat_call import ChatCall
+MIN_TIMER_DELAY = 0.001  # seconds; a timer without delay could run in every turn of the event loop
 
-MIN_TIMER_DELAY = 0.001  # seconds; a timer that is due at once would run in every turn
+
+class AdmissionClient(Protocol):
+    """A client's call, as the queue sees it."""
+
+    def wait_for_admission(self, pending: PendingAdmission) -> None:
+        """Notify the queue of the first token, or of an end without one."""
+
+    def leave_admission(self) -> None:
+        """Notify the queue of nothing more: the request is shed."""
+
+    def rejected(self, retry_after: float) -> None:
+        """Send a rejection, with a Retry-After in seconds."""
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
     """A request from its arrival until its first token."""
 
-    chat_call: ChatCall
-    request: DecodedRequest
+    client: AdmissionClient
     arrival: Arrival
     row: TrafficTypeConfig
     arrived_at: float
+    start: Callable[[Arrival], None]  # called on admission, with the arrival and the time left by then
     is_admitted: bool = False
 
 
+class PendingAdmission(NamedTuple):
+    """A request and the queue that has to be notified of its first token, or of its end without one."""
+
+    queue: AdmissionQueue
+    queued: QueuedRequest
+
+
 class AdmissionQueue:
-    """Queues requests, passes on those that are admitted, and rejects those that are shed."""
+    """Queues requests, forwards those that are admitted, and rejects those that are shed."""
 
     def __init__(
         self,
         controller: AdmissionController[QueuedRequest],
         clock: Clock,
         max_retry_after: float,
-        on_admitted: Callable[[QueuedRequest, Arrival], None],
         on_shed: Callable[[TrafficTypeConfig], None],
     ) -> None:
         """Make an empty queue.
@@ -46,34 +61,32 @@
         Args:
             controller: decides what is admitted and what is shed.
             clock: the node's clock.
-            max_retry_after: longest Retry-After of what is shed, in seconds.
-            on_admitted: takes an admitted request, with its arrival as of now.
-            on_shed: takes the traffic type of what is shed.
+            max_retry_after: longest Retry-After of requests that are shed, in seconds.
+            on_shed: called with the traffic type of each request that is shed.
         """
         self.controller = controller
         self._clock = clock
         self._max_retry_after = max_retry_after
-        self._on_admitted = on_admitted
         self._on_shed = on_shed
-        self._timer: Timer | None = None  # until the next request is to be shed
+        self._timer: Timer | None = None  # fires when the next request is to be shed
 
     def enqueue(self, queued: QueuedRequest) -> None:
         """Queue a request; it may be admitted before this returns."""
-        queued.chat_call.wait_for_admission(self, queued)
+        queued.client.wait_for_admission(PendingAdmission(self, queued))
         self.controller.enqueue(queued.arrived_at, queued.row.name, queued.row.latency_slo, queued)
         self.process()
 
     def process(self) -> None:
-        """Admit what may be admitted, and reject what is shed."""
+        """Admit the requests that may be admitted, and reject those that are shed."""
         now = self._clock.seconds()
         while (queued := self.controller.admit_next()) is not None:
             queued.is_admitted = True
             time_left = queued.arrival.time_left - (now - queued.arrived_at)
-            self._on_admitted(queued, queued.arrival._replace(time_left=time_left))
+            queued.start(queued.arrival._replace(time_left=time_left))
         for queued in self.controller.take_shed(now):
-            queued.chat_call.leave_admission()
+            queued.client.leave_admission()
             self._on_shed(queued.row)
-            queued.chat_call.rejected(self.controller.retry_after(self._max_retry_after))
+            queued.client.rejected(self.controller.retry_after(self._max_retry_after))
         shed_at = self.controller.next_shed_at()
         if shed_at is not None and (self._timer is None or not self._timer.active()):
             self._timer = self._clock.callLater(max(MIN_TIMER_DELAY, shed_at - now), self.process)
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -1,11 +1,9 @@
 """One client's call of the chat front."""
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
-
 from myrtlehub.clock import Timer
 from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.chat_front.admission_queue import PendingAdmission
+from myrtlehub.node.engine_transport.attempt_watcher import call_of
 from myrtlehub.node.replication.takeover import Takeover
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.proto import chat_pb2 as pb
@@ -13,9 +11,6 @@
 from myrtlehub.rpc.status import Code
 from myrtlehub.rpc.transport import Producer
 
-if TYPE_CHECKING:
-    from myrtlehub.node.chat_front.admission_queue import AdmissionQueue, QueuedRequest
-
 SEQUENCE_ID_HEADER = "myrtle-seq"
 MAY_RESUME_HEADER = "myrtle-resume"
 
@@ -23,45 +18,47 @@
 class ChatCall(Receiver):
     """Encodes the response to one sequence, and applies its client's back-pressure to the writer's stream.
 
-    Implements `protocols.ResponseSink`, `TakeoverClient` and `Producer`.
+    Implements `protocols.ResponseSink`, `TakeoverClient`, `AdmissionClient` and `Producer`.
+
+    Attributes:
+        sequence: set once the executor has accepted it.
+        takeover: set while the sequence is taken over from another node.
+        may_move: whether the client resumes by itself, at any node.
+        resume_grace: seconds after a lost connection until such a client counts as disconnected.
     """
 
     def __init__(self, executor: ActionExecutor, call: ServerCall) -> None:
         self.executor = executor
         self.call = call
-        self.sequence: InFlightSequence | None = None  # once the executor has accepted it
-        self.takeover: Takeover | None = None  # while it is taken over from another node
+        self.sequence: InFlightSequence | None = None
+        self.takeover: Takeover | None = None
         self.deadline_timer: Timer | None = None
-        self.may_move = False  # its client resumes by itself, at any node
-        self.resume_grace = 0.0  # seconds for which such a client may be gone until it counts as having left
-        self._admission: AdmissionQueue | None = None
-        self._queued: QueuedRequest | None = None  # until its first token, where there is admission control
+        self.may_move = False
+        self.resume_grace = 0.0
+        self._pending_admission: PendingAdmission | None = None  # until the first token, or until it is shed
 
     # -- admission control ------------------------------------------------------------------------
 
-    def wait_for_admission(self, admission: AdmissionQueue, queued: QueuedRequest) -> None:
-        """Note where it is queued."""
-        self._admission = admission
-        self._queued = queued
+    def wait_for_admission(self, pending: PendingAdmission) -> None:
+        """Notify the queue of the first token, or of an end without one."""
+        self._pending_admission = pending
 
     def leave_admission(self) -> None:
-        """Note that it was shed: nothing is to be reported to the admission queue any more."""
-        self._queued = None
+        """Notify the queue of nothing more: the request is shed."""
+        self._pending_admission = None
 
     def _end_admission(self) -> None:
-        if self._queued is not None:
-            queued = self._queued
-            self._queued = None
-            self._admission.ended(queued)
+        pending, self._pending_admission = self._pending_admission, None
+        if pending is not None:
+            pending.queue.ended(pending.queued)
 
     # -- the response -----------------------------------------------------------------------------
 
     def tokens(self, message: bytes) -> None:
         """Send tokens as the engine sent them."""
-        if self._queued is not None:
-            queued = self._queued
-            self._queued = None
-            self._admission.started(queued)
+        if self._pending_admission is not None:
+            pending, self._pending_admission = self._pending_admission, None
+            pending.queue.started(pending.queued)
         self.call.send(message)
 
     def generated(self, tokens: int) -> None:
@@ -77,15 +74,15 @@
         self._send_final(pb.GenerateReply(aborted=pb.Aborted(reason=reason)))
 
     def moved(self) -> None:
-        """Tell the client to resume at another node: this one ends. Not a final answer."""
+        """Tell the client to resume at another node, because this one ends; not a final answer."""
         self._send_final(pb.GenerateReply(moved=pb.Moved()))
 
     def sequence_id_assigned(self, sequence_id: str) -> None:
-        """Tell the client by which id its sequence is known from now on."""
+        """Send the client the id of its sequence."""
         self.call.set_initial([(SEQUENCE_ID_HEADER, sequence_id)])
         if self.may_move:
             self.call.set_initial([(MAY_RESUME_HEADER, "1")])
-            self.call.begin()  # the client has to know the id before anything else arrives
+            self.call.begin()  # the client needs the id to resume, whatever happens next
 
     def superseded(self, reason: str) -> None:
         """End the call without an answer: another node owns the sequence."""
@@ -103,17 +100,17 @@
         if self.deadline_timer is not None and self.deadline_timer.active():
             self.deadline_timer.cancel()
 
-    # -- its end from outside ---------------------------------------------------------------------
+    # -- ends that the engines did not cause ------------------------------------------------------
 
     def cut_off(self, reason: str) -> None:
-        """End it by a limit on its client."""
+        """Abort the call, because its client exceeded a limit."""
         if self.sequence is not None:
             self.executor.abort(self.sequence, reason)
         else:
-            self.rejected(0.0)  # it was not admitted yet: nothing ran
+            self.rejected(0.0)  # not accepted yet, so nothing ran
 
     def deadline_passed(self, retry_after: float) -> None:
-        """End it at the call's deadline; `retry_after` is sent if it is still queued."""
+        """End the call at its deadline; `retry_after` is sent if the request is still queued."""
         if self.takeover is not None:
             self.takeover.deadline_passed()
         elif self.sequence is None:
@@ -122,7 +119,7 @@
             self.executor.abort(self.sequence, "the call's deadline came before the end of the answer")
 
     def lost(self, code: Code) -> None:
-        """Take note that the client left, or that its connection broke."""
+        """Handle a cancelled call or a lost connection."""
         self._cancel_deadline()
         self._end_admission()
         if self.takeover is not None:
@@ -130,7 +127,7 @@
         if self.sequence is None:
             return
         if self.may_move and self.resume_grace and code == Code.UNAVAILABLE:
-            # Its client resumes, here or at another node, and that supersedes this call.
+            # The client is expected to resume, here or at another node, which supersedes this call.
             self.executor.clock.callLater(self.resume_grace, self.executor.client_left, self.sequence)
         else:
             self.executor.client_left(self.sequence)
@@ -150,11 +147,11 @@
             source.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: `lost` is called as well."""
+        """Do nothing, because `lost` is called as well."""
 
     def _source(self) -> Producer | None:
-        """Return the call from which the tokens come."""
+        """Return the call that brings the tokens."""
         if self.takeover is not None:
             return self.takeover.call
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
-        return attempt.call if attempt is not None and attempt.is_outstanding else None
+        return call_of(attempt) if attempt is not None and attempt.is_outstanding else None
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -7,6 +7,7 @@
 from myrtlehub.limits.admission import AdmissionController
 from myrtlehub.limits.fair_share import FairShare
 from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.batch_fronts.engine_batch import EngineBatch
 from myrtlehub.node.chat_front.admission_queue import AdmissionQueue, QueuedRequest
 from myrtlehub.node.chat_front.chat_call import ChatCall
 from myrtlehub.node.chat_front.request_message import decode_request, parse_request
@@ -15,8 +16,9 @@
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.replication.takeover import Takeover
 from myrtlehub.node.replication.takeover_interfaces import TakeoverRequest
-from myrtlehub.node.request_decoder import DecodedRequest, InvalidRequestError
+from myrtlehub.node.request_decoder import DecodedRequest, InvalidRequestError, RequestDecoder
 from myrtlehub.proto import engine_pb2
+from myrtlehub.proto.chat_pb2 import GenerateRequest
 from myrtlehub.routing.contract import Arrival
 from myrtlehub.rpc.method_handlers import server_stream
 from myrtlehub.rpc.server import Server
@@ -29,7 +31,7 @@
 
 
 class TakeoverSupport(NamedTuple):
-    """What the front needs to resume sequences that other nodes accepted."""
+    """What the front needs to resume sequences that other nodes have accepted."""
 
     replication: Replication
     transport: GrpcEngineTransport
@@ -37,13 +39,24 @@
 
 
 class ChatFrontLimits(NamedTuple):
-    """What bounds the sequences of the front."""
+    """The bounds on the sequences of the front."""
 
     max_sequences: int  # in flight
     max_retry_after: float  # seconds
-    fair_share: FairShare  # of engines that several fronts use
+    fair_share: FairShare[EngineBatch]  # divides the engines that several fronts use
     clients: ClientLimits
-    admission: AdmissionController[QueuedRequest] | None  # None: all that arrives is admitted
+    admission: AdmissionController[QueuedRequest] | None  # None: every request is admitted
+
+
+class AcceptedCall(NamedTuple):
+    """A decoded call."""
+
+    chat_call: ChatCall
+    message: GenerateRequest
+    request: DecodedRequest
+    arrival: Arrival
+    row: TrafficTypeConfig
+    is_rejected: bool = False  # the client has got its rejection already
 
 
 class ChatFront:
@@ -52,6 +65,7 @@
     def __init__(
         self,
         executor: ActionExecutor,
+        decoder: RequestDecoder,
         limits: ChatFrontLimits,
         takeover_support: TakeoverSupport | None = None,
         on_rejected: Callable[[TrafficTypeConfig], None] = lambda row: None,
@@ -60,21 +74,24 @@
 
         Args:
             executor: runs the sequences.
-            limits: of the front.
-            takeover_support: None where nodes do not replicate sequence records.
-            on_rejected: takes the traffic type of each request that is rejected before the executor has it.
+            decoder: decodes the requests.
+            limits: the limits of the front.
+            takeover_support: None if the nodes do not replicate sequence records.
+            on_rejected: called with the traffic type of each request that is rejected before the executor
+                has accepted it.
         """
         self.executor = executor
+        self.decoder = decoder
         self.limits = limits
         self.takeover_support = takeover_support
         self.on_rejected = on_rejected
-        self.is_closed = False  # all that arrives is rejected
+        self.is_closed = False  # whether every new request is rejected
         self.admission: AdmissionQueue | None = None
         if limits.admission is not None:
             self.admission = AdmissionQueue(
-                limits.admission, executor.clock, limits.max_retry_after, self._admitted, on_rejected
+                limits.admission, executor.clock, limits.max_retry_after, on_rejected
             )
-        self._movable_calls: set[ChatCall] = set()  # of clients that resume by themselves
+        self._movable_calls: set[ChatCall] = set()  # calls of clients that resume by themselves
 
     def serve(self, server: Server) -> None:
         """Serve the methods."""
@@ -83,26 +100,41 @@
             server.add(RESUME_PATH, server_stream(self.resume))
 
     def generate(self, call: ServerCall, data: bytes) -> Receiver:
-        """Take a new sequence."""
-        return self._take_call(call, data, is_resume=False)
+        """Accept a new sequence."""
+        accepted = self._accept_call(call, data, is_resume=False)
+        if not accepted.is_rejected:
+            self._admit(accepted)
+        return accepted.chat_call
 
     def resume(self, call: ServerCall, data: bytes) -> Receiver:
-        """Take a sequence that its client has begun at another node, or here."""
-        return self._take_call(call, data, is_resume=True)
+        """Resume a sequence that its client has begun, at another node or here.
 
-    def _take_call(self, call: ServerCall, data: bytes, is_resume: bool) -> ChatCall:
+        Raises:
+            RpcError: nodes do not replicate sequence records here, or the request is malformed.
+        """
+        support = self.takeover_support
+        if support is None:
+            raise RpcError(Code.UNIMPLEMENTED, "sequences cannot be resumed here: takeover is not configured")
+        accepted = self._accept_call(call, data, is_resume=True)
+        if not accepted.is_rejected:
+            self._take_over(support, accepted)
+        return accepted.chat_call
+
+    def _accept_call(self, call: ServerCall, data: bytes, is_resume: bool) -> AcceptedCall:
+        """Decode a call, check the limits, and account for it unless it is rejected."""
         chat_call = ChatCall(self.executor, call)
         message = parse_request(data, is_resume)
         request = decode_request(message, call.time_left())
         arrival = self._arrival(request)
-        row = self.executor.decoder.rows[arrival.traffic]
+        row = self.decoder.rows[arrival.traffic]
+        accepted = AcceptedCall(chat_call, message, request, arrival, row)
         is_full = self.is_closed or len(self.executor.in_flight) >= self.limits.max_sequences
         clients = self.limits.clients
         retry_after = clients.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
         if retry_after is not None:
             self.on_rejected(row)
-            chat_call.rejected(retry_after)  # it was not accepted: nothing ran
-            return chat_call
+            chat_call.rejected(retry_after)  # not accepted, so nothing ran
+            return accepted._replace(is_rejected=True)
         self.limits.fair_share.add_demand(self.executor.clock.seconds(), FRONT_NAME, arrival.prompt_tokens)
         call.stream.registerProducer(chat_call, True)
         self._arm_deadline(chat_call)
@@ -112,20 +144,24 @@
         if self.takeover_support is not None:
             chat_call.may_move = message.may_move
             chat_call.resume_grace = self.takeover_support.replication.settings.comes_back
-        if is_resume:
-            self._take_over(
-                chat_call, TakeoverRequest(message.resume.sequence, message.resume.tokens, request, arrival)
-            )
-        elif self.admission is None:
-            self._accept(chat_call, request, arrival)
-        else:
-            arrived_at = self.executor.clock.seconds()
-            self.admission.enqueue(QueuedRequest(chat_call, request, arrival, row, arrived_at))
-        return chat_call
+        return accepted
+
+    def _admit(self, accepted: AcceptedCall) -> None:
+        """Give a new sequence to the executor, or queue it if the settings have admission control."""
+        chat_call, _, request, arrival, row, _ = accepted
+        if self.admission is None:
+            self._start(chat_call, request, arrival)
+            return
+
+        def start(arrival: Arrival) -> None:
+            self._start(chat_call, request, arrival)
+
+        arrived_at = self.executor.clock.seconds()
+        self.admission.enqueue(QueuedRequest(chat_call, arrival, row, arrived_at, start))
 
     def _arrival(self, request: DecodedRequest) -> Arrival:
         try:
-            return self.executor.decoder.arrival(request, self.executor.clock.seconds())
+            return self.decoder.arrival(request, self.executor.clock.seconds())
         except InvalidRequestError as error:
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from error
 
@@ -135,15 +171,12 @@
             return
         executor = self.executor
         time_left = call.time_left() - executor.config.answer_slack
-        delay = executor.decoder.lag.time_left(executor.clock.seconds(), time_left)
+        delay = self.decoder.lag.time_left(executor.clock.seconds(), time_left)
         chat_call.deadline_timer = executor.clock.callLater(
             max(0.0, delay), chat_call.deadline_passed, self.limits.max_retry_after
         )
 
-    def _admitted(self, queued: QueuedRequest, arrival: Arrival) -> None:
-        self._accept(queued.chat_call, queued.request, arrival)
-
-    def _accept(
+    def _start(
         self,
         chat_call: ChatCall,
         request: DecodedRequest,
@@ -167,19 +200,19 @@
         self._movable_calls = {open_call for open_call in self._movable_calls if not open_call.call.over}
         self._movable_calls.add(chat_call)
 
-    def _take_over(self, chat_call: ChatCall, request: TakeoverRequest) -> None:
-        """Take over a sequence whose client has come back for the rest of the answer."""
+    def _take_over(self, support: TakeoverSupport, accepted: AcceptedCall) -> None:
+        """Take over a sequence whose client has resumed it, to complete the answer."""
+        chat_call, message, request, arrival, _, _ = accepted
         self._track_movable(chat_call)
 
         def redispatch(
             sequence_id: str | None, arrival: Arrival, earlier_attempts: int, handle: engine_pb2.State | None
         ) -> None:
             chat_call.takeover = None
-            self._accept(chat_call, request.request, arrival, sequence_id, earlier_attempts, handle)
+            self._start(chat_call, request, arrival, sequence_id, earlier_attempts, handle)
 
-        support = self.takeover_support
         chat_call.takeover = Takeover(
-            request,
+            TakeoverRequest(message.resume.sequence, message.resume.tokens, request, arrival),
             support.replication,
             support.transport,
             self.executor,
@@ -191,14 +224,17 @@
         chat_call.takeover.start()
 
     def hand_over(self) -> None:
-        """Leave sequences to other nodes as this one ends: clients that may move are told to resume there."""
+        """Release sequences to other nodes: clients that can resume are told to do so there."""
+        support = self.takeover_support
+        if support is None:
+            return
         for chat_call in [movable for movable in self._movable_calls if not movable.call.over]:
             if chat_call.takeover is not None:
                 chat_call.takeover.hand_over()
                 chat_call.moved()
             elif chat_call.sequence is not None:
                 sequence = chat_call.sequence
-                self.takeover_support.replication.publisher.release_ownership(sequence.sequence_id)
+                support.replication.publisher.release_ownership(sequence.sequence_id)
                 chat_call.sequence = None
                 chat_call.moved()
                 self.executor.hand_over(sequence)
--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -1,7 +1,7 @@
-"""Limits on clients: memory is accounted to them, and those that take too little or use too much are cut off.
+"""Limits on clients: memory is accounted to each, and those that read too slowly or use too much are aborted.
 
-`ClientLimits` checks all open streams a few times a second; between checks it costs two additions a message.
-What is decided is in `limits/`.
+`ClientLimits` checks all open streams a few times a second; between checks a message costs two additions. The
+decisions are in `limits/`.
 """
 
 from collections import deque
@@ -25,11 +25,11 @@
 from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.rpc.server_call import ServerCall
 
-MAX_CUTS = 50  # that are remembered
+MAX_CUTS = 50  # disconnected clients that are remembered for the admin service
 
 
 class LimitCounter(StrEnum):
-    """What is counted; the values are those of the admin protocol (`LimitsState.counts`)."""
+    """Reasons that are counted; the values are those of the admin protocol (`LimitsState.counts`)."""
 
     SLOW = "slow"
     MEMORY = "memory"
@@ -38,7 +38,7 @@
 
 
 class CutOff(NamedTuple):
-    """A client that was cut off."""
+    """A client that was disconnected for exceeding a limit."""
 
     at: float
     peer: str
@@ -55,8 +55,8 @@
     limit: int
 
 
-class SettledCounters(NamedTuple):
-    """A stream's counters when the ledger last saw them."""
+class RecordedCounters(NamedTuple):
+    """A stream's counters when they were last recorded in the ledger."""
 
     queued: int  # bytes
     sent: int
@@ -72,11 +72,11 @@
     name: str
     tenant: str
     utility: float
-    request_size: int  # bytes of the request, in memory until the call is over
+    request_size: int  # bytes of the request, which are in memory until the call is over
     abort: Callable[[str], None]
-    rate: MinimumRateMonitor | None = None  # while something waits for its client
+    rate: MinimumRateMonitor | None = None  # while data waits for its client to read it
     is_cut_off: bool = False
-    settled: SettledCounters | None = None
+    recorded: RecordedCounters | None = None
 
 
 class ClientLimits:
@@ -95,7 +95,9 @@
         self.log = log
         self.retry_budget = retry_budget
         self.max_retry_after = max_retry_after
-        self.ledger = ResourceLedger(MemoryBudgets(limits.held_bytes, limits.peer_share, limits.tenant_share))
+        self.ledger: ResourceLedger[int] = ResourceLedger(
+            MemoryBudgets(limits.held_bytes, limits.peer_share, limits.tenant_share)
+        )
         self.calls: dict[int, LimitedCall] = {}
         self.cuts: deque[CutOff] = deque(maxlen=MAX_CUTS)
         self.counts: dict[str, int] = dict.fromkeys(LimitCounter, 0)
@@ -105,10 +107,10 @@
     def retry_after(
         self, call: ServerCall, tenant: str, is_retry: bool, size: int, is_full: bool
     ) -> float | None:
-        """Return None if this request of `size` bytes may come in, else the wait that its rejection asks for.
+        """Return None to admit a request of `size` bytes, else the Retry-After of its rejection in seconds.
 
-        It is rejected if it is over its tenant's retry budget, the node is full, or it would exceed a memory
-        budget.
+        A request is rejected if its tenant's retry budget is spent, if the node is full, or if it would
+        exceed a memory budget.
         """
         wait = self._wait_for_retry_budget(tenant, is_retry)
         if wait is None and (is_full or not self._fits(call, tenant, size)):
@@ -137,22 +139,22 @@
         return not exceeded
 
     def track(self, limited: LimitedCall) -> None:
-        """Account for a call that was accepted, until it is over and its client has taken all."""
+        """Account for an accepted call, until it is over and its client has read the whole answer."""
         key = self._next_key
         self._next_key += 1
         self.calls[key] = limited
         self.ledger.open(key, host_of(limited.call.peer), limited.tenant)
-        self._settle(key, limited)
+        self._record(key, limited)
         if self._timer is None:
             self._timer = self.clock.callLater(CHECK_INTERVAL, self._check)
 
-    def _settle(self, key: int, limited: LimitedCall) -> None:
+    def _record(self, key: int, limited: LimitedCall) -> None:
         stream = limited.call.stream
         is_over = limited.call.over
-        counters = SettledCounters(stream.bytes_queued, stream.bytes_sent, stream.bytes_dropped, is_over)
-        if limited.settled == counters:
-            return  # most streams, at most checks
-        limited.settled = counters
+        counters = RecordedCounters(stream.bytes_queued, stream.bytes_sent, stream.bytes_dropped, is_over)
+        if limited.recorded == counters:
+            return  # the usual case: nothing has changed since the last check
+        limited.recorded = counters
         size = limited.request_size
         current = Counters(
             received=stream.bytes_queued + size,
@@ -168,7 +170,7 @@
         self._timer = None
         now = self.clock.seconds()
         for key, limited in list(self.calls.items()):
-            self._settle(key, limited)
+            self._record(key, limited)
             self._check_call(key, limited, now)
         self._enforce_budgets(now)
         if self.calls:
@@ -204,13 +206,13 @@
             for key in select_streams_to_shed(streams, excess):
                 self._cut_off(key, LimitCounter.MEMORY, f"the {scope} holds more than its {limit} bytes here")
 
-    def _usage(self, key: int, now: float) -> StreamUsage:
+    def _usage(self, key: int, now: float) -> StreamUsage[int]:
         limited = self.calls[key]
         stalled = limited.rate.stalled_seconds(now) if limited.rate else 0.0
         return StreamUsage(key, self.ledger.usage(key), limited.utility, stalled)
 
     def _cut_off(self, key: int, counter: LimitCounter, reason: str) -> None:
-        """Drop what waits for a client and tell it that it was aborted; it is reset if it ignores that."""
+        """Discard what waits for a client and abort its call; reset the stream if that is not read."""
         limited = self.calls[key]
         limited.is_cut_off = True
         call = limited.call
@@ -226,15 +228,15 @@
             buffered_bytes=stream.buffered,
         )
         if call.over:
-            stream.reset()  # its answer was complete, and the client did not take it
+            stream.reset()  # the answer was complete, and the client did not read it
         else:
             stream.drop()
             limited.abort(reason)
             self.clock.callLater(self.limits.linger, lambda: None if stream.closed else stream.reset())
-        self._settle(key, limited)
+        self._record(key, limited)
 
     def near_limits(self) -> list[NearLimit]:
-        """List the peers and tenants that use over half of their budget."""
+        """Return the peers and tenants that use over half of their budget."""
         near = []
         for scope, accounts in (
             (BudgetScope.PEER, self.ledger.peers),
@@ -250,5 +252,5 @@
 
 
 def host_of(peer: str) -> str:
-    """Return a peer's address without the port: all of its connections count together."""
+    """Return a peer's address without the port, because all connections of a host count together."""
     return peer.rsplit(":", 1)[0]
--- a/myrtlehub/node/drain.py
+++ b/myrtlehub/node/drain.py
@@ -1,4 +1,4 @@
-"""The drain of a node: waits until nothing is in flight, for a bounded time."""
+"""Graceful shutdown of a node: waits until nothing is in flight, for a bounded time."""
 
 from collections.abc import Sequence
 
@@ -8,30 +8,30 @@
 from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.node_runtime import NodeRuntime
 
-FLUSH_DELAY = 0.05  # seconds: a few turns of the event loop, for the last answers to leave
+FLUSH_DELAY = 0.05  # seconds; a few turns of the event loop, in which the last answers are written
 ABORT_REASON = "the node is going down"
 
 
 class Drain(ExecutorObserver):
-    """Waits for the sequences of all runtimes; what has no answer after `within` seconds is aborted."""
+    """Waits for the sequences of all runtimes, and aborts those without an answer after `timeout` seconds."""
 
-    def __init__(self, clock: Clock, runtimes: Sequence[NodeRuntime], within: float) -> None:
+    def __init__(self, clock: Clock, runtimes: Sequence[NodeRuntime], timeout: float) -> None:
         self._clock = clock
         self._runtimes = runtimes
-        self._done = Deferred()
-        self._limit: Timer | None = clock.callLater(within, self._abort_all)
+        self._done: Deferred[None] = Deferred()
+        self._limit: Timer | None = clock.callLater(timeout, self._abort_all)
 
     def start(self, hands_over: bool) -> None:
-        """Wait from here on; `hands_over`: sequences whose clients may move are left to other nodes."""
+        """Start to wait; with `hands_over`, clients that can resume are told to do so at other nodes."""
         for runtime in self._runtimes:
             runtime.executor.add_observer(self)
             if hands_over:
                 runtime.front.hand_over()
         self._check()
 
-    def wait(self) -> Deferred:
-        """Return a Deferred of its own for each caller, which fires at the end of the drain."""
-        done = Deferred()
+    def wait(self) -> "Deferred[None]":
+        """Return a new Deferred that fires at the end of the drain."""
+        done: Deferred[None] = Deferred()
         self._done.addCallback(lambda _: done.callback(None))
         return done
 
@@ -40,7 +40,7 @@
         self._check()
 
     def _check(self) -> None:
-        # Only once: a runtime that was replaced may report again that it is idle.
+        # A replaced runtime may report more than once that it is idle; the drain ends once.
         if self._limit is None or not all(runtime.is_idle for runtime in self._runtimes):
             return
         for runtime in self._runtimes:
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -1,30 +1,30 @@
-"""Where a node's endpoint list comes from, by its settings: fixed, pushed, or followed in files."""
+"""Makes the source of a node's endpoint list: static, pushed over the admin service, or read from files."""
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.log_events import Log
-from myrtlehub.membership.background import RunInBackground
+from myrtlehub.membership.background import RunInBackground, run_now
 from myrtlehub.membership.endpoint_source import StaticEndpointSource
 from myrtlehub.membership.endpoint_watcher import EndpointWatcher, SnapshotReader
-from myrtlehub.membership.file_monitor import WatchConfig, WatchDirectories
+from myrtlehub.membership.file_monitor import WatchConfig, WatchDirectories, poll_only
 from myrtlehub.membership.validation import ANY_REMOVED, ListValidator, ValidationConfig
 from myrtlehub.membership.version_store import VersionStore
 
-ANY_SHARE = "any"  # `list.confirm.most_removed`
-NO_DAMPING = "off"  # `list.damp.flaps`
+ANY_SHARE: Final = "any"  # `list.confirm.most_removed`: no removal needs confirmation
+NO_DAMPING: Final = "off"  # `list.damp.flaps`: endpoints are never damped
 
 
 class FileAccess(NamedTuple):
     """How the files of an endpoint list are read."""
 
-    base: Path  # that relative paths of the settings start from
-    notify: WatchDirectories
-    reader: SnapshotReader | None
-    run_in_background: RunInBackground
+    base: Path = Path()  # folder that relative paths of the settings start from
+    notify: WatchDirectories = poll_only  # notifies of changes in folders
+    reader: SnapshotReader | None = None  # None: files are read in the event loop
+    run_in_background: RunInBackground = run_now  # runs what may block
 
 
 def make_endpoint_source(
@@ -34,7 +34,7 @@
     log: Log,
     unresponsive: Callable[[], frozenset[str]],
 ) -> StaticEndpointSource | EndpointWatcher:
-    """Return the source of a node's endpoint list; `unresponsive` gives engines that cannot be reached."""
+    """Return the source of a node's endpoint list; `unresponsive` returns unreachable engines."""
     settings = sheet.list
     if not settings.files:
         return StaticEndpointSource(settings.engines)
--- a/myrtlehub/node/engine_pools.py
+++ b/myrtlehub/node/engine_pools.py
@@ -1,8 +1,8 @@
-"""Engine pools: engines that do the same work for the same traffic types have a router of their own.
+"""Engine pools: one router for each group of engines that do the same work for the same traffic types.
 
-The readers and writers of chat are one pool, engines that embed another, engines that rank a third; an engine
-that does several stands in several. The routers are of one class with one configuration each; what one learns
-of rates, capacity and cells is not mixed with another's. To the action executor they are one router.
+The readers and writers of chat are one pool, engines that embed are another, engines that rank are a third.
+An engine that does several kinds of work is in several pools. The routers have separate configurations and
+learn separately about rates, capacity and cells. The action executor sees them as one router.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,14 +12,14 @@
 
 
 class KnownEngine(NamedTuple):
-    """An engine as a pool knows it."""
+    """The last update of an engine that a pool has received."""
 
-    generation: int  # how often its index had been handed out by then
-    update: contract.EndpointUpdate  # the last one, as the endpoint list has it
+    generation: int  # number of engines that had been given its index by then
+    update: contract.EndpointUpdate  # with the state of the endpoint list
 
 
-class EnginePools:
-    """Routers by pool, behind the calls of one router."""
+class EnginePools(contract.OptionalCalls):
+    """The routers of all pools, with the interface of one router."""
 
     def __init__(
         self,
@@ -40,8 +40,8 @@
         self.kinds = kinds
         self.pool_of_traffic = pool_of_traffic
         self._pool_of_sequence: dict[int, int] = {}
-        self._generations: list[int] = []  # by engine: how often its index has been handed out
-        self._closed: set[int] = set()  # pools that are kept from engines which others have as well
+        self._generations: list[int] = []  # by engine index: number of engines that were given it
+        self._closed: set[int] = set()  # pools that may not use engines of several pools now
         self._known: list[dict[int, KnownEngine]] = [{} for _ in configs]  # by pool, by engine
 
     def start(self, now: float) -> list[contract.Action]:
@@ -53,7 +53,7 @@
         ]
 
     def endpoint_list_failed(self, now: float) -> list[contract.Action]:
-        """Tell all routers that a poll of the endpoint list failed."""
+        """Report a failed poll of the endpoint list to all routers."""
         return [
             action
             for pool, router in enumerate(self.routers)
@@ -63,13 +63,13 @@
     def update_endpoints(
         self, now: float, updates: Sequence[contract.EndpointUpdate], is_complete: bool
     ) -> list[contract.Action]:
-        """Tell each pool of its own engines; one that changed its kind is gone from pools that it left."""
+        """Report to each pool the changes of its engines; one that changed its kind may leave a pool."""
         self._count_generations(updates)
         actions = []
         for pool, router in enumerate(self.routers):
             own_updates = self._own_updates(pool, updates)
             if is_complete:
-                self._note_missing(pool, updates)
+                self._mark_missing(pool, updates)
             if own_updates or is_complete:
                 actions += self._own_actions(pool, router.update_endpoints(now, own_updates, is_complete))
         return actions
@@ -95,15 +95,15 @@
                 known[update.engine] = KnownEngine(generation, update)
         return own_updates
 
-    def _note_missing(self, pool: int, updates: Sequence[contract.EndpointUpdate]) -> None:
-        """Take engines that a complete list does not name as gone."""
+    def _mark_missing(self, pool: int, updates: Sequence[contract.EndpointUpdate]) -> None:
+        """Mark engines that a complete list does not contain as removed."""
         known = self._known[pool]
         for engine in set(known).difference(update.engine for update in updates):
             generation, update = known[engine]
             known[engine] = KnownEngine(generation, update._replace(state=contract.EngineState.REMOVED))
 
     def _seen_by(self, pool: int, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
-        """Return an update as a pool is told: one that is closed sees common engines drain."""
+        """Return an update as a pool gets it: to a closed pool, engines of several pools are draining."""
         is_serving = update.state == contract.EngineState.SERVING
         if pool in self._closed and is_serving and self._is_common(update):
             return update._replace(state=contract.EngineState.DRAINING)
@@ -113,7 +113,7 @@
         return sum(update.kind in kinds for kinds in self.kinds) > 1
 
     def set_pool_closed(self, now: float, pool: int, is_closed: bool) -> list[contract.Action]:
-        """Keep a pool from engines that others have as well, or let it in again."""
+        """Stop, or resume, sending a pool's sequences to engines that it shares with other pools."""
         if is_closed:
             self._closed.add(pool)
         else:
@@ -128,39 +128,68 @@
         return self._own_actions(pool, self.routers[pool].update_endpoints(now, updates, False))
 
     def arrive(self, now: float, sequence: int, arrival: contract.Arrival) -> list[contract.Action]:
-        """Give a sequence to the pool of its traffic type."""
+        """Report an arrival to the router of its traffic type."""
         pool = self._pool_of_sequence[sequence] = self.pool_of_traffic[arrival.traffic]
         return self._own_actions(pool, self.routers[pool].arrive(now, sequence, arrival))
 
     def began(self, now: float, sequence: int, attempt: int, latency: float) -> list[contract.Action]:
-        """Tell the sequence's router; as all that follows, nothing once the sequence is forgotten."""
-        return self._call_owner(sequence, "began", now, attempt, latency)
+        """Report first tokens to the router of the sequence; see `contract.Router`."""
+        return self._call_owner(sequence, lambda router: router.began(now, sequence, attempt, latency))
 
-    def ended(self, now: float, sequence: int, *arguments: object) -> list[contract.Action]:
-        """Tell the sequence's router; see `contract.Router`."""
-        return self._call_owner(sequence, "ended", now, *arguments)
+    def ended(
+        self,
+        now: float,
+        sequence: int,
+        attempt: int,
+        outcome: contract.Outcome,
+        latency: float,
+        is_answered: bool,
+        cached_tokens: float,
+        load: contract.LoadReport | None,
+    ) -> list[contract.Action]:
+        """Report the end of an attempt to the router of the sequence; see `contract.Router`."""
+        return self._call_owner(
+            sequence,
+            lambda router: router.ended(
+                now, sequence, attempt, outcome, latency, is_answered, cached_tokens, load
+            ),
+        )
 
     def client_left(self, now: float, sequence: int) -> list[contract.Action]:
-        """Tell the sequence's router; see `contract.Router`."""
-        return self._call_owner(sequence, "client_left", now)
+        """Report a disconnect to the router of the sequence; see `contract.Router`."""
+        return self._call_owner(sequence, lambda router: router.client_left(now, sequence))
 
-    def reservation_answered(self, now: float, sequence: int, *arguments: object) -> list[contract.Action]:
-        """Tell the sequence's router; see `contract.Router`."""
-        return self._call_owner(sequence, "reservation_answered", now, *arguments)
+    def reservation_answered(
+        self, now: float, sequence: int, attempt: int, engine: int, is_reserved: bool
+    ) -> list[contract.Action]:
+        """Report the answer to a reservation to the router of the sequence; see `contract.Router`."""
+        return self._call_owner(
+            sequence, lambda router: router.reservation_answered(now, sequence, attempt, engine, is_reserved)
+        )
+
+    def check_send(self, now: float, sequence: int, attempt: int) -> contract.SendCheck:
+        """Return what the router of the sequence says of an attempt before its first byte."""
+        pool = self._pool_of_sequence.get(sequence)
+        if pool is None:
+            return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
+        return self.routers[pool].check_send(now, sequence, attempt)
 
     def wake(self, now: float, token: int) -> list[contract.Action]:
-        """Wake the router that asked: tokens name its pool."""
+        """Wake the router that scheduled the wake-up; the token contains its pool."""
         own_token, pool = divmod(token, len(self.routers))
         return self._own_actions(pool, self.routers[pool].wake(now, own_token))
 
-    def _call_owner(self, sequence: int, call: str, now: float, *arguments: object) -> list[contract.Action]:
+    def _call_owner(
+        self, sequence: int, call: Callable[[contract.Router], list[contract.Action]]
+    ) -> list[contract.Action]:
+        """Call the router of a sequence; does nothing once the router has forgotten the sequence."""
         pool = self._pool_of_sequence.get(sequence)
         if pool is None:
             return []
-        return self._own_actions(pool, getattr(self.routers[pool], call)(now, sequence, *arguments))
+        return self._own_actions(pool, call(self.routers[pool]))
 
     def _own_actions(self, pool: int, actions: list[contract.Action]) -> list[contract.Action]:
-        """Return actions as the executor gets them: wake-ups name their pool."""
+        """Return the actions of a pool for the executor, with the pool in the tokens of wake-ups."""
         for position, action in enumerate(actions):
             if isinstance(action, contract.ScheduleWakeup):
                 actions[position] = action._replace(token=action.token * len(self.routers) + pool)
--- a/myrtlehub/node/engine_transport/__init__.py
+++ b/myrtlehub/node/engine_transport/__init__.py
@@ -1,12 +1,12 @@
-"""The engine transport: carries attempts to engines over gRPC.
+"""The engine transport: sends attempts to engines over gRPC.
 
-    transport             one channel an engine; starts and cancels attempts, releases, probes
+    transport             one channel per engine; starts and cancels attempts, sends releases and probes
     engine_requests       the protobuf messages that are sent
-    attempt_watcher       what all attempts have in common: outcomes and load reports from replies
+    attempt_watcher       the common part of all attempts: outcomes and load reports from replies
     read_attempt          the replies to a read
     write_attempt         the replies to a write: a stream of tokens
     batch_attempt         the replies to a part of a batch
 
-What an attempt's outcome leads to is decided by the router; sequence records are sent to replicas before an
-attempt starts by `myrtlehub.node.replication.replicated_transport`.
+The router decides what follows from an outcome. `myrtlehub.node.replication.replicated_transport` sends
+sequence records to replicas before an attempt starts.
 """
--- a/myrtlehub/node/engine_transport/attempt_watcher.py
+++ b/myrtlehub/node/engine_transport/attempt_watcher.py
@@ -1,4 +1,4 @@
-"""What all attempts have in common: outcomes and load reports from an engine's replies."""
+"""The common part of all attempts: outcomes and load reports from an engine's replies."""
 
 from typing import Protocol, TypeVar
 
@@ -7,7 +7,7 @@
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.routing import contract
-from myrtlehub.rpc.client_call import CallWatcher
+from myrtlehub.rpc.client_call import CallWatcher, ClientCall
 from myrtlehub.rpc.status import Code, Status
 
 Reply = TypeVar("Reply", bound=Message)
@@ -16,14 +16,16 @@
 class LoadCarrier(Protocol):
     """A message with an optional load report."""
 
-    load: Message
+    @property
+    def load(self) -> Message:
+        """The load report, which may be unset."""
 
-    def HasField(self, name: str) -> bool:  # noqa: N802
-        """Tell whether a field is set."""
+    def HasField(self, name: str, /) -> bool:  # noqa: N802 - protobuf's name
+        """Return whether a field is set."""
 
 
 def load_report_of(message: LoadCarrier) -> contract.LoadReport | None:
-    """Return a message's load report as the router's, None where there is none."""
+    """Return the load report of a message for the router, or None if it has none."""
     if not message.HasField("load"):
         return None
     load = message.load
@@ -33,9 +35,9 @@
 
 
 def outcome_of(status: Status) -> contract.Outcome:
-    """Return the outcome of an attempt whose engine itself reported none.
+    """Return the outcome of an attempt for which the engine has sent no final reply.
 
-    Only what surely never reached the engine's program counts as not having run.
+    The attempt counts as not executed only if it certainly did not reach the engine's program.
     """
     if status.unprocessed:
         return contract.Outcome.UNREACHED
@@ -44,8 +46,13 @@
     return contract.Outcome.TIMEOUT if status.code == Code.DEADLINE_EXCEEDED else contract.Outcome.ERROR
 
 
+def call_of(attempt: Attempt) -> ClientCall | None:
+    """Return the gRPC call of an attempt, or None before the attempt is sent."""
+    return attempt.call if isinstance(attempt.call, ClientCall) else None
+
+
 class AttemptWatcher(CallWatcher):
-    """Reports what an attempt's call brings to the action executor."""
+    """Reports the replies to an attempt, and the end of its call, to the action executor."""
 
     def __init__(self, executor: ActionExecutor, attempt: Attempt) -> None:
         self.executor = executor
@@ -56,10 +63,12 @@
         try:
             return reply_type.FromString(data)
         except ValueError:
-            self.attempt.call.cancel()
+            call = call_of(self.attempt)
+            if call is not None:
+                call.cancel()
             self.executor.ended(self.attempt, contract.Outcome.ERROR)
             return None
 
     def ended(self, status: Status) -> None:
-        """Take the end of the call."""
+        """Report the outcome of the call."""
         self.executor.ended(self.attempt, outcome_of(status))
--- a/myrtlehub/node/engine_transport/batch_attempt.py
+++ b/myrtlehub/node/engine_transport/batch_attempt.py
@@ -1,4 +1,7 @@
-"""The replies to a part of a batch: a stream of results, and a final message."""
+"""The replies to a part of a batch: a stream of results and a final message."""
+
+from collections.abc import Sequence
+from typing import NamedTuple
 
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.attempt_watcher import AttemptWatcher, load_report_of
@@ -7,15 +10,22 @@
 from myrtlehub.routing import contract
 
 
+class EngineResults(NamedTuple):
+    """The results of an engine batch, as its attempt reports them."""
+
+    model: str  # version of the model that made them
+    results: Sequence[pb.ItemResult]  # in the order of the items
+
+
 class BatchWatcher(AttemptWatcher):
-    """Watches a part of a batch: its results count once all are there; a part that broke off is retried."""
+    """Watches a part of a batch; its results count only once all of them have arrived."""
 
     def __init__(self, executor: ActionExecutor, attempt: Attempt) -> None:
         super().__init__(executor, attempt)
         self.results: list[pb.ItemResult] = []
 
     def message(self, data: bytes) -> None:
-        """Take results or the final reply."""
+        """Handle results or the final reply."""
         if not self.attempt.is_outstanding:
             return
         reply = self.parse(pb.BatchReply, data)
@@ -31,7 +41,7 @@
             self.executor.ended(self.attempt, contract.Outcome.FULL, 0.0, load)
 
     def _complete(self, ended: pb.BatchEnded) -> None:
-        self.executor.began(self.attempt, (ended.model, self.results))
+        self.executor.began(self.attempt, EngineResults(ended.model, self.results))
         self.executor.ended(
             self.attempt,
             contract.Outcome.GENERATED,
--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -7,11 +7,14 @@
 from myrtlehub.node.engine_transport.batch_attempt import BatchWatcher
 from myrtlehub.node.engine_transport.read_attempt import ReadWatcher
 from myrtlehub.node.engine_transport.write_attempt import WriteWatcher
+from myrtlehub.node.request_decoder import decoded_request_of
 from myrtlehub.node.sequences import NEVER, Attempt
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import Ownership
 
-DEADLINE_MARGIN = 0.05  # seconds past its timeout at which the engine's own deadline for an attempt falls
+DEADLINE_MARGIN = (
+    0.05  # seconds by which the deadline stated to an engine is later than the attempt's timeout
+)
 
 
 class EngineRequest(NamedTuple):
@@ -24,9 +27,9 @@
 
 
 def work_of(attempt: Attempt, ownership: Ownership, now: float) -> pb.Work:
-    """Return what all requests have in common."""
+    """Return the part that all requests have in common."""
     sequence = attempt.sequence
-    request = sequence.request
+    request = decoded_request_of(sequence)
     return pb.Work(
         epoch=ownership.epoch,
         owner=ownership.owner,
@@ -47,7 +50,7 @@
 
 def request_of(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
     """Return the request of an attempt: a part of a batch, a read or a write."""
-    if attempt.sequence.request.batch:
+    if decoded_request_of(attempt.sequence).batch:
         return _batch_request(executor, attempt, work, now)
     if attempt.is_read:
         return _read_request(executor, attempt, work, now)
@@ -55,8 +58,8 @@
 
 
 def _batch_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
-    # Fields of two serialised messages, one after the other, are those of one.
-    data = pb.BatchRequest(work=work).SerializeToString() + attempt.sequence.request.batch
+    # Two serialised protobuf messages in a row decode as one message with the fields of both.
+    data = pb.BatchRequest(work=work).SerializeToString() + decoded_request_of(attempt.sequence).batch
     timeout = attempt.times_out_at - now + DEADLINE_MARGIN
     return EngineRequest("Batch", BatchWatcher(executor, attempt), timeout, data)
 
@@ -69,9 +72,10 @@
 
 def _write_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
     sequence = attempt.sequence
-    state = attempt.claimed_state.handle if attempt.claimed_state else None
+    handle = attempt.claimed_state.handle if attempt.claimed_state else None
+    state = handle if isinstance(handle, pb.State) else None
     data = pb.WriteRequest(work=work, state=state).SerializeToString()
-    # A stream may last longer than the attempt's timeout, which is for its first token.
-    time_left = sequence.request.deadline_in - (now - sequence.accepted_at)
+    # The attempt's timeout is for its first token only; the stream may last until the call's own deadline.
+    time_left = decoded_request_of(sequence).deadline_in - (now - sequence.accepted_at)
     timeout = time_left + DEADLINE_MARGIN if time_left != NEVER else None
     return EngineRequest("Write", WriteWatcher(executor, attempt), timeout, data)
--- a/myrtlehub/node/engine_transport/read_attempt.py
+++ b/myrtlehub/node/engine_transport/read_attempt.py
@@ -1,4 +1,4 @@
-"""The replies to a read: one message, and the status."""
+"""The reply to a read: one message and the status."""
 
 from myrtlehub.node.engine_transport.attempt_watcher import AttemptWatcher, load_report_of
 from myrtlehub.proto import engine_pb2 as pb
@@ -7,16 +7,16 @@
 
 
 class ReadWatcher(AttemptWatcher):
-    """Watches an attempt at a reader: its reply counts once the call has ended well."""
+    """Watches an attempt at a reader; its reply counts once the call has ended with status OK."""
 
     reply: bytes | None = None
 
     def message(self, data: bytes) -> None:
-        """Take the reply."""
+        """Store the reply."""
         self.reply = data
 
     def ended(self, status: Status) -> None:
-        """Take the end of the call, and with it the reply."""
+        """Report the outcome by the status and the reply."""
         if status.code != Code.OK or self.reply is None:
             super().ended(status)
             return
--- a/myrtlehub/node/engine_transport/write_attempt.py
+++ b/myrtlehub/node/engine_transport/write_attempt.py
@@ -1,11 +1,11 @@
-"""The replies to a write: a stream of tokens, and a final message."""
+"""The replies to a write: a stream of tokens and a final message."""
 
 from myrtlehub.node.engine_transport.attempt_watcher import AttemptWatcher, load_report_of
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.routing import contract
 
-# The first byte of a reply whose oneof is field 1: tokens, in WriteReply and GenerateReply alike. Such a
-# message goes to the client as it came.
+# The first byte of a reply with tokens: its oneof is field 1 in both WriteReply and GenerateReply, so the
+# message is passed to the client without being decoded.
 TOKENS_TAG = 0x0A
 TOKENS_PREFIX = bytes((TOKENS_TAG,))
 
@@ -14,7 +14,7 @@
     """Watches an attempt at a writer."""
 
     def message(self, data: bytes) -> None:
-        """Take tokens or the final reply."""
+        """Handle tokens or the final reply."""
         attempt = self.attempt
         if data[:1] == TOKENS_PREFIX:
             if attempt.is_streaming:
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -1,21 +1,18 @@
-"""A whole node: its servers, its endpoint list and the runtime of its settings.
+"""A complete node: its servers, its endpoint list and the runtime of its settings.
 
-Where it listens is the caller's.
+The process listens with the servers.
 """
 
 from collections.abc import Callable
 from dataclasses import replace
-from pathlib import Path
+from typing import NamedTuple
 
 from twisted.internet.defer import Deferred
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.log_events import Log, LogEvent, no_log
-from myrtlehub.membership.background import RunInBackground, run_now
 from myrtlehub.membership.endpoint_source import EndpointListUpdate, EndpointSource
-from myrtlehub.membership.endpoint_watcher import SnapshotReader
-from myrtlehub.membership.file_monitor import WatchDirectories, poll_only
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.admin.service import NodeAdmin
 from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
@@ -27,18 +24,39 @@
 from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.node_runtime import NodeRuntime, RuntimeContext
 from myrtlehub.node.replication.engine_claims import close_at_engines
+from myrtlehub.node.replication.peer_connections import Dialer
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.revision import program_digest
 from myrtlehub.node.traffic_counters import TrafficCounters
 from myrtlehub.rpc.server import Server
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-MIN_LOGGED_LAG = 0.1  # seconds; a new worst event loop lag above this is logged
-IDLE_CHECK_INTERVAL = 0.5  # seconds between checks whether replaced runtimes still have sequences
+MIN_LOGGED_LAG = 0.1  # seconds; a new maximum of the event loop lag is logged if it is above this
+IDLE_CHECK_INTERVAL = 0.5  # seconds between two checks whether replaced runtimes have become idle
 
 
-def _ignore() -> None:
-    """Take no note."""
+class NodeEnvironment(NamedTuple):
+    """What a process, or a test, gives its node: clock, network, log and files.
+
+    Attributes:
+        clock: its only clock.
+        dial: returns how a channel connects to an address.
+        incarnation: identifies this process among those of the same node; part of sequence ids.
+        log: writes log events.
+        executor_class: executes the actions of its router.
+        files: access to the files of its endpoint list.
+    """
+
+    clock: Clock
+    dial: Dialer
+    incarnation: str = "0"
+    log: Log = no_log
+    executor_class: type[ActionExecutor] = ActionExecutor
+    files: FileAccess = FileAccess()
+
+
+def _ignore_drain_request() -> None:
+    """Do nothing; the default of a node whose process cannot be ended by an order."""
 
 
 class _EndpointRepublisher(ExecutorObserver):
@@ -53,72 +71,57 @@
 
 
 class Node:
-    """One node on a clock. `server` and `admin` are factories to listen with."""
-
-    def __init__(
-        self,
-        sheet: NodeConfig,
-        clock: Clock,
-        dial: Callable[[str], Callable],
-        run: str = "0",
-        log: Log = no_log,
-        executor_class: type[ActionExecutor] = ActionExecutor,
-        base: Path = Path(),
-        notify: WatchDirectories = poll_only,
-        reader: SnapshotReader | None = None,
-        beside: RunInBackground = run_now,
-    ) -> None:
-        """Start a node.
-
-        Args:
-            sheet: its settings.
-            clock: its clock.
-            dial: returns how a channel connects to an address.
-            run: names its incarnation.
-            log: the operators' log.
-            executor_class: executes the actions of its router.
-            base: folder that relative paths of the settings start from.
-            notify: tells of changes in folders.
-            reader: reads the files of the endpoint list.
-            beside: runs what may block.
-        """
-        self.clock = clock
-        self.log = log
-        self.run = run
+    """One node on a clock.
+
+    Attributes:
+        server: serves clients; the process listens with it.
+        admin: serves the admin service; the process listens with it.
+        on_drain_requested: called when the admin service is asked to drain the node; set by the process.
+    """
+
+    def __init__(self, sheet: NodeConfig, environment: NodeEnvironment) -> None:
+        """Start a node with the settings `sheet`."""
+        self.clock = environment.clock
+        self.log = environment.log
+        self.incarnation = environment.incarnation
         self.program = program_digest()
-        self.started_at = clock.seconds()
+        self.started_at = self.clock.seconds()
         self.counters = TrafficCounters()
-        self.replication = self._make_replication(sheet, dial)
-        self.context = RuntimeContext(clock, dial, run, log, executor_class, self.counters, self.replication)
+        self.replication = self._make_replication(sheet, environment.dial)
+        self.context = RuntimeContext(
+            self.clock,
+            environment.dial,
+            self.incarnation,
+            self.log,
+            environment.executor_class,
+            self.counters,
+            self.replication,
+        )
         self.runtime = NodeRuntime(sheet, self.context)
         self._follow_replication()
-        self.replaced_runtimes: list[NodeRuntime] = []  # that have sequences in flight
-        self._generated_before = 0  # answers that were generated before the present settings were applied
+        self.replaced_runtimes: list[NodeRuntime] = []  # those that still have sequences in flight
+        self._generated_before = 0  # answers generated before the present settings were applied
         self.is_draining = False
         self._drain: Drain | None = None
+        self.on_drain_requested: Callable[[], None] = _ignore_drain_request
         self.server = self._make_server()
         self.runtime.serve(self.server)
-        self.admin = Server(clock)
         self.endpoint_source = make_endpoint_source(
-            sheet,
-            FileAccess(base, notify, reader, beside),
-            clock,
-            log,
-            lambda: self.transport.unreachable_engines(),
+            sheet, environment.files, self.clock, self.log, lambda: self.transport.unreachable_engines()
         )
-        self.on_leave: Callable[[], None] = _ignore  # an order to leave came: the caller drains
+        self.admin = Server(self.clock)
         self.admin_service = NodeAdmin(self)
         self.admin_service.serve(self.admin)
         self._endpoint_republisher = _EndpointRepublisher(self.endpoint_source)
         self.executor.add_observer(self._endpoint_republisher)
         self.endpoint_source.follow(self._update_endpoints)
 
-    # -- parts ------------------------------------------------------------------------------------
+    # -- construction ------------------------------------------------------------------------------------
 
-    def _make_replication(self, sheet: NodeConfig, dial: Callable[[str], Callable]) -> Replication | None:
+    def _make_replication(self, sheet: NodeConfig, dial: Dialer) -> Replication | None:
         if not sheet.takeover:
             return None
-        return Replication(sheet.takeover, sheet.node.name, self.run, self.clock, dial, self.log)
+        return Replication(sheet.takeover, sheet.node.name, self.incarnation, self.clock, dial, self.log)
 
     def _follow_replication(self) -> None:
         if self.replication is None:
@@ -172,7 +175,7 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether it has an endpoint list and has generated an answer by its present settings."""
+        """Whether it has an endpoint list and has generated an answer with its present settings."""
         has_endpoints = bool(self.executor.decoder.engines.index_of)
         return has_endpoints and self.counters.generated > self._generated_before
 
@@ -187,7 +190,7 @@
     # -- change of settings -----------------------------------------------------------------------
 
     def apply(self, sheet: NodeConfig) -> None:
-        """Apply settings from the next sequence on; `settings_change.validate_change` has passed them."""
+        """Apply settings that `settings_change.validate_change` accepted, from the next sequence on."""
         former = self.runtime
         endpoints = self.endpoint_source.endpoints(sheet.list.engines if not sheet.list.pushed else None)
         self.runtime = NodeRuntime(sheet, self.context, former.number + 1, former)
@@ -196,7 +199,7 @@
         self.executor.add_observer(self._endpoint_republisher)
         former.executor.remove_observer(self._endpoint_republisher)
         self.runtime.update_endpoints(endpoints, True, former.executor.list_version + 1)
-        # Replaced runtimes go on sending for their sequences: the list is theirs, too.
+        # Replaced runtimes continue to send attempts of their sequences, so they need the list too.
         for runtime in (former, *self.replaced_runtimes):
             runtime.update_endpoints(endpoints, True, former.executor.list_version + 1)
         self.runtime.serve(self.server)
@@ -216,8 +219,8 @@
     # -- event loop lag ---------------------------------------------------------------------------
 
     def measure_lag(self) -> None:
-        """Measure the event loop lag from here on: the request decoder takes it off deadlines."""
-        lag = self.executor.decoder.lag
+        """Measure the event loop lag from now on; the request decoder subtracts it from deadlines."""
+        lag = self.runtime.decoder.lag
         now = self.clock.seconds()
         worst_before = lag.worst
         due = lag.tick(now)
@@ -227,22 +230,28 @@
 
     # -- drain ------------------------------------------------------------------------------------
 
-    def drain(self) -> Deferred:
-        """Accept nothing new; fires once all is answered, at the latest after `drain_within`.
+    def request_drain(self) -> None:
+        """Ask the process to drain the node and to end."""
+        self.on_drain_requested()
+
+    def drain(self) -> "Deferred[None]":
+        """Accept nothing new; the Deferred fires when all is answered, at the latest after `drain_within`.
 
-        A second call, as where SIGTERM comes amid an order to leave, fires with the first.
+        It may be called again, for example by SIGTERM during a drain that the admin service requested: both
+        Deferreds fire together.
         """
         if self._drain is None:
-            self._start_drain()
+            self._drain = self._start_drain()
         return self._drain.wait()
 
-    def _start_drain(self) -> None:
+    def _start_drain(self) -> Drain:
         self.is_draining = True
         self.front.is_closed = True
         self.server.drain()
-        within = self.sheet.node.drain_within
+        timeout = self.sheet.node.drain_within
         runtimes = self._all_runtimes()
         sequences = sum(len(runtime.executor.in_flight) for runtime in runtimes)
-        self.log(LogEvent.DRAINING, in_flight=sequences, timeout_s=within)
-        self._drain = Drain(self.clock, runtimes, within)
-        self._drain.start(hands_over=self.replication is not None and self.sheet.engines_may.claims)
+        self.log(LogEvent.DRAINING, in_flight=sequences, timeout_s=timeout)
+        drain = Drain(self.clock, runtimes, timeout)
+        drain.start(hands_over=self.replication is not None and self.sheet.engines_may.claims)
+        return drain
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -1,12 +1,12 @@
-"""What a node runs by one reading of its settings: router, executor, transport, limits and fronts.
+"""What a node runs with one version of its settings: router, executor, transport, limits and fronts.
 
-A node has one runtime that takes new sequences. One whose settings were replaced goes on with the sequences
-that it has, by the settings that they began with, and then ends.
+One runtime of a node accepts new sequences. A runtime whose settings were replaced completes its sequences in
+flight with the settings that they began with.
 """
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from random import Random
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
@@ -17,7 +17,7 @@
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.batch_fronts.coordinator import BatchCoordinator
 from myrtlehub.node.batch_fronts.embeddings import EMBEDDINGS
-from myrtlehub.node.batch_fronts.grpc_front import serve_front
+from myrtlehub.node.batch_fronts.grpc_front import BatchFront, RequestT, serve_front
 from myrtlehub.node.batch_fronts.rerank import RERANK
 from myrtlehub.node.chat_front.admission_queue import QueuedRequest
 from myrtlehub.node.chat_front.chat_front import ChatFront, ChatFrontLimits, TakeoverSupport
@@ -26,6 +26,7 @@
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import EngineTransport
+from myrtlehub.node.replication.peer_connections import Dialer
 from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replicated_transport import ReplicatedTransport
 from myrtlehub.node.replication.replication import Replication
@@ -37,20 +38,18 @@
 from myrtlehub.routing.policy.router import Router
 from myrtlehub.rpc.server import Server
 
-BATCH_FRONTS = (EMBEDDINGS, RERANK)
-# What is drawn at random in one part does not shift the draws of another: each has a seed of its own, counted
-# from the node's.
+# Added to the node's seed: each part has its own random numbers, which do not depend on how many others draw.
 TRANSPORT_SEED_OFFSET = 1
 ADMISSION_SEED_OFFSET = 2
 RETRY_BUDGET_SEED_OFFSET = 3
-ANY_RETRIES = "any"  # `limits.retries`: no retry budget
+ANY_RETRIES: Final = "any"  # `limits.retries`: no retry budget
 
 
 class RuntimeContext(NamedTuple):
     """What all runtimes of one node have in common."""
 
     clock: Clock
-    dial: Callable[[str], Callable]  # how channels connect to an address
+    dial: Dialer  # returns how a channel connects to an address
     incarnation: str
     log: Log
     executor_class: type[ActionExecutor]
@@ -59,13 +58,13 @@
 
 
 class _ReplicationObserver(ExecutorObserver):
-    """Notifies the publisher of sequence records of answers."""
+    """Notifies the publisher of sequence records when answers start and end."""
 
     def __init__(self, publisher: RecordPublisher) -> None:
         self._publisher = publisher
 
     def answer_started(self, sequence: InFlightSequence) -> None:
-        """Report that an answer streams."""
+        """Report that an answer has started to stream."""
         self._publisher.answer_started(sequence)
 
     def answered(self, sequence: InFlightSequence) -> None:
@@ -74,7 +73,7 @@
 
 
 class NodeRuntime:
-    """One settings' worth of a node."""
+    """Router, executor, transport, limits and fronts of a node, with one version of its settings."""
 
     def __init__(
         self,
@@ -83,18 +82,19 @@
         number: int = 0,
         predecessor: "NodeRuntime | None" = None,
     ) -> None:
-        """Start a runtime; it takes calls once `serve` is called.
+        """Start a runtime; it accepts calls once `serve` is called.
 
         Args:
             sheet: the settings.
             context: what it shares with other runtimes of the node.
-            number: how many changes of settings this process has applied.
+            number: the number of changes of settings that this process has applied before.
             predecessor: the runtime whose settings these replace.
         """
         self.sheet = sheet
         self.context = context
         self.number = number
         self.fronts = fronts_of(sheet)
+        self.decoder = RequestDecoder(sheet)
         self.transport = self._make_transport()
         self.executor = self._make_executor()
         self.transport.executor = self.executor
@@ -102,12 +102,13 @@
             self._share_with(predecessor)
         self._follow_answers()
         self.client_limits = self._make_client_limits()
-        self.batches = BatchCoordinator(self.executor, sheet, context.clock)
-        self.batches.dispatcher.pooled_fronts = self.fronts if len(self.fronts) > 1 else []
+        self.batches = BatchCoordinator(self.executor, self.decoder, sheet, context.clock)
+        if len(self.fronts) > 1:
+            self.batches.dispatcher.pooled_fronts = self.fronts
         self.front = self._make_chat_front()
         self.executor.start()
 
-    # -- parts ------------------------------------------------------------------------------------
+    # -- construction ------------------------------------------------------------------------------------
 
     def _make_transport(self) -> GrpcEngineTransport:
         node = self.sheet.node
@@ -121,14 +122,14 @@
 
     def _make_executor(self) -> ActionExecutor:
         context = self.context
-        # Ids name the incarnation and the settings: a node that came back must not speak of old sequences.
+        # Ids contain the incarnation and the settings, so that no two sequences of a node ever share one.
         run = f"{context.incarnation}~{self.number}" if self.number else context.incarnation
         transport: EngineTransport = self.transport
         if context.replication is not None:
             transport = ReplicatedTransport(self.transport, context.replication)
         executor = context.executor_class(
             self._make_router(),
-            RequestDecoder(self.sheet),
+            self.decoder,
             router_config_of(self.sheet),
             context.clock,
             transport,
@@ -139,7 +140,7 @@
         return executor
 
     def _make_router(self) -> contract.Router:
-        """Return the router; where several fronts are served, one for each engine pool."""
+        """Return the router; with several fronts, it consists of one for each engine pool."""
         sheet, fronts = self.sheet, self.fronts
         if len(fronts) == 1:
             return Router(router_config_of(sheet, fronts[0]))
@@ -154,12 +155,14 @@
         )
 
     def _share_with(self, predecessor: "NodeRuntime") -> None:
-        self.transport.channels = predecessor.transport.channels  # a change of settings opens no connection
-        self.executor.decoder.lag = predecessor.executor.decoder.lag
+        self.transport.channels = (
+            predecessor.transport.channels
+        )  # so that a change of settings opens no connections
+        self.decoder.lag = predecessor.decoder.lag
 
     def _follow_answers(self) -> None:
         counters, replication = self.context.counters, self.context.replication
-        counters.follow(self.executor)
+        counters.follow(self.executor, self.decoder.rows)
         if replication is None:
             return
         self.executor.add_observer(_ReplicationObserver(replication.publisher))
@@ -182,7 +185,11 @@
             admission=self._make_admission_controller(),
         )
         return ChatFront(
-            self.executor, limits, self._takeover_support(), self.context.counters.record_rejected
+            self.executor,
+            self.decoder,
+            limits,
+            self._takeover_support(),
+            self.context.counters.record_rejected,
         )
 
     def _make_admission_controller(self) -> AdmissionController[QueuedRequest] | None:
@@ -197,17 +204,21 @@
             return None
         return TakeoverSupport(replication, self.transport, self.sheet.engines_may.claims)
 
-    # -- what the node does with it ---------------------------------------------------------------
+    # -- use by the node ---------------------------------------------------------------
 
     def serve(self, server: Server) -> None:
-        """Take all new calls from here on; calls that are in flight stay with the runtime that took them."""
+        """Accept all new calls; calls in flight stay with the runtime that accepted them."""
         self.front.serve(server)
-        for front in BATCH_FRONTS:
-            if front.name in self.fronts:
-                serve_front(front, self.batches, server, lambda: self.front.is_closed, self.client_limits)
-            else:
-                for path in (front.unary_path, front.stream_path):
-                    server.methods.pop(path, None)
+        self._serve_batches(server, EMBEDDINGS)
+        self._serve_batches(server, RERANK)
+
+    def _serve_batches(self, server: Server, front: BatchFront[RequestT]) -> None:
+        """Serve a batch front, or stop serving it if no traffic type of these settings is for it."""
+        if front.name in self.fronts:
+            serve_front(front, self.batches, server, lambda: self.front.is_closed, self.client_limits)
+            return
+        for path in (front.unary_path, front.stream_path):
+            server.methods.pop(path, None)
 
     def update_endpoints(
         self,
@@ -216,9 +227,9 @@
         version: int | None = None,
         digest: str | None = None,
     ) -> None:
-        """Take the endpoint list or a change to it, as far as these settings know its kinds and zones."""
-        decoder = self.executor.decoder
-        known = [row for row in endpoints if row.kind in decoder.kinds and row.zone in decoder.zones]
+        """Apply the endpoint list, or a change to it, without endpoints of unknown kinds or zones."""
+        kinds, zones = self.decoder.kinds, self.decoder.zones
+        known = [row for row in endpoints if row.kind in kinds and row.zone in zones]
         self.executor.update_endpoints(known, is_complete, version, digest)
         self.batches.endpoints_changed()
 
@@ -228,7 +239,7 @@
         return not self.executor.in_flight and not self.batches.in_flight
 
     def abort_all(self, reason: str) -> None:
-        """Answer all that is in flight, now."""
+        """Abort all sequences and batches in flight."""
         for batch in list(self.batches.in_flight):
             batch.deadline_passed()
         for sequence in list(self.executor.in_flight.values()):
--- a/myrtlehub/node/process_usage.py
+++ b/myrtlehub/node/process_usage.py
@@ -1,4 +1,4 @@
-"""What this process uses of its machine."""
+"""Memory and processor time of this process."""
 
 import resource
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def resident_memory() -> int:
-    """Return the bytes of this process that are resident; 0 where the system does not tell."""
+    """Return the resident memory of this process in bytes; 0 if the system does not report it."""
     try:
         return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_SIZE
     except (OSError, ValueError, IndexError):
@@ -15,6 +15,6 @@
 
 
 def cpu_seconds() -> float:
-    """Return the processor time that this process has used."""
+    """Return the processor time of this process in seconds."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
--- a/myrtlehub/node/request_decoder.py
+++ b/myrtlehub/node/request_decoder.py
@@ -1,55 +1,68 @@
-"""The request decoder: turns names and ids from outside into dense indices, and checks requests."""
+"""The request decoder: maps names and ids of requests to dense indices, and checks requests."""
 
+from collections.abc import Mapping
 from typing import NamedTuple
 
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.config.traffic import TrafficTypeConfig
 from myrtlehub.limits.event_loop_lag import LagMeter
 from myrtlehub.node.endpoint_index import EndpointIndex, hash_key
+from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.routing import contract
 
-MAX_MARK_BYTES = 200
+MAX_MARK_BYTES = 200  # of an idempotency key; engines store it for the dedup window
 
 
 class InvalidRequestError(Exception):
-    """A request is malformed: it was not accepted, and nothing ran. The text says what to correct."""
+    """A request is malformed and was not accepted, so nothing ran; the message says what to correct."""
 
 
 class DecodedRequest(NamedTuple):
-    """A request as it came, whatever the front."""
+    """A request of any front."""
 
     traffic_type: str
     tenant: str = ""
     session: str = ""
     prefix: str = ""
-    shared_tokens: int = 0  # of the prompt, those of the prefix
+    shared_tokens: int = 0  # prompt tokens of the shared prefix
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     time_left: float = 0.0  # seconds; 0: the traffic type's abandon time
     deadline_in: float = float("inf")  # seconds to the call's own deadline
     mark: str = ""  # idempotency key
     is_retry: bool = False
-    expected_seconds: float = 0.0  # seconds of answer, a rough estimate; 0: none
+    expected_seconds: float = 0.0  # estimated duration of the answer; 0: unknown
     text: bytes = b""
     front: str = "chat"
-    batch: bytes = b""  # of a part: a BatchRequest without its `work`
+    batch: bytes = b""  # of a batch part: a serialised BatchRequest without its `work`
+
+
+def decoded_request_of(sequence: InFlightSequence) -> DecodedRequest:
+    """Return the request of a sequence that a front of this node accepted.
+
+    Raises:
+        TypeError: the sequence was accepted with another type of request.
+    """
+    if not isinstance(sequence.request, DecodedRequest):
+        raise TypeError(f"{sequence.sequence_id}: {type(sequence.request).__name__} is not a DecodedRequest")
+    return sequence.request
 
 
 class RequestDecoder:
-    """Names of a node's settings against indices, and requests against what the settings allow."""
+    """Maps names of a node's settings to indices, and checks requests against the settings."""
 
     def __init__(self, sheet: NodeConfig) -> None:
         self.rows = sheet.traffic
         self.traffic = {row.name: index for index, row in enumerate(sheet.traffic)}
         self.tenants = {tenant.name: index for index, tenant in enumerate(sheet.tenants)}
-        self.kinds = {kind.name: index for index, kind in enumerate(sheet.kinds)}
-        self.zones = {zone: index for index, zone in enumerate(sheet.zones)}
+        self.kinds: Mapping[str, int] = {kind.name: index for index, kind in enumerate(sheet.kinds)}
+        self.zones: Mapping[str, int] = {zone: index for index, zone in enumerate(sheet.zones)}
         self.slack = sheet.rules.answer_slack
         self.engines = EndpointIndex()
-        self.lag = LagMeter()  # whoever runs the node measures; without that it takes nothing off
+        self.lag = LagMeter()  # shortens deadlines by the event loop lag, once it is measured
 
     def arrival(self, request: DecodedRequest, now: float) -> contract.Arrival:
-        """Return what the router is told of a request.
+        """Return a request as the arrival that is reported to the router.
 
         Raises:
             InvalidRequestError: the request is malformed; the text names the field.
@@ -98,7 +111,7 @@
     name = request.traffic_type
     if row.front != request.front:
         raise InvalidRequestError(f"traffic_type {name!r} is for the front {row.front!r}")
-    if row.repeats == contract.RetrySemantics.IDEMPOTENCY_KEY and not request.mark:
+    if contract.RetrySemantics(row.repeats) is contract.RetrySemantics.IDEMPOTENCY_KEY and not request.mark:
         raise InvalidRequestError(f"mark is required for traffic type {name!r}: repeats are known by it")
     if len(request.mark.encode()) > MAX_MARK_BYTES:
         raise InvalidRequestError(f"mark is longer than {MAX_MARK_BYTES} bytes")
--- a/myrtlehub/node/revision.py
+++ b/myrtlehub/node/revision.py
@@ -1,4 +1,4 @@
-"""What a node runs: digests of its program and of its settings, equal wherever these are equal."""
+"""Digests of a node's program and of its settings; nodes with equal digests run the same."""
 
 import os
 from functools import cache
@@ -9,12 +9,11 @@
 
 from myrtlehub.config.node import NodeConfig
 
-BUILD_LABEL_VARIABLE = (
-    "HUB_BUILD"  # what an operator's build adds to the package's files, such as its libraries
-)
-# Of `node`: every node has its own.
+# Environment variable that names what an operator's build adds to the package's files, such as libraries.
+BUILD_LABEL_VARIABLE = "HUB_BUILD"
+# Fields of `node` that differ between the nodes of a fleet.
 OWN_FIELDS = ("name", "listen", "admin", "index", "seed", "zone")
-# Of `list`: engines come and go, and paths say where this node has its files.
+# Fields of `list` that change while a fleet runs (engines), or that are paths on one machine.
 LIST_FIELDS = ("engines", "files", "store")
 
 
@@ -29,7 +28,7 @@
 
 
 def settings_digest(sheet: NodeConfig) -> str:
-    """Return the digest of a node's settings, without the engines and what is each node's own."""
+    """Return the digest of a node's settings, without engines and fields that differ between nodes."""
     fields = sheet.model_dump(mode="json")
     for name in OWN_FIELDS:
         fields["node"].pop(name)
--- a/myrtlehub/node/router_config.py
+++ b/myrtlehub/node/router_config.py
@@ -5,26 +5,26 @@
 
 from myrtlehub.config.engines import EngineKindConfig
 from myrtlehub.config.node import NodeConfig
-from myrtlehub.config.traffic import TrafficTypeConfig
+from myrtlehub.config.traffic import Front, TrafficTypeConfig
 from myrtlehub.routing import contract
 
 
 class FrontStages(NamedTuple):
-    """Which kinds of engines read for a front, and which write."""
+    """The kinds of engines that read for a front, and those that write."""
 
     reads: Callable[[EngineKindConfig], bool]
     writes: Callable[[EngineKindConfig], bool]
 
 
-# What has a single stage is written, with nothing to read.
-STAGES_BY_FRONT = {
+# The single stage of embeddings and rerank counts as the write.
+STAGES_BY_FRONT: dict[Front, FrontStages] = {
     "chat": FrontStages(lambda kind: kind.reads, lambda kind: kind.writes),
     "embed": FrontStages(lambda kind: False, lambda kind: kind.embeds),
     "rank": FrontStages(lambda kind: False, lambda kind: kind.ranks),
 }
 
 
-def fronts_of(sheet: NodeConfig) -> list[str]:
+def fronts_of(sheet: NodeConfig) -> list[Front]:
     """List the fronts that have a traffic type, chat first."""
     used = {row.front for row in sheet.traffic}
     return [front for front in STAGES_BY_FRONT if front in used]
@@ -34,7 +34,7 @@
     """Return a row of the settings as the router's traffic type."""
     return contract.TrafficType(
         retry_semantics=contract.RetrySemantics(row.repeats),
-        # What is done in one stage is there whole or not at all: its abandon time is what has to be met.
+        # The results of a single stage arrive all at once, so only the abandon time matters.
         latency_slo=row.latency_slo if row.front == "chat" else row.abandon_time,
         slo_per_token=row.slo_per_1000_tokens / 1000.0,
         abandon_time=row.abandon_time,
@@ -46,8 +46,8 @@
     )
 
 
-def router_config_of(sheet: NodeConfig, front: str = "chat") -> contract.RouterConfig:
-    """Return the configuration of the router for one front; all of it comes from the settings."""
+def router_config_of(sheet: NodeConfig, front: Front = "chat") -> contract.RouterConfig:
+    """Return the configuration of the router for one front, taken from the settings alone."""
     stages = STAGES_BY_FRONT[front]
     is_chat = front == "chat"
     node, rules, may = sheet.node, sheet.rules, sheet.engines_may
--- a/myrtlehub/node/settings_change.py
+++ b/myrtlehub/node/settings_change.py
@@ -1,22 +1,22 @@
-"""Settings that are to replace a running node's: validated whole before any of them applies."""
+"""Validation of settings that are to replace those of a running node."""
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.membership.list_faults import find_list_faults
 
-FIXED_FIELDS = ("name", "listen", "admin", "zone")  # of `node`: they change with the process alone
+FIXED_FIELDS = ("name", "listen", "admin", "zone")  # fields of `node` that only a restart can change
 
 
 class SettingsChangeError(Exception):
-    """The node could not route by these settings, or cannot change to them in place; the text says why."""
+    """The node could not route with these settings, or cannot change to them in place."""
 
 
 def parse_settings(text: str) -> NodeConfig:
     """Parse a node's settings file.
 
     Raises:
-        Faults: the text is wrong, one line each.
+        ConfigError: the text has faults; the message has a line for each.
     """
     return parse_config(text, NodeConfig, "staged")
 
@@ -58,7 +58,7 @@
 
 
 def _routing_faults(staged: NodeConfig, rows: list[EndpointConfig]) -> list[str]:
-    """List why these rows could not be routed to by the staged settings."""
+    """Return the reasons why a node could not route to these endpoints with the staged settings."""
     kinds = {kind.name: kind for kind in staged.kinds}
     faults = find_list_faults(rows, kinds, staged.zones, staged.engines_may.read_alone)
     serving = [
--- a/myrtlehub/node/traffic_counters.py
+++ b/myrtlehub/node/traffic_counters.py
@@ -1,10 +1,8 @@
-"""Counters of a node by traffic type, since its start; canary analysis compares them between nodes.
-
-They cost a few additions an answer, and say nothing of a single sequence.
-"""
+"""Counters of a node by traffic type since its start, which canary analysis compares between nodes."""
 
 import math
 from collections import Counter
+from collections.abc import Sequence
 
 from hdrh.histogram import HdrHistogram
 
@@ -16,8 +14,8 @@
 
 MICROSECONDS = 1e6  # in a second
 MAX_LATENCY = 600_000_000  # microseconds; longer latencies are recorded as this
-HISTOGRAM_DIGITS = 2  # significant: 1 in 100 is finer than any threshold of canary analysis
-MIN_LATENCY_SECONDS = 1e-6  # guards the logarithm
+HISTOGRAM_DIGITS = 2  # significant digits; 1 per cent is finer than any threshold of canary analysis
+MIN_LATENCY_SECONDS = 1e-6  # shorter latencies are recorded as this, as 0 has no logarithm
 
 
 class TrafficTypeCounters:
@@ -36,8 +34,8 @@
     def __init__(self) -> None:
         self.requests = 0
         self.attempts = 0
-        self.offered_utility = 0.0  # of all requests whose client stayed
-        self.earned_utility = 0.0  # the part of it that answers earned
+        self.offered_utility = 0.0  # of all requests whose client waited for the answer
+        self.earned_utility = 0.0  # the part of it that answers earned, by their lateness
         self.answers: Counter[str] = Counter()
         self.first_token_histogram = HdrHistogram(1, MAX_LATENCY, HISTOGRAM_DIGITS)  # microseconds
         self.first_token_log_sum = 0.0  # of the natural logarithms of seconds
@@ -51,40 +49,39 @@
 
 
 class TrafficCounters:
-    """Counters of one process, over all settings that it had."""
+    """Counters of one process, across changes of its settings."""
 
     def __init__(self) -> None:
         self.by_type: dict[str, TrafficTypeCounters] = {}
         self.generated = 0
 
-    def follow(self, executor: ActionExecutor) -> None:
-        """Count an executor's answers."""
-        executor.add_observer(_AnswerObserver(self, executor))
+    def follow(self, executor: ActionExecutor, rows: Sequence[TrafficTypeConfig]) -> None:
+        """Count an executor's answers; `rows` are the traffic types of its settings, by index."""
+        executor.add_observer(_AnswerObserver(self, rows))
 
     def of_type(self, name: str) -> TrafficTypeCounters:
-        """Return the counters of a traffic type; made at their first use."""
+        """Return the counters of a traffic type, and make them at the first use."""
         counters = self.by_type.get(name)
         if counters is None:
             counters = self.by_type[name] = TrafficTypeCounters()
         return counters
 
     def record_rejected(self, row: TrafficTypeConfig) -> None:
-        """Count a request that was rejected before the executor had it."""
+        """Count a request that was rejected before it reached the executor."""
         counters = self.of_type(row.name)
         counters.requests += 1
         counters.offered_utility += row.utility
         counters.answers[AnswerState.REJECTED.value] += 1
 
-    def record_answered(self, executor: ActionExecutor, sequence: InFlightSequence) -> None:
-        """Count a sequence of an executor that has its final answer."""
-        row = executor.decoder.rows[sequence.arrival.traffic]
+    def record_answered(self, row: TrafficTypeConfig, sequence: InFlightSequence) -> None:
+        """Count a sequence of this traffic type that has its final answer."""
         answer = sequence.answer.state
         counters = self.of_type(row.name)
         counters.requests += 1
         counters.answers[answer] += 1
         counters.attempts += len(sequence.attempts)
         if answer == AnswerState.CLIENT_LEFT:
-            return  # nobody waited for it: there was no utility to earn
+            return  # a client that disconnected waits for no answer, so there is no utility to earn
         counters.offered_utility += row.utility
         latency = sequence.first_token_latency
         if latency is not None:
@@ -99,10 +96,10 @@
 class _AnswerObserver(ExecutorObserver):
     """Counts the answers of one executor."""
 
-    def __init__(self, counters: TrafficCounters, executor: ActionExecutor) -> None:
+    def __init__(self, counters: TrafficCounters, rows: Sequence[TrafficTypeConfig]) -> None:
         self._counters = counters
-        self._executor = executor
+        self._rows = rows
 
     def answered(self, sequence: InFlightSequence) -> None:
         """Count an answer."""
-        self._counters.record_answered(self._executor, sequence)
+        self._counters.record_answered(self._rows[sequence.arrival.traffic], sequence)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,8 +9,10 @@
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.emulator.server import EmulatedEngine
+from myrtlehub.log_events import Log, no_log
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.node import Node
+from myrtlehub.node.endpoint_list_source import FileAccess
+from myrtlehub.node.node import Node, NodeEnvironment
 from myrtlehub.proto import admin_pb2, chat_pb2, engine_pb2
 from myrtlehub.records import Record, Recorder
 from myrtlehub.rpc.channel import Channel
@@ -157,18 +159,21 @@
             + self.more
         )
 
-    def node(self, index: int, run: str = "1", text: str = "", **more: object) -> Node:
-        if self.base is not None:
-            more.setdefault("base", self.base)
+    def node(
+        self, index: int, run: str = "1", text: str = "", files: FileAccess | None = None, log: Log = no_log
+    ) -> Node:
+        if files is None:
+            files = FileAccess() if self.base is None else FileAccess(self.base)
         sheet = parse_config(text or self.text(index), NodeConfig)
-        node = Node(
-            sheet,
+        environment = NodeEnvironment(
             self.clock,
             lambda address: self.net.dialer(address, f"n{index}:1"),
             run,
-            executor_class=self.executor_class,
-            **more,
+            log,
+            self.executor_class,
+            files,
         )
+        node = Node(sheet, environment)
         self.net.listen(f"n{index}:1", node.server)
         self.net.listen(f"n{index}:2", node.admin)
         return node
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -109,7 +109,7 @@
 
     def _attach(self, index: int, node: Node, program: str) -> None:
         node.program = program
-        node.on_leave = lambda: (
+        node.on_drain_requested = lambda: (
             node.is_draining
             or node.drain().addCallback(
                 lambda none: self.fleet.nodes.get(f"n{index}") is node and self.remove_node(index)
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -158,8 +158,8 @@
     def drain() -> None:
         node.drain().addCallback(lambda none: ends.append(f.clock.seconds()))
 
-    node.on_leave = drain
-    admin.say("Leave", admin.order(run=node.run))
+    node.on_drain_requested = drain
+    admin.say("Leave", admin.order(run=node.incarnation))
     drain()  # SIGTERM comes as well
     assert admin.show().leaving and not ends
     f.run(5.0)
