--- a/myrtlehub/node/__init__.py
+++ b/myrtlehub/node/__init__.py
@@ -1,13 +1,13 @@
-"""A node: takes sequences from clients, has a router decide, and sends attempts to engines.
+"""A node: accepts sequences from clients, has a router decide, and sends attempts to engines.
 
-    node                  a whole node: servers, endpoint list, change of settings, drain
-    node_runtime          what runs by one reading of the settings
+    node                  a complete node: servers, endpoint list, change of settings, drain
+    node_runtime          what a node runs with one version of its settings
     drain                 waits until nothing is in flight
-    endpoint_list_source  the source of the endpoint list, by the settings
+    endpoint_list_source  makes the source of the endpoint list that the settings name
     chat_front            the methods of chat
     batch_fronts          the methods of embeddings and rerank
     client_limits         memory and rate limits on clients
-    request_decoder       names from outside as indices; checks of requests
+    request_decoder       maps names to indices, and checks requests
     endpoint_index        engines by address and by index
     action_executor       executes a router's actions
     sequence_lifecycle    reports to the router what clients and engines do; owns the in-flight sequences
@@ -15,18 +15,19 @@
     router_calls          a queue of router calls, which never nest
     executor_observer     the interface by which other parts follow the action executor
     sequences             in-flight sequences, their attempts and read states
+    response_sink         the response to a sequence, as the action executor sees it
     protocols             what the action executor needs of the program around it
     engine_pools          a router for each pool of engines
-    router_config         settings as the configuration of routers
-    engine_transport      attempts over gRPC
+    router_config         the configuration of routers, from the settings
+    engine_transport      sends attempts over gRPC
     replication           sequence records on other nodes, takeover of their sequences
     admin                 the admin service
     settings_change       validation of staged settings
     revision              digests of program and settings
     traffic_counters      counters by traffic type
     process_usage         memory and processor time of the process
-    clock, process        clock, signals and memory of a process; the relay uses them, too
+    clock, process        clock, signals and memory of a process, also for the relay
 
-Routing itself is in `myrtlehub.routing`, gRPC in `myrtlehub.rpc`; listening and the command line are in
-`myrtlehub.cli`. The relay (`myrtlehub.relay`) shares the action executor and what that stands on.
+Routing is in `myrtlehub.routing`, gRPC in `myrtlehub.rpc`; listening and the command line are in
+`myrtlehub.cli`. The relay (`myrtlehub.relay`) uses the same action executor.
 """
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -18,7 +18,7 @@
 class ChatCall(Receiver):
     """Encodes the response to one sequence, and applies its client's back-pressure to the writer's stream.
 
-    Implements `protocols.ResponseSink`, `TakeoverClient`, `AdmissionClient` and `Producer`.
+    Implements `response_sink.ResponseSink`, `TakeoverClient`, `AdmissionClient` and `Producer`.
 
     Attributes:
         sequence: set once the executor has accepted it.
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -1,41 +1,15 @@
 """The interfaces of what the action executor needs.
 
 The executor uses no sockets and no settings files: a program that runs it provides a clock, a log, a decoder,
-an engine transport, and a response sink for each sequence.
+an engine transport, and a response sink for each sequence (`response_sink`).
 """
 
-from __future__ import annotations
-
 from collections.abc import Callable, Mapping, Sequence
-from typing import TYPE_CHECKING, Any, Protocol, TypeAlias
-
-if TYPE_CHECKING:
-    from myrtlehub.node.endpoint_index import EndpointIndex
-    from myrtlehub.node.sequences import Attempt
-    from myrtlehub.routing import contract
-
-# Values that the executor passes on without looking into them. The transport and the response sinks of a
-# program agree on the type of its token messages; other types are narrowed by the one part that uses them.
-RequestPayload: TypeAlias = object  # what the transport sends to engines
-TokenMessage: TypeAlias = Any  # tokens as an engine sent them; transport and response sink agree on the type
-StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
-TransportCall: TypeAlias = object  # the transport's own object for one attempt
-
-
-class ResponseSink(Protocol):
-    """Takes the response to one sequence; at most one of the last three methods is called, once."""
-
-    def tokens(self, message: TokenMessage) -> None:
-        """Pass tokens to the client as the engine sent them."""
-
-    def generated(self, tokens: int) -> None:
-        """End a complete answer; `tokens`: their number, as far as the engine reported it."""
-
-    def rejected(self, retry_after: float) -> None:
-        """Reject the request; `retry_after`: seconds after which a retry may succeed, 0 if not known."""
+from typing import Protocol
 
-    def aborted(self, reason: str) -> None:
-        """Abort the request, which may have run."""
+from myrtlehub.node.endpoint_index import EndpointIndex
+from myrtlehub.node.sequences import Attempt
+from myrtlehub.routing import contract
 
 
 class TrafficTypeRow(Protocol):
--- a/myrtlehub/node/replication/published_sequence.py
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -4,7 +4,7 @@
 from typing import Protocol, runtime_checkable
 
 from myrtlehub.node.action_executor import ActionExecutor
-from myrtlehub.node.protocols import ResponseSink
+from myrtlehub.node.response_sink import ResponseSink
 from myrtlehub.recovery.ownership import OwnedSequence
 
 
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple, Protocol
 
-from myrtlehub.node.protocols import ResponseSink
 from myrtlehub.node.request_decoder import DecodedRequest
+from myrtlehub.node.response_sink import ResponseSink
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.routing.contract import Arrival
 
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -4,14 +4,8 @@
 
 from myrtlehub.clock import Clock
 from myrtlehub.log_events import Log, LogEvent, no_log
-from myrtlehub.node.protocols import (
-    Decoder,
-    EngineTransport,
-    RequestPayload,
-    ResponseSink,
-    StateHandle,
-    TokenMessage,
-)
+from myrtlehub.node.protocols import Decoder, EngineTransport
+from myrtlehub.node.response_sink import RequestPayload, ResponseSink, StateHandle, TokenMessage
 from myrtlehub.node.router_driver import RouterDriver
 from myrtlehub.node.sequences import Attempt, InFlightSequence, ReadState
 from myrtlehub.routing import contract
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -4,7 +4,7 @@
 from typing import Self
 
 from myrtlehub.clock import Timer
-from myrtlehub.node.protocols import RequestPayload, ResponseSink, StateHandle, TransportCall
+from myrtlehub.node.response_sink import RequestPayload, ResponseSink, StateHandle, TransportCall
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import ANSWER
 from myrtlehub.state.attempt import ATTEMPT, OUTSTANDING_STATES, AttemptEvent, AttemptState
