--- a/myrtlehub/lab/takeover_scenario.py
+++ b/myrtlehub/lab/takeover_scenario.py
@@ -157,10 +157,10 @@
     asked_seconds = []
     total_seconds = []
     for line in _takeover_lines(folder):
-        if "do" in line:
-            decisions[line["do"]] += 1
-            asked_seconds.append(line["asked"])
-            total_seconds.append(line["took"])
+        if "action" in line:
+            decisions[line["action"]] += 1
+            asked_seconds.append(line["requested_after_s"])
+            total_seconds.append(line["duration_s"])
     return {
         "does": dict(sorted(decisions.items())),
         "records_p99": _p99(asked_seconds),
--- a/tests/test_engine_pools.py
+++ b/tests/test_engine_pools.py
@@ -192,9 +192,14 @@
 def test_wake_ups_and_sequences_go_to_the_router_that_they_belong_to() -> None:
     pools = two_pools()
     assert pools.arrive(0.0, 7, arrival(1)) == [contract.ScheduleWakeup(0.5, 7)]  # 3 * 2 + 1
-    pools.ended(0.1, 7)
+    end = (0, contract.Outcome.ERROR, 0.1, False, 0.0, None)
+    pools.ended(0.1, 7, *end)
     assert pools.wake(0.5, 7) == [contract.Forget(7)]
-    assert pools.ended(0.6, 7) == [] and pools.routers[1].calls == [("arrive", 7), ("ended", 7), ("wake", 3)]
+    assert pools.ended(0.6, 7, *end) == [] and pools.routers[1].calls == [
+        ("arrive", 7),
+        ("ended", 7),
+        ("wake", 3),
+    ]
     assert not pools.routers[0].calls and not pools._pool_of_sequence
 
 
