--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -46,7 +46,7 @@
         if reply.WhichOneof("reply") == "ended":
             self.observer.stream_completed(reply.ended.tokens)
         else:
-            self.observer.stream_broke("the engine no longer has the stream")
+            self.observer.stream_broke("the stream is not there any more")
 
     def ended(self, status: Status) -> None:
         """Handle the end of the call."""
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -118,7 +118,7 @@
         """Abort: the deadline of the call or of the first token has passed."""
         if self._accepts(TakeoverEvent.ABORT):
             self._stop()
-            self.client.aborted("its deadline has passed")
+            self.client.aborted("its time is over")
 
     def _accepts(self, event: TakeoverEvent) -> bool:
         """Step the state machine; return False if the takeover has ended already."""
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -118,7 +118,7 @@
     if not is_record_complete and (client_token_count or retry_semantics != RetrySemantics.IDEMPOTENT):
         return "no replica knows what was sent for it"
     if client_token_count:
-        return "its writer is lost, and no other engine can continue its text"
+        return "the writer of what was begun is gone, and no other goes on with its text"
     if uncertain_attempt is not None and retry_semantics == RetrySemantics.AT_MOST_ONCE:
         return f"attempt {uncertain_attempt.attempt} may have run at {uncertain_attempt.engine}"
     return None
