--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -104,7 +104,11 @@
     log.dump()
     log.dump()  # too soon after the first: writes nothing
     lines = pipe.read_all().splitlines()
-    assert len(lines) == MAX_DUMPED_EVENTS and b'"number":4999' in lines[-1] and b'"at":100.0' in lines[-1]
+    assert (
+        len(lines) == MAX_DUMPED_EVENTS
+        and b'"number":4999' in lines[-1]
+        and b'"recorded_at_s":100.0' in lines[-1]
+    )
     now[0] += 11.0
     log.dump()
     assert pipe.read_all()
