--- a/Makefile
+++ b/Makefile
@@ -23,7 +23,7 @@
 	$(VENV)/bin/ruff check --fix
 
 # All tests, or one part's: `make test PART=recovery` runs those that name the part in file or test name.
-# Tests that start programs are in few groups (tests/program_groups.py), run one after another.
+# Tests that start programs are in few groups (tests/support/program_groups.py), run one after another.
 PART :=
 WORKERS := 6
 test: lint
--- a/myrtlehub/limits/fair_share.py
+++ b/myrtlehub/limits/fair_share.py
@@ -81,7 +81,7 @@
         if not demanded[front]:
             return MIN_SHARE
         # The demand that counts is bounded by that of the others, weighted by utility: a flood of requests to
-        # one front does not enlarge its share (tests/test_front_shares.py).
+        # one front does not enlarge its share (tests/limits/test_front_shares.py).
         own = min(demanded[front], others * self.utility[front] / max(self.utility.values()))
         return max(MIN_SHARE, own / (own + others))
 
--- a/tests/test_client.py
+++ b/tests/client/test_client.py
@@ -8,6 +8,7 @@
 
 import pytest
 from fleet import Fleet
+from paths import ROOT
 
 from myrtlehub.client import (
     AbortedError,
@@ -25,7 +26,6 @@
 from myrtlehub.emulator.vectors import vector_of as packed_of
 from myrtlehub.lab.processes import free_ports
 
-ROOT = Path(__file__).parents[1]
 ADMIN: dict[str, str] = {}  # admin addresses, by clients' address
 
 
--- a/tests/test_config.py
+++ b/tests/config/test_config.py
@@ -5,6 +5,7 @@
 from pathlib import Path
 
 import pytest
+from paths import ROOT
 
 from myrtlehub.config import units
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
@@ -12,7 +13,6 @@
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.lab.scenario_file import Scenario
 
-ROOT = Path(__file__).parents[1]
 VALID = (ROOT / "examples" / "node.yaml").read_text()
 
 
--- a/tests/test_fault_soak.py
+++ b/tests/lab/test_fault_soak.py
@@ -7,6 +7,7 @@
 
 import msgspec
 import pytest
+from paths import ROOT
 
 from myrtlehub.lab.fault_soak.fleet_settings import ASK, KEEP, POST, TERMS
 from myrtlehub.lab.fault_soak.oracle import Oracle
@@ -23,7 +24,6 @@
 from myrtlehub.lab.fault_soak.runner import SoakResult
 from myrtlehub.lab.fault_soak.schedule import MAX_OVERLAP, Schedule, Trouble, TroubleKind, shrink
 
-ROOT = Path(__file__).parent.parent
 STREAM_EVENTS = 5
 
 
--- a/tests/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -3,9 +3,9 @@
 from random import Random
 
 from fleet import Fleet
+from fleet_checks import assert_nothing_left, assert_rules_kept
 from hypothesis import given
 from hypothesis import strategies as st
-from test_request_path import assert_nothing_left, assert_rules_kept
 
 from myrtlehub.limits import admission
 from myrtlehub.limits.admission import AdmissionController, VegasLimiter
--- a/tests/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from fleet import Caller, Fleet
+from fleet_checks import assert_nothing_left, assert_rules_kept
 from hypothesis import given
 from hypothesis import strategies as st
-from test_request_path import assert_nothing_left, assert_rules_kept
 
 from myrtlehub.limits import retry_budget
 from myrtlehub.limits.retry_budget import RetryBudget
--- a/tests/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -10,7 +10,7 @@
 
 import pytest
 from fleet import Fleet
-from test_request_path import assert_nothing_left, assert_rules_kept
+from fleet_checks import assert_nothing_left, assert_rules_kept
 
 from myrtlehub.lab.endpoint_list_checker import EndpointListChecker
 from myrtlehub.lab.endpoint_list_writer import EndpointListWriter, list_text
--- a/tests/test_version_store.py
+++ b/tests/membership/test_version_store.py
@@ -7,6 +7,7 @@
 
 import pytest
 from endpointlists import list_text, make_endpoints, make_validator
+from paths import ROOT, TESTS
 from twisted.internet.task import Clock
 
 from myrtlehub.log_events import LogEvent
@@ -100,11 +101,10 @@
 @pytest.mark.parametrize("step", ["open", "begin", "insert", "prune", "commit", "done"])
 def test_a_save_killed_at_any_step_leaves_an_intact_version(step: str, tmp_path: Path) -> None:
     path = tmp_path / "s.db"
-    here = Path(__file__).parent
     store = VersionStore(path)
     store.save(make_version(1, make_endpoints("r1 w1"), "t", 0.0))
     store.close()
-    script = SAVE_AND_BE_KILLED.format(root=str(here.parent), tests=str(here))
+    script = SAVE_AND_BE_KILLED.format(root=str(ROOT), tests=str(TESTS / "support"))
     run = subprocess.run([sys.executable, "-c", script, step, path], timeout=60)
     assert run.returncode == -signal.SIGKILL
     found = VersionStore(path).load_latest()
--- a/tests/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -5,7 +5,7 @@
 import pytest
 from batch_calls import BatchCallWatcher, assert_nothing_in_flight, assert_vectors, embed, rank, texts
 from fleet import Fleet
-from test_request_path import assert_rules_kept
+from fleet_checks import assert_rules_kept
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.emulator.vectors import score_of, vector_of
--- a/tests/test_client_limits.py
+++ b/tests/node/test_client_limits.py
@@ -3,9 +3,9 @@
 import pytest
 from batch_calls import embed, rank, texts
 from fleet import Caller, Fleet
+from fleet_checks import assert_nothing_left, assert_rules_kept, check_rules
 from hypothesis import given
 from hypothesis import strategies as st
-from test_request_path import assert_nothing_left, assert_rules_kept, check_rules
 
 from myrtlehub.limits.minimum_rate import CHECK_INTERVAL, MinimumRateMonitor
 from myrtlehub.limits.resource_ledger import (
--- a/tests/test_message_boundaries.py
+++ b/tests/node/test_message_boundaries.py
@@ -4,8 +4,8 @@
 
 import pytest
 from fleet import Caller, Fleet
+from fleet_checks import check_rules
 from memnet import Pipe
-from test_request_path import check_rules
 
 from myrtlehub.rpc.transport_limits import TransportLimits
 
--- a/tests/test_request_path.py
+++ b/tests/node/test_request_path.py
@@ -2,53 +2,15 @@
 
 import pytest
 from fleet import Fleet
+from fleet_checks import assert_nothing_left, assert_rules_kept, check_rules
 
-from myrtlehub.lab.rule_checker.checker import RuleChecker, check_records
 from myrtlehub.lab.rule_checker.findings import RULE_NAMES
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.sequences import Attempt, InFlightSequence
-from myrtlehub.records import Record
 from myrtlehub.routing import contract
 from myrtlehub.rpc.transport_limits import TransportLimits
 from myrtlehub.state.answer import AnswerEvent
 
-ROWS = [
-    {"name": "ask", "repeats": "repeatable", "dedup_group": "all", "dedup_window": 0.0},
-    {"name": "post", "repeats": "once-only", "dedup_group": "all", "dedup_window": 0.0},
-    {"name": "note", "repeats": "tokened", "dedup_group": "cell", "dedup_window": 5.0},
-]
-
-
-def check_rules(fleet: Fleet) -> RuleChecker:
-    fleet.day.note("ends")
-    terms = {
-        "traffic": ROWS,
-        "let_go": 0.5,
-        "slack": 0.05,
-        "engines": [(record["address"], record["cell"], record["zone"]) for record in fleet.rows.values()],
-    }
-    return check_records([Record(0.0, "day", "terms", terms), *fleet.log])
-
-
-def assert_rules_kept(fleet: Fleet) -> RuleChecker:
-    checker = check_rules(fleet)
-    assert not checker.breaches, "\n".join(breach.text for breach in checker.breaches)
-    return checker
-
-
-def assert_nothing_left(fleet: Fleet) -> None:
-    """Check that all running nodes and engines have released everything."""
-    assert all(
-        not node.executor.in_flight and not node.executor.outstanding_attempt_count()
-        for node in fleet.nodes.values()
-    )
-    for stand in fleet.stands.values():
-        model = stand.model
-        if not model.has_crashed:
-            assert not model.prefill.read_states and not model.decode.running
-            assert not model.decode.queue and not model.prefill.running
-            assert abs(model.resources.used_memory) < 1e-6
-
 
 def test_prompt_is_read_its_state_fetched_and_tokens_streamed() -> None:
     fleet = Fleet()
--- a/tests/test_relay_memory_process.py
+++ b/tests/relay/test_relay_memory_process.py
@@ -1,8 +1,8 @@
 """Memory of the relay process: objects that the reactor keeps must not refer to requests."""
 
 import sys
-from pathlib import Path
 
+from paths import TESTS
 from relaymessages import LAST_CHUNK, LONG_PROMPT, chat_request
 from socketrig import Client, SocketRig
 
@@ -27,7 +27,7 @@
 
 def test_a_request_is_freed_with_its_end_though_its_connection_stays_open(rig: SocketRig) -> None:
     """Seen in a run of 45 minutes: 84 of 96 MB, as a connection's factory referred to its first request."""
-    launcher = str(Path(__file__).parent / "object_counter.py")
+    launcher = str(TESTS / "support" / "object_counter.py")
     node = rig.start("r1 w1 w2", argv=[sys.executable, launcher])
     for number in range(REQUEST_COUNT):
         client = Client(node.address)
--- a/tests/test_docs.py
+++ b/tests/repository/test_docs.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+from paths import ROOT
+
 TOP_FOLDERS = ("myrtlehub", "docs", "benchmarks", "tests", "examples", "scenarios", "deploy", "lab")
 FENCE = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
 QUOTED = re.compile(r"`([^`\n]+)`")
--- a/tests/test_endings.py
+++ b/tests/repository/test_endings.py
@@ -1,14 +1,14 @@
 """Every row of docs/design/endings.md names a test that exists, or says 'no test yet'."""
 
 import re
-from pathlib import Path
 
-TESTS = Path(__file__).parent
+from paths import TESTS
+
 PAGE = TESTS.parent / "docs" / "design" / "endings.md"
 
 
 def test_every_ending_names_a_test_that_exists_or_says_that_there_is_none() -> None:
-    sources = "".join(path.read_text() for path in TESTS.glob("test_*.py"))
+    sources = "".join(path.read_text() for path in TESTS.rglob("test_*.py"))
     existing = set(re.findall(r"^def (test_\w+)", sources, re.MULTILINE))
     rows = [
         line
--- a/tests/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -5,6 +5,7 @@
 from pathlib import Path
 
 import pytest
+from paths import ROOT
 
 TESTS = """
 def test_red(): assert False
@@ -23,7 +24,7 @@
         text=True,
         check=False,
         cwd=folder,
-        env={"PYTHONPATH": str(Path(__file__).parent)},
+        env={"PYTHONPATH": str(ROOT / "tests" / "support")},
     )
     return done.returncode, done.stdout + done.stderr
 
--- a/tests/test_log_events.py
+++ b/tests/repository/test_log_events.py
@@ -5,9 +5,10 @@
 from collections.abc import Iterator
 from pathlib import Path
 
+from paths import ROOT
+
 from myrtlehub.log_events import LogEvent
 
-ROOT = Path(__file__).parent.parent
 LOG_FUNCTIONS = ("log", "_print_event", "_log_not_accepted")
 # Registered, but written as bytes that the log writer has encoded beforehand.
 WRITTEN_AS_BYTES = {LogEvent.LOG_LINES_DROPPED}
--- a/tests/test_stored_data.py
+++ b/tests/repository/test_stored_data.py
@@ -3,6 +3,8 @@
 import shutil
 from pathlib import Path
 
+from paths import TESTS
+
 from myrtlehub.membership.version_store import VersionStore
 from myrtlehub.records import Record, Recorder
 from myrtlehub.records import read as read_records
@@ -14,7 +16,7 @@
     last_generation,
 )
 
-DATA = Path(__file__).with_name("data")
+DATA = TESTS / "data"
 
 
 def stored(name: str, folder: Path) -> Path:
--- a/tests/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -1,8 +1,7 @@
 """Progress of a rollout: complete tables, an exhaustively checked model, seeded faults that are found."""
 
-from pathlib import Path
-
 import pytest
+from paths import ROOT
 
 from myrtlehub.rollout.errors import StagePlanError
 from myrtlehub.rollout.journal_format import (
@@ -46,7 +45,7 @@
 )
 
 TABLES = (NODE_TABLE, ROLLOUT_TABLE)
-PAGE = Path(__file__).parents[1] / "docs" / "design" / "rolling-change.md"
+PAGE = ROOT / "docs" / "design" / "rolling-change.md"
 THREE_NODES = RolloutPlan(3, ((0,), (1, 2)))
 
 
--- a/tests/test_compare_decisions.py
+++ b/tests/routing/test_compare_decisions.py
@@ -2,11 +2,11 @@
 
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
+from paths import ROOT
 
-SCRIPT = Path(__file__).parent.parent / "benchmarks" / "compare_decisions.py"
+SCRIPT = ROOT / "benchmarks" / "compare_decisions.py"
 
 
 def compare(*options: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -9,7 +9,8 @@
 
 import pytest
 from fleet import Fleet
-from test_request_path import assert_nothing_left, assert_rules_kept
+from fleet_checks import assert_nothing_left, assert_rules_kept
+from paths import ROOT
 
 from myrtlehub.config.loader import ConfigError, parse_config
 from myrtlehub.config.node import NodeConfig
@@ -23,7 +24,6 @@
 engines_may: {probe: yes}
 reports: {how: probe, probe_price: 0.002, probe_timeout: 100ms}
 """
-ROOT = Path(__file__).parents[1]
 SOUND = (ROOT / "examples" / "node.yaml").read_text()
 CHAT_ONLY = re.sub(r"  - \{name: (vec|sort).*\n", "", SOUND)
 
--- a/tests/test_state.py
+++ b/tests/state/test_state.py
@@ -1,10 +1,10 @@
 """State machines of a sequence: complete tables, a model that keeps the rules, and faults that are found."""
 
 from enum import StrEnum
-from pathlib import Path
 from typing import NamedTuple
 
 import pytest
+from paths import ROOT
 
 from myrtlehub.routing.contract import Outcome, RetrySemantics
 from myrtlehub.state.answer import ANSWER, AnswerEffect, AnswerEvent, AnswerState
@@ -29,7 +29,7 @@
     on,
 )
 
-PAGE = Path(__file__).parents[1] / "docs" / "design" / "sequence-life.md"
+PAGE = ROOT / "docs" / "design" / "sequence-life.md"
 TABLES = (ATTEMPT, ANSWER, READ_STATE)
 AT_MOST_ONCE = RetrySemantics.AT_MOST_ONCE
 IDEMPOTENT = RetrySemantics.IDEMPOTENT
--- a/tests/batch_calls.py
+++ b/tests/support/batch_calls.py
@@ -1,7 +1,7 @@
 """Calls of the batch fronts on a fleet, for tests."""
 
 from fleet import Fleet
-from test_request_path import assert_nothing_left
+from fleet_checks import assert_nothing_left
 
 from myrtlehub.emulator.vectors import vector_of
 from myrtlehub.proto import items_pb2 as pb
--- a/tests/program_groups.py
+++ b/tests/support/program_groups.py
@@ -8,6 +8,7 @@
 from pathlib import Path
 
 import pytest
+from paths import TESTS
 
 GROUP_OF_FILE = {
     "test_rollout_processes.py": "rollout programs",
@@ -48,8 +49,8 @@
     Raises:
         pytest.UsageError: a file is missing.
     """
-    folder = Path(__file__).parent
-    missing = [name for name in GROUP_OF_FILE if not (folder / name).exists()]
+    names = {path.name for path in TESTS.rglob("test_*.py")}
+    missing = [name for name in GROUP_OF_FILE if name not in names]
     if missing:
         raise pytest.UsageError(f"program_groups.py: there is no {', '.join(missing)}")
     if config.pluginmanager.hasplugin("xdist"):
--- a/tests/router_bench.py
+++ b/tests/support/router_bench.py
@@ -1,7 +1,8 @@
 """A test bench: calls a router for a fictitious fleet, and compares traces of its decisions."""
 
 import difflib
-from pathlib import Path
+
+from paths import TESTS
 
 from benchmarks.router_settings import ROUTER_SETTINGS
 from myrtlehub.routing import contract
@@ -173,7 +174,7 @@
 
     def assert_matches_trace(self, name: str) -> None:
         """Compare the recorded lines with a file under tests/traces."""
-        expected = (Path(__file__).parent / "traces" / f"{name}.txt").read_text().splitlines()
+        expected = (TESTS / "traces" / f"{name}.txt").read_text().splitlines()
         diff = list(difflib.unified_diff(expected, self.lines, "expected", "now", lineterm="", n=2))
         assert not diff, "\n".join(diff)
 
--- a/tests/socketrig.py
+++ b/tests/support/socketrig.py
@@ -21,12 +21,12 @@
 from typing import Any
 
 import pytest
+from paths import ROOT
 from relaymessages import SETTINGS
 from socketpeers import HOST, TIMEOUT_S, Discovery, Engine, ScriptedPeer
 
 from myrtlehub.log_events import LogEvent
 
-ROOT = Path(__file__).parent.parent
 PAGE_BYTES = 4096
 
 
