--- a/myrtlehub/emulator/__init__.py
+++ b/myrtlehub/emulator/__init__.py
@@ -1,9 +1,11 @@
-"""Emulated engines: they replace real engines in tests and scenarios. Figures from them are simulated.
+"""Emulated engines: they replace real engines in tests and scenarios. Their figures are simulated.
 
-`model` is a pure model of an engine, made of `prefill_stage`, `decode_stage` and `batch_stage`, which share
-`resources`, `prefix_cache` and `faults`; `machine` has its figures and `events` what it reports. `server`
-serves it over gRPC with `event_handlers`, `state_transfer`, `fault_service` and `timer`; `job` is one attempt
-being served, `claims` what takeover needs; `tokens`, `vectors` and `batch_results` make the results.
+- The engine model has no sockets: `model` composes `prefill_stage`, `decode_stage` and `batch_stage`, which
+  share `resources`, `prefix_cache` and `faults`; `machine` has its figures and `events` what it reports.
+- `server` serves the model over gRPC: `engine_service`, `state_transfer` and `fault_service` have the
+  methods, `claims` the engine's part in a takeover, `event_handlers` the effects of the model's events,
+  `timer` its wake-ups. `job` is one attempt, `engine_context` what these parts need of the engine.
+- `tokens`, `vectors`, `batch_results` and `load_report` make the contents of the answers.
 
-Nothing here knows the router or the node.
+The package imports neither the router nor the node.
 """
--- a/myrtlehub/emulator/batch_results.py
+++ b/myrtlehub/emulator/batch_results.py
@@ -1,4 +1,4 @@
-"""Results of the items of a batch."""
+"""The results of the items of a batch."""
 
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
 from myrtlehub.emulator.vectors import score_of, vector_of
@@ -11,7 +11,7 @@
 def batch_results(
     request: pb.BatchRequest, config: EmulatedEngineConfig, model_name: str
 ) -> list[pb.ItemResult]:
-    """Return a result for each item; inputs that are too long have an error of their own."""
+    """Return a result for each item; the result of an input that is too long is an error."""
     return [_result(index, item, request, config, model_name) for index, item in enumerate(request.items)]
 
 
--- a/myrtlehub/emulator/batch_stage.py
+++ b/myrtlehub/emulator/batch_stage.py
@@ -1,17 +1,17 @@
-"""Batches of embeddings and rerank in an engine model: each is done in one pass."""
+"""Batches of embedding and rerank items in an engine model; each batch is computed in one pass."""
 
 from collections import deque
-from typing import NamedTuple
+from typing import Generic, NamedTuple
 
 from myrtlehub.emulator.events import BatchDone, Expired, ModelEvent, Started
-from myrtlehub.emulator.machine import NEVER, TIME_TOLERANCE, AttemptKey
+from myrtlehub.emulator.machine import NEVER, TIME_TOLERANCE, KeyT
 from myrtlehub.emulator.resources import Resources
 
 
-class QueuedBatch(NamedTuple):
+class QueuedBatch(NamedTuple, Generic[KeyT]):
     """A batch that waits for a slot."""
 
-    key: AttemptKey
+    key: KeyT
     tokens: float
     start_before: float
 
@@ -23,40 +23,40 @@
     tokens: float
 
 
-class BatchStage:
-    """Queue and slots of an engine that computes batches."""
+class BatchStage(Generic[KeyT]):
+    """The queue and the slots of an engine that computes batches."""
 
     def __init__(self, resources: Resources) -> None:
         self._resources = resources
-        self.queue: deque[QueuedBatch] = deque()
-        self.running: dict[AttemptKey, RunningBatch] = {}
+        self.queue: deque[QueuedBatch[KeyT]] = deque()
+        self.running: dict[KeyT, RunningBatch] = {}
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether a batch can be queued."""
         return len(self.queue) < self._resources.machine.batch_queue
 
-    def enqueue(self, key: AttemptKey, tokens: float, start_before: float) -> None:
-        """Queue a batch."""
+    def enqueue(self, key: KeyT, tokens: float, start_before: float) -> None:
+        """Queue a batch; it expires if it has not started at `start_before`."""
         self.queue.append(QueuedBatch(key, tokens, start_before))
 
-    def cancel(self, key: AttemptKey) -> None:
-        """Stop a batch, whether it waits or runs."""
+    def cancel(self, key: KeyT) -> None:
+        """Remove a batch, whether it is queued or running."""
         self.queue = deque(batch for batch in self.queue if batch.key != key)
         self.running.pop(key, None)
 
     def backlog(self) -> float:
-        """Return the tokens of all batches."""
+        """Return the tokens of all queued and running batches."""
         queued = sum(batch.tokens for batch in self.queue)
         return queued + sum(batch.tokens for batch in self.running.values())
 
     def next_at(self) -> float:
-        """Return when something is next due."""
+        """Return when the next batch completes, or NEVER if none is running."""
         if not self.running:
             return NEVER
         return min(batch.ready_at for batch in self.running.values())
 
-    def advance(self, now: float, stream_count: int, events: list[ModelEvent]) -> None:
-        """Do what is due by now; streams that run beside a batch make it slower."""
+    def advance(self, now: float, stream_count: int, events: list[ModelEvent[KeyT]]) -> None:
+        """Complete and start batches by the present time; concurrent streams make a batch slower."""
         for key, batch in list(self.running.items()):
             if batch.ready_at <= now + TIME_TOLERANCE:
                 del self.running[key]
@@ -72,6 +72,6 @@
 
     def _duration(self, now: float, tokens: float, stream_count: int) -> float:
         machine = self._resources.machine
-        crowding = 1.0 + machine.batch_drag * stream_count / machine.slots
-        alone = machine.batch_base + tokens / machine.batch_rate * crowding
-        return alone * self._resources.faults.slowdown / self._resources.warm_up.capacity(now)
+        slowdown_by_streams = 1.0 + machine.batch_drag * stream_count / machine.slots
+        duration = machine.batch_base + tokens / machine.batch_rate * slowdown_by_streams
+        return duration * self._resources.faults.slowdown / self._resources.warm_up.capacity(now)
--- a/myrtlehub/emulator/claims.py
+++ b/myrtlehub/emulator/claims.py
@@ -1,10 +1,11 @@
-"""What an emulated engine does for takeover: claims, and streams that outlive their node.
+"""The engine's part in a takeover: claims, and streams that continue without the node that sent them.
 
-Simulated, like the rest: a real engine would keep its streams in the same way, or answer that it can't.
+A real engine would continue its streams in the same way, or answer that it cannot.
 """
 
-from typing import TYPE_CHECKING, NoReturn
+from typing import NoReturn
 
+from myrtlehub.emulator.engine_context import EngineContext
 from myrtlehub.emulator.events import FreeReason
 from myrtlehub.emulator.job import Job, StreamCall
 from myrtlehub.proto import chat_pb2 as chat
@@ -15,81 +16,82 @@
 from myrtlehub.rpc.server_call import Receiver, ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-if TYPE_CHECKING:
-    from myrtlehub.emulator.server import EmulatedEngine
-
-MAX_FENCES = 20000  # minutes of the busiest emulated engine
-TOKENS_PER_MESSAGE = 64  # when earlier tokens are sent to a call that attached
+MAX_FENCES = 20000  # sequences; minutes of work of the busiest emulated engine
+TOKENS_PER_MESSAGE = 64  # earlier tokens in one message to a call that attached
 
 
 class ClaimableJobs:
-    """Attempts of sequences that may be taken over, by sequence, for as long as a claim may still come."""
+    """The attempts that a claim may still report, and the fences of their sequences."""
 
-    def __init__(self, engine: "EmulatedEngine", stream_bound: float) -> None:
-        """Make an empty one; `stream_bound`: seconds for which a stream that nobody reads continues."""
-        self.engine = engine
-        self.stream_bound = stream_bound
+    def __init__(self, engine: EngineContext, stream_bound: float) -> None:
+        """Make an empty table; a stream without a reader continues for `stream_bound` seconds."""
+        self._engine = engine
+        self._stream_bound = stream_bound
         self.fences = FenceTable(MAX_FENCES, engine.clock.seconds())
-        self.jobs: dict[str, list[Job]] = {}
+        self._jobs: dict[str, list[Job]] = {}  # by sequence
 
-    def outlives_its_node(self, job: Job) -> bool:
-        """Return whether an attempt continues without the node that sent it."""
-        return bool(self.stream_bound and job.ownership.epoch)
+    def may_outlive_node(self, job: Job) -> bool:
+        """Return whether a job continues without the node that sent it."""
+        return self._stream_bound > 0.0 and job.ownership.epoch > 0
 
     def admit(self, job: Job) -> None:
-        """Admit an attempt by its ownership.
+        """Admit an attempt if its owner still owns the sequence; attempts without an owner always are.
 
         Raises:
-            RpcError: the sequence has a higher owner, or is closed.
+            RpcError: the sequence has an owner of a higher epoch, or is closed.
         """
         if not job.ownership.epoch:
             return
         sequence_id = job.work.sequence
         if not self.fences.admit(sequence_id, job.ownership):
-            self._refuse(sequence_id)
-        if self.stream_bound:
-            self.jobs.setdefault(sequence_id, []).append(job)
+            self._reject(sequence_id)
+        if self._stream_bound:
+            self._jobs.setdefault(sequence_id, []).append(job)
 
-    def _refuse(self, sequence_id: str) -> NoReturn:
+    def _reject(self, sequence_id: str) -> NoReturn:
         (epoch, owner), is_closed = self.fences.fence_of(sequence_id)
         closed = ", closed" if is_closed else ""
         raise RpcError(
             Code.FAILED_PRECONDITION, f"superseded: {sequence_id} is {owner}'s by epoch {epoch}{closed}"
         )
 
-    def ended(self, job: Job) -> None:
-        """Remember an attempt that ended for a while longer."""
-        if self.outlives_its_node(job):
-            self.engine.clock.callLater(self.stream_bound, self._forget, job)
+    def job_ended(self, job: Job) -> None:
+        """Retain a job that ended for as long as a claim may ask for it."""
+        if self.may_outlive_node(job):
+            self._engine.clock.callLater(self._stream_bound, self._forget, job)
 
     def _forget(self, job: Job) -> None:
-        jobs = self.jobs.get(job.work.sequence, [])
+        jobs = self._jobs.get(job.work.sequence, [])
         if job in jobs:
             jobs.remove(job)
         if not jobs:
-            self.jobs.pop(job.work.sequence, None)
+            self._jobs.pop(job.work.sequence, None)
 
     def detach(self, job: Job) -> None:
-        """Continue an attempt whose stream nobody reads, for a while."""
+        """Continue a job whose stream has no reader, until the bound."""
         job.call = None
         job.note("orphaned", ran=job.has_run)
-        self.engine.clock.callLater(self.stream_bound, self._stop_unread, job, len(job.stream_calls))
+        self._engine.clock.callLater(self._stream_bound, self._stop_if_unread, job, len(job.stream_calls))
 
-    def _stop_unread(self, job: Job, call_count: int) -> None:
+    def _stop_if_unread(self, job: Job, call_count: int) -> None:
         if job.call is None and not job.is_over and len(job.stream_calls) == call_count:
             job.stop("bound")
 
     # -- Engine.Claim -----------------------------------------------------------------------------
 
-    def claim(self, data: bytes) -> bytes:
-        """Serve `Engine.Claim`."""
+    def claim(self, call: ServerCall, data: bytes) -> bytes:
+        """Serve `Engine.Claim`: raise the fence of a sequence and report its attempts.
+
+        Raises:
+            RpcError: this engine ends a stream with the connection of its node.
+        """
         request = pb.ClaimRequest.FromString(data)
         ownership = Ownership(request.epoch, request.owner)
-        now = self.engine.clock.seconds()
-        if not self.stream_bound:
+        now = self._engine.clock.seconds()
+        if not self._stream_bound:
             raise RpcError(Code.UNIMPLEMENTED, "this engine ends a stream with its connection")
         granted = self.fences.claim(request.sequence, ownership, request.close)
-        self.engine.recorder.note(
+        self._engine.recorder.note(
             "claimed",
             seq=request.sequence,
             epoch=ownership.epoch,
@@ -97,24 +99,25 @@
             granted=granted,
             close=request.close,
         )
-        # What is over is forgotten after the bound: of what was sent before that, no report is no proof.
-        age = min(now - self.fences.known_since, self.stream_bound)
+        # Attempts that ended are forgotten after the bound. The reply therefore says how far back it is
+        # complete: an earlier attempt that it does not report may have run.
+        age = min(now - self.fences.known_since, self._stream_bound)
         reply = pb.ClaimReply(granted=granted, age=age)
         if granted:
-            jobs = self.jobs.get(request.sequence, [])
-            self._take_from_former_owners(jobs, ownership)
+            jobs = self._jobs.get(request.sequence, [])
+            self._supersede(jobs, ownership)
             if request.close:
                 self._close(request.sequence, jobs, now)
             reply.attempts.extend(self._report(job) for job in jobs)
         return reply.SerializeToString()
 
-    def _take_from_former_owners(self, jobs: list[Job], ownership: Ownership) -> None:
+    def _supersede(self, jobs: list[Job], ownership: Ownership) -> None:
         for job in jobs:
             if job.ownership >= ownership or job.call is None or job.is_over:
                 continue
             call = job.call
-            if job.reads:
-                job.stop("superseded")  # its answer would go to a former owner
+            if job.is_read:
+                job.stop("superseded")  # the answer would go to a former owner
             else:
                 self.detach(job)
                 call.finish(Code.FAILED_PRECONDITION, "superseded")
@@ -123,32 +126,36 @@
         for job in jobs:
             if not job.is_over:
                 job.stop("closed")
-        self.engine.act(self.engine.model.release(now, sequence_id, FreeReason.CLOSED))
+        self._engine.act(self._engine.model.release(now, sequence_id, FreeReason.CLOSED))
 
     def _report(self, job: Job) -> pb.Stood:
         attempt_state = job.attempt_state
         read_state = None
         if attempt_state == AttemptState.HOLDS_READ_STATE:
-            tokens = self.engine.model.state_tokens(job.work.sequence)
+            tokens = self._engine.model.state_tokens(job.work.sequence)
             if tokens:
-                address = self.engine.config.listen
+                address = self._engine.config.listen
                 read_state = pb.State(engine=address, handle=job.work.sequence, tokens=int(tokens))
             else:
-                attempt_state = AttemptState.NEVER_RAN  # a read has no effect, and its state is gone
+                attempt_state = AttemptState.NEVER_RAN  # a read without its state has no effect
         return pb.Stood(
             number=job.work.attempt, says=attempt_state, tokens=len(job.token_ids), state=read_state
         )
 
-    # -- attaching to a stream --------------------------------------------------------------------
+    # -- Engine.Write with `attach` ---------------------------------------------------------------
 
     def attach(self, call: ServerCall, request: pb.WriteRequest) -> Receiver:
-        """Continue a stream from a token on, on another call."""
+        """Continue a stream on another call, from the token with the index that the call names.
+
+        Raises:
+            RpcError: the sequence has an owner of a higher epoch, or is closed.
+        """
         work = request.work
-        start = getattr(request.attach, "from")  # a keyword of the language
+        start: int = getattr(request.attach, "from")  # `from` is a keyword in Python
         ownership = Ownership(work.epoch, work.owner)
         if not self.fences.admit(work.sequence, ownership):
             raise RpcError(Code.FAILED_PRECONDITION, "superseded")
-        job = self._write_of(work)
+        job = self._find_write(work)
         if job is None or job.attempt_state not in STREAMING_STATES or start > len(job.token_ids):
             call.send(pb.WriteReply(refused=pb.Refused()).SerializeToString())
             call.finish()
@@ -161,9 +168,9 @@
         _send_earlier_tokens(job, call, start)
         return stream_call
 
-    def _write_of(self, work: pb.Work) -> Job | None:
-        for job in self.jobs.get(work.sequence, ()):
-            if job.work.attempt == work.attempt and not job.reads:
+    def _find_write(self, work: pb.Work) -> Job | None:
+        for job in self._jobs.get(work.sequence, ()):
+            if job.work.attempt == work.attempt and not job.is_read:
                 return job
         return None
 
--- a/myrtlehub/emulator/decode_stage.py
+++ b/myrtlehub/emulator/decode_stage.py
@@ -1,6 +1,7 @@
-"""Generation of answers in an engine model: streams that advance by a token in common steps."""
+"""Generation of answers in an engine model: all running streams advance by one token in each step."""
 
 from collections import OrderedDict, deque
+from typing import Generic
 
 from myrtlehub.emulator.batch_stage import BatchStage
 from myrtlehub.emulator.events import (
@@ -8,16 +9,16 @@
     Expired,
     FetchNeeded,
     ModelEvent,
-    Refused,
+    Rejected,
     Started,
     TokensGenerated,
 )
-from myrtlehub.emulator.machine import NEVER, TIME_TOLERANCE, AttemptKey, Task
+from myrtlehub.emulator.machine import NEVER, TIME_TOLERANCE, KeyT, Task
 from myrtlehub.emulator.resources import Resources
 
 
-class Stream:
-    """One answer that waits, is prepared or is generated."""
+class Stream(Generic[KeyT]):
+    """One answer that is queued, is being prepared or is being generated."""
 
     __slots__ = (
         "cached_tokens",
@@ -31,7 +32,7 @@
         "used_memory",
     )
 
-    def __init__(self, key: AttemptKey, task: Task, total: int, fetches_state: bool) -> None:
+    def __init__(self, key: KeyT, task: Task, total: int, fetches_state: bool) -> None:
         self.key = key
         self.task = task
         self.total = total
@@ -43,61 +44,61 @@
         self.has_started = False
 
 
-class DecodeStage:
-    """Queue and slots of an engine that generates answers."""
+class DecodeStage(Generic[KeyT]):
+    """The queue and the slots of an engine that generates answers."""
 
-    def __init__(self, resources: Resources, batches: BatchStage) -> None:
+    def __init__(self, resources: Resources, batches: BatchStage[KeyT]) -> None:
         self._resources = resources
         self._batches = batches
-        self.queue: deque[Stream] = deque()
-        self.running: OrderedDict[AttemptKey, Stream] = OrderedDict()
+        self.queue: deque[Stream[KeyT]] = deque()
+        self.running: OrderedDict[KeyT, Stream[KeyT]] = OrderedDict()
         self._step_at = NEVER
 
-    def has_room_for(self, task: Task) -> bool:
+    def has_capacity_for(self, task: Task) -> bool:
         """Return whether an attempt can be queued."""
         machine = self._resources.machine
         return len(self.queue) < machine.queue and task.prompt + task.max_output <= machine.memory
 
-    def enqueue(self, stream: Stream) -> None:
-        """Queue an attempt."""
+    def enqueue(self, stream: Stream[KeyT]) -> None:
+        """Queue a stream."""
         self.queue.append(stream)
 
-    def cancel(self, key: AttemptKey) -> None:
-        """Stop an attempt, whether it waits or runs."""
+    def cancel(self, key: KeyT) -> None:
+        """Remove an attempt, whether it is queued or running."""
         for stream in list(self.queue):
             if stream.key == key:
                 self.queue.remove(stream)
         if key in self.running:
             self._drop(self.running[key])
 
-    def fetched(self, now: float, key: AttemptKey, is_whole: bool) -> list[ModelEvent]:
-        """Continue a stream whose read state was fetched, or refuse it where that failed."""
+    def fetched(self, now: float, key: KeyT, is_complete: bool) -> list[ModelEvent[KeyT]]:
+        """Continue a stream whose read state was fetched, or reject it if the fetch failed."""
         stream = self.running.get(key)
         if stream is None:
             return []
-        if not is_whole:
+        if not is_complete:
             self._drop(stream)
-            return [Refused(key, no_state=True)]
+            return [Rejected(key, is_state_missing=True)]
         stream.ready_at = now + self._resources.machine.begin
         return []
 
     def backlog(self) -> float:
         """Return the prompt tokens of streams that have not started."""
         queued = sum(stream.task.prompt for stream in self.queue)
-        return queued + sum(s.task.prompt for s in self.running.values() if not s.has_started)
+        return queued + sum(stream.task.prompt for stream in self.running.values() if not stream.has_started)
 
     def next_at(self) -> float:
-        """Return when something is next due."""
+        """Return when the next stream is prepared or the next step begins; NEVER if there is neither."""
         preparing = [stream.ready_at for stream in self.running.values() if not stream.has_started]
         return min(self._step_at, *preparing) if preparing else self._step_at
 
-    def advance(self, now: float, events: list[ModelEvent]) -> None:
-        """Do what is due by now."""
+    def advance(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
+        """Fill free slots, and do the step if its time has come."""
         self._fill_slots(now, events)
         if now >= self._step_at - TIME_TOLERANCE:
             self._step(now, events)
 
-    def _fill_slots(self, now: float, events: list[ModelEvent]) -> None:
+    def _fill_slots(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
         slots = self._resources.slots(now)
         while self.queue and len(self.running) < slots and self._fits_memory(self.queue[0]):
             stream = self.queue.popleft()
@@ -107,12 +108,12 @@
             self._prepare(now, stream, events)
         self._start_prepared(now, events)
 
-    def _fits_memory(self, stream: Stream) -> bool:
+    def _fits_memory(self, stream: Stream[KeyT]) -> bool:
         needed = self._resources.used_memory + stream.task.prompt + stream.generated
         return not self.running or needed <= self._resources.machine.memory
 
-    def _prepare(self, now: float, stream: Stream, events: list[ModelEvent]) -> None:
-        """Give a stream its slot and memory; fetch its read state or read its prompt here."""
+    def _prepare(self, now: float, stream: Stream[KeyT], events: list[ModelEvent[KeyT]]) -> None:
+        """Assign a slot and memory to a stream, then request its read state or read its prompt."""
         self.running[stream.key] = stream
         stream.used_memory = stream.task.prompt + stream.generated
         self._resources.used_memory += stream.used_memory
@@ -124,9 +125,9 @@
         duration *= 1.0 + self._resources.machine.batch_drag * len(self._batches.running)
         stream.ready_at = now + duration
         if self._step_at != NEVER:
-            self._step_at += duration  # reading here delays the streams that run
+            self._step_at += duration  # reading a prompt here delays the running streams
 
-    def _start_prepared(self, now: float, events: list[ModelEvent]) -> None:
+    def _start_prepared(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
         for stream in self.running.values():
             if stream.has_started or stream.ready_at > now + TIME_TOLERANCE:
                 continue
@@ -137,13 +138,13 @@
             if self._step_at == NEVER:
                 self._step_at = now
 
-    def _step(self, now: float, events: list[ModelEvent]) -> None:
+    def _step(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
         self._generate_tokens(now, events)
         self._preempt_newest()
         self._fill_slots(now, events)
         self._step_at = now + self._step_seconds()
 
-    def _generate_tokens(self, now: float, events: list[ModelEvent]) -> None:
+    def _generate_tokens(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
         resources = self._resources
         ready_by = now + TIME_TOLERANCE
         for stream in list(self.running.values()):
@@ -158,7 +159,7 @@
                 events.append(AnswerDone(stream.key, stream.cached_tokens, stream.generated))
 
     def _preempt_newest(self) -> None:
-        """Queue the newest streams again, to be read anew, while memory is exceeded."""
+        """Queue the newest streams again while memory is exceeded; their prompts will be read again."""
         while self._resources.used_memory > self._resources.machine.memory and len(self.running) > 1:
             newest = next(reversed(self.running.values()))
             self._drop(newest)
@@ -166,16 +167,16 @@
             self.queue.appendleft(newest)
 
     def _step_seconds(self) -> float:
-        """Return the time until the next step; NEVER where no stream has started."""
+        """Return the seconds until the next step, or NEVER if no stream has started."""
         machine = self._resources.machine
-        busy = sum(1 for stream in self.running.values() if stream.has_started)
-        if not busy:
+        started_count = sum(1 for stream in self.running.values() if stream.has_started)
+        if not started_count:
             return NEVER
-        crowding = 1.0 + machine.step_crowd * busy / machine.slots
-        crowding += machine.batch_drag * len(self._batches.running)
-        return machine.step * crowding * self._resources.faults.slowdown
+        slowdown_factor = 1.0 + machine.step_crowd * started_count / machine.slots
+        slowdown_factor += machine.batch_drag * len(self._batches.running)
+        return machine.step * slowdown_factor * self._resources.faults.slowdown
 
-    def _drop(self, stream: Stream) -> None:
+    def _drop(self, stream: Stream[KeyT]) -> None:
         self.running.pop(stream.key, None)
         self._resources.used_memory -= stream.used_memory
         stream.used_memory = 0.0
--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -1,50 +1,69 @@
-"""What the events of the model mean for the attempts that an emulated engine serves."""
+"""The effects of an engine model's events on the jobs of an emulated engine."""
 
-from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Iterable
+from typing import assert_never
+
+from h2.errors import ErrorCodes
 
 from myrtlehub.emulator import events
 from myrtlehub.emulator.batch_results import batch_results
-from myrtlehub.emulator.events import ModelEvent
-from myrtlehub.emulator.job import Job, StateFetch
-from myrtlehub.emulator.state_transfer import HTTP2_INTERNAL_ERROR
+from myrtlehub.emulator.engine_context import EngineContext
+from myrtlehub.emulator.events import AttemptEvent, ModelEvent
+from myrtlehub.emulator.job import Job
+from myrtlehub.emulator.state_transfer import StateFetch
 from myrtlehub.emulator.tokens import checksum, token_id
 from myrtlehub.proto import chat_pb2 as chat
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.fencing import AttemptState
+from myrtlehub.rpc.server_call import ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-if TYPE_CHECKING:
-    from myrtlehub.emulator.server import EmulatedEngine
-
-MOST_TOKENS_BEFORE_BREAK = 10
+MAX_TOKENS_BEFORE_BREAK = 10  # tokens that a stream sends at most before `break_stream` breaks it
 
 
 class EventHandlers:
-    """Carries out the events of one engine's model."""
+    """Handles the events of one engine's model."""
 
-    def __init__(self, engine: "EmulatedEngine") -> None:
+    def __init__(self, engine: EngineContext) -> None:
         self._engine = engine
-        self._handlers: dict[type, Callable[[Any], None]] = {
-            events.PromptRead: self._on_prompt_read,
-            events.BatchDone: self._on_batch_done,
-            events.FetchNeeded: self._on_fetch_needed,
-            events.Started: self._on_started,
-            events.TokensGenerated: self._on_tokens,
-            events.AnswerDone: self._on_answer_done,
-            events.Refused: self._on_refused,
-            events.Failed: self._on_failed,
-            events.Expired: self._on_expired,
-            events.StateFreed: self._on_state_freed,
-            events.Crashed: self._on_crashed,
-        }
-
-    def handle(self, model_events: Iterable[ModelEvent]) -> None:
-        """Carry out events in their order."""
-        for event in model_events:
-            self._handlers[type(event)](event)
 
-    def _on_prompt_read(self, event: events.PromptRead) -> None:
+    def handle(self, model_events: Iterable[ModelEvent[Job]]) -> None:
+        """Handle events in order."""
+        for event in model_events:
+            match event:
+                case events.StateFreed(sequence_id, tokens, reason):
+                    self._engine.recorder.note("freed", seq=sequence_id, tokens=tokens, why=reason.value)
+                case events.Crashed():
+                    self._engine.recorder.note("fell")
+                    self._engine.crash()
+                case _:
+                    self._handle_attempt_event(event)
+
+    def _handle_attempt_event(self, event: AttemptEvent[Job]) -> None:
+        match event:
+            case events.TokensGenerated():
+                self._send_tokens(event.key, event.token_count)
+            case events.PromptRead():
+                self._answer_read(event)
+            case events.BatchDone():
+                self._send_results(event.key)
+            case events.FetchNeeded():
+                self._fetch_state(event.key)
+            case events.Started():
+                self._start(event.key)
+            case events.AnswerDone():
+                self._finish_answer(event)
+            case events.Rejected():
+                self._reject(event.key, event.is_state_missing)
+            case events.Failed():
+                _fail(event.key, "failed", RpcError(Code.INTERNAL, "the engine failed"))
+            case events.Expired():
+                error = RpcError(Code.DEADLINE_EXCEEDED, "its time was over before it could begin")
+                _fail(event.key, "expired", error)
+            case _:
+                assert_never(event)
+
+    def _answer_read(self, event: events.PromptRead[Job]) -> None:
         job = event.key
         job.note("held", tokens=event.tokens)
         job.close(AttemptState.HOLDS_READ_STATE)
@@ -53,71 +72,73 @@
         reply = pb.ReadReply(
             read=state, kept_tokens=int(event.cached_tokens), load=self._engine.load_with_answer()
         )
-        job.answer.callback(reply.SerializeToString())
+        job.read_answer.callback(reply.SerializeToString())
 
-    def _on_batch_done(self, event: events.BatchDone) -> None:
-        """Send the results in two pieces, then the end; a stream may break after either piece."""
-        job = event.key
+    def _send_results(self, job: Job) -> None:
+        """Send the results of a batch in two messages, then its end; a fault may break it after either."""
         engine = self._engine
         results = batch_results(job.batch, engine.config, engine.model_name)
         half = len(results) // 2
         for piece in (results[:half], results[half:]):
             if piece:
-                job.call.send(pb.BatchReply(items=pb.ItemResults(results=piece)).SerializeToString())
-            if engine.hits("break_stream"):
+                job.send(pb.BatchReply(items=pb.ItemResults(results=piece)).SerializeToString())
+            if engine.occurs(engine.config.mishaps.break_stream):
                 self._end_batch(job)
                 job.note("broken")
-                engine.clock.callLater(0, job.call.stream.reset, HTTP2_INTERNAL_ERROR)
+                self._reset_stream_soon(job.call)
                 return
         self._end_batch(job)
         job.note("ended", tokens=len(results))
         ended = pb.BatchEnded(model=engine.model_name, load=engine.load_with_answer())
-        job.call.send(pb.BatchReply(ended=ended).SerializeToString())
-        job.call.finish()
+        job.send(pb.BatchReply(ended=ended).SerializeToString())
+        job.finish()
 
     def _end_batch(self, job: Job) -> None:
         job.is_over = True
         self._engine.jobs.discard(job)
 
-    def _on_fetch_needed(self, event: events.FetchNeeded) -> None:
-        job = event.key
+    def _reset_stream_soon(self, call: ServerCall | None) -> None:
+        """Reset a stream in the next turn of the event loop, after the messages that were written to it."""
+        if call is not None:
+            self._engine.clock.callLater(0, call.stream.reset, ErrorCodes.INTERNAL_ERROR)
+
+    def _fetch_state(self, job: Job) -> None:
         job.note("fetching")
-        job.fetch = self._engine.fetch_call(job.read_state.engine, StateFetch(self._engine, job))
-        job.fetch.send(pb.FetchRequest(handle=job.read_state.handle).SerializeToString())
-        job.fetch.half_close()
+        fetch = self._engine.open_fetch(job.read_state.engine, StateFetch(self._engine, job))
+        job.fetch = fetch
+        fetch.send(pb.FetchRequest(handle=job.read_state.handle).SerializeToString())
+        fetch.half_close()
 
-    def _on_started(self, event: events.Started) -> None:
-        job = event.key
+    def _start(self, job: Job) -> None:
         job.has_run = True
         job.attempt_state = AttemptState.WRITING
         job.note("ran", mark=job.work.mark, traffic=job.work.traffic_type)
-        if job.batch is None and self._engine.hits("break_stream"):
-            job.breaks_after = self._engine.random.randint(1, MOST_TOKENS_BEFORE_BREAK)
+        if not job.is_batch and self._engine.occurs(self._engine.config.mishaps.break_stream):
+            job.tokens_until_break = self._engine.random.randint(1, MAX_TOKENS_BEFORE_BREAK)
 
-    def _on_tokens(self, event: events.TokensGenerated) -> None:
-        job = event.key
+    def _send_tokens(self, job: Job, token_count: int) -> None:
         first_index = len(job.token_ids)
         address = self._engine.config.listen
         token_ids = [
             token_id(address, job.work.sequence, job.work.attempt, index)
-            for index in range(first_index, first_index + event.count)
+            for index in range(first_index, first_index + token_count)
         ]
         job.token_ids += token_ids
         job.send(pb.WriteReply(tokens=chat.Tokens(ids=token_ids)).SerializeToString())
-        if job.breaks_after:
-            self._count_down_to_break(job)
+        if job.tokens_until_break is not None:
+            self._count_down_to_break(job, job.tokens_until_break - 1)
 
-    def _count_down_to_break(self, job: Job) -> None:
-        job.breaks_after -= 1
-        if job.breaks_after or job.is_over:
+    def _count_down_to_break(self, job: Job, tokens_left: int) -> None:
+        job.tokens_until_break = tokens_left or None
+        if tokens_left or job.is_over:
             return
         job.note("broken")
         if job.call is not None:
-            self._engine.clock.callLater(0, job.call.stream.reset, HTTP2_INTERNAL_ERROR)
+            self._reset_stream_soon(job.call)
         else:
             job.stop("broken")
 
-    def _on_answer_done(self, event: events.AnswerDone) -> None:
+    def _finish_answer(self, event: events.AnswerDone[Job]) -> None:
         job = event.key
         job.close(AttemptState.ENDED)
         job.note("ended", tokens=event.tokens, sum=checksum(job.token_ids))
@@ -130,44 +151,25 @@
         job.send(job.final_message)
         job.finish()
 
-    def _on_refused(self, event: events.Refused) -> None:
-        job = event.key
+    def _reject(self, job: Job, is_state_missing: bool) -> None:
         job.close(AttemptState.REFUSED)
-        job.note("refused", no_state=event.no_state)
-        refused = pb.Refused(no_state=event.no_state, load=self._engine.load_with_answer())
-        if job.batch is not None:
+        job.note("refused", no_state=is_state_missing)
+        refused = pb.Refused(no_state=is_state_missing, load=self._engine.load_with_answer())
+        if job.is_batch:
             refused.model = self._engine.model_name
-            job.call.send(pb.BatchReply(refused=refused).SerializeToString())
-            job.call.finish()
-        elif job.reads:
-            job.answer.callback(pb.ReadReply(refused=refused).SerializeToString())
+            job.send(pb.BatchReply(refused=refused).SerializeToString())
+            job.finish()
+        elif job.is_read:
+            job.read_answer.callback(pb.ReadReply(refused=refused).SerializeToString())
         else:
             job.send(pb.WriteReply(refused=refused).SerializeToString())
             job.finish()
 
-    def _on_failed(self, event: events.Failed) -> None:
-        _fail(event.key, "failed", RpcError(Code.INTERNAL, "the engine failed"))
-
-    def _on_expired(self, event: events.Expired) -> None:
-        error = RpcError(Code.DEADLINE_EXCEEDED, "its time was over before it could begin")
-        _fail(event.key, "expired", error)
-
-    def _on_state_freed(self, event: events.StateFreed) -> None:
-        self._engine.recorder.note(
-            "freed", seq=event.sequence_id, tokens=event.tokens, why=event.reason.value
-        )
-
-    def _on_crashed(self, event: events.Crashed) -> None:
-        self._engine.recorder.note("fell")
-        for connection in list(self._engine.server.connections):
-            connection.transport.abortConnection()
-        self._engine.on_crashed()
-
 
-def _fail(job: Job, what: str, error: RpcError) -> None:
-    job.close(AttemptState.NEVER_RAN)  # neither begun nor to be begun any more
-    job.note(what)
-    if job.reads:
-        job.answer.errback(error)
+def _fail(job: Job, record_name: str, error: RpcError) -> None:
+    job.close(AttemptState.NEVER_RAN)  # it has not started, and will not
+    job.note(record_name)
+    if job.is_read:
+        job.read_answer.errback(error)
     elif job.call is not None:
         job.call.fail(error)
--- a/myrtlehub/emulator/events.py
+++ b/myrtlehub/emulator/events.py
@@ -1,13 +1,13 @@
-"""What an engine model reports: one type for each event."""
+"""The events that an engine model reports, one type for each; `KeyT` is the type that names an attempt."""
 
 from enum import StrEnum
-from typing import NamedTuple, TypeAlias
+from typing import Generic, NamedTuple, TypeAlias
 
-from myrtlehub.emulator.machine import AttemptKey
+from myrtlehub.emulator.machine import KeyT
 
 
 class FreeReason(StrEnum):
-    """Why a read state was freed; the values are written to records."""
+    """Why a read state was freed; the values are stored in records."""
 
     RELEASED = "released"
     FETCHED = "fetched"
@@ -16,64 +16,64 @@
     EXPIRED = "bound"
 
 
-class PromptRead(NamedTuple):
-    """A prompt is read, and its read state is stored."""
+class PromptRead(NamedTuple, Generic[KeyT]):
+    """A prompt was read, and its read state is stored."""
 
-    key: AttemptKey
+    key: KeyT
     cached_tokens: float
     tokens: float
 
 
-class BatchDone(NamedTuple):
-    """A batch is done."""
+class BatchDone(NamedTuple, Generic[KeyT]):
+    """All items of a batch were computed."""
 
-    key: AttemptKey
+    key: KeyT
 
 
-class FetchNeeded(NamedTuple):
-    """A writer has a slot and memory: its read state is to be fetched, then `fetched` called."""
+class FetchNeeded(NamedTuple, Generic[KeyT]):
+    """An attempt to write has a slot and memory; its read state must be fetched, then `fetched` called."""
 
-    key: AttemptKey
+    key: KeyT
 
 
-class Started(NamedTuple):
-    """An answer begins to be generated: from here on the attempt has had its effect."""
+class Started(NamedTuple, Generic[KeyT]):
+    """An answer or a batch has begun to be computed; from now on the attempt has had its effect."""
 
-    key: AttemptKey
+    key: KeyT
 
 
-class TokensGenerated(NamedTuple):
+class TokensGenerated(NamedTuple, Generic[KeyT]):
     """A stream has further tokens."""
 
-    key: AttemptKey
-    count: int
+    key: KeyT
+    token_count: int
 
 
-class AnswerDone(NamedTuple):
+class AnswerDone(NamedTuple, Generic[KeyT]):
     """An answer is complete."""
 
-    key: AttemptKey
+    key: KeyT
     cached_tokens: float
     tokens: int
 
 
-class Refused(NamedTuple):
-    """An attempt does not run here."""
+class Rejected(NamedTuple, Generic[KeyT]):
+    """An attempt was rejected without any effect: the engine is full, or the read state is missing."""
 
-    key: AttemptKey
-    no_state: bool = False
+    key: KeyT
+    is_state_missing: bool = False
 
 
-class Failed(NamedTuple):
-    """An attempt fails by an injected fault."""
+class Failed(NamedTuple, Generic[KeyT]):
+    """An attempt failed by an injected fault."""
 
-    key: AttemptKey
+    key: KeyT
 
 
-class Expired(NamedTuple):
-    """An attempt had not begun when its time was over."""
+class Expired(NamedTuple, Generic[KeyT]):
+    """The time by which an attempt had to start passed while it was queued."""
 
-    key: AttemptKey
+    key: KeyT
 
 
 class StateFreed(NamedTuple):
@@ -85,19 +85,18 @@
 
 
 class Crashed(NamedTuple):
-    """The engine was overloaded while cold, and does nothing more."""
-
-
-ModelEvent: TypeAlias = (
-    PromptRead
-    | BatchDone
-    | FetchNeeded
-    | Started
-    | TokensGenerated
-    | AnswerDone
-    | Refused
-    | Failed
-    | Expired
-    | StateFreed
-    | Crashed
+    """The engine was overloaded while warming up; it processes nothing from now on."""
+
+
+AttemptEvent: TypeAlias = (
+    PromptRead[KeyT]
+    | BatchDone[KeyT]
+    | FetchNeeded[KeyT]
+    | Started[KeyT]
+    | TokensGenerated[KeyT]
+    | AnswerDone[KeyT]
+    | Rejected[KeyT]
+    | Failed[KeyT]
+    | Expired[KeyT]
 )
+ModelEvent: TypeAlias = AttemptEvent[KeyT] | StateFreed | Crashed
--- a/myrtlehub/emulator/fault_service.py
+++ b/myrtlehub/emulator/fault_service.py
@@ -1,25 +1,26 @@
-"""How an emulated engine serves `Stand.Misbehave`, by which tests inject faults."""
+"""The service `Stand.Misbehave`, by which tests inject faults into an emulated engine."""
 
-from typing import TYPE_CHECKING
+from h2.errors import ErrorCodes
 
+from myrtlehub.emulator.engine_context import EngineContext
 from myrtlehub.emulator.faults import FaultKind, UnknownFaultError
-from myrtlehub.emulator.state_transfer import HTTP2_INTERNAL_ERROR
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.rpc.server_call import ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-if TYPE_CHECKING:
-    from myrtlehub.emulator.server import EmulatedEngine
-
 
 class FaultService:
     """Injects faults into one engine."""
 
-    def __init__(self, engine: "EmulatedEngine") -> None:
+    def __init__(self, engine: EngineContext) -> None:
         self._engine = engine
 
     def inject(self, call: ServerCall, data: bytes) -> bytes:
-        """Serve one call."""
+        """Serve one call.
+
+        Raises:
+            RpcError: the engine does not have this fault.
+        """
         engine = self._engine
         request = pb.Misbehaviour.FromString(data)
         engine.recorder.note("misbehaves", how=request.how, factor=request.factor, seconds=request.seconds)
@@ -45,11 +46,11 @@
         for job in sorted(running, key=lambda job: job.work.sequence):
             if job.call is not None and self._engine.random.random() < share:
                 job.note("broken")
-                job.call.stream.reset(HTTP2_INTERNAL_ERROR)
+                job.call.stream.reset(ErrorCodes.INTERNAL_ERROR)
 
 
-def _kind_of(word: str) -> FaultKind:
+def _kind_of(value: str) -> FaultKind:
     try:
-        return FaultKind(word)
+        return FaultKind(value)
     except ValueError:
-        raise UnknownFaultError(word) from None
+        raise UnknownFaultError(value) from None
--- a/myrtlehub/emulator/faults.py
+++ b/myrtlehub/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults that are injected into an emulated engine on request."""
+"""The faults that can be injected into an emulated engine."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class FaultKind(StrEnum):
-    """The faults, by their words in `Misbehaviour.how`."""
+    """The kinds of faults; the values are those of `Misbehaviour.how` in the protocol."""
 
     HANG = "hang"
     REFUSE = "refuse"
@@ -19,10 +19,10 @@
 
 
 class UnknownFaultError(ValueError):
-    """A fault was asked for that there is not, or not here.
+    """A requested fault does not exist, or the engine model does not have it.
 
     Attributes:
-        kind: the word that was received.
+        kind: the value that was received.
     """
 
     def __init__(self, kind: str) -> None:
@@ -31,23 +31,27 @@
 
 
 class InjectedFaults:
-    """The faults of one engine at present, all of which end at the same time."""
+    """The faults that one engine has at present; all of them end at the same time."""
 
     def __init__(self) -> None:
         self.is_hung = False
-        self.slowdown = 1.0  # by which work takes longer
-        self.refused_share = 0.0
-        self.failed_share = 0.0
+        self.slowdown = 1.0  # factor by which work takes longer
+        self.rejected_share = 0.0  # fraction of attempts
+        self.failed_share = 0.0  # fraction of attempts
         self.end_at = NEVER
 
     def inject(self, now: float, kind: FaultKind, factor: float, seconds: float) -> None:
-        """Begin a fault for so many seconds; 0: until it is cleared."""
+        """Begin a fault that lasts this number of seconds; 0 stands for "until it is cleared".
+
+        Raises:
+            UnknownFaultError: the engine model does not have this fault.
+        """
         if kind == FaultKind.HANG:
             self.is_hung = True
         elif kind == FaultKind.SLOW:
             self.slowdown = max(1.0, factor)
         elif kind == FaultKind.REFUSE:
-            self.refused_share = factor or 1.0
+            self.rejected_share = factor or 1.0
         elif kind == FaultKind.ERROR:
             self.failed_share = factor or 1.0
         else:
@@ -58,6 +62,6 @@
         """End all faults."""
         self.is_hung = False
         self.slowdown = 1.0
-        self.refused_share = 0.0
+        self.rejected_share = 0.0
         self.failed_share = 0.0
         self.end_at = NEVER
--- a/myrtlehub/emulator/machine.py
+++ b/myrtlehub/emulator/machine.py
@@ -1,20 +1,20 @@
-"""Figures of an emulated machine, and the attempts that it is given."""
+"""The figures of an emulated machine, and the attempts that its model receives."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass
-from typing import NamedTuple, TypeAlias
+from typing import NamedTuple, TypeVar
 
-NEVER = float("inf")
-TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early
+NEVER = float("inf")  # a time that is not reached
+TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early, by rounding
 
-AttemptKey: TypeAlias = Hashable
+KeyT = TypeVar("KeyT", bound=Hashable)  # what names an attempt to the owner of a model
 
 
 @dataclass(frozen=True)
 class Machine:
-    """Figures of an emulated machine; times are seconds, memory and cached text are tokens.
+    """The figures of an emulated machine; times are in seconds, memory and cached text in tokens.
 
-    The fields have the names of the emulated engine's file (config/emulated_engine.py).
+    The fields have the names of the settings in `config/emulated_engine.py`, which explains them.
     """
 
     slots: int = 8
@@ -30,7 +30,7 @@
     fall_multiple: float = 2.5
     fall_time: float = 1.0
     state_bound: float = 3.0
-    begin: float = 0.0  # from a read state to the first step of its answer
+    begin: float = 0.0
     batch_base: float = 0.006
     batch_rate: float = 60000.0
     batch_slots: int = 1
@@ -39,7 +39,7 @@
 
 
 class Task(NamedTuple):
-    """One attempt as the engine received it."""
+    """One attempt as the engine received it; sizes are in tokens."""
 
     sequence_id: str
     prompt: float
@@ -48,4 +48,4 @@
     prefix: str = ""
     shared_tokens: float = 0.0
     idempotency_key: str = ""
-    start_before: float = NEVER  # not begun after this time
+    start_before: float = NEVER  # time after which the attempt expires if it has not started
--- a/myrtlehub/emulator/model.py
+++ b/myrtlehub/emulator/model.py
@@ -1,54 +1,74 @@
-"""A pure model of an engine: no sockets, and no clock but the times that it is given.
+"""A model of an engine without sockets or a clock; the caller passes the time. Its figures are simulated.
 
-Simulated: a made-up machine with slots, a queue, memory, cached prefixes, a reading rate and a step between
-tokens that grows with the streams that run. An engine that has just started can do only part of its work;
-sent much more than that, it crashes and stays down. The same model serves emulated engines on sockets and
-experiments without any. Calls return events (`events`).
+The machine has slots, a queue, memory, a prefix cache, a reading rate, and a time per decode step that grows
+with the number of running streams. An engine that has just started has part of its capacity, and crashes if
+it receives much more work than that. Emulated engines on sockets and in-process experiments use the same
+model. Its methods return events (`myrtlehub.emulator.events`).
 """
 
 from random import Random
+from typing import Generic, NamedTuple
 
 from myrtlehub.emulator.batch_stage import BatchStage
 from myrtlehub.emulator.decode_stage import DecodeStage, Stream
-from myrtlehub.emulator.events import Crashed, Failed, FreeReason, ModelEvent, Refused, StateFreed
+from myrtlehub.emulator.events import Crashed, Failed, FreeReason, ModelEvent, Rejected, StateFreed
 from myrtlehub.emulator.faults import FaultKind
-from myrtlehub.emulator.machine import NEVER, AttemptKey, Machine, Task
+from myrtlehub.emulator.machine import NEVER, KeyT, Machine, Task
 from myrtlehub.emulator.prefill_stage import PrefillStage
 from myrtlehub.emulator.resources import Resources
 
-EXPECTED_OUTPUT_SHARE = 0.25  # of the longest output, when work is estimated
-LEAST_OUTPUT_SHARE = 0.1  # of the longest output, that an answer has
-OUTPUT_SHARE_SPREAD = 0.4
+EXPECTED_OUTPUT_SHARE = 0.25  # part of the maximum output that an estimate of work assumes
+LEAST_OUTPUT_SHARE = 0.1  # part of the maximum output that the shortest answer has
+OUTPUT_SHARE_SPREAD = 0.4  # added to the least part, times a random number from 0 to 1
 
 
-class EngineModel:
-    """One engine, made of the stages that read, generate and compute batches."""
+class ModelLoad(NamedTuple):
+    """The load of an engine model, with the field names of the protocol's load report."""
+
+    memory_share: float  # fraction in use
+    unread: float  # prompt and batch tokens still to be processed
+
+
+class EngineModel(Generic[KeyT]):
+    """One engine, composed of the stages that read prompts, generate answers and compute batches."""
 
     def __init__(self, machine: Machine, seed: int, started: float | None = None) -> None:
-        """Make one; `started` is the time of a cold start, None if it has run for long."""
+        """Make an engine.
+
+        Args:
+            machine: the figures of the machine.
+            seed: for the random choices of the model.
+            started: time of a cold start; None for an engine that is warm.
+        """
         self.machine = machine
         self._random = Random(seed).random
         self.resources = Resources(machine, started)
-        self.prefill = PrefillStage(self.resources)
-        self.batches = BatchStage(self.resources)
-        self.decode = DecodeStage(self.resources, self.batches)
+        self.prefill = PrefillStage[KeyT](self.resources)
+        self.batches = BatchStage[KeyT](self.resources)
+        self.decode = DecodeStage[KeyT](self.resources, self.batches)
         self.has_crashed = False
 
     @property
     def is_hung(self) -> bool:
-        """Whether an injected fault keeps it from doing anything."""
+        """Whether an injected fault makes the engine hang."""
         return self.resources.faults.is_hung
 
     @property
     def slowdown(self) -> float:
-        """The factor by which an injected fault makes work longer."""
+        """The factor by which an injected fault prolongs work."""
         return self.resources.faults.slowdown
 
     def inject_fault(self, now: float, kind: FaultKind, factor: float, seconds: float) -> None:
-        """Begin a fault for so many seconds (0: until it is ended), or end all of them.
+        """Begin a fault, or clear all faults.
+
+        Args:
+            now: the present time.
+            kind: the fault; `NONE` clears all of them.
+            factor: slowdown, or fraction of attempts, by the kind.
+            seconds: duration; 0 stands for "until it is cleared".
 
         Raises:
-            UnknownFaultError: the model does not have it.
+            UnknownFaultError: the model does not have this fault.
         """
         if kind == FaultKind.NONE:
             self.resources.faults.clear()
@@ -57,47 +77,49 @@
         else:
             self.resources.faults.inject(now, kind, factor, seconds)
 
-    def work(self, task: Task, reads: bool, fetches: bool) -> float:
-        """Return the slot-seconds of an attempt on a warm engine, with nothing cached."""
-        read = 0.0 if fetches else task.prompt / self.machine.read_rate
-        return read if reads else read + EXPECTED_OUTPUT_SHARE * task.max_output * self.machine.step
-
-    def read(self, now: float, key: AttemptKey, task: Task) -> list[ModelEvent]:
-        """Receive an attempt to read."""
-        answer = self._answer_at_once(now, key, self.work(task, reads=True, fetches=False))
-        if answer is not None:
-            return answer
-        if not self.prefill.has_room_for(task):
-            return [Refused(key)]
+    def work(self, task: Task, is_read: bool, fetches_state: bool) -> float:
+        """Return the slot-seconds of an attempt on a warm engine without cached prefixes."""
+        read = 0.0 if fetches_state else task.prompt / self.machine.read_rate
+        return read if is_read else read + EXPECTED_OUTPUT_SHARE * task.max_output * self.machine.step
+
+    def read(self, now: float, key: KeyT, task: Task) -> list[ModelEvent[KeyT]]:
+        """Receive an attempt to read a prompt."""
+        fault_events = self._events_of_faults(now, key, self.work(task, is_read=True, fetches_state=False))
+        if fault_events is not None:
+            return fault_events
+        if not self.prefill.has_capacity_for(task):
+            return [Rejected(key)]
         self.prefill.enqueue(key, task)
         return self.tick(now)
 
-    def write(self, now: float, key: AttemptKey, task: Task, fetches: bool) -> list[ModelEvent]:
-        """Receive an attempt to write, from a read state to be fetched or by reading here."""
-        answer = self._answer_at_once(now, key, self.work(task, reads=False, fetches=fetches))
-        if answer is not None:
-            return answer
-        if not self.decode.has_room_for(task):
-            return [Refused(key)]
+    def write(self, now: float, key: KeyT, task: Task, fetches_state: bool) -> list[ModelEvent[KeyT]]:
+        """Receive an attempt to generate an answer, from a fetched read state or from the prompt."""
+        fault_events = self._events_of_faults(
+            now, key, self.work(task, is_read=False, fetches_state=fetches_state)
+        )
+        if fault_events is not None:
+            return fault_events
+        if not self.decode.has_capacity_for(task):
+            return [Rejected(key)]
         share = LEAST_OUTPUT_SHARE + OUTPUT_SHARE_SPREAD * self._random()
         total = max(1, round(task.max_output * share))
-        self.decode.enqueue(Stream(key, task, total, fetches))
+        self.decode.enqueue(Stream(key, task, total, fetches_state))
         return self.tick(now)
 
     def batch(
-        self, now: float, key: AttemptKey, tokens: float, start_before: float = NEVER
-    ) -> list[ModelEvent]:
-        """Receive a part of a batch: all its items in one pass."""
-        answer = self._answer_at_once(now, key, tokens / self.machine.batch_rate)
-        if answer is not None:
-            return answer
-        if not self.batches.has_room():
-            return [Refused(key)]
+        self, now: float, key: KeyT, tokens: float, start_before: float = NEVER
+    ) -> list[ModelEvent[KeyT]]:
+        """Receive a batch, whose items are computed in one pass."""
+        fault_events = self._events_of_faults(now, key, tokens / self.machine.batch_rate)
+        if fault_events is not None:
+            return fault_events
+        if not self.batches.has_capacity():
+            return [Rejected(key)]
         self.batches.enqueue(key, tokens, start_before)
         return self.tick(now)
 
-    def _answer_at_once(self, now: float, key: AttemptKey, work: float) -> list[ModelEvent] | None:
-        """Count the load of an attempt; return the answer where faults decide it, None to go on."""
+    def _events_of_faults(self, now: float, key: KeyT, work: float) -> list[ModelEvent[KeyT]] | None:
+        """Count the work of an attempt; return its events if a crash or fault decides it, otherwise None."""
         if self.has_crashed:
             return []
         if self.resources.warm_up.is_overloaded_by(now, work):
@@ -108,18 +130,18 @@
             return []
         if faults.failed_share and self._random() < faults.failed_share:
             return [Failed(key)]
-        if faults.refused_share and self._random() < faults.refused_share:
-            return [Refused(key)]
+        if faults.rejected_share and self._random() < faults.rejected_share:
+            return [Rejected(key)]
         return None
 
-    def fetched(self, now: float, key: AttemptKey, is_whole: bool) -> list[ModelEvent]:
-        """Continue after FetchNeeded: the read state came, or did not."""
+    def fetched(self, now: float, key: KeyT, is_complete: bool) -> list[ModelEvent[KeyT]]:
+        """Continue an attempt after `FetchNeeded`; `is_complete`: the read state was fetched completely."""
         if key not in self.decode.running:
             return []
-        return [*self.decode.fetched(now, key, is_whole), *self.tick(now)]
+        return [*self.decode.fetched(now, key, is_complete), *self.tick(now)]
 
-    def cancel(self, now: float, key: AttemptKey) -> list[ModelEvent]:
-        """Stop an attempt that nobody waits for any more, wherever it is."""
+    def cancel(self, now: float, key: KeyT) -> list[ModelEvent[KeyT]]:
+        """Remove an attempt from all stages."""
         self.prefill.cancel(key)
         self.decode.cancel(key)
         self.batches.cancel(key)
@@ -127,26 +149,26 @@
 
     def release(
         self, now: float, sequence_id: str, reason: FreeReason = FreeReason.RELEASED
-    ) -> list[ModelEvent]:
-        """Free the read state of a sequence; none is no error."""
+    ) -> list[ModelEvent[KeyT]]:
+        """Free the read state of a sequence, if there is one."""
         tokens = self.prefill.drop_state(sequence_id)
         if not tokens:
             return []
         return [StateFreed(sequence_id, tokens, reason), *self.tick(now)]
 
     def state_tokens(self, sequence_id: str) -> float:
-        """Return the tokens of a read state; 0 where there is none."""
+        """Return the tokens of a read state, or 0 if there is none."""
         return self.prefill.state_tokens(sequence_id)
 
-    def load(self) -> dict[str, float]:
-        """Return the fields of the load report."""
+    def load(self) -> ModelLoad:
+        """Return the present load."""
         batch_tokens = self.batches.backlog()
         memory_share = (self.resources.used_memory + batch_tokens) / self.machine.memory
         unread = self.prefill.backlog() + self.decode.backlog() + batch_tokens
-        return {"memory_share": min(1.0, memory_share), "unread": unread}
+        return ModelLoad(min(1.0, memory_share), unread)
 
     def next_at(self) -> float:
-        """Return when `tick` is next due."""
+        """Return when `tick` must be called next, or NEVER."""
         if self.has_crashed:
             return NEVER
         faults = self.resources.faults
@@ -154,13 +176,13 @@
             return faults.end_at
         return min(faults.end_at, self.prefill.next_at(), self.decode.next_at(), self.batches.next_at())
 
-    def tick(self, now: float) -> list[ModelEvent]:
-        """Do all that is due by now."""
+    def tick(self, now: float) -> list[ModelEvent[KeyT]]:
+        """Advance all stages to the present time."""
         if now >= self.resources.faults.end_at:
             self.resources.faults.clear()
         if self.has_crashed or self.is_hung:
             return []
-        events: list[ModelEvent] = []
+        events: list[ModelEvent[KeyT]] = []
         self.prefill.advance(now, events)
         self.decode.advance(now, events)
         self.batches.advance(now, len(self.decode.running), events)
--- a/myrtlehub/emulator/prefix_cache.py
+++ b/myrtlehub/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an emulated engine: least recently used prefixes are evicted."""
+"""The prefix cache of an emulated engine; it evicts the least recently used prefixes."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -7,23 +7,23 @@
 
 
 class PrefixCache:
-    """Cached tokens by session and by shared prefix."""
+    """The cached tokens of sessions and of shared prefixes; `capacity` is in tokens."""
 
     def __init__(self, capacity: float) -> None:
         self._capacity = capacity
         self._tokens: OrderedDict[str, float] = OrderedDict()
 
     def find(self, task: Task) -> float:
-        """Return the cached tokens of a prompt; at least one token is always read anew."""
-        best = 0.0
+        """Return the cached tokens of a prompt; at least one token is never cached."""
+        longest = 0.0
         for name, usable in _prefixes_of(task):
             if name in self._tokens:
                 self._tokens.move_to_end(name)
-                best = max(best, min(self._tokens[name], usable))
-        return min(best, max(0.0, task.prompt - 1.0))
+                longest = max(longest, min(self._tokens[name], usable))
+        return min(longest, max(0.0, task.prompt - 1.0))
 
     def store(self, task: Task) -> None:
-        """Cache a prompt that was read."""
+        """Cache the prefixes of a prompt that was read."""
         for name, tokens in _prefixes_of(task):
             if tokens:
                 self._tokens.pop(name, None)
@@ -32,7 +32,7 @@
             self._tokens.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Evict all prefixes."""
         self._tokens.clear()
 
 
@@ -42,7 +42,7 @@
 
 
 def _prefixes_of(task: Task) -> list[_Prefix]:
-    """Return the prefixes by which a prompt is cached: its session and its shared prefix."""
+    """Return the prefixes under which a prompt is cached: that of its session and the shared one."""
     prefixes = []
     if task.session:
         prefixes.append(_Prefix(f"s:{task.session}", task.prompt))
--- a/myrtlehub/emulator/server.py
+++ b/myrtlehub/emulator/server.py
@@ -1,83 +1,95 @@
-"""An emulated engine on sockets: a thin gRPC server around the model, which records what passes."""
+"""An emulated engine on sockets: a gRPC server that records its calls and passes them to the engine model."""
 
 from collections.abc import Callable, Iterable
 from random import Random
 
 from twisted.internet.defer import Deferred
+from twisted.internet.protocol import Factory
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
-from myrtlehub.emulator.batch_results import EMBED_TASK, RANK_TASK
 from myrtlehub.emulator.claims import ClaimableJobs
+from myrtlehub.emulator.engine_service import EngineService
 from myrtlehub.emulator.event_handlers import EventHandlers
-from myrtlehub.emulator.events import Failed, ModelEvent, Refused
+from myrtlehub.emulator.events import ModelEvent
 from myrtlehub.emulator.fault_service import FaultService
 from myrtlehub.emulator.job import Job
-from myrtlehub.emulator.machine import NEVER, Machine, Task
+from myrtlehub.emulator.load_report import load_report
+from myrtlehub.emulator.machine import Machine
 from myrtlehub.emulator.model import EngineModel
 from myrtlehub.emulator.state_transfer import StateTransfers
 from myrtlehub.emulator.timer import ModelTimer
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.records import Recorder
-from myrtlehub.recovery.sequence_records import Ownership
-from myrtlehub.rpc.channel import Channel, ClientCall
-from myrtlehub.rpc.client_call import CallWatcher
-from myrtlehub.rpc.metadata import first
+from myrtlehub.rpc.channel import Channel
+from myrtlehub.rpc.client_call import CallWatcher, ClientCall
+from myrtlehub.rpc.client_protocol import ClientProtocol
 from myrtlehub.rpc.method_handlers import server_stream, unary
 from myrtlehub.rpc.server import Server
-from myrtlehub.rpc.server_call import Receiver, ServerCall
-from myrtlehub.rpc.status import Code, RpcError
 
 SERVICE = "/myrtlehub.v1.Engine/"
 FAULT_METHOD = "/myrtlehub.v1.Stand/Misbehave"
-SHORTEST_LATE_FAILURE = 0.2  # seconds until an attempt fails by `fail_late`
-LATE_FAILURE_SPREAD = 0.4
+
+Connect = Callable[[Factory], "Deferred[ClientProtocol]"]
+Dialer = Callable[[str], Connect]  # returns the connect function of an address
 
 
 def machine_of(config: EmulatedEngineConfig) -> Machine:
-    """Return the model's figures of an emulated engine's file."""
+    """Return the machine that the settings of an emulated engine describe."""
     return Machine(**{name: getattr(config, name) for name in Machine.__dataclass_fields__})
 
 
 class EmulatedEngine:
-    """One emulated engine. `dial(address)` makes a channel's way to another engine."""
+    """One emulated engine: it implements `EngineContext` for its parts and `JobOwner` for its jobs."""
 
     def __init__(
         self,
         config: EmulatedEngineConfig,
         clock: Clock,
-        dial: Callable[[str], Callable],
+        dialer: Dialer,
         recorder: Recorder,
         on_crashed: Callable[[], None] = lambda: None,
     ) -> None:
+        """Make an engine; the caller makes its `server` listen.
+
+        Args:
+            config: the settings.
+            clock: the clock of the process.
+            dialer: connects to other engines, to fetch read states.
+            recorder: receives the records of the engine.
+            on_crashed: called after the engine was overloaded while warming up.
+        """
         self.config = config
         self.clock = clock
-        self.dial = dial
         self.recorder = recorder
-        self.on_crashed = on_crashed
+        self._dialer = dialer
+        self._on_crashed = on_crashed
         now = clock.seconds()
-        self.model = EngineModel(machine_of(config), config.seed, now if config.cold else None)
+        self.model: EngineModel[Job] = EngineModel(
+            machine_of(config), config.seed, now if config.cold else None
+        )
         self.random = Random(config.seed + 1)
         self.server = Server(clock)
-        self.channels: dict[str, Channel] = {}
         self.jobs: set[Job] = set()
         self.model_name = config.model
-        self.claims = ClaimableJobs(self, config.stream_bound)
+        self._channels: dict[str, Channel] = {}  # to other engines, by address
+        self._claims = ClaimableJobs(self, config.stream_bound)
         self._timer = ModelTimer(clock, self._tick)
         self._event_handlers = EventHandlers(self)
         self._add_methods()
         self._record_start()
 
     def _add_methods(self) -> None:
+        service = EngineService(self, self, self._claims, self._event_handlers)
         state_transfers = StateTransfers(self)
         fault_service = FaultService(self)
-        self.server.add(SERVICE + "Read", unary(self._read))
-        self.server.add(SERVICE + "Write", server_stream(self._write))
-        self.server.add(SERVICE + "Release", unary(self._release))
-        self.server.add(SERVICE + "Probe", unary(self._probe))
-        self.server.add(SERVICE + "Claim", unary(lambda call, data: self.claims.claim(data)))
+        self.server.add(SERVICE + "Read", unary(service.read))
+        self.server.add(SERVICE + "Write", server_stream(service.write))
+        self.server.add(SERVICE + "Release", unary(service.release))
+        self.server.add(SERVICE + "Probe", unary(service.probe))
+        self.server.add(SERVICE + "Claim", unary(self._claims.claim))
         self.server.add(SERVICE + "Fetch", server_stream(state_transfers.serve))
-        self.server.add(SERVICE + "Batch", server_stream(self._batch))
+        self.server.add(SERVICE + "Batch", server_stream(service.batch))
         self.server.add(FAULT_METHOD, unary(fault_service.inject))
 
     def _record_start(self) -> None:
@@ -93,130 +105,52 @@
             fall_time=machine.fall_time,
         )
 
-    # -- calls that are served --------------------------------------------------------------------
-
-    def _read(self, call: ServerCall, data: bytes) -> Deferred:
-        if not self.config.reads:
-            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not read for others")
-        job = self._admit(call, pb.ReadRequest.FromString(data).work, True, None)
-        job.answer = Deferred(lambda ignored: job.lost(Code.CANCELLED))
-        self.act(self.model.read(self.clock.seconds(), job, self._task(job.work)))
-        return job.answer
-
-    def _write(self, call: ServerCall, data: bytes) -> Receiver:
-        if not self.config.writes:
-            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not write")
-        request = pb.WriteRequest.FromString(data)
-        if request.HasField("attach"):
-            return self.claims.attach(call, request)
-        state = request.state if request.HasField("state") else None
-        job = self._admit(call, request.work, False, state)
-        self.jobs.add(job)
-        if self.hits("fail_late"):
-            delay = SHORTEST_LATE_FAILURE + LATE_FAILURE_SPREAD * self.random.random()
-            self.clock.callLater(delay, self._fail_late, job)
-            return job
-        self.act(self.model.write(self.clock.seconds(), job, self._task(job.work), state is not None))
-        return job
-
-    def _batch(self, call: ServerCall, data: bytes) -> Receiver:
-        request = pb.BatchRequest.FromString(data)
-        if not {EMBED_TASK: self.config.embeds, RANK_TASK: self.config.ranks}.get(request.task):
-            raise RpcError(Code.FAILED_PRECONDITION, f"this engine has no work {request.task!r}")
-        tokens = sum(item.tokens for item in request.items)
-        tokens += len(request.items) * request.work.shared_tokens
-        job = Job(self, call, request.work, False, None)
-        job.batch = request
-        work = tokens / self.model.machine.batch_rate
-        self._record_attempt(job, items=len(request.items), work=work)
-        self.jobs.add(job)
-        if request.model and request.model != self.model_name:
-            self.act([Refused(job)])
-            return job
-        self.act(self.model.batch(self.clock.seconds(), job, tokens, self._start_before(request.work)))
-        return job
-
-    def _release(self, call: ServerCall, data: bytes) -> bytes:
-        request = pb.ReleaseRequest.FromString(data)
-        sequence_id = request.sequence
-        ownership = Ownership(request.epoch, request.owner)
-        if request.epoch and not self.claims.fences.admit(sequence_id, ownership):
-            return pb.ReleaseReply().SerializeToString()  # another node owns it now
-        tokens = self.model.state_tokens(sequence_id)
-        self.act(self.model.release(self.clock.seconds(), sequence_id))
-        return pb.ReleaseReply(tokens=int(tokens)).SerializeToString()
-
-    def _probe(self, call: ServerCall, data: bytes) -> bytes | Deferred:
-        self.recorder.note("probed")
-        if self.model.is_hung:
-            return Deferred()
-        return pb.ProbeReply(load=self._load_report()).SerializeToString()
-
-    # -- attempts ---------------------------------------------------------------------------------
-
-    def _task(self, work: pb.Work) -> Task:
-        return Task(
-            work.sequence,
-            work.prompt_tokens,
-            work.most_output,
-            work.session,
-            work.shared_prefix,
-            work.shared_tokens,
-            work.mark,
-            self._start_before(work),
-        )
-
-    def _start_before(self, work: pb.Work) -> float:
-        if not work.first_within_ms:
-            return NEVER
-        return self.clock.seconds() + work.first_within_ms / 1000.0
-
-    def _admit(self, call: ServerCall, work: pb.Work, reads: bool, state: pb.State | None) -> Job:
-        job = Job(self, call, work, reads, state)
-        self.claims.admit(job)
-        self._record_attempt(job, work=self.model.work(self._task(work), reads, state is not None))
-        return job
-
-    def _record_attempt(self, job: Job, **fields: float) -> None:
-        job.note(
-            "got",
-            reads=job.reads,
-            node=job.node,
-            mark=job.work.mark,
-            traffic=job.work.traffic_type,
-            list=first(job.call.metadata, "myrtle-list"),
-            hung=self.model.is_hung,
-            **fields,
-        )
-
-    def _fail_late(self, job: Job) -> None:
-        if not job.is_over:
-            self._event_handlers.handle([Failed(job)])
+    # -- EngineContext ----------------------------------------------------------------------------
 
-    # -- for the parts of this package ------------------------------------------------------------
-
-    def act(self, events: Iterable[ModelEvent]) -> None:
-        """Carry out events, and set the next wake-up."""
+    def act(self, events: Iterable[ModelEvent[Job]]) -> None:
+        """Handle the events of a call to the model, and schedule the model's next wake-up."""
         self._event_handlers.handle(events)
         self._timer.set(self.model.next_at())
 
     def _tick(self) -> None:
         self.act(self.model.tick(self.clock.seconds()))
 
-    def hits(self, fault: str) -> bool:
-        """Return whether this fault of the file's `mishaps` happens now, by chance."""
-        share = getattr(self.config.mishaps, fault)
-        return share > 0.0 and self.random.random() < share
+    def occurs(self, probability: float) -> bool:
+        """Return whether a fault with this probability occurs now."""
+        return probability > 0.0 and self.random.random() < probability
 
-    def fetch_call(self, address: str, watcher: CallWatcher) -> ClientCall:
-        """Begin a call by which a read state is fetched from another engine."""
-        if address not in self.channels:
-            self.channels[address] = Channel(self.clock, self.dial(address), address, random=self.random)
-        return self.channels[address].call(SERVICE + "Fetch", watcher)
+    def open_fetch(self, address: str, watcher: CallWatcher) -> ClientCall:
+        """Begin a call that fetches a read state from another engine."""
+        if address not in self._channels:
+            connect = self._dialer(address)
+            self._channels[address] = Channel(self.clock, connect, address, random=self.random)
+        return self._channels[address].call(SERVICE + "Fetch", watcher)
 
     def load_with_answer(self) -> pb.LoadReport | None:
-        """Return the load report that goes along with an answer, if any."""
-        return self._load_report() if self.config.reports == "answers" else None
+        """Return the load report that an answer carries; None if answers carry none."""
+        return load_report(self.model) if self.config.reports == "answers" else None
+
+    def crash(self) -> None:
+        """Abort all connections and report the crash."""
+        for connection in list(self.server.connections):
+            connection.transport.abortConnection()
+        self._on_crashed()
+
+    # -- JobOwner ---------------------------------------------------------------------------------
+
+    def may_outlive_node(self, job: Job) -> bool:
+        """Return whether a job continues without the node that sent it."""
+        return self._claims.may_outlive_node(job)
+
+    def detach(self, job: Job) -> None:
+        """Continue a job whose stream has no reader."""
+        self._claims.detach(job)
+
+    def job_closed(self, job: Job) -> None:
+        """Record that a job has ended."""
+        self.jobs.discard(job)
+        self._claims.job_ended(job)
 
-    def _load_report(self) -> pb.LoadReport:
-        return pb.LoadReport(**self.model.load())
+    def cancel(self, job: Job) -> None:
+        """Remove a job from the engine model."""
+        self.act(self.model.cancel(self.clock.seconds(), job))
--- a/myrtlehub/emulator/timer.py
+++ b/myrtlehub/emulator/timer.py
@@ -1,4 +1,4 @@
-"""The timer of an engine model, whatever transports its events."""
+"""The timer that wakes an engine model up, on sockets and in-process."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 class ModelTimer:
-    """Calls `callback` at the time last set; setting the same time again costs nothing."""
+    """Calls `callback` at the time that was set last."""
 
     def __init__(self, clock: Clock, callback: Callable[[], None]) -> None:
         self._clock = clock
@@ -16,12 +16,12 @@
         self._due_at = NEVER
 
     def set(self, due_at: float) -> None:
-        """Call at this time instead of the one set before; NEVER: not at all."""
-        is_pending = self._delayed_call is not None and self._delayed_call.active()
-        if due_at == self._due_at and is_pending:
-            return
-        if is_pending:
-            self._delayed_call.cancel()
+        """Replace the time of the call; NEVER cancels it. Setting the pending time again has no effect."""
+        pending_call = self._delayed_call
+        if pending_call is not None and pending_call.active():
+            if due_at == self._due_at:
+                return
+            pending_call.cancel()
         self._delayed_call = None
         self._due_at = due_at
         if due_at != NEVER:
--- a/myrtlehub/emulator/tokens.py
+++ b/myrtlehub/emulator/tokens.py
@@ -1,18 +1,19 @@
-"""Token ids of emulated engines, and a checksum over them."""
+"""The token ids that emulated engines generate, and a checksum over them."""
 
 from binascii import crc32
 from collections.abc import Iterable
 
-VOCABULARY = 120  # ids of one byte on the wire
+VOCABULARY = 120  # number of token ids, so that each takes one byte on the wire
 
 
 def token_id(writer: str, sequence_id: str, attempt: int, index: int) -> int:
-    """Return the id of a token: no two answers are alike, so that a mix of two answers is noticed."""
+    """Return the id of a token; ids differ by writer and attempt, so that a mix of answers is detected."""
     return crc32(f"{writer} {sequence_id} {attempt} {index}".encode()) % VOCABULARY + 1
 
 
 def checksum(token_ids: Iterable[int], start: int = 0) -> int:
-    """Return a checksum over token ids in their order; `start`: that of the tokens before them."""
-    for number in token_ids:
-        start = crc32(number.to_bytes(4, "big"), start)
-    return start
+    """Return a checksum over token ids in order; `start` is the checksum of the preceding tokens."""
+    result = start
+    for token in token_ids:
+        result = crc32(token.to_bytes(4, "big"), result)
+    return result
--- a/myrtlehub/emulator/vectors.py
+++ b/myrtlehub/emulator/vectors.py
@@ -1,6 +1,7 @@
-"""What stand-ins answer to batches: a function of the input and the model's version.
+"""The vectors and scores that emulated engines compute: functions of the input and the model's version.
 
-So whoever has the question can check each answer for value, order and completeness. The numbers mean nothing.
+A client that has the input can therefore check each result for value, order and completeness. The numbers
+have no meaning.
 """
 
 import struct
@@ -8,21 +9,26 @@
 
 import xxhash
 
+# Constants of the linear congruential generator of MMIX (Knuth), modulo 2**64.
+LCG_MULTIPLIER = 6364136223846793005
+LCG_INCREMENT = 1442695040888963407
+
 
 def vector_of(text: bytes, model: str, dimensions: int, normalise: bool) -> bytes:
-    """Packed single-precision numbers from -1 to 1, little-endian."""
+    """Return the vector of a text: single-precision numbers from -1 to 1, packed in little-endian order."""
     seed = xxhash.xxh3_64_intdigest(text, seed=xxhash.xxh32_intdigest(model.encode()))
     numbers = []
     for _ in range(dimensions):
-        seed = (seed * 6364136223846793005 + 1442695040888963407) % 2**64
+        seed = (seed * LCG_MULTIPLIER + LCG_INCREMENT) % 2**64
         numbers.append((seed >> 40) / 2**23 - 1.0)
     if normalise:
-        length = sqrt(sum(x * x for x in numbers)) or 1.0
-        numbers = [x / length for x in numbers]
+        length = sqrt(sum(number * number for number in numbers)) or 1.0
+        numbers = [number / length for number in numbers]
     return struct.pack(f"<{dimensions}f", *numbers)
 
 
 def score_of(query: bytes, document: bytes, model: str) -> float:
-    """From 0 to 1, in single precision."""
-    seed = xxhash.xxh3_64_intdigest(query + b"\0" + document, seed=xxhash.xxh32_intdigest(model.encode()))
-    return struct.unpack("<f", struct.pack("<f", (seed >> 40) / 2**24))[0]
+    """Return the relevance of a document to a query: a single-precision number from 0 to 1."""
+    digest = xxhash.xxh3_64_intdigest(query + b"\0" + document, seed=xxhash.xxh32_intdigest(model.encode()))
+    score: float = struct.unpack("<f", struct.pack("<f", (digest >> 40) / 2**24))[0]
+    return score
--- a/myrtlehub/lab/in_process_fleet.py
+++ b/myrtlehub/lab/in_process_fleet.py
@@ -20,7 +20,7 @@
     FreeReason,
     ModelEvent,
     PromptRead,
-    Refused,
+    Rejected,
     Started,
     StateFreed,
     TokensGenerated,
@@ -53,7 +53,7 @@
     """The model of one engine, and its timer."""
 
     def __init__(self, fleet: "InProcessFleet", address: str, machine: Machine, seed: int) -> None:
-        self.model = EngineModel(machine, seed)
+        self.model: EngineModel[int] = EngineModel(machine, seed)
         self._fleet = fleet
         self._address = address
         self._attempts: dict[int, Attempt] = {}
@@ -82,9 +82,10 @@
 
     def load_report(self) -> contract.LoadReport:
         """Return the present load."""
-        return contract.LoadReport(**self.model.load())
+        load = self.model.load()
+        return contract.LoadReport(memory_share=load.memory_share, unread=load.unread)
 
-    def _act(self, events: list[ModelEvent]) -> None:
+    def _act(self, events: list[ModelEvent[int]]) -> None:
         """Pass on what happened, a link's delay later, and set the next wake-up."""
         for event in events:
             if isinstance(event, FetchNeeded):
@@ -93,7 +94,7 @@
                 self._send(event)
         self._timer.set(self.model.next_at())
 
-    def _send(self, event: ModelEvent) -> None:
+    def _send(self, event: ModelEvent[int]) -> None:
         attempt = self._attempts.get(event.key)
         if attempt is None:
             return
@@ -104,7 +105,7 @@
     def _tick(self) -> None:
         self._act(self.model.tick(self._fleet.clock.seconds()))
 
-    def _deliver(self, attempt: Attempt, event: ModelEvent) -> None:
+    def _deliver(self, attempt: Attempt, event: ModelEvent[int]) -> None:
         executor = attempt.sequence.client.executor
         load = self.load_report()
         outcome = contract.Outcome
@@ -115,8 +116,8 @@
                 executor.ended(attempt, outcome.READ, event.cached_tokens, load, self._address)
             case AnswerDone():
                 executor.ended(attempt, outcome.GENERATED, event.cached_tokens, load, tokens=event.tokens)
-            case Refused():
-                executor.ended(attempt, outcome.FULL, float(event.no_state), load)
+            case Rejected():
+                executor.ended(attempt, outcome.FULL, float(event.is_state_missing), load)
             case Failed():
                 executor.ended(attempt, outcome.ERROR)
             case _:
