--- a/myrtlehub/cli/emulator.py
+++ b/myrtlehub/cli/emulator.py
@@ -11,17 +11,17 @@
 from myrtlehub.log_events import LogEvent
 from myrtlehub.node.process import call_on_termination, freeze_startup_objects
 
-CRASHED = 3  # exit code of an engine that was overloaded while cold
+CRASHED = 3  # exit code of an engine that was overloaded while warming up
 
 
 @click.command()
 @click.argument("config", type=click.Path(path_type=Path))
 def main(config: Path) -> None:
-    """Run an emulated engine by CONFIG, a YAML file (docs/operators/config.md).
+    """Run an emulated engine with the settings in CONFIG, a YAML file (docs/operators/config.md).
 
-    It serves gRPC myrtlehub.v1.Engine like a model server would, with made-up figures, and
-    myrtlehub.v1.Stand, by which tests inject faults. Exit 2: CONFIG or an address is wrong. Exit
-    3: it was pushed over while cold.
+    It serves gRPC myrtlehub.v1.Engine as a model server does, with simulated figures, and
+    myrtlehub.v1.Stand, by which tests inject faults. Exit status 2: CONFIG or an address is
+    invalid; 3: the engine was overloaded while warming up.
     """
     settings = load_or_exit(config, EmulatedEngineConfig)
     from twisted.internet import reactor
--- a/myrtlehub/config/emulated_engine.py
+++ b/myrtlehub/config/emulated_engine.py
@@ -1,4 +1,4 @@
-"""The file of an emulated engine."""
+"""The settings of an emulated engine."""
 
 from typing import Annotated, Literal, Self
 
@@ -8,20 +8,20 @@
 from myrtlehub.config.loader import ConfigModel
 from myrtlehub.config.units import Duration, Tokens
 
-Rate = Annotated[float, Field(gt=0)]  # a second
+Rate = Annotated[float, Field(gt=0)]  # tokens per second
 
 
 class FaultInjectionConfig(ConfigModel):
-    """Shares of attempts on which an emulated engine fails in a way of its own."""
+    """The fractions of attempts in which an emulated engine fails by each kind of fault."""
 
-    break_stream: Share = 0.0  # a writer's stream is reset after some tokens
-    lose_fetch: Share = 0.0  # a reader breaks off a fetch halfway and has lost the state
-    fail_late: Share = 0.0  # a writer takes an attempt and fails it, not begun, after 0.2 to 0.6 s
-    full_after_fetch: Share = 0.0  # a writer refuses once it has fetched
+    break_stream: Share = 0.0  # a writer resets the stream after a few tokens
+    lose_fetch: Share = 0.0  # a reader aborts a fetch partway and loses the state
+    fail_late: Share = 0.0  # a writer accepts an attempt and fails it before its start, after 0.2 to 0.6 s
+    full_after_fetch: Share = 0.0  # a writer rejects an attempt after it has fetched the state
 
 
 class EmulatedEngineConfig(ConfigModel):
-    """An emulated engine's file. Simulated: figures of a made-up machine."""
+    """The settings of an emulated engine; the figures describe a simulated machine."""
 
     name: Name
     listen: Address
@@ -29,38 +29,42 @@
     writes: bool = False
     embeds: bool = False
     ranks: bool = False
-    model: str = "m1"  # version of what embeds or ranks
+    model: str = "m1"  # version of the model that embeds or ranks
     dimensions: Count = 16
-    batch_base: Duration = 0.006  # of each batch, however small
-    batch_rate: Rate = 60000.0  # tokens a second, a batch alone
-    batch_slots: Count = 1  # batches at a time
+    batch_base: Duration = 0.006  # duration of each batch, however small
+    batch_rate: Rate = 60000.0  # tokens per second, for a batch without concurrent streams
+    batch_slots: Count = 1  # batches that run concurrently
     batch_queue: CountOrZero = 16
-    batch_drag: NotNegative = 0.5  # by which a batch makes the steps of streams beside it longer
+    batch_drag: NotNegative = (
+        0.5  # fraction by which batches and streams that run together prolong one another
+    )
     longest_input: Tokens = 8192.0
     slots: Count = 8
     queue: CountOrZero = 32
     memory: Tokens = 200000.0
-    read_rate: Rate = 16000.0  # prompt tokens a second, a slot
-    step: Duration = 0.02  # between tokens of a stream, alone
-    step_crowd: Share = 0.5  # by which steps are longer with all slots in use
-    fetch_rate: Rate = 250000.0  # tokens a second
-    kept: Tokens = 60000.0  # of cached prefixes, beside the memory
-    reports: Literal["answers", "probe"] = "answers"  # to what it adds its load
+    read_rate: Rate = 16000.0  # prompt tokens per second and slot
+    step: Duration = 0.02  # time between tokens of a single stream
+    step_crowd: Share = 0.5  # fraction by which steps are longer with all slots in use
+    fetch_rate: Rate = 250000.0  # tokens of read state per second
+    kept: Tokens = 60000.0  # capacity of the prefix cache, in addition to the memory
+    reports: Literal["answers", "probe"] = "answers"  # messages that carry the load report
     cold: bool = False
-    cold_share: Share = 0.25
-    cold_time: Duration = 10.0
-    fall_multiple: Positive = 2.5
-    fall_time: Duration = 1.0
-    state_bound: Duration = 3.0  # unclaimed read state is dropped after this
-    stream_bound: Duration = 0.0  # for so long a stream outlives its node, for another one; 0: not at all
+    cold_share: Share = 0.25  # fraction of the capacity right after a cold start
+    cold_time: Duration = 10.0  # from a cold start to the full capacity
+    fall_multiple: Positive = 2.5  # work received, relative to the capacity, that crashes a cold engine
+    fall_time: Duration = 1.0  # window over which received work is counted for that
+    state_bound: Duration = 3.0  # a read state that no writer fetches is freed after this
+    stream_bound: Duration = 0.0  # a stream continues without its node for this long; 0: not at all
     dedup_window: Duration = 5.0
-    begin: Duration = 0.0  # from a state to the first step of its answer
+    begin: Duration = 0.0  # from a fetched read state to the first step of its answer
     mishaps: FaultInjectionConfig = FaultInjectionConfig()
     seed: int = 0
-    records: str = ""  # file; empty: none
+    records: str = ""  # path of the records file; empty for none
 
     @model_validator(mode="after")
     def _check_tasks(self) -> Self:
         if not (self.reads or self.writes or self.embeds or self.ranks):
-            raise ValueError("a stand-in that does nothing; set reads, writes, embeds or ranks to yes")
+            raise ValueError(
+                "an emulated engine that does nothing; set reads, writes, embeds or ranks to yes"
+            )
         return self
