--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -25,7 +25,7 @@
         self.sequences: dict[int, Sequence] = {}
         self.waiting: dict[int, Sequence] = {}  # those that wait at this node
         self.actions: list[Action] = []  # of the present call
-        self.wake_at = float("inf")  # when the wake-up asked for is due; inf: none is
+        self.wake_at = float("inf")  # time at which the requested wake-up is due; inf: none is requested
         self.last_feedback_at = 0.0  # time of the last event from an engine or the endpoint list
 
     @abstractmethod
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -37,7 +37,7 @@
     retry_semantics: RetrySemantics
     latency_slo: float  # seconds to the first token
     slo_per_token: float  # seconds added to the latency SLO for each prompt token
-    abandon_time: float  # seconds after which its clients abandon a sequence
+    abandon_time: float  # seconds after which clients of this traffic type abandon a sequence
     seconds_per_token: float  # objective for the time between two tokens of an answer
     utility: float  # priority weight of an answer in time
     late_share: float  # share of the utility that an answer after the latency SLO still has
@@ -66,11 +66,11 @@
     may_hedge: bool
     max_attempts: int  # per sequence
     state_timeout: float  # seconds for which an engine may hold a read state that no writer fetches
-    drain_grace: float  # seconds after it starts draining in which an engine still accepts sequences
+    drain_grace: float  # seconds for which an engine still accepts sequences after it starts draining
     cold_share: float  # share of its capacity that an engine has when it starts
     cold_time: float  # seconds from the start of an engine until it has its full capacity
     overload_multiple: float  # multiple of its capacity from which a cold engine is overloaded
-    overload_window: float  # seconds over which its load is measured; 0 for no slow start
+    overload_window: float  # seconds over which the load of a cold engine is measured; 0 for no slow start
     answer_slack: float  # seconds by which a final answer may follow the abandon time
     tick: float  # seconds by which the node's timers may fire late
     max_retry_after: float  # longest Retry-After in seconds that clients honour; 0 if they honour none
@@ -142,9 +142,9 @@
 class LoadReport(NamedTuple):
     """The load report of an engine, with the field names of the protocol; None for a value not reported."""
 
-    memory_share: float | None = None  # in use
+    memory_share: float | None = None  # share of the memory in use
     unread: float | None = None  # prompt tokens still to be read or fetched
-    slot_share: float | None = None  # in use
+    slot_share: float | None = None  # share of the slots in use
     waiting: float | None = None  # queued sequences
     latency: float | None = None  # recent seconds to the end of a read or to the first token
     active: float | None = None  # sequences in progress
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -27,22 +27,25 @@
 
 
 class LearningSettings(NamedTuple):
-    """How quickly a node learns; a weight is that of one observation in an exponential moving average."""
-
-    half_life: float  # seconds in which an observation of an engine halves
-    max_half_life: float  # seconds; its upper bound for kinds of engines that are seldom observed
-    rate_half_life: float  # seconds in which counts of arrivals and starts halve
-    sequence_weight: float  # in averages over all sequences
-    kind_weight: float  # in averages over the engines of a kind
-    engine_weight: float  # in the observations of an engine
-    failure_weight: float  # of a failure in an engine's share of failures
-    unreached_weight: float  # of a failed connection in an engine's share of failures
-    slowdown_weight: float  # of an answer's duration in an engine's slowdown
+    """How quickly a node learns.
+
+    A weight (0 to 1) is the share of a new value in an exponential moving average.
+    """
+
+    half_life: float  # seconds in which an observation of an engine decays to half; lower bound for each kind
+    max_half_life: float  # seconds; upper bound of the half-life for kinds of engines seldom observed
+    rate_half_life: float  # seconds in which counts of arrivals and starts decay to half
+    sequence_weight: float  # weight of one sequence in averages over all sequences
+    kind_weight: float  # weight of one observation in averages over the engines of a kind
+    engine_weight: float  # weight of one observation in the averages of one engine
+    failure_weight: float  # weight of a failed attempt in an engine's average share of failures
+    unreached_weight: float  # the same for an attempt that could not connect
+    slowdown_weight: float  # weight of one answer in an engine's average slowdown
     initial_uncached_tokens: float  # uncached tokens of a queued sequence, before any were sent
     initial_read_rate: float  # prompt tokens per second, before any reads were observed
     read_rate_samples: int  # recent reads of a kind whose median is its read rate
-    min_read_rate: float  # tokens per second; bounds of one sample
-    max_read_rate: float
+    min_read_rate: float  # tokens per second; lower bound of one sample
+    max_read_rate: float  # tokens per second; upper bound of one sample
     min_speed: float  # bounds of one sample of `Engine.speed`
     max_speed: float
     min_sample_tokens: float  # uncached tokens below which a read is no sample of a rate
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -21,18 +21,19 @@
 SLOW_START_RAMP = 0.5  # share of a linear warm-up that is relied on, because the real curve is unknown
 MIN_COLD_TIME = 0.001  # seconds; smallest divisor
 GOLDEN_RATIO = 0.6180339887  # spreads one draw of a sequence evenly over engines
-MAX_WAIT_SHARE = 0.7  # of the latency objective, for which a sequence waits before it is rejected
+MAX_WAIT_SHARE = 0.7  # share of the latency objective that a sequence may wait before it is rejected
 # Sequences per rate half-life that a tenant may send beyond its quota, because a rate estimated from few
 # arrivals is noisy.
 QUOTA_SLACK = 1.5
 QUOTA_SKEW = 1.25  # multiple of its even part of a quota that a node admits, because traffic is uneven
-STATE_TIMEOUT_SHARE = 0.5  # of the state timeout, after which a waiting sequence releases its read state
+# Share of the state timeout after which a waiting sequence releases its read state.
+STATE_TIMEOUT_SHARE = 0.5
 # The same after a failed connection to a writer, so that one more writer can be tried first.
 UNREACHED_STATE_TIMEOUT_SHARE = 0.75
 INITIAL_DELAY_FACTOR = 0.5  # actual over estimated start delay, before any starts were observed
 MAX_DELAY_FACTOR = 5.0  # upper bound of that ratio in one sample, so that one stall has a limited effect
-MAX_DELAY_WEIGHT = 0.3  # of one sample in the averages, however old the last one is
-PROBED_LIMIT_SHARE = 0.7  # of the time left that a start may take, where load is known from probes only
+MAX_DELAY_WEIGHT = 0.3  # upper bound of one sample's weight in the averages, however old the last sample is
+PROBED_LIMIT_SHARE = 0.7  # share of the time left that a start may take, where only probes report load
 
 
 class Admission:
@@ -68,7 +69,7 @@
         return None
 
     def usable(self, engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
-        """Return the engines that serve, may get this sequence in slow start, and are not ejected."""
+        """Return the engines that are serving, are not ejected, and whose slow start allows this sequence."""
         is_outlier = self.estimates.is_outlier
         return [
             engine
@@ -119,7 +120,7 @@
         sequence.start_estimate = StartEstimate(now, delay)
 
     def observe_start(self, sequence: Sequence, now: float) -> None:
-        """Learn the error of the start estimate, from an answer that started now or will not start at all."""
+        """Learn the error of the start estimate from a sequence that starts now, or is given up unstarted."""
         estimate = sequence.start_estimate
         sequence.start_estimate = None
         if estimate is not None and estimate.delay > 0.0:
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -21,7 +21,7 @@
 AFFINITY_READERS = 6  # readers at which a prefix is cached: more spread its load, fewer raise its hit rate
 INITIAL_HIT_SHARES = (0.5, 0.3, 0.0)  # of a prompt's tokens, by affinity, before any reads were observed
 HIT_WEIGHT = 0.1  # weight of one read in the average hit share of its affinity
-SESSION_DRAW_KEYS = 2**40  # number of keys among which a prompt without prefix and session draws its own
+SESSION_DRAW_KEYS = 2**40  # range of random affinity keys, for prompts without prefix and session
 
 
 def affinity_key(sequence: Sequence) -> int:
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -1,7 +1,8 @@
 """Read placement, the second stage: whether an engine other than the writer reads the prompt, and which.
 
-A prompt is split off its writer from `SPLIT_TOKENS` uncached tokens. It goes to the reader in the writer's
-cell with the most cached tokens, and among equals to the one with the fewest reads of this node.
+A prompt with at least `SPLIT_TOKENS` uncached tokens is read by a reader instead of its writer. The reader
+is the one in the writer's cell with the most cached tokens, and among equals the one with the fewest reads in
+flight from this node.
 """
 
 from collections import Counter
@@ -27,25 +28,26 @@
 INITIAL_TRANSFER_TIME = 1.0 / 24000.0  # seconds per token between cells, before any transfers were observed
 TRANSFER_WEIGHT = 0.2  # weight of one transfer in the average of its link
 MIN_TRANSFER_TOKENS = 500.0  # tokens that a transfer counts as at least; short ones are mostly fixed overhead
-OWN_READ_FACTOR = 3.0  # times that a read by the writer itself counts, because it delays the writer's streams
+OWN_READ_FACTOR = 3.0  # cost factor of a read by the writer itself, because it delays the writer's streams
 TIE_TIME = 0.1  # seconds of random difference between readers, so that not all nodes send to the same one
-# Multiple of their even part of all reads that a cell's readers get without recent load reports.
+# Multiple of an even share of all reads that the readers of a cell get without recent load reports.
 CELL_SLACK = 1.3
-MAX_QUEUE_SHARE = 0.5  # of the time left to the latency objective, which a reader's queue and read may take
-MIN_QUEUE_TIME = 0.1  # seconds that they may take in any case
+# Share of the time left to the latency objective that a reader's queue and read together may take.
+MAX_QUEUE_SHARE = 0.5
+MIN_QUEUE_TIME = 0.1  # seconds that a reader's queue and read together may take in any case
 REPORT_HALF_LIFE = 1.0  # seconds in which the weight of a reader's load report halves
 LAST_ATTEMPTS = 2  # attempts left with which a rejected sequence is not split, as a read and a write use both
 
 
 class _RankedRead(NamedTuple):
-    """The best read of a cell so far, with what it is compared by; the greatest rank is the best."""
+    """The best read found so far for a cell, with its rank; a greater rank is better."""
 
     rank: tuple[int, int, int, float]  # cached tokens, reads in flight (negated), prefix rank, seconds
     read: PlannedRead
 
 
 class _TimedRead(NamedTuple):
-    """The soonest read of a zone so far, with what it is compared by; the least order is the best."""
+    """The read found so far that ends soonest for a zone, with its sort key; a smaller key is better."""
 
     order: tuple[float, float]  # seconds with transfer and random difference, seconds of the read
     read: ReadEstimate
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: at which engines a sequence may run after an attempt, and which of them are preferred."""
+"""Retry rules: which engines may run a sequence after an earlier attempt, and which are preferred."""
 
 from myrtlehub.routing.contract import DedupGroup, Outcome, RetrySemantics, RouterConfig
 from myrtlehub.routing.records import Attempt, Engine, Sequence
@@ -8,7 +8,7 @@
 # node may be suspended for 0.15 s between reading its clock and writing; two turns of the event loop and the
 # network take 0.05 s.
 SEND_MARGIN = 0.15 + 0.05
-NOT_RUN = (  # outcomes that rule out a run whose answer this node does not have
+NOT_RUN = (  # outcomes after which the sequence has not run, or this node has its result
     Outcome.GENERATED,
     Outcome.READ,
     Outcome.FULL,
@@ -46,7 +46,7 @@
         return True
     if traffic.retry_semantics == RetrySemantics.IDEMPOTENCY_KEY and traffic.dedup_group == DedupGroup.ALL:
         return True
-    # A read that is still in flight may have run until its end is known.
+    # `possible_run` does not include attempts that are still in flight, and those may have run as well.
     return sequence.possible_run is None and not sequence.running_attempts()
 
 
@@ -64,7 +64,7 @@
 def prefer_accepting(engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
     """Return the engines that have not rejected the workload of a sequence recently.
 
-    If the sequence itself was rejected, only those that accepted its workload, if there are any.
+    If the sequence itself was rejected, return only those that accepted its workload recently, if any did.
     """
     workload = sequence.workload
     not_full = [engine for engine in engines if engine.full_until.get(workload, now) <= now]
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -72,8 +72,8 @@
     last_probed_at: float = NEVER
     memory: Observation = UNOBSERVED  # share of its memory in use
     backlog: Observation = UNOBSERVED  # unread prompt tokens from other nodes
-    speed: Observation = UNOBSERVED  # excess of its read rate, as a share of the usual rate
-    slowdown: Observation = UNOBSERVED  # excess of its answers' duration, as a share of the usual one
+    speed: Observation = UNOBSERVED  # read rate over the usual rate of its kind, minus 1
+    slowdown: Observation = UNOBSERVED  # answer duration over the usual one of the traffic type, minus 1
     lateness: Observation = UNOBSERVED  # seconds by which its answers start later than estimated
     failures: Observation = UNOBSERVED  # share of its attempts that failed
     full_until: dict[Workload, float] = field(default_factory=dict)  # it rejected these
@@ -142,7 +142,7 @@
 
 
 class ReadEstimate(NamedTuple):
-    """A reader, and the seconds until it would have read a prompt."""
+    """A reader, and the estimated seconds until it has read a prompt."""
 
     reader: Engine
     seconds: float
