--- a/myrtlehub/state/model.py
+++ b/myrtlehub/state/model.py
@@ -1,7 +1,8 @@
-"""The data of the model: nodes, engines, sequences and a network, few enough to visit every state of them.
+"""Data types of the model: a network with so few nodes, engines and sequences that all states can be visited.
 
-An attempt has the state that its node knows, by the transition tables, and its actual state at the engine.
-The rules are checked on the actual states, so an error in a table is found in some interleaving of events.
+An attempt has two states: the one that its node knows, from the transition tables, and its actual state at
+the engine. The rules are checked on the actual states, so an error in a table is found in some interleaving
+of events.
 """
 
 from collections.abc import Iterator
@@ -40,16 +41,16 @@
     nodes: int = 2
     readers: int = 2
     writers: int = 2
-    max_attempts: int = 2  # of a submission
-    max_submissions: int = 2  # of a sequence
-    max_faults: int = 2  # crashes, restarts, broken connections and drains of one history, together
+    max_attempts: int = 2  # per submission
+    max_submissions: int = 2  # per sequence
+    max_faults: int = 2  # per trace: crashes, restarts, drains, broken connections and killed nodes, in total
     may_cancel: bool = True  # whether nodes can cancel attempts at engines
     attempt_table: TransitionTable[AttemptState, AttemptEvent] = ATTEMPT
     answer_table: TransitionTable[AnswerState, AnswerEvent] = ANSWER
     read_state_table: TransitionTable[ReadStateStatus, ReadStateEvent] = READ_STATE
 
     def is_reader(self, engine: int) -> bool:
-        """Return whether an engine is a reader: these have the lowest indices."""
+        """Return whether an engine is a reader; readers have lower indices than writers."""
         return engine < self.readers
 
     def new_submission(self, sequence: int, node: int) -> "ModelSubmission":
@@ -65,13 +66,13 @@
     engine: int
     known_state: AttemptState
     actual_state: ActualState
-    claimed_reader: int | None = None  # the reader whose state it is to fetch
+    claimed_reader: int | None = None  # the reader from which the attempt fetches the read state
     is_connected: bool = True  # the connection that it was sent on is up
     is_reset_pending: bool = False  # a reset from the node is in transit
 
     @property
     def is_outstanding(self) -> bool:
-        """Whether its node still waits for its end."""
+        """Whether the node still waits for the end of this attempt."""
         return self.known_state in OUTSTANDING_STATES
 
 
@@ -88,11 +89,11 @@
 
     @property
     def has_outstanding(self) -> bool:
-        """Whether any of its attempts is outstanding."""
+        """Whether any attempt of this submission is outstanding."""
         return any(attempt.is_outstanding for attempt in self.attempts)
 
     def writes(self, config: ModelConfig) -> Iterator[ModelAttempt]:
-        """Iterate over its attempts at writers."""
+        """Iterate over the attempts of this submission at writers."""
         return (attempt for attempt in self.attempts if not config.is_reader(attempt.engine))
 
 
--- a/myrtlehub/state/model_checker.py
+++ b/myrtlehub/state/model_checker.py
@@ -11,10 +11,10 @@
 # Returns the moves from a state. Each has a label, the state after it and the rule that it violates; None or
 # "" if it violates none.
 Moves: TypeAlias = Callable[[StateT], Iterable[tuple[str, StateT, str | None]]]
-# For each visited state the one before it and the label of the move between them; None for the initial state.
+# Maps each visited state to its predecessor and the label of the move from there; the initial one to None.
 _Parents: TypeAlias = dict[StateT, tuple[StateT, str] | None]
 
-DEFAULT_MAX_STATES = 10_000_000  # of one search: all visited states are kept in memory
+DEFAULT_MAX_STATES = 10_000_000  # per search, because all visited states are kept in memory
 
 
 class CheckResult(NamedTuple):
@@ -22,14 +22,14 @@
 
     states: int
     moves: int
-    depth: int  # moves from the initial state to the last one that was visited
+    depth: int  # moves from the initial state to the deepest state visited
     is_complete: bool  # every reachable state was visited
     violation: str | None
     trace: tuple[str, ...]  # labels of the moves from the initial state to the violation
 
 
 class UnknownMoveError(KeyError):
-    """A trace names a move that its model does not have there."""
+    """A trace names a move that the model does not offer in the state reached."""
 
 
 def check_model(
@@ -66,10 +66,10 @@
 
 
 def replay(initial: StateT, moves: Moves[StateT], trace: Iterable[str]) -> tuple[StateT, str | None]:
-    """Follow a trace by its labels; return the last state and the violation of the last move.
+    """Replay a trace of move labels; return the final state and the rule that the last move violates, if any.
 
     Raises:
-        UnknownMoveError: a label of the trace is no move of the state that it was reached in.
+        UnknownMoveError: no move with the next label is possible in the state reached.
     """
     state: StateT = initial
     violation: str | None = None
--- a/myrtlehub/state/model_node.py
+++ b/myrtlehub/state/model_node.py
@@ -118,7 +118,7 @@
 
 
 def release_moves(config: ModelConfig, model: ModelState, index: int) -> Iterator[Move]:
-    """Iterate over the release of a submission's read states, once none of its attempts is outstanding."""
+    """Yield the move that releases a submission's read states, if none of its attempts is outstanding."""
     submission = model.submissions[index]
     is_any_known = any(status != ReadStateStatus.NONE for status in submission.read_states)
     is_any_held = any(held.submission == index for held in model.held_states)
@@ -139,7 +139,7 @@
 
 
 def _reset_reads(model: ModelState, index: int, reader: int) -> ModelState:
-    """Apply the pending resets at a reader: they are before its release on the same connection."""
+    """Apply the pending resets at a reader, which precede the release on the same connection."""
     for number, attempt in enumerate(model.submissions[index].attempts):
         if attempt.engine == reader and attempt.is_reset_pending:
             model = reset_attempt(model, index, number)
--- a/myrtlehub/state/model_steps.py
+++ b/myrtlehub/state/model_steps.py
@@ -34,7 +34,7 @@
 
 
 def step(table: TransitionTable[StateT, EventT], state: StateT, event: EventT) -> Transition[StateT]:
-    """Look a transition up; an event that the table does not have is a violation."""
+    """Look up a transition; an event that is missing from the table is a violation."""
     return table.transitions.get((state, event), Transition(state, CommonEffect.VIOLATION))
 
 
--- a/myrtlehub/state/read_state.py
+++ b/myrtlehub/state/read_state.py
@@ -1,4 +1,4 @@
-"""The state machine of a read state: what one reader holds for one sequence, as far as its node can know.
+"""The state machine of a read state: what one reader holds for one sequence, as far as the node can know.
 
 In `READING`, `READING_AGAIN`, `CLAIMED` and `CLAIMED_UNCERTAIN` an attempt is outstanding whose end decides
 the next state, so a release waits for that end.
@@ -20,7 +20,7 @@
     )
     HELD = "held"
     UNCERTAIN = "uncertain"  # the attempt ended without a result
-    CLAIMED = "claimed"  # a writer was sent to fetch it
+    CLAIMED = "claimed"  # a write that fetches the state was sent
     CLAIMED_UNCERTAIN = "claimed_uncertain"  # as CLAIMED; a read that was given up may still complete later
 
 
@@ -31,10 +31,10 @@
     READ_COMPLETED = "read_completed"
     READ_REJECTED = "read_rejected"
     READ_UNKNOWN = "read_unknown"  # the read ended without a result
-    CLAIM = "claim"  # a write was sent that is to fetch the state
+    CLAIM = "claim"  # a write that fetches the state was sent
     FETCHED = "fetched"
-    NOT_FETCHED = "not_fetched"  # the reader holds it as before
-    MISSING = "missing"  # the writer found none
+    NOT_FETCHED = "not_fetched"  # the reader still holds the state
+    MISSING = "missing"  # the writer found no state at the reader
     FETCH_UNKNOWN = "fetch_unknown"  # the write ended without a result
     RELEASE = "release"
 
@@ -120,12 +120,12 @@
 
 
 def event_of_read_end(outcome: AttemptEvent) -> ReadStateEvent:
-    """Return the event that the outcome of a read is for the state at its reader."""
+    """Return the read-state event that corresponds to the outcome of a read."""
     return _EVENT_OF_READ_END[outcome]
 
 
 def event_of_write_end(outcome: AttemptEvent, *, is_state_missing: bool) -> ReadStateEvent:
-    """Return the event that the outcome of a write is for the state that it claimed."""
+    """Return the event of a claimed read state that corresponds to the outcome of the write."""
     if outcome == AttemptEvent.FULL:
         return ReadStateEvent.MISSING if is_state_missing else ReadStateEvent.NOT_FETCHED
     if outcome in (AttemptEvent.UNREACHED, AttemptEvent.UNSENT):
--- a/myrtlehub/state/state_machine.py
+++ b/myrtlehub/state/state_machine.py
@@ -27,7 +27,7 @@
 
 
 class CommonEffect(StrEnum):
-    """Effects that every table has, besides those of its own."""
+    """Effects common to all tables; each table may define others of its own."""
 
     NOTHING = "nothing"
     LATE = "late"  # the machine is in a final state: nothing changes
@@ -66,7 +66,7 @@
 
 
 def forbid(*events: EventT) -> Row[Never, EventT]:
-    """Return a row by which these events cannot occur."""
+    """Return a row that marks these events as impossible in a state."""
     return Row(events, None, CommonEffect.VIOLATION)
 
 
