--- a/myrtlehub/relay/discovery/__init__.py
+++ b/myrtlehub/relay/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: following it at the discovery service and decoding it."""
+"""Client of the discovery service, and decoder for the endpoint list that it returns."""
--- a/myrtlehub/relay/discovery/discovery_client.py
+++ b/myrtlehub/relay/discovery/discovery_client.py
@@ -19,13 +19,13 @@
 # the next connection is slow, which takes WATCH_S + RESPONSE_TIMEOUT_S + RETRY_INTERVAL_S +
 # CONNECT_TIMEOUT_S + RESPONSE_TIMEOUT_S = 5.12 s.
 WATCH_S = 2.0  # time for which discovery may hold a watch without a change; bounds the time to notice silence
-RESPONSE_TIMEOUT_S = 1.0  # for a response, in addition to the time of the watch
+RESPONSE_TIMEOUT_S = 1.0  # limit for a response, in addition to the time of the watch
 CONNECT_TIMEOUT_S = 1.0
 # Between requests while there is no current list. Requests that discovery received while it was silent are
 # never answered, and a draining engine accepts work for as little as 250 ms after discovery knows of it.
 RETRY_INTERVAL_S = 0.12
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of one response body
-TIMER_TOLERANCE_S = 0.001  # by which a timer may fire early
+MAX_LIST_BYTES = 4 * 1024 * 1024  # limit of the body of one response
+TIMER_TOLERANCE_S = 0.001  # a timer may fire this much before its time
 STATUS_OK = 200
 
 
--- a/myrtlehub/relay/discovery/engine_start_times.py
+++ b/myrtlehub/relay/discovery/engine_start_times.py
@@ -33,7 +33,7 @@
     def __init__(self, epoch: float) -> None:
         self.epoch = epoch
         self._known: dict[str, KnownStart] = {}
-        self._last_response_at: float | None = None  # of discovery
+        self._last_response_at: float | None = None  # when discovery last responded
 
     def started_at(self, name: str, stated_ms: float, now: float) -> float:
         """Return when an engine started, in seconds of the node's clock.
@@ -51,7 +51,10 @@
         return started_at
 
     def correct_epoch(self, latest_stated_ms: float, now: float) -> None:
-        """Advance the epoch if an engine seems to start in the future, as the wall clock was set back."""
+        """Advance the epoch if the latest stated start would otherwise be in the future.
+
+        Such a start indicates that the wall clock was set back.
+        """
         self.epoch = max(self.epoch, latest_stated_ms / 1e3 - now)
 
     def discovery_responded(self, now: float) -> None:
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -63,7 +63,7 @@
         self.stream_monitor = StreamMonitor(clock)
 
     def attach(self, executor: ActionExecutor) -> None:
-        """Report outcomes to this executor, and be notified by it of each attempt that has ended."""
+        """Set the executor that outcomes are reported to, and observe the ends of its attempts."""
         self.executor = executor
         self.releaser.in_flight = executor.in_flight
         executor.add_observer(self)
@@ -197,7 +197,7 @@
 
 
 def _engine_request(sequence: InFlightSequence) -> EngineRequest:
-    """Return the request of a sequence, which the executor stores as an opaque object."""
+    """Return the request of a sequence. The executor stores the request as an opaque object."""
     if not isinstance(sequence.request, EngineRequest):
         raise UnknownRequestTypeError(sequence.sequence_id)
     return sequence.request
--- a/myrtlehub/relay/engines/state_release.py
+++ b/myrtlehub/relay/engines/state_release.py
@@ -134,7 +134,7 @@
         self.reader = reader
         self.sequence_id = sequence_id
         self.request = ClientRequest(b"DELETE", STATE_PATH + sequence_id.encode(), [])
-        self._round: list[ReleaseTarget] = []  # engines of this round that are still to be sent to
+        self._round: list[ReleaseTarget] = []  # engines of this round that have not been sent a request yet
         self._round_count = 0
         self._request_count = 0
         self._first: PendingRequest | None = None  # the request that may use an idle connection
