--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -113,9 +113,9 @@
     def _write_if_wanted(self, pending: PendingRequest, connection: PooledConnection) -> None:
         """Send the request unless it was cancelled in the meantime.
 
-        Called two reactor turns after an idle connection was taken, and one turn after a new one was made. If
-        this process was delayed, the news that the client has disconnected or the engine is draining may
-        still be unread in the kernel; the reactor reads it in the turn in between.
+        This is called two reactor turns after an idle connection was taken, or one turn after a new one was
+        established. If this process was delayed, the socket data that reports a client's disconnect or an
+        engine's drain may still be unread in the kernel; the reactor reads that data in the turn in between.
         Test: `test_a_client_that_left_while_the_node_was_stopped_gets_no_attempt`.
         """
         if pending.is_finished:
--- a/myrtlehub/http1/idle_connections.py
+++ b/myrtlehub/http1/idle_connections.py
@@ -8,7 +8,7 @@
 
 
 class IdleConnections:
-    """Idle connections by peer, for each in the order in which they became idle.
+    """Idle connections of each peer, in the order in which they became idle.
 
     Attributes:
         max_idle: Seconds after which an idle connection is closed.
--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -112,7 +112,7 @@
         return len(self.connections) - self._dropped_count
 
     def _evictable(self, min_age: float) -> list[AdmittedConnection]:
-        """Return the connections without an open request that had at least `min_age` seconds to send one."""
+        """Return the connections that have no open request and had at least `min_age` seconds to send one."""
         now = self.clock.seconds()
         return [
             connection
--- a/myrtlehub/http1/pending_request.py
+++ b/myrtlehub/http1/pending_request.py
@@ -15,12 +15,13 @@
     Attributes:
         peer: Name of the peer.
         address: HOST:PORT of the peer.
-        connection: Connection that it has been given, if any.
+        connection: Connection assigned to the request, if any.
         connecting: Connection attempt that is under way, if any.
-        ready_since: Clock time in seconds at which it was submitted or, if later, its connection was made.
+        ready_since: Clock time in seconds at which the request was submitted or, if later, a new connection
+            for it was established.
         local_failures: Connection attempts that failed for lack of a local resource.
-        is_finished: It was completed, has failed or was cancelled.
-        is_paused: Reading of its response is paused.
+        is_finished: The request was completed, has failed or was cancelled.
+        is_paused: Reading of the response is paused.
     """
 
     __slots__ = (
@@ -62,7 +63,7 @@
 
     @property
     def is_sent(self) -> bool:
-        """Whether its last byte has been sent and its response is not complete yet."""
+        """Whether the whole request has been sent but its response is not complete yet."""
         return self.connection is not None and self.connection.is_request_sent
 
     def mark_finished(self) -> None:
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -29,11 +29,11 @@
 
     Attributes:
         exchange: Request that awaits the end of its response, if any.
-        idle_since: Clock time in seconds since which it is idle or lingers.
+        idle_since: Clock time in seconds since which the connection is idle or lingers.
         has_received_request: At least one complete request was received.
-        is_closing: It lingers or was aborted: no further request is read.
-        is_lost: It is closed.
-        is_dropped: It was aborted to free its descriptor, and is lost within a reactor turn.
+        is_closing: The connection lingers or was aborted: no further request is read.
+        is_lost: The connection is closed.
+        is_dropped: The connection was aborted to free its descriptor, and is lost within a reactor turn.
     """
 
     def __init__(self, listener: ConnectionSupervisor) -> None:
@@ -48,7 +48,7 @@
         self.is_dropped = False
         self._reader = RequestReader(self.http, listener)
         self._waiting_since = listener.waiting_since
-        self._timeout = Timeout(self.clock)  # of a request, an idle connection or a lingering close
+        self._timeout = Timeout(self.clock)  # limits a request, an idle period or a lingering close
         self._stall_timeout = Timeout(self.clock)
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -181,7 +181,7 @@
         self.idle_since = self.clock.seconds()
         self._restart_timeout(REQUEST_TIMEOUT_S if has_read_ahead else IDLE_TIMEOUT_S)
         if has_read_ahead or self._reader.is_discarding:
-            # In the next reactor turn, so that pipelined requests do not recurse.
+            # Pipelined requests are read in the next reactor turn, which avoids recursion.
             self.clock.callLater(0, self._read_pipelined)
 
     def reject(self, status: int) -> None:
