--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -17,7 +17,7 @@
 
 BATCHING_DELAY = 0.05  # seconds; updates that no send waits for are batched, as a message costs more
 
-# Returns how a channel connects to an address.
+# Returns the connect function of an address, for a channel.
 Dialer: TypeAlias = Callable[[str], Callable[[Factory], "Deferred[ClientProtocol]"]]
 
 
@@ -77,14 +77,14 @@
         dial: Dialer,
         log: Log,
     ) -> None:
-        """Make a set of connections without any.
+        """Create the set; it connects to no node yet.
 
         Args:
             node: this node's name.
             incarnation: this node's incarnation.
-            addresses: of all nodes, by name.
+            addresses: the addresses of all nodes, by node name.
             clock: time and timers.
-            dial: returns how a channel connects to an address.
+            dial: returns the connect function of an address.
             log: the operators' log.
         """
         self.node = node
@@ -107,7 +107,7 @@
         return peer
 
     def reachable_incarnations(self, names: list[str]) -> dict[str, str]:
-        """Return the incarnation of each of these nodes that replied to its last call."""
+        """Return, by name, the incarnation of each named node that replied to the last call to it."""
         incarnations = {name: self.peer(name).incarnation for name in names}
         return {name: incarnation for name, incarnation in incarnations.items() if incarnation is not None}
 
@@ -132,7 +132,7 @@
             self.flush(peer)
 
     def flush(self, peer: PeerConnection) -> None:
-        """Send the outbox; with an empty one the message is a heartbeat alone."""
+        """Send the outbox; if it is empty, the message is only a heartbeat."""
         peer.is_flush_scheduled = False
         updates = peer.outbox
         peer.outbox = {}
--- a/myrtlehub/node/replication/published_sequence.py
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -9,7 +9,7 @@
 
 
 class UnsupportedSequenceError(Exception):
-    """A sequence of a front whose sequences cannot be replicated."""
+    """Raised for a sequence whose type of request or client does not support replication."""
 
     def __init__(self, sequence_id: str, reason: str) -> None:
         super().__init__(f"{sequence_id} cannot be replicated: {reason}")
@@ -38,7 +38,7 @@
         The attempts are left running: a reset could reach an engine before the claim of the new owner.
 
         Raises:
-            UnsupportedSequenceError: the client cannot be superseded, like that of a batch.
+            UnsupportedSequenceError: the client is not a `ReplicatedClient`.
         """
         sequence_id = self.owned.record.sequence_id
         for sequence in [row for row in self.executor.in_flight.values() if row.sequence_id == sequence_id]:
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -1,4 +1,4 @@
-"""What a takeover is given, and what it calls."""
+"""The input of a takeover, and the interfaces that it calls."""
 
 from typing import NamedTuple, Protocol
 
@@ -13,7 +13,7 @@
 
     sequence_id: str
     client_token_count: int  # tokens that the client has received
-    request: DecodedRequest  # the same as when the sequence was accepted
+    request: DecodedRequest  # the client repeats the request of its first call
     arrival: Arrival
 
 
@@ -39,7 +39,8 @@
 
         Args:
             sequence_id: None to assign a new one.
-            arrival: of the sequence, for the router.
+            arrival: the arrival of the sequence, as the router's input.
             earlier_attempts: number of attempts of former owners.
-            read_state: by which a writer fetches the read state that `arrival.state_held_by` holds.
+            read_state: handle with which a writer fetches the read state from the engine
+                `arrival.state_held_by`; None if there is none.
         """
--- a/myrtlehub/recovery/fencing.py
+++ b/myrtlehub/recovery/fencing.py
@@ -81,7 +81,7 @@
         """
         self.capacity = capacity
         self.known_since = known_since
-        self.fences: dict[str, Fence] = {}  # by sequence, the one that was raised longest ago first
+        self.fences: dict[str, Fence] = {}  # by sequence; the least recently admitted or claimed is first
 
     def fence_of(self, sequence_id: str) -> Fence:
         """Return the fence of a sequence."""
--- a/myrtlehub/recovery/model/owner_steps.py
+++ b/myrtlehub/recovery/model/owner_steps.py
@@ -21,7 +21,7 @@
 
 
 def intend(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
-    """Add the intent to send an attempt to any one engine, and update the replicas."""
+    """Add the intent to send an attempt to one engine, and update the replicas: a step for each engine."""
     intents = owner.sequence.record.intents
     # The model has no clock: `intended_at` is the index of the owner that added the intent.
     own_intents = sum(intent.intended_at == index for intent in intents)
@@ -81,7 +81,7 @@
 
 
 def observe_attempt(state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
-    """Observe how the attempt that was sent last ends."""
+    """Yield the possible outcomes of the owner's last attempt: refused, generated, or connection lost."""
     record = owner.sequence.record
     intent = record.intents[-1]
     engine = state.engines[index_of(intent.engine)]
