--- a/myrtlehub/rollout/canary_analysis.py
+++ b/myrtlehub/rollout/canary_analysis.py
@@ -115,7 +115,7 @@
         return self.disturbance.is_active
 
     def compare(self, guard: Guard) -> Comparison | None:
-        """Compare the metric of a guard over all windows; return None if there are too few."""
+        """Compare changed with unchanged nodes by a guard's metric; None if windows or nodes are too few."""
         tally = self.tallies[MetricKey(guard.metric, guard.traffic)]
         return compare_metric(guard, tally, self._error_budget)
 
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -41,7 +41,7 @@
 
 
 class ProgramFault(StrEnum):
-    """What a program does wrong after its start."""
+    """How the program of a revision fails after a node starts it."""
 
     NONE = ""
     EXITS = "exits"
@@ -69,18 +69,18 @@
 
 
 class Move(NamedTuple):
-    """A move of the model."""
+    """A move: one transition of the model, with its result."""
 
     label: str
     state: ModelState  # after the move
-    violation: str = ""  # the invariant that the state violates; empty, as for the model checker: none
+    violation: str = ""  # the invariant that the state violates; empty if it violates none
 
 
 class ModelConfig(NamedTuple):
     """The size of the model and the faults that may happen."""
 
     plan: RolloutPlan
-    max_faults: int = 1  # killed nodes, restarts of the controller and operator's rollbacks in one history
+    max_faults: int = 1  # node kills, controller restarts and operator rollbacks in one history, together
     new_fault: ProgramFault = ProgramFault.NONE
     old_fault: ProgramFault = ProgramFault.NONE  # of the old program after a restart
 
@@ -94,7 +94,7 @@
     """The possible moves; an instance is called with a state and yields the moves from it."""
 
     def __init__(self, config: ModelConfig) -> None:
-        """Create the moves of a model of this size."""
+        """Create the moves of a model with this configuration."""
         self.config = config
         self.plan = config.plan
 
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -259,12 +259,15 @@
             self._end(ExitCode.STUCK)
 
     def order_rejected(self, node: int, rejection: Rejection) -> None:
-        """Apply the event of an order that a node rejected."""
+        """Log that a node rejected an order, and apply `ORDER_REJECTED` to the node."""
         self._progress_log.order_rejected(node, rejection)
         self._apply_rejection(node)
 
     def start_failed(self, node: int, rejection: Rejection) -> None:
-        """Apply the event of a process that could not be started, after the present event is complete."""
+        """Log that a node's process could not be started, and apply `ORDER_REJECTED` to the node.
+
+        The event is applied in a later turn of the event loop, after the present event is complete.
+        """
         self._progress_log.order_rejected(node, rejection)
         self._clock.callLater(0, self._apply_rejection, node)
 
--- a/myrtlehub/rollout_controller/node_tracker.py
+++ b/myrtlehub/rollout_controller/node_tracker.py
@@ -56,10 +56,10 @@
         self._record = record
         self._supervisor = supervisor
         self._clock = clock
-        self._started_at = 0.0  # seconds of the clock
+        self._started_at = 0.0  # when `start` was called, in seconds of the clock
 
     def start(self) -> None:
-        """Load the processes that the journal names, and start measuring time."""
+        """Load the processes recorded in the journal, and measure the time in each node's state from now."""
         self._started_at = self._clock.seconds()
         for node, known in self._record.known_processes.items():
             status = NodeStatus(Revision("", ""), known.incarnation, known.identity.pid)
