--- a/myrtlehub/batching/result_merger.py
+++ b/myrtlehub/batching/result_merger.py
@@ -49,7 +49,7 @@
 
     WAIT_FOR_PARTS = "wait-for-parts"
     RETRY_PART = "retry-part"  # or restart the batch, see `may_restart`
-    ANSWERED = "answered"  # send the answer: it is decided, by this part or by an earlier one
+    ANSWERED = "answered"  # this part or an earlier one decided the final answer: send it if not yet sent
 
 
 class ResultMerger(Generic[Result]):
--- a/myrtlehub/limits/admission.py
+++ b/myrtlehub/limits/admission.py
@@ -23,11 +23,11 @@
 MAX_WAIT_SHARE = 0.4  # share of its latency objective for which a sequence may be queued
 QUEUE_SHARE = 0.5  # share of the limit that may be queued before sequences are shed at once
 SMOOTHING = 0.1  # weight of a new sample in the mean latency
-BASELINE_LIFETIME = 20.0  # seconds after which the least latency is replaced, as the fleet may have changed
+BASELINE_LIFETIME = 20.0  # seconds after which a new minimum latency is taken: the fleet may have changed
 GROW_BELOW = 0.5  # queueing share of the latency below which the limit grows
 SHRINK_ABOVE = 0.7  # queueing share of the latency above which the limit falls
-TIMEOUT_PENALTY = 0.5  # decrease of the limit for a sequence without a first token in time
-UTILIZED_SHARE = 0.8  # share of the limit that must be in use for it to grow: else latency says nothing of it
+TIMEOUT_PENALTY = 0.5  # subtracted from the limit when a sequence gets no first token in time
+UTILIZED_SHARE = 0.8  # least used share of the limit for growth: below it, latency does not test the limit
 MIN_RETRY_SHARE = 0.5  # least Retry-After of a shed sequence, as a share of the longest
 MIN_MEAN = 1e-6  # keeps the division by the mean latency defined while all samples are 0
 
@@ -44,14 +44,14 @@
 class VegasLimiter:
     """The algorithm of TCP Vegas (Brakmo and Peterson 1995).
 
-    The part of the mean latency that exceeds the least recent latency is queueing. The limit grows while that
-    part is small, and falls while it is large. Latencies are measured as shares of the latency objective, so
-    that samples of all traffic types are comparable.
+    The part of the mean latency that exceeds the minimum of recent latencies is queueing delay. The limit
+    grows while that part is small, and falls while it is large. Latencies are measured as shares of the
+    latency objective, so that samples of all traffic types are comparable.
     """
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
-        self._least = NEVER  # the least recent latency share; no sample yet
+        self._least = NEVER  # the minimum of recent latency shares; NEVER: no sample yet
         self._least_at = 0.0
         self._mean = 0.0  # 0 before the first sample, and as long as all samples are 0
 
@@ -121,7 +121,10 @@
             self._shed.append(self._queue.pop().item)  # of the lowest utility, the one to be shed last
 
     def admit_next(self) -> Item | None:
-        """Admit the sequence of highest utility, and of these the first to be shed; None if none may be."""
+        """Admit and return the sequence of highest utility, or None if no sequence can be admitted.
+
+        Among sequences of equal utility, the one that would be shed first is admitted.
+        """
         if not self._queue or self.in_flight >= self.limiter.limit:
             return None
         self.in_flight += 1
--- a/myrtlehub/limits/fair_share.py
+++ b/myrtlehub/limits/fair_share.py
@@ -44,20 +44,20 @@
     """The work that each front of a node has in flight, and its share of the common engines."""
 
     def __init__(self, utility: Mapping[str, float]) -> None:
-        """Make the state of fronts without work; `utility` is that of a token, by front."""
+        """Make the state of fronts without work; `utility` maps each front to the utility of one token."""
         self.utility = utility
         self.common_capacity = 0.0  # tokens that the common engines can run at once, divided by the nodes
         self.tokens_in_flight = dict.fromkeys(utility, 0.0)
-        self.common_tokens = dict.fromkeys(utility, 0.0)  # those in flight at common engines
+        self.common_tokens = dict.fromkeys(utility, 0.0)  # tokens in flight at common engines
         self.has_own_engines = dict.fromkeys(utility, False)
-        self.is_excluded = dict.fromkeys(utility, False)  # from the common engines
+        self.is_excluded = dict.fromkeys(utility, False)  # whether a front may not use the common engines
         self.pieces_in_flight = dict.fromkeys(utility, 0)
         self.max_pieces: dict[str, int | None] = dict.fromkeys(utility)  # in flight; None: no bound
         self._demand: dict[str, Demand] = {}
         self._queues: dict[str, deque[QueuedPiece[Piece]]] = {front: deque() for front in utility}
 
     def add_demand(self, now: float, front: str, tokens: float) -> None:
-        """Add a request of so many tokens to a front's demand, whichever engines will run it."""
+        """Add the tokens of a request to the demand of its front, whichever engines will run the request."""
         self._demand[front] = Demand(self._recent_demand(now, front) + tokens, now)
 
     def _recent_demand(self, now: float, front: str) -> float:
@@ -90,9 +90,10 @@
         self.max_pieces[front] = max(1, -(-PIECES_PER_ENGINE * engines // max(1, nodes)))
 
     def may_send(self, now: float, front: str, tokens: float) -> bool:
-        """Return whether a piece of so many tokens may be sent.
+        """Return whether a front may send a piece of `tokens` tokens.
 
-        One piece of a front always may, so that a piece larger than the front's share does not wait for ever.
+        A front with no piece in flight may always send one. Without this rule, a piece larger than
+        the front's share would never be sent.
         """
         if not self.pieces_in_flight[front]:
             return True
--- a/myrtlehub/membership/file_notifier.py
+++ b/myrtlehub/membership/file_notifier.py
@@ -1,4 +1,7 @@
-"""Notification of file changes by inotify, through Twisted. Where there is no inotify, polling has to do."""
+"""Notification of file changes through Twisted's inotify support.
+
+On a system without inotify there are no notifications, and changes are found only by polling.
+"""
 
 from collections.abc import Callable, Iterable
 from functools import partial
