--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -8,7 +8,7 @@
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.proto import engine_pb2
 
-MIN_TIME_LEFT = 0.001  # seconds; in a request, 0 stands for the traffic type's abandon time
+MIN_TIME_LEFT = 0.001  # seconds; above 0, as a time_left of 0 stands for the abandon time of the traffic type
 
 
 class EngineBatch:
@@ -40,7 +40,7 @@
         batch.part_assigned(part.number, self)
 
     def start(self) -> None:
-        """Have the executor run it as a sequence."""
+        """Submit the engine batch to the executor as one sequence."""
         self.parts = [part for part in self.parts if part.batch in self.wanted_by]
         executor = self._runner.executor
         request = self._sequence_request()
@@ -105,11 +105,11 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether the action executor has accepted it as a sequence."""
+        """Whether the action executor has accepted the engine batch as a sequence."""
         return self.sequence is not None
 
     def batch_left(self, batch: PartOwner) -> None:
-        """Stop waiting on behalf of a batch; once no batch waits, stop the sequence."""
+        """Record that a batch no longer needs the results; stop the sequence once no batch needs them."""
         self.wanted_by.discard(batch)
         if self.wanted_by:
             return
--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -74,7 +74,7 @@
     utility: float
     request_size: int  # bytes of the request, which are in memory until the call is over
     abort: Callable[[str], None]
-    rate: MinimumRateMonitor | None = None  # while data waits for its client to read it
+    rate: MinimumRateMonitor | None = None  # set while the stream has unread data
     is_cut_off: bool = False
     recorded: RecordedCounters | None = None
 
@@ -212,7 +212,11 @@
         return StreamUsage(key, self.ledger.usage(key), limited.utility, stalled)
 
     def _cut_off(self, key: int, counter: LimitCounter, reason: str) -> None:
-        """Discard what waits for a client and abort its call; reset the stream if that is not read."""
+        """Discard a client's unread data and abort its call.
+
+        The stream is reset at once if the answer was complete. Otherwise it is reset if it is still open
+        after `linger` seconds.
+        """
         limited = self.calls[key]
         limited.is_cut_off = True
         call = limited.call
--- a/myrtlehub/node/engine_pools.py
+++ b/myrtlehub/node/engine_pools.py
@@ -14,7 +14,7 @@
 class KnownEngine(NamedTuple):
     """The last update of an engine that a pool has received."""
 
-    generation: int  # number of engines that had been given its index by then
+    generation: int  # number of engines that had been given this engine's index when the update arrived
     update: contract.EndpointUpdate  # with the state of the endpoint list
 
 
@@ -40,7 +40,7 @@
         self.kinds = kinds
         self.pool_of_traffic = pool_of_traffic
         self._pool_of_sequence: dict[int, int] = {}
-        self._generations: list[int] = []  # by engine index: number of engines that were given it
+        self._generations: list[int] = []  # by engine index: number of engines that were given this index
         self._closed: set[int] = set()  # pools that may not use engines of several pools now
         self._known: list[dict[int, KnownEngine]] = [{} for _ in configs]  # by pool, by engine
 
@@ -103,7 +103,7 @@
             known[engine] = KnownEngine(generation, update._replace(state=contract.EngineState.REMOVED))
 
     def _seen_by(self, pool: int, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
-        """Return an update as a pool gets it: to a closed pool, engines of several pools are draining."""
+        """Return an update as reported to a pool; a closed pool sees engines of several pools as draining."""
         is_serving = update.state == contract.EngineState.SERVING
         if pool in self._closed and is_serving and self._is_common(update):
             return update._replace(state=contract.EngineState.DRAINING)
@@ -168,7 +168,7 @@
         )
 
     def check_send(self, now: float, sequence: int, attempt: int) -> contract.SendCheck:
-        """Return what the router of the sequence says of an attempt before its first byte."""
+        """Return the result of `check_send` of the router of the sequence; see `contract.Router`."""
         pool = self._pool_of_sequence.get(sequence)
         if pool is None:
             return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
@@ -182,7 +182,7 @@
     def _call_owner(
         self, sequence: int, call: Callable[[contract.Router], list[contract.Action]]
     ) -> list[contract.Action]:
-        """Call the router of a sequence; does nothing once the router has forgotten the sequence."""
+        """Apply `call` to the router of a sequence; return no actions if that router has forgotten it."""
         pool = self._pool_of_sequence.get(sequence)
         if pool is None:
             return []
--- a/myrtlehub/node/engine_transport/write_attempt.py
+++ b/myrtlehub/node/engine_transport/write_attempt.py
@@ -4,8 +4,8 @@
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.routing import contract
 
-# The first byte of a reply with tokens: its oneof is field 1 in both WriteReply and GenerateReply, so the
-# message is passed to the client without being decoded.
+# The first byte of a reply that carries tokens: the tag of field 1. The tokens are field 1 in both
+# WriteReply and GenerateReply, so such a reply is forwarded to the client without being decoded.
 TOKENS_TAG = 0x0A
 TOKENS_PREFIX = bytes((TOKENS_TAG,))
 
