--- a/myrtlehub/emulator/claims.py
+++ b/myrtlehub/emulator/claims.py
@@ -16,8 +16,8 @@
 from myrtlehub.rpc.server_call import Receiver, ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-MAX_FENCES = 20000  # sequences; minutes of work of the busiest emulated engine
-TOKENS_PER_MESSAGE = 64  # earlier tokens in one message to a call that attached
+MAX_FENCES = 20000  # sequences; covers minutes of work of the busiest emulated engine
+TOKENS_PER_MESSAGE = 64  # maximum tokens in one message that resends earlier tokens to an attached call
 
 
 class ClaimableJobs:
@@ -31,7 +31,7 @@
         self._jobs: dict[str, list[Job]] = {}  # by sequence
 
     def may_outlive_node(self, job: Job) -> bool:
-        """Return whether a job continues without the node that sent it."""
+        """Return whether a job may continue after the connection of the node that sent it is lost."""
         return self._stream_bound > 0.0 and job.ownership.epoch > 0
 
     def admit(self, job: Job) -> None:
@@ -68,7 +68,7 @@
             self._jobs.pop(job.work.sequence, None)
 
     def detach(self, job: Job) -> None:
-        """Continue a job whose stream has no reader, until the bound."""
+        """Let a job continue without a reader; stop it if no call attaches within `stream_bound` seconds."""
         job.call = None
         job.note("orphaned", ran=job.has_run)
         self._engine.clock.callLater(self._stream_bound, self._stop_if_unread, job, len(job.stream_calls))
@@ -99,8 +99,8 @@
             granted=granted,
             close=request.close,
         )
-        # Attempts that ended are forgotten after the bound. The reply therefore says how far back it is
-        # complete: an earlier attempt that it does not report may have run.
+        # An attempt is forgotten `stream_bound` seconds after its end. The reply therefore contains the age
+        # up to which its list of attempts is complete; an older attempt may have run without being listed.
         age = min(now - self.fences.known_since, self._stream_bound)
         reply = pb.ClaimReply(granted=granted, age=age)
         if granted:
--- a/myrtlehub/emulator/job.py
+++ b/myrtlehub/emulator/job.py
@@ -19,7 +19,7 @@
 
 
 class JobKindError(TypeError):
-    """A job was asked for a part that only jobs of another kind have, for example a write for its batch."""
+    """A property was read that this kind of job does not have, for example `batch` of a write."""
 
 
 class JobOwner(Protocol):
@@ -30,7 +30,7 @@
         """Return the recorder of the engine."""
 
     def may_outlive_node(self, job: "Job") -> bool:
-        """Return whether a job continues without the node that sent it."""
+        """Return whether a job may continue after the connection of the node that sent it is lost."""
 
     def detach(self, job: "Job") -> None:
         """Continue a job whose stream has no reader."""
@@ -60,8 +60,8 @@
     Attributes:
         call: the call by which the stream is read; None if it has no reader.
         fetch: the call that fetches the read state of a write, while it runs.
-        has_run: the attempt has had its effect.
-        tokens_until_break: tokens until an injected fault breaks the stream; None if it does not.
+        has_run: whether the attempt has had its effect.
+        tokens_until_break: tokens until an injected fault breaks the stream; None without such a fault.
         attempt_state: the state that is reported to a node that claims the sequence.
     """
 
--- a/myrtlehub/emulator/machine.py
+++ b/myrtlehub/emulator/machine.py
@@ -1,4 +1,4 @@
-"""The figures of an emulated machine, and the attempts that its model receives."""
+"""The parameters of an emulated machine, and the attempts that its model receives."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 NEVER = float("inf")  # a time that is not reached
 TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early, by rounding
 
-KeyT = TypeVar("KeyT", bound=Hashable)  # what names an attempt to the owner of a model
+KeyT = TypeVar("KeyT", bound=Hashable)  # by which the owner of a model identifies an attempt
 
 
 @dataclass(frozen=True)
 class Machine:
-    """The figures of an emulated machine; times are in seconds, memory and cached text in tokens.
+    """The parameters of an emulated machine; times are in seconds, memory and cached text in tokens.
 
     The fields have the names of the settings in `config/emulated_engine.py`, which explains them.
     """
--- a/myrtlehub/emulator/prefill_stage.py
+++ b/myrtlehub/emulator/prefill_stage.py
@@ -1,4 +1,4 @@
-"""Reading of prompts in an engine model, and the read states that result."""
+"""The prefill stage of an engine model: it reads prompts and stores the resulting read states."""
 
 from collections import OrderedDict, deque
 from typing import Generic, NamedTuple
@@ -87,7 +87,7 @@
         return min(next_expiry, *(read.ready_at for read in self.running.values()))
 
     def advance(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
-        """Complete and start reads by the present time, and free the read states that have expired."""
+        """Complete and start the reads that are due at `now`, and free the read states that have expired."""
         self._finish_reads(now, events)
         self._start_reads(now, events)
         while self._next_state_expiry() <= now:
