--- a/benchmarks/compare_settings.py
+++ b/benchmarks/compare_settings.py
@@ -76,9 +76,10 @@
 
 
 def wire_files(tree: Path) -> dict[str, bytes]:
-    """Names and bytes of the protocol's files."""
+    """Names and bytes of the protocol's files; type stubs have no effect at run time and are left out."""
     folder = tree / "myrtlehub" / "proto"
-    return {path.name: path.read_bytes() for path in sorted(folder.iterdir()) if path.is_file()}
+    paths = [path for path in sorted(folder.iterdir()) if path.is_file() and path.suffix != ".pyi"]
+    return {path.name: path.read_bytes() for path in paths}
 
 
 def deployment(text: str) -> dict[str, Any]:
