--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -101,13 +101,14 @@
         STREAM_HEAD + chunk(big) * 120 + chunk(USAGE + DONE) + LAST_CHUNK
     )
     client = Client(node.address, window=4096).send(chat_request("a1"))
-    read = 0
+    received = b""
     while not node.find_logged(LogEvent.SEQUENCE_ANSWERED, sequence_id="a1", answer="generated"):
-        read += len(client.sock.recv(16384))
+        received += client.sock.recv(16384)
     node.signal("TERM")
     assert node.exit_code(timeout=1.2) is None
-    tail = client.read_rest()
-    assert tail.endswith(chunk(USAGE + DONE) + LAST_CHUNK) and read + len(tail) > 120 * len(big)
+    received += client.read_rest()
+    assert received.endswith(chunk(USAGE + DONE) + LAST_CHUNK) and len(received) > 120 * len(big)
+    assert received.count(chunk(big)) == 120
     node.assert_clean_exit()
 
 
