--- a/myrtlehub/http1/bounds.py
+++ b/myrtlehub/http1/bounds.py
@@ -28,8 +28,10 @@
 
 # Admission of clients' connections, in seconds
 
-READ_GRACE_S = 0.05  # age from which the data that a new connection has sent is certain to have been read
-MIN_READ_GRACE_S = 0.02  # the same age when the connection limit is exceeded: a few reactor turns
+# For a client to send its first request once it is connected, before its connection may be evicted. The
+# eviction also waits until the data that arrived within this time was read (`read_progress.py`).
+READ_GRACE_S = 0.05
+MIN_READ_GRACE_S = 0.02  # the same when the connection limit is exceeded: a few reactor turns
 
 # Connections to peers, in seconds
 
--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -4,9 +4,10 @@
 
 from twisted.internet.protocol import Factory
 
-from myrtlehub.clock import Clock, Timer
+from myrtlehub.clock import Clock
 from myrtlehub.http1.bounds import MIN_READ_GRACE_S, READ_GRACE_S
 from myrtlehub.http1.close_reason import CloseReason
+from myrtlehub.http1.read_progress import ReadProgress
 from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.http1.server_interfaces import AdmittedConnection
@@ -62,7 +63,8 @@
         self.on_closing: Callable[[CloseReason, ServerExchange | None], None] = _ignore_close
         self._dropped_count = 0  # connections that were dropped and are not lost yet
         self._is_paused = False
-        self._eviction_timer: Timer | None = None
+        self._is_eviction_scheduled = False
+        self._read_progress = ReadProgress(clock)
 
     def buildProtocol(self, addr: object) -> ServerConnection:  # noqa: N802
         """Return the protocol of a new connection."""
@@ -71,30 +73,37 @@
     def connection_opened(self, connection: AdmittedConnection) -> None:
         """Admit a connection, and evict another one now or soon if there are too many.
 
-        Connections accepted in this reactor turn are never evicted at once: the requests that they have sent
-        are not read yet. If all others have open requests, accepting stops, and new connections wait in the
-        kernel's accept queue. Tests: `test_a_request_during_a_burst_of_silent_connections_is_read`,
+        A connection is never evicted before its socket was polled, as a request that it has sent would be
+        lost. If all others have open requests, accepting stops, and new connections wait in the kernel's
+        accept queue. Tests: `test_a_request_during_a_burst_of_silent_connections_is_read`,
+        `test_a_request_is_read_before_an_eviction_that_long_turns_delay`,
         `test_no_more_are_accepted_while_all_connections_have_requests_open`.
         """
         self.connections[connection] = None
+        if len(self.connections) > self.max_connections:
+            self._read_progress.advance()
         if self._open_count() > self.max_connections + self.burst:
             evictable = self._evictable(MIN_READ_GRACE_S)
             if evictable:
                 self._drop(min(evictable, key=_eviction_order))
             else:
                 self._pause_accepting()
-        elif len(self.connections) > self.max_connections and not self._is_eviction_scheduled():
-            self._eviction_timer = self.clock.callLater(READ_GRACE_S, self._evict_surplus)
+        elif len(self.connections) > self.max_connections and not self._is_eviction_scheduled:
+            self._schedule_eviction()
 
-    def _is_eviction_scheduled(self) -> bool:
-        return self._eviction_timer is not None and self._eviction_timer.active()
+    def _schedule_eviction(self) -> None:
+        self._is_eviction_scheduled = True
+        self.clock.callLater(READ_GRACE_S, self._read_progress.advance, self._evict_surplus)
 
     def _pause_accepting(self) -> None:
         """Stop accepting until the data of the newest connections was read."""
         if not self._is_paused:
             self._is_paused = True
             self.on_full(True)
-            self.clock.callLater(MIN_READ_GRACE_S, self._try_to_resume)
+            self._schedule_resumption()
+
+    def _schedule_resumption(self) -> None:
+        self.clock.callLater(MIN_READ_GRACE_S, self._read_progress.advance, self._try_to_resume)
 
     def _try_to_resume(self) -> None:
         try:
@@ -102,7 +111,7 @@
                 self._drop(connection)
         finally:  # if a transport raises an exception here, connections must still be accepted again
             if self._open_count() > self.max_connections + self.burst:
-                self.clock.callLater(MIN_READ_GRACE_S, self._try_to_resume)
+                self._schedule_resumption()
             else:
                 self._is_paused = False
                 self.on_full(False)
@@ -112,14 +121,17 @@
         return len(self.connections) - self._dropped_count
 
     def _evictable(self, min_age: float) -> list[AdmittedConnection]:
-        """Return the connections that have no open request and had at least `min_age` seconds to send one."""
-        now = self.clock.seconds()
+        """Return the connections without an open request that sent none within `min_age` seconds.
+
+        These seconds end at the last time before which all data that had arrived was read.
+        """
+        read_until = self._read_progress.read_until
         return [
             connection
             for connection in self.connections
             if (connection.is_closing or connection.is_unused)
             and not connection.is_dropped
-            and now - connection.idle_since >= min_age
+            and read_until - connection.idle_since >= min_age
         ]
 
     def _next_evicted(self, min_age: float) -> list[AdmittedConnection]:
@@ -133,6 +145,7 @@
 
     def _evict_surplus(self) -> None:
         """Drop lingering connections, and close unused ones gracefully; the next call drops the latter."""
+        self._is_eviction_scheduled = False
         try:
             for connection in self._next_evicted(READ_GRACE_S):
                 if connection.is_closing:
@@ -141,7 +154,7 @@
                     connection.linger(CloseReason.CONNECTION_LIMIT)
         finally:
             if len(self.connections) > self.max_connections:
-                self._eviction_timer = self.clock.callLater(READ_GRACE_S, self._evict_surplus)
+                self._schedule_eviction()
 
     def connection_closed(self, connection: AdmittedConnection) -> None:
         """Forget a connection that is lost."""
