--- a/tests/http1/test_eviction.py
+++ b/tests/http1/test_eviction.py
@@ -131,8 +131,11 @@
 def test_silent_connections_are_evicted_one_for_each_new_one() -> None:
     """Beyond the burst, the oldest connection that has sent nothing is dropped for the new one at once."""
     rig = Rig()
-    silent = rig.open(MAX_CONNECTIONS + BURST)
-    for _ in range(4):
+    silent = rig.open(MAX_CONNECTIONS + BURST - 1)
+    for _ in range(3):
+        rig.run_turn(0.01)
+    silent += rig.open(1)
+    for _ in range(3):
         rig.run_turn(0.01)
     late = rig.open(1)
     assert [connection.is_dropped for connection in silent] == [True] + [False] * (len(silent) - 1)
@@ -148,6 +151,8 @@
     rig.open(1)
     rig.run_turn(0.0)
     rig.run_turn(0.0)
-    assert sum(connection.is_closing for connection in rig.connections) == 1
+    assert [connection.is_closing for connection in rig.connections] == [True, True] + [
+        False
+    ] * MAX_CONNECTIONS
     evictions = [timer for timer in rig.clock.scheduled if timer.at > rig.clock.now]
     assert len(evictions) == 1
