--- a/myrtlehub/limits/admission.py
+++ b/myrtlehub/limits/admission.py
@@ -1,34 +1,35 @@
 """Admission control: how many sequences may wait for their first token, which are queued, and which are shed.
 
 The concurrency limit follows measured latency as TCP Vegas does; `docs/design/limits.md` compares it with
-other algorithms. Sequences above the limit are queued here, highest utility first, and are shed once they
-have waited for a certain share of their latency objective. When the queue grows long, its entry of lowest
-utility is shed at once, even if that is not the latest arrival. A shed sequence is rejected, so nothing of it
+other algorithms. Sequences above the limit are queued here, highest utility first. A sequence is shed once
+its wait exceeds a fixed fraction of its latency objective. If the queue is too long, the entry of lowest
+utility is shed at once, even if it is not the latest arrival. Shedding rejects a sequence before any of it
 has run.
 
-Admission control does not decide where a sequence runs, nor whether its deadline can still be met. That is
-the task of the router, which sees only admitted sequences.
+Admission control decides neither which engine runs a sequence nor whether its deadline can still be met. Both
+are decisions of the router, which sees only admitted sequences.
 """
 
 from bisect import insort
 from random import Random
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-Item = TypeVar("Item")  # what the caller queues for a sequence
+Item = TypeVar("Item")  # the object that the caller queues for a sequence
 
 NEVER = float("inf")
-MIN_LIMIT = 4.0  # sequences without a first token
+MIN_LIMIT = 4.0  # admitted sequences without a first token; the unit of all limits
 INITIAL_LIMIT = 10.0
 MAX_LIMIT = 20000.0
-MAX_WAIT_SHARE = 0.4  # share of its latency objective for which a sequence may be queued
-QUEUE_SHARE = 0.5  # share of the limit that may be queued before sequences are shed at once
+MAX_WAIT_SHARE = 0.4  # longest time in the queue, as a fraction of the sequence's latency objective
+QUEUE_SHARE = 0.5  # queue length, as a fraction of the limit, above which sequences are shed at once
 SMOOTHING = 0.1  # weight of a new sample in the mean latency
-BASELINE_LIFETIME = 20.0  # seconds after which a new minimum latency is taken: the fleet may have changed
-GROW_BELOW = 0.5  # queueing share of the latency below which the limit grows
-SHRINK_ABOVE = 0.7  # queueing share of the latency above which the limit falls
+BASELINE_LIFETIME = 20.0  # seconds until the minimum latency is measured afresh: the fleet may have changed
+GROW_BELOW = 0.5  # the limit grows while queueing delay is a smaller fraction of the latency
+SHRINK_ABOVE = 0.7  # the limit falls while queueing delay is a larger fraction of the latency
 TIMEOUT_PENALTY = 0.5  # subtracted from the limit when a sequence gets no first token in time
-UTILIZED_SHARE = 0.8  # least used share of the limit for growth: below it, latency does not test the limit
-MIN_RETRY_SHARE = 0.5  # least Retry-After of a shed sequence, as a share of the longest
+# Fraction of the limit that must be in use for it to grow: below that, latency says nothing about the limit.
+UTILIZED_SHARE = 0.8
+MIN_RETRY_SHARE = 0.5  # shortest Retry-After of a shed sequence, as a fraction of the longest
 MIN_MEAN = 1e-6  # keeps the division by the mean latency defined while all samples are 0
 
 
@@ -44,14 +45,14 @@
 class VegasLimiter:
     """The algorithm of TCP Vegas (Brakmo and Peterson 1995).
 
-    The part of the mean latency that exceeds the minimum of recent latencies is queueing delay. The limit
-    grows while that part is small, and falls while it is large. Latencies are measured as shares of the
-    latency objective, so that samples of all traffic types are comparable.
+    The mean latency minus the minimum of recent latencies is taken as queueing delay. The limit grows while
+    queueing delay is a small fraction of the mean latency, and falls while it is a large one. Latencies are
+    divided by the latency objective, so that samples of all traffic types are comparable.
     """
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
-        self._least = NEVER  # the minimum of recent latency shares; NEVER: no sample yet
+        self._least = NEVER  # minimum of recent samples; NEVER: no sample yet
         self._least_at = 0.0
         self._mean = 0.0  # 0 before the first sample, and as long as all samples are 0
 
@@ -60,8 +61,8 @@
 
         Args:
             now: seconds.
-            latency_share: the latency of a first token, as a share of its objective; None if the sequence
-                got no first token though it had the time.
+            latency_share: the time to first token, divided by the latency objective; None if the sequence
+                produced no first token although its deadline left enough time.
             in_flight: admitted sequences without a first token, the sampled one included.
         """
         if latency_share is None:
@@ -82,7 +83,7 @@
 
 
 class QueueEntry(NamedTuple, Generic[Item]):
-    """One queued sequence; entries sort by utility, then by the time they are shed at, then by arrival."""
+    """One queued sequence. Entries sort by descending utility, then by shed time, then by arrival."""
 
     negative_utility: float
     shed_at: float
@@ -99,7 +100,7 @@
         """Make a controller with an empty queue.
 
         Args:
-            random: spreads the Retry-After of shed sequences.
+            random: randomizes the Retry-After of shed sequences.
             utility: the utility of a sequence by traffic type.
             limiter: sets the concurrency limit; None: a `VegasLimiter`.
         """
@@ -118,7 +119,7 @@
         insort(self._queue, QueueEntry(-self.utility[traffic_type], shed_at, self._arrivals, item))
         max_queued = 1 + QUEUE_SHARE * self.limiter.limit
         if len(self._queue) > max_queued and self.in_flight >= self.limiter.limit:
-            self._shed.append(self._queue.pop().item)  # of the lowest utility, the one to be shed last
+            self._shed.append(self._queue.pop().item)  # lowest utility; among equals, the latest shed time
 
     def admit_next(self) -> Item | None:
         """Admit and return the sequence of highest utility, or None if no sequence can be admitted.
@@ -159,13 +160,13 @@
 
         Args:
             now: seconds.
-            had_time: whether its deadline left it the time of its latency objective. If not, the failure
-                says nothing about load.
+            had_time: whether the time to its deadline was at least its latency objective. If not, the failure
+                is no evidence of overload and the limit stays as it is.
         """
         self.in_flight -= 1
         if had_time:
             self.limiter.sample(now, None, self.in_flight + 1)
 
     def retry_after(self, longest: float) -> float:
-        """Return a random Retry-After of at most `longest` seconds; clients must not return together."""
+        """Return a random Retry-After of at most `longest` seconds, so that retries are spread over time."""
         return longest * (MIN_RETRY_SHARE + (1.0 - MIN_RETRY_SHARE) * self._draw())
--- a/myrtlehub/limits/event_loop_lag.py
+++ b/myrtlehub/limits/event_loop_lag.py
@@ -1,19 +1,20 @@
-"""Event loop lag: how late this process reads and sends, and how much less time it therefore has.
+"""Event loop lag: by how much this process reads and sends late, and how much time it has left for a request.
 
 On a machine without a free core, one turn of the event loop can take tenths of a second. A request that
-arrived at the start of such a turn has waited before the node reads it, and a response that is ready leaves
-late by as much, while the client's deadline comes closer. A timer that is set for every `TICK_PERIOD` fires
-late by the length of the turn before it. From these ticks alone the meter bounds the age of what is read now
-and the delay of what is sent next.
+arrives at the start of such a turn is read only after it, and a response that becomes ready during a turn is
+sent only after it. Both delays use up time before the client's deadline. The meter estimates them by a
+periodic timer: if a tick that was scheduled `TICK_PERIOD` after the last one fires late, its lateness is the
+lag. From the lags of recent ticks the meter derives upper bounds on the age of data that is read now, and on
+the delay of data that is sent next.
 """
 
 from collections import deque
 from typing import NamedTuple
 
 TICK_PERIOD = 0.02  # seconds between ticks
-LAG_WINDOW = 2.0  # seconds for which a late tick is expected to occur again
-NEGLIGIBLE_LAG = 0.005  # seconds of lag that every node has, and that the slack of each deadline allows for
-MAX_MARGIN_SHARE = 0.5  # share of the time left that the margin may take, so that the rest is left for work
+LAG_WINDOW = 2.0  # seconds for which an observed lag counts: it may recur within this time
+NEGLIGIBLE_LAG = 0.005  # seconds; a lag that every node has, and for which each deadline has slack
+MAX_MARGIN_SHARE = 0.5  # largest fraction of a request's stated time that is subtracted for lag
 
 
 class LagSample(NamedTuple):
@@ -24,7 +25,7 @@
 
 
 class LagMeter:
-    """Bounds the lag by the times of ticks; all times are seconds on the process's clock."""
+    """Estimates the lag from the times of ticks. All times are seconds on the process's clock."""
 
     def __init__(self) -> None:
         self.worst = 0.0  # seconds: the largest lag since the process began
@@ -52,11 +53,11 @@
             self._samples.popleft()
 
     def age(self, now: float) -> float:
-        """Return a bound on how long ago the data that is read in this turn arrived, in seconds.
+        """Return an upper bound on the age of the data that is read in this turn: seconds since its arrival.
 
-        It is the lag of the tick that is overdue, or of the last one. If the last tick was late and no other
-        has run for a period, the turn that it began still runs. Then the data has also waited for the time
-        that this turn has taken to read from other sockets.
+        The bound is the lag of the last tick, or of the next one if that is overdue. If the last tick was
+        late and the next one is overdue, the turn that began with the last tick is still running. Then the
+        time that this turn has spent on other sockets is added.
         """
         overdue = self._overdue(now)
         if not self._samples:
@@ -73,10 +74,11 @@
         return max(self.age(now), self._samples[0].lag if self._samples else 0.0)
 
     def time_left(self, now: float, stated: float) -> float:
-        """Return the seconds that the node has for a request to which its client gave `stated` seconds.
+        """Return the seconds that the node has for a request whose client allows `stated` seconds.
 
-        The request's age is subtracted, and twice the delay: a timer fires late, and what it sends leaves one
-        turn later. At most `MAX_MARGIN_SHARE` of the stated time is subtracted.
+        The age of the request is subtracted, and twice the delay: the deadline's timer may fire late by the
+        delay, and the response that it sends may leave late by the delay again. At most `MAX_MARGIN_SHARE`
+        of the stated time is subtracted.
         """
         age = self.age(now)
         delay = self.delay(now)
--- a/myrtlehub/limits/fair_share.py
+++ b/myrtlehub/limits/fair_share.py
@@ -1,14 +1,16 @@
-"""Fair share: how fronts divide the engines that serve several of them, which are called common engines.
-
-Engines have short queues, so a batch of thousands of items is not sent to them at once. The nodes together
-have a few pieces in flight for each engine of a front. The other pieces are queued here, where they can be
-cancelled at no cost.
-
-The first token of a chat waits for all work that a common engine has. So the work that a batch front may have
-in flight at common engines is bounded. The share of a front is its demand weighted by utility, relative to
-that of all fronts with demand. A front without demand leaves its share to the others, and the only front with
-demand has all of it. A front that has engines of its own in addition is excluded from the common ones while
-it has more than its share in flight there; the pieces of a front that has none are queued here.
+"""Fair share: division of common engines, which are the engines that serve more than one front.
+
+A front is the part of a node that serves one API: chat, embeddings or rerank. Batches are split into pieces.
+Engines have short queues, so the pieces of a large batch are not sent to them all at once. All nodes together
+have a few pieces in flight for each engine of a front. The other pieces are queued here, where cancelling
+them costs nothing.
+
+At a common engine, the first token of a chat has to wait for all work that was sent there earlier. Therefore
+the work that a batch front may have in flight at common engines is bounded. The share of a front is its
+demand weighted by utility, divided by the sum over all fronts. Capacity that a front without demand does not
+use goes to the others, and a front that alone has demand may use all common engines. A front that also has
+engines of its own is excluded from the common ones while it exceeds its share there. A front that has no
+engines of its own cannot be excluded; its pieces are queued here instead.
 """
 
 from collections import deque
@@ -18,16 +20,16 @@
 Piece = TypeVar("Piece")  # a part of a batch, which the caller sends to an engine
 
 DEMAND_HALF_LIFE = 5.0  # seconds
-PIECES_PER_ENGINE = 4  # in flight for each engine of a front, over all nodes: one runs, the others are queued
+PIECES_PER_ENGINE = 4  # pieces in flight per engine, over all nodes: one runs, the others wait there
 IDLE_AFTER = 10.0  # seconds without a request after which a front has no demand
-EVEN_SHARE = 0.5  # least share with which a front with engines of its own may use common ones too
-MIN_SHARE = 0.02  # least share of any front, so that none starves
-READMIT_SHARE = 0.5  # share of its bound below which an excluded front is readmitted
+EVEN_SHARE = 0.5  # smallest share with which a front that has its own engines may also use common ones
+MIN_SHARE = 0.02  # smallest share of any front, so that none starves
+READMIT_SHARE = 0.5  # an excluded front is readmitted once its use falls to this fraction of its bound
 SHARE_TOLERANCE = 1e-9  # by which a share may be below EVEN_SHARE because of rounding
 
 
 class Demand(NamedTuple):
-    """The demand for a front's work as of a time: a decaying counter of tokens."""
+    """The demand for a front: the value of a decaying counter of requested tokens, and the time it is for."""
 
     tokens: float
     at: float
@@ -41,23 +43,23 @@
 
 
 class FairShare(Generic[Piece]):
-    """The work that each front of a node has in flight, and its share of the common engines."""
+    """Each front's work in flight, its queued pieces, and its share of the common engines; one per node."""
 
     def __init__(self, utility: Mapping[str, float]) -> None:
-        """Make the state of fronts without work; `utility` maps each front to the utility of one token."""
+        """Begin with no work in flight; `utility` maps each front to the utility of one token."""
         self.utility = utility
-        self.common_capacity = 0.0  # tokens that the common engines can run at once, divided by the nodes
+        self.common_capacity = 0.0  # this node's part of the tokens that common engines can run at once
         self.tokens_in_flight = dict.fromkeys(utility, 0.0)
         self.common_tokens = dict.fromkeys(utility, 0.0)  # tokens in flight at common engines
         self.has_own_engines = dict.fromkeys(utility, False)
         self.is_excluded = dict.fromkeys(utility, False)  # whether a front may not use the common engines
         self.pieces_in_flight = dict.fromkeys(utility, 0)
-        self.max_pieces: dict[str, int | None] = dict.fromkeys(utility)  # in flight; None: no bound
+        self.max_pieces: dict[str, int | None] = dict.fromkeys(utility)  # in flight; None: unbounded
         self._demand: dict[str, Demand] = {}
         self._queues: dict[str, deque[QueuedPiece[Piece]]] = {front: deque() for front in utility}
 
     def add_demand(self, now: float, front: str, tokens: float) -> None:
-        """Add the tokens of a request to the demand of its front, whichever engines will run the request."""
+        """Add the tokens of a request to the demand of its front, even if no common engine will run it."""
         self._demand[front] = Demand(self._recent_demand(now, front) + tokens, now)
 
     def _recent_demand(self, now: float, front: str) -> float:
@@ -66,8 +68,8 @@
             return 0.0
         age = now - demand.at
         if age > IDLE_AFTER:
-            # Demands decay at the same rate, so that of an idle front would keep its proportion to the others
-            # and reserve a share that is not used.
+            # All counters decay at the same rate. Without this limit, the counter of an idle front would keep
+            # its ratio to those of other fronts without new requests, and reserve a share that is not used.
             return 0.0
         remaining: float = 0.5 ** (age / DEMAND_HALF_LIFE)
         return demand.tokens * remaining
@@ -80,17 +82,18 @@
             return 1.0
         if not demanded[front]:
             return MIN_SHARE
-        # The demand that counts is bounded by that of the others, weighted by utility: a flood of requests to
-        # one front does not enlarge its share (tests/limits/test_front_shares.py).
+        # The front's own demand is capped at that of the others, scaled by the front's utility relative to
+        # the highest one. Otherwise a flood of requests to one front would enlarge its share
+        # (tests/limits/test_front_shares.py).
         own = min(demanded[front], others * self.utility[front] / max(self.utility.values()))
         return max(MIN_SHARE, own / (own + others))
 
     def set_engine_count(self, front: str, engines: int, nodes: int) -> None:
-        """Bound the pieces in flight by the engines of a front, and by the nodes that send to them."""
+        """Set the bound of a front's pieces in flight, given its engines and the nodes that send to them."""
         self.max_pieces[front] = max(1, -(-PIECES_PER_ENGINE * engines // max(1, nodes)))
 
     def may_send(self, now: float, front: str, tokens: float) -> bool:
-        """Return whether a front may send a piece of `tokens` tokens.
+        """Return whether a front may now send a piece of `tokens` tokens.
 
         A front with no piece in flight may always send one. Without this rule, a piece larger than
         the front's share would never be sent.
@@ -110,21 +113,21 @@
         self.pieces_in_flight[front] += 1
 
     def record_done(self, front: str, tokens: float) -> None:
-        """Record that a piece ended, whatever its outcome."""
+        """Record that a piece ended, with any outcome."""
         self.tokens_in_flight[front] = max(0.0, self.tokens_in_flight[front] - tokens)
         self.pieces_in_flight[front] = max(0, self.pieces_in_flight[front] - 1)
 
     def update_common_tokens(self, now: float, front: str, tokens: float) -> bool:
         """Record a change of a front's tokens at common engines; return whether `is_excluded` has changed.
 
-        A front is excluded when it reaches its share, and readmitted at half of it, so that the state does
-        not change with each piece. It is also excluded while the others' demand, weighted by utility, is
-        larger than its own: it has engines of its own, and the others may have none.
+        A front with engines of its own is excluded once it reaches its share, and readmitted when it falls
+        to half of it; this hysteresis keeps the state from changing with each piece. It is also excluded
+        while its share is below `EVEN_SHARE`, because the other fronts may have only the common engines.
 
         Args:
             now: seconds.
             front: the front; it is never excluded if it has no engines of its own.
-            tokens: tokens that were sent to a common engine; negative if they ended there.
+            tokens: the tokens of a piece that was sent to a common engine; negative for one that ended.
         """
         self.common_tokens[front] = max(0.0, self.common_tokens[front] + tokens)
         used = self.common_tokens[front]
@@ -138,7 +141,7 @@
         return self.is_excluded[front] != was_excluded
 
     def _common_bound(self, now: float, front: str) -> float:
-        """Return the tokens that a front with engines of its own may have at common engines."""
+        """Return the tokens that a front with its own engines may have in flight at common ones."""
         share = self.share(now, front)
         return share * self.common_capacity if share >= EVEN_SHARE - SHARE_TOLERANCE else 0.0
 
@@ -147,11 +150,11 @@
         self._queues[front].append(QueuedPiece(piece, tokens))
 
     def cancel(self, front: str, piece: Piece) -> None:
-        """Remove a queued piece whose results are not needed any more."""
+        """Remove a queued piece whose results are no longer needed."""
         self._queues[front] = deque(queued for queued in self._queues[front] if queued.piece is not piece)
 
     def next_piece(self, now: float, front: str) -> Piece | None:
-        """Return the next queued piece and count it as sent; None if none may be sent now."""
+        """Dequeue the next piece, count it as sent and return it; None if none may be sent now."""
         queue = self._queues[front]
         if not queue or not self.may_send(now, front, queue[0].tokens):
             return None
--- a/myrtlehub/limits/minimum_rate.py
+++ b/myrtlehub/limits/minimum_rate.py
@@ -1,7 +1,7 @@
 """Minimum rate: detects clients that read too slowly.
 
-A client is judged by what it could have read, not by what there was to send: only a time span throughout
-which data waited for it counts. A client that stalls and catches up within the window is not too slow.
+A client's rate is measured only while data is queued for it: a stream that has nothing to send says nothing
+about its client. A client that stalls and catches up within the window is not too slow.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 
 
 class RateSample(NamedTuple):
-    """How many bytes had been sent to the client at a time."""
+    """The number of bytes that had been sent to the client by a time."""
 
     at: float
     sent: int
@@ -28,11 +28,11 @@
 
         Args:
             window: seconds over which the rate is measured.
-            least_rate: bytes a second below which a client is too slow; 0: no client is.
+            least_rate: bytes per second below which a client is too slow; 0 disables the check.
         """
         self.window = window
         self.least_rate = least_rate
-        self.stalled_since: float | None = None  # since when nothing of what waits was sent
+        self.stalled_since: float | None = None  # last progress; None if no data is queued
         self._samples: deque[RateSample] = deque()
 
     def is_too_slow(self, now: float, sent: int, queued: int) -> bool:
@@ -40,8 +40,8 @@
 
         Args:
             now: seconds.
-            sent: bytes that were sent since the stream began.
-            queued: bytes that wait for the client.
+            sent: bytes sent since the stream began.
+            queued: bytes that are queued for the client.
         """
         if not queued:
             self._samples.clear()
@@ -59,5 +59,5 @@
         return sent - first.sent < self.least_rate * span
 
     def stalled_seconds(self, now: float) -> float:
-        """Return for how long nothing of what waits was sent; 0 if nothing waits."""
+        """Return for how long the queued data has made no progress, in seconds; 0 if no data is queued."""
         return 0.0 if self.stalled_since is None else now - self.stalled_since
--- a/myrtlehub/limits/resource_ledger.py
+++ b/myrtlehub/limits/resource_ledger.py
@@ -1,8 +1,8 @@
 """Resource ledger: the bytes that a node has in memory, by stream, peer, tenant and node.
 
-In each account the bytes received equal the bytes delivered, dropped and in use. A stream counts what it
-takes in and what it gives out separately, so an error in either shows as an imbalance (`find_imbalances`).
-The accounts of peers, tenants and the node are sums of those of their streams.
+In each account, bytes received = bytes delivered + bytes dropped + bytes in use. A stream counts its input
+and its output independently, so an accounting error shows as an imbalance (`find_imbalances`). The accounts
+of peers, tenants and the node are sums over their streams.
 """
 
 from collections.abc import Hashable, Iterable
@@ -23,7 +23,7 @@
 
 
 class Counters(NamedTuple):
-    """Counters of a stream, in bytes; all but `in_use` only grow."""
+    """Counters of a stream, in bytes. They never decrease, except `in_use`."""
 
     received: int
     delivered: int
@@ -52,7 +52,7 @@
 
     @property
     def is_balanced(self) -> bool:
-        """Whether no byte was lost or counted twice."""
+        """Whether every received byte is accounted for exactly once."""
         return self.received == self.delivered + self.dropped + self.in_use
 
     def __str__(self) -> str:
@@ -61,11 +61,11 @@
 
 
 class MemoryBudgets(NamedTuple):
-    """The bounds of the settings."""
+    """The memory budgets that the settings state."""
 
     node: int  # bytes
-    peer_share: float  # share of the node's budget that one peer may use
-    tenant_share: float  # share of the node's budget that one tenant may use
+    peer_share: float  # fraction of the node's budget that one peer may use
+    tenant_share: float  # fraction of the node's budget that one tenant may use
 
     def limit(self, scope: BudgetScope) -> int:
         """Return the budget of the node, of one peer or of one tenant, in bytes."""
@@ -88,12 +88,12 @@
 
 
 class StreamUsage(NamedTuple, Generic[KeyT]):
-    """What decides whether a stream is cut off when memory has to be freed."""
+    """The properties of a stream that determine whether it is cut off to free memory."""
 
     key: KeyT
     in_use: int  # bytes
     utility: float
-    stalled_seconds: float  # time since the peer last read anything; 0 if nothing waits for it
+    stalled_seconds: float  # time since the peer last read data; 0 if none is queued for it
 
 
 class StreamEntry(NamedTuple):
@@ -105,7 +105,7 @@
 
 
 class ResourceLedger(Generic[KeyT]):
-    """All accounts of a node; the caller chooses the keys of streams."""
+    """All accounts of a node. The caller identifies each stream by a key of its choice."""
 
     def __init__(self, budgets: MemoryBudgets) -> None:
         self.budgets = budgets
@@ -121,7 +121,7 @@
         self.tenants.setdefault(tenant, Account()).streams += 1
 
     def update(self, key: KeyT, current: Counters) -> None:
-        """Set a stream's account to its current counters, and add the changes to the sums."""
+        """Set a stream's account to its current counters, and add the differences to the sums."""
         account, peer, tenant = self._streams[key]
         change = Counters(
             current.received - account.received,
@@ -141,8 +141,8 @@
         for accounts, name in ((self.peers, peer), (self.tenants, tenant)):
             accounts[name].streams -= 1
             if not accounts[name].streams:
-                # Clients choose the names: without this, each new name would take memory for ever. The node's
-                # account retains the totals.
+                # Clients choose the names of peers and tenants, so accounts that were never deleted would
+                # use memory without bound. The totals remain in the node's account.
                 del accounts[name]
 
     def usage(self, key: KeyT) -> int:
@@ -175,7 +175,10 @@
         return self.budgets.limit(scope)
 
     def exceeded_by(self, peer: Hashable, tenant: Hashable, size: int) -> BudgetScope | None:
-        """Return which budget a request of `size` bytes would exceed; None if it can be admitted."""
+        """Return the budget that `size` more bytes would exceed; None if there is none.
+
+        An empty tenant has no budget.
+        """
         for scope, account in (
             (BudgetScope.NODE, self.node),
             (BudgetScope.PEER, self.peers.get(peer)),
@@ -186,7 +189,7 @@
         return None if size <= self.limit(BudgetScope.PEER) else BudgetScope.PEER
 
     def overruns(self) -> Iterable[BudgetOverrun]:
-        """Yield the budgets that are exceeded: those of peers, of tenants, then of the node."""
+        """Yield the exceeded budgets: first those of peers, then those of named tenants, then the node's."""
         for scope, accounts in ((BudgetScope.PEER, self.peers), (BudgetScope.TENANT, self.tenants)):
             limit = self.limit(scope)
             for name, account in accounts.items():
@@ -197,7 +200,7 @@
             yield BudgetOverrun(BudgetScope.NODE, None, self.node.in_use - node_limit)
 
     def streams_of(self, scope: BudgetScope, name: Hashable) -> list[KeyT]:
-        """Return the streams that a budget applies to."""
+        """Return the keys of the streams that use a budget."""
         match scope:
             case BudgetScope.NODE:
                 return list(self._streams)
@@ -208,10 +211,10 @@
 
 
 def select_streams_to_shed(streams: Iterable[StreamUsage[KeyT]], size: int) -> list[KeyT]:
-    """Return the streams to cut off so that at least `size` bytes become free.
+    """Return the streams to cut off to free at least `size` bytes, or all streams if that is not enough.
 
-    Streams whose peer has stalled come first; among equals, those with the most bytes for each unit of
-    utility. Streams that use no memory are never cut off.
+    Streams whose peer has stalled are cut off first, and within each group those with the most bytes per unit
+    of utility. Streams that use no memory are never cut off.
     """
     selected = []
     freed = 0
--- a/myrtlehub/limits/retry_budget.py
+++ b/myrtlehub/limits/retry_budget.py
@@ -1,9 +1,9 @@
 """Retry budgets: how many retries a tenant may send for each first attempt.
 
-After an outage every client retries, and what is rejected is retried once more: a retry storm, which keeps
-the fleet overloaded. A tenant's first attempts earn credit for retries, up to a bound. A retry without credit
-is rejected before anything runs. Its Retry-After grows with the tenant's debt, and is random so that clients
-do not return together.
+After an outage all clients retry, and retry again when they are rejected. Such a retry storm keeps the fleet
+overloaded. Retry budgets prevent it: a tenant's first attempts earn credit for retries, up to a bound, and a
+retry without credit is rejected before any of it runs. Its Retry-After grows with the tenant's debt, and is
+random so that clients do not all retry at the same time.
 """
 
 from collections import OrderedDict
@@ -11,19 +11,20 @@
 from random import Random
 from typing import NamedTuple
 
-BURST = 20.0  # retries that a tenant may send in addition to those that its first attempts earn
-REFILL_PER_S = 2.0  # retries of the burst that come back, so that a client without first attempts can retry
-MAX_CREDIT = 5.0 * BURST  # retries up to which first attempts earn credit
-REJECTION_COST = 0.1  # credit that a rejected retry costs: a client that retries without a pause waits longer
-MAX_TENANTS = 4096  # tenants that are remembered; the least recently seen is forgotten first
-MAX_WAIT_GROWTH = 2.0  # factor by which a Retry-After can exceed the longest wait of other rejections
-MIN_WAIT_SHARE = 0.5  # share of the wait that is not random
+BURST = 20.0  # initial credit of a tenant, in retries
+# Retries per second by which a credit below BURST recovers: a tenant without first attempts can retry too.
+REFILL_PER_S = 2.0
+MAX_CREDIT = 5.0 * BURST  # retries; first attempts earn no credit beyond it
+REJECTION_COST = 0.1  # retries subtracted for a rejected retry: clients that do not back off wait longer
+MAX_TENANTS = 4096  # tenants whose credit is stored; the least recently seen is removed first
+MAX_WAIT_GROWTH = 2.0  # largest factor by which a Retry-After exceeds that of other rejections
+MIN_WAIT_SHARE = 0.5  # fraction of a Retry-After that is not random
 
 
 class TenantCredit(NamedTuple):
-    """The credit of a tenant at a time."""
+    """The credit of a tenant as of a time."""
 
-    retries: float  # that it may send; below 0 after rejected retries
+    retries: float  # retries that the tenant may send; negative after rejected retries
     at: float
 
 
@@ -35,7 +36,7 @@
 
         Args:
             ratio: retries that one first attempt earns.
-            random: spreads the Retry-After of rejected retries.
+            random: randomizes the Retry-After of rejected retries.
         """
         self.ratio = ratio
         self._draw = random.random
@@ -67,7 +68,7 @@
         return longest * growth * (MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * self._draw())
 
     def _take_credit(self, now: float, tenant: Hashable) -> float:
-        """Remove a tenant's entry and return its credit as of now."""
+        """Remove a tenant's entry; return its credit as of now, including what has been refilled."""
         credit = self._credits.pop(tenant, None) or TenantCredit(BURST, now)
         return max(credit.retries, min(BURST, credit.retries + REFILL_PER_S * (now - credit.at)))
 
