--- a/myrtlehub/batching/batch_split.py
+++ b/myrtlehub/batching/batch_split.py
@@ -1,4 +1,4 @@
-"""Splitting of a batch into parts by token cost, over as many engines as are worth using."""
+"""Splitting of a batch into parts by token cost, in at most as many parts as pay off."""
 
 from collections.abc import Sequence
 from heapq import heappop, heappush, heapreplace
@@ -6,12 +6,12 @@
 
 
 class PartLimits(NamedTuple):
-    """The bounds of one part.
+    """The limits on the size of a part.
 
     Attributes:
-        max_tokens: tokens that an engine takes in one part; a longer input becomes a part of its own.
-        max_items: items that an engine takes in one part.
-        min_tokens: tokens below which a further part costs more to send than it saves.
+        max_tokens: maximum of tokens per part; a longer input becomes a part of its own.
+        max_items: maximum of items per part.
+        min_tokens: fewest tokens for which it pays off to send an additional part.
     """
 
     max_tokens: float
@@ -22,8 +22,8 @@
 def count_parts(costs: Sequence[float], limits: PartLimits, engine_count: int) -> int:
     """Return the number of parts for items of these costs.
 
-    There are as many parts as the limits of one part require. Beyond that there is one part for each engine,
-    as long as each part is worth sending.
+    The number is at least what `max_tokens` and `max_items` require. It is raised to one part per engine, as
+    long as the mean size of a part is not below `min_tokens`.
 
     Args:
         costs: the tokens of each item.
@@ -42,8 +42,8 @@
     """Return the item indices of each part in ascending order; every index occurs once.
 
     The longest inputs are assigned first, each to the part with the fewest tokens so far, so that all parts
-    end at about the same time. A part is closed when it has all its items. A part is added when an item would
-    exceed the tokens of all open parts.
+    end at about the same time. A part is closed when it has `max_items` items. A part is added when an item
+    would exceed `max_tokens` in every open part.
 
     Args:
         costs: the tokens of each item.
@@ -57,7 +57,7 @@
     for index in sorted(range(len(costs)), key=lambda index: (-costs[index], index)):
         cost = costs[index]
         if not open_parts or _is_full(parts, open_parts[0], cost, limits):
-            heappush(open_parts, (0.0, len(parts)))  # becomes the first, as all other parts have tokens
+            heappush(open_parts, (0.0, len(parts)))  # the first of the heap, as all others have tokens
             parts.append([])
         tokens, number = open_parts[0]
         parts[number].append(index)
@@ -69,6 +69,6 @@
 
 
 def _is_full(parts: list[list[int]], part: tuple[float, int], cost: float, limits: PartLimits) -> bool:
-    """Return whether an item of this cost exceeds the part with the fewest tokens, and so every open part."""
+    """Return whether the item does not fit into `part`, the open part with the fewest tokens."""
     tokens, number = part
     return bool(parts[number]) and tokens + cost > limits.max_tokens
--- a/myrtlehub/batching/dynamic_batcher.py
+++ b/myrtlehub/batching/dynamic_batcher.py
@@ -1,18 +1,17 @@
 """Dynamic batching: small requests that arrive at about the same time share one engine batch.
 
-A request waits only if another one is likely to join it, that is if the recent mean interval between requests
-of the same key is not longer than the window. It waits neither longer than the window nor longer than a
-certain share of the time that its deadline leaves. Only requests of the same key share a batch; the key
-includes the tenant.
+A request waits only if another one is likely to join it: the moving average of the interval between requests
+of the same key must not exceed the window. The wait is bounded by the window, and by a fraction of the time
+left to the request's deadline. Only requests of the same key share a batch; the key includes the tenant.
 """
 
 from collections.abc import Hashable
 from typing import Generic, NamedTuple, TypeVar
 
 INTERVAL_WEIGHT = 0.2  # weight of the latest interval in the moving average
-INITIAL_INTERVAL = 1.0  # seconds that the average begins with, for a key that has not been seen
-MAX_INTERVAL = 1.0  # seconds that a longer interval counts as, so that a new burst is recognized soon
-MAX_KEYS = 4096  # keys whose interval is remembered; beyond it the least recently seen half is forgotten
+INITIAL_INTERVAL = 1.0  # seconds; initial value of the moving average for a new key
+MAX_INTERVAL = 1.0  # seconds; longer intervals count as this, so that a new burst soon lowers the average
+MAX_KEYS = 4096  # keys with a stored average; if there are more, the least recently seen half is removed
 TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early because of rounding
 
 Request = TypeVar("Request")
@@ -22,10 +21,10 @@
     """The settings of dynamic batching.
 
     Attributes:
-        max_wait: seconds that a request waits at most; 0: no request waits.
-        max_tokens: tokens from which a request or group is sent at once.
-        max_items: items from which a request or group is sent at once.
-        min_time_left: share of a request's time left that must remain when it is sent.
+        max_wait: the window: the longest wait of a request, in seconds; 0: no request waits.
+        max_tokens: maximum of tokens per group; a request with as many or more is sent alone and at once.
+        max_items: maximum of items per group; a request with as many or more is sent alone and at once.
+        min_time_left: fraction of the time to a request's deadline that must remain when it is sent.
     """
 
     max_wait: float
@@ -43,14 +42,14 @@
 
 
 class ArrivalInterval(NamedTuple):
-    """The moving average of the seconds between requests of one key, and the time of the last request."""
+    """The moving average of the interval between requests of a key in seconds, and the last arrival."""
 
     average: float
     last_at: float
 
 
 class DynamicBatcher(Generic[Request]):
-    """Collects requests in groups by key, and returns the groups that are to be sent."""
+    """Groups requests by key, and returns each group when it has to be sent."""
 
     def __init__(self, window: BatchingWindow) -> None:
         self.window = window
@@ -68,7 +67,7 @@
     ) -> list[list[Request]]:
         """Add a request, and return the groups to send now.
 
-        If the request is in none of them, it waits in a group that `pop_due` returns later.
+        If none of them contains the request, it waits in a group that `pop_due` will return.
 
         Args:
             now: seconds.
@@ -81,7 +80,7 @@
         is_joined_soon = self._average_interval(now, key) <= self.window.max_wait
         ready = []
         if self._would_exceed(key, tokens, items):
-            ready.append(self._pop_group(key))  # the new request begins another group
+            ready.append(self._pop_group(key))  # the new request starts a new group
         wait = min(self.window.max_wait, time_left * (1.0 - self.window.min_time_left))
         if not is_joined_soon:
             wait = 0.0
@@ -94,7 +93,7 @@
         return ready
 
     def remove(self, key: Hashable, request: Request) -> bool:
-        """Remove a request whose client disconnected; return whether it still waited."""
+        """Remove a request whose client disconnected; return whether it was still waiting."""
         group = self._groups.get(key, [])
         rest = [waiting for waiting in group if waiting.request is not request]
         if len(rest) == len(group):
@@ -106,11 +105,11 @@
         return True
 
     def next_at(self) -> float | None:
-        """Return when `pop_due` will have a group; None if no request waits."""
+        """Return the time at which `pop_due` will return the next group; None if no request waits."""
         return min(self._send_at.values(), default=None)
 
     def pop_due(self, now: float) -> list[list[Request]]:
-        """Remove and return the groups whose wait is over."""
+        """Remove and return the groups whose send time has been reached."""
         keys = [key for key, send_at in self._send_at.items() if send_at <= now + TIME_TOLERANCE]
         return [self._pop_group(key) for key in keys]
 
@@ -123,7 +122,7 @@
         return group_tokens + tokens > self.window.max_tokens or group_items + items > self.window.max_items
 
     def _average_interval(self, now: float, key: Hashable) -> float:
-        """Update and return the mean seconds between requests of this key, up to the present one."""
+        """Update the moving average for a request of this key that arrives now, and return it in seconds."""
         known = self._intervals.get(key)
         average = INITIAL_INTERVAL
         if known is not None:
@@ -135,7 +134,7 @@
         return average
 
     def _forget_stalest(self) -> None:
-        """Forget the least recently seen half of the keys, as clients can make any number of keys."""
+        """Remove the least recently seen half of the keys: clients can create any number of them."""
         by_age = sorted(self._intervals, key=lambda key: self._intervals[key].last_at)
         for key in by_age[: MAX_KEYS // 2]:
             del self._intervals[key]
--- a/myrtlehub/batching/result_cache.py
+++ b/myrtlehub/batching/result_cache.py
@@ -1,10 +1,10 @@
-"""Cache of results, so that no input is computed twice for a tenant by the same version of a model.
+"""Cache of results, so that repeated inputs of a tenant are not computed again by the same model version.
 
-Each tenant has a separate cache for each version of a model; all caches share one bound on memory. The
+Each tenant has a separate cache for each model version; all caches share one memory bound. The eviction
 algorithm is S3-FIFO (Yang et al., "FIFO queues are all you need for cache eviction", SOSP 2023). New keys
-enter a small queue, and those with a hit move from it to the main queue. A key that was evicted from the
-small queue is remembered without its value in a ghost queue, and enters the main queue if it is added again.
-So a flood of inputs that never recur uses a tenth of the memory and evicts nothing from the main queue.
+enter a small queue. At its end, keys with a hit move to the main queue, and the others are evicted. The key
+of an evicted entry stays in a ghost queue for some time; if it is added again, it enters the main queue. So a
+flood of inputs that never recur occupies about a tenth of the memory, and does not displace the main queue.
 docs/design/fronts.md compares S3-FIFO with LRU and W-TinyLFU.
 """
 
@@ -13,17 +13,18 @@
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, TypeVar
 
-SMALL_QUEUE_SHARE = 0.1  # share of a cache's capacity, the figure of the paper; larger values are not cached
-MAX_HITS = 3  # up to which hits of a key are counted, as in the paper
-MIN_GHOST_KEYS = 16  # evicted keys that are remembered by a cache with few entries
-MAX_CACHES = 1024  # tenants times versions; the least recently used cache is dropped first
+# Fraction of a cache's capacity for the small queue, as in the paper; a larger value is not cached.
+SMALL_QUEUE_SHARE = 0.1
+MAX_HITS = 3  # highest value of a key's hit counter, as in the paper
+MIN_GHOST_KEYS = 16  # size of the ghost queue of a cache that has fewer entries than this
+MAX_CACHES = 1024  # one per tenant and model version; the least recently used is dropped first
 
 Value = TypeVar("Value")
 
 
 @dataclass(slots=True)
 class CacheEntry(Generic[Value]):
-    """A cached value, its size in bytes, and its place in the queues."""
+    """A cached value, its size in bytes, its hit counter, and which queue it is in."""
 
     value: Value
     size: int
@@ -47,7 +48,7 @@
         return len(self._entries)
 
     def get(self, key: Hashable) -> Value | None:
-        """Return the value, and count a hit."""
+        """Return the value and count a hit; None if the key is not cached."""
         entry = self._entries.get(key)
         if entry is None:
             return None
@@ -71,7 +72,7 @@
         self.used += size
 
     def resize(self, capacity: int) -> None:
-        """Change the capacity, and evict entries until the rest fits."""
+        """Change the capacity, and evict entries until the others fit."""
         self.capacity = capacity
         while self.used > capacity:
             self._evict()
@@ -111,21 +112,21 @@
 
 
 class CacheKey(NamedTuple):
-    """The tenant and the version of a model whose results a cache has."""
+    """The key of a cache: a tenant and a model version."""
 
     tenant: Hashable
     model: str
 
 
 class ResultCache(Generic[Value]):
-    """The caches of all tenants and versions; each has the same capacity."""
+    """The caches of all tenants and model versions, of equal capacity."""
 
     def __init__(self, capacity: int, max_share: float = 0.25) -> None:
         """Make an empty cache.
 
         Args:
-            capacity: bytes of all caches together; 0: nothing is cached.
-            max_share: share of the capacity that one cache has at most.
+            capacity: bound of all caches together, in bytes; 0: nothing is cached.
+            max_share: largest fraction of the capacity for a single cache.
         """
         self.capacity = capacity
         self.max_share = max_share
@@ -138,7 +139,7 @@
         return sum(cache.used for cache in self._caches.values())
 
     def cache_of(self, tenant: Hashable, model: str) -> S3FifoCache[Value] | None:
-        """Return the cache of a tenant's results by one version; None if there is none yet."""
+        """Return the cache for a tenant and a model version; None if there is none yet."""
         return self._touch(CacheKey(tenant, model))
 
     def get(self, tenant: Hashable, model: str, key: Hashable) -> Value | None:
@@ -147,7 +148,7 @@
         return cache.get(key) if cache is not None else None
 
     def add(self, tenant: Hashable, model: str, key: Hashable, value: Value, size: int) -> None:
-        """Cache a result of `size` bytes, unless the endpoint list has no engine of its version any more."""
+        """Cache a result of `size` bytes, unless its version is unknown or no longer in the endpoint list."""
         if not model or (self.models and model not in self.models):
             return
         cache_key = CacheKey(tenant, model)
@@ -158,10 +159,10 @@
             cache.add(key, value, size)
 
     def set_models(self, models: frozenset[str]) -> int:
-        """Set the versions of the endpoint list's engines, and drop the caches of other versions.
+        """Set the model versions of the engines in the endpoint list, and drop the caches of other versions.
 
         Args:
-            models: the versions; empty if the list does not name versions, and then no cache is dropped.
+            models: the versions; empty if the list names no versions: then no cache is dropped.
 
         Returns:
             The number of dropped results.
@@ -189,7 +190,7 @@
         return cache
 
     def _resize(self) -> None:
-        """Divide the capacity evenly among the caches."""
+        """Divide the capacity evenly among the caches, up to `max_share` for each."""
         share = min(self.max_share, 1.0 / max(1, len(self._caches)))
         capacity = int(self.capacity * share)
         for cache in self._caches.values():
--- a/myrtlehub/batching/result_merger.py
+++ b/myrtlehub/batching/result_merger.py
@@ -1,15 +1,16 @@
-"""Merging of the results of a batch's parts into one answer, in order and by one version of the model.
-
-A part ends as generated, rejected or aborted, like any sequence. The answer of the batch follows from its
-parts:
-
-- The batch is generated once every item has a result or an error of its own.
-- Otherwise, a batch without streaming ends when the first part has failed, and the client gets no results.
-- Otherwise, a streaming batch ends when its last part has ended; results that were sent remain valid.
-- A failed batch is aborted if any part was aborted, as that part may have run. Else it is rejected, with the
-  longest Retry-After of its parts.
-- A batch uses results of one version of the model. A part whose results are of another version is retried. If
-  no result was sent yet and no engine has the version any more, the whole batch restarts, at most
+"""Merging of the results of a batch's parts into one answer, in input order and from one model version.
+
+Like any sequence, a part ends with the outcome generated, rejected or aborted. The outcomes of the parts
+determine that of the batch:
+
+- If every item has a result or an item error, the batch ends as generated.
+- If a part fails and the batch is not streaming, it fails at once, and the client gets no results.
+- If a part fails and the batch is streaming, it fails after its last part has ended. Results that were sent
+  remain valid.
+- A failed batch is aborted if any of its failed parts was aborted, because that part may have run. Otherwise
+  it is rejected. In both cases it has the longest Retry-After among the failures that decided it.
+- All results of a batch come from one model version. A part with results of another version is retried. If no
+  result was sent yet and no engine has the version any more, the entire batch restarts, at most
   `MAX_RESTARTS` times.
 """
 
@@ -17,7 +18,7 @@
 from enum import StrEnum
 from typing import Generic, NamedTuple, TypeVar
 
-MAX_RESTARTS = 1  # of one batch, so that it cannot restart without end
+MAX_RESTARTS = 1  # per batch; prevents endless restarts
 
 Result = TypeVar("Result")
 
@@ -35,8 +36,8 @@
 
     Attributes:
         outcome: how it ended.
-        retry_after: the Retry-After of a rejection, in seconds; without meaning for other outcomes.
-        reason: why it was rejected or aborted, in words for the client.
+        retry_after: the Retry-After of a rejection, in seconds; unused for other outcomes.
+        reason: the reason of a rejection or abort, as text for the client.
     """
 
     outcome: BatchOutcome
@@ -45,11 +46,11 @@
 
 
 class MergeVerdict(StrEnum):
-    """What the caller has to do after the end of a part."""
+    """The action that the caller has to take after a part has ended."""
 
     WAIT_FOR_PARTS = "wait-for-parts"
     RETRY_PART = "retry-part"  # or restart the batch, see `may_restart`
-    ANSWERED = "answered"  # this part or an earlier one decided the final answer: send it if not yet sent
+    ANSWERED = "answered"  # the final answer is decided, now or earlier: send it unless it was sent
 
 
 class ResultMerger(Generic[Result]):
@@ -60,37 +61,37 @@
 
         Args:
             item_count: items of the batch.
-            is_stream: whether results are sent to the client as parts end.
-            model: the version of the model that all results must be of; empty: that of the first results.
+            is_stream: whether the results of each part are sent to the client when the part ends.
+            model: the required model version of all results; empty: the version of the first results.
         """
         self.is_stream = is_stream
         self.model = model
         self.results: list[Result | None] = [None] * item_count  # by item; None: no result yet
         self.missing = item_count  # items without a result
-        self.sent_items = 0  # items of parts whose results were sent to a streaming client
+        self.sent_items = 0  # items whose results were sent to the client of a streaming batch
         self.answer: BatchAnswer | None = None
         self.restarts = 0
-        self._open_parts: dict[int, Sequence[int]] = {}  # item indices by part
+        self._open_parts: dict[int, Sequence[int]] = {}  # item indices of the parts in flight, by part
         self._failures: list[BatchAnswer] = []
 
     def begin_part(self, part: int, indices: Sequence[int]) -> None:
-        """Record that a part with these items is sent to an engine."""
+        """Record that a part with these items has been sent to an engine."""
         self._open_parts[part] = indices
 
     def set_result(self, index: int, result: Result) -> None:
-        """Set the result of an item: a cached one, or that of an equal item."""
+        """Set the result of an item: that of its part, a cached one, or that of an identical item."""
         if self.results[index] is None:
             self.missing -= 1
         self.results[index] = result
 
     def answer_if_complete(self) -> bool:
-        """Decide the answer if no result is missing; return whether it is decided."""
+        """Decide the answer if no result is missing; return whether the answer is decided."""
         if self.answer is None and not self.missing and not self._open_parts:
             self.answer = BatchAnswer(BatchOutcome.GENERATED)
         return self.answer is not None
 
     def part_generated(self, part: int, results: Sequence[Result], model: str) -> MergeVerdict:
-        """Set the results of a part, which are in the order of its items; return what to do next."""
+        """Set the results of a part, given in the order of its items; return the caller's next action."""
         indices = self._open_parts.pop(part, None)
         if indices is None or self.answer is not None:
             return MergeVerdict.ANSWERED
@@ -104,18 +105,18 @@
         return self._decide_answer()
 
     def part_failed(self, part: int, failure: BatchAnswer) -> MergeVerdict:
-        """Record that a part ended without results; return what to do next."""
+        """Record that a part ended without results; return the caller's next action."""
         if self._open_parts.pop(part, None) is None or self.answer is not None:
             return MergeVerdict.ANSWERED
         self._failures.append(failure)
         return self._decide_answer()
 
     def may_restart(self) -> bool:
-        """Return whether the batch may restart: no result was sent, and it has not restarted too often."""
+        """Return whether the batch may restart: it is unanswered, sent no result and has restarts left."""
         return not self.sent_items and self.restarts < MAX_RESTARTS and self.answer is None
 
     def restart(self, model: str) -> None:
-        """Discard all results and parts, so that the batch is run again by this version of the model."""
+        """Discard all results and parts, so that the batch can be run again by this model version."""
         self.restarts += 1
         self.model = model
         self.results = [None] * len(self.results)
