--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -1,6 +1,6 @@
-"""One entry of the endpoint list, whichever source it comes from.
+"""One entry of the endpoint list, in the form that all sources share.
 
-The module imports nothing else of the program, so that the relay can use it without the settings of a node.
+The module imports no other part of the program, so that the relay can use it without the node's settings.
 """
 
 from enum import StrEnum
@@ -13,8 +13,8 @@
 class EndpointState(StrEnum):
     """The states that a list gives to an endpoint.
 
-    An endpoint's `state` field has the plain string (`.value`): digests and comparisons of endpoints are made
-    from the `repr` of their fields, and that of an enum member differs from that of its value.
+    An endpoint's `state` field is the plain string (`.value`), not the enum member: digests of endpoints are
+    computed from the `repr` of their fields, which differs between a member and its value.
     """
 
     SERVING = "serving"
@@ -31,7 +31,7 @@
 
     @property
     def kind(self) -> str:
-        """The name of the engine kind, which says what the engine can run."""
+        """The name of the engine kind, which determines what the engine can run."""
 
     @property
     def zone(self) -> str:
@@ -47,7 +47,7 @@
 
     @property
     def weight(self) -> float:
-        """The engine's share of load relative to others of its kind; 0 drains it."""
+        """The engine's load relative to that of others of its kind; 0 drains the engine."""
 
     @property
     def state(self) -> str:
@@ -65,17 +65,17 @@
 
 
 def is_serving(endpoint: Endpoint) -> bool:
-    """Return whether the list has the endpoint as serving, whatever its weight."""
+    """Return whether the endpoint's state is serving; its weight may be 0."""
     return endpoint.state == EndpointState.SERVING
 
 
 def is_draining(endpoint: Endpoint) -> bool:
-    """Return whether the list has the endpoint as draining: it gets no new attempts."""
+    """Return whether the endpoint's state is draining, in which it gets no new attempts."""
     return endpoint.state == EndpointState.DRAINING
 
 
 def is_gone(endpoint: Endpoint) -> bool:
-    """Return whether the list names the endpoint only to remove it."""
+    """Return whether the endpoint's state is gone: it is listed only to be removed."""
     return endpoint.state == EndpointState.GONE
 
 
@@ -87,7 +87,7 @@
 
 
 def with_effective_state(endpoint: EndpointT) -> EndpointT:
-    """Return the endpoint as the router has to see it: a serving endpoint of weight 0 is draining."""
+    """Return the endpoint with its state for the router: a serving endpoint of weight 0 becomes draining."""
     if endpoint.weight == 0.0 and is_serving(endpoint):
         return as_draining(endpoint)
     return endpoint
--- a/myrtlehub/membership/endpoint_source.py
+++ b/myrtlehub/membership/endpoint_source.py
@@ -1,7 +1,7 @@
-"""Sources of the endpoint list: the interface that all have, and the source of a static or pushed list.
+"""Sources of the endpoint list: their common interface, and the source of a static or pushed list.
 
-A source sends updates to its listener and does not interpret them: the listener decides what a change means
-for sequences in flight (`node.router_driver`).
+A source only sends updates to its listener. The listener decides how a change affects sequences in flight
+(`node.router_driver`).
 """
 
 from collections.abc import Callable, Sequence
@@ -12,7 +12,7 @@
 
 
 class VersionId(NamedTuple):
-    """What identifies a validated version of the list."""
+    """The identity of a validated version of the list."""
 
     number: int
     digest: str
@@ -23,9 +23,9 @@
 
     Attributes:
         endpoints: all endpoints, or those that changed; removed ones are in state `gone`.
-        is_complete: whether endpoints that are not among them are removed.
-        version: the version that the update leads to. None if the source does not number versions: the
-            listener then counts them.
+        is_complete: whether `endpoints` is the complete list, so that all others are removed.
+        version: the version of the list after the update. None if the source does not number versions; then
+            the listener numbers them.
     """
 
     endpoints: list[EndpointConfig]
@@ -37,50 +37,50 @@
 
 
 def ignore_update(update: EndpointListUpdate) -> None:
-    """Discard the update; the listener of a source that is not followed yet."""
+    """Discard the update. This is the listener of a source until `follow` is called."""
 
 
 class EndpointSource(Protocol):
     """A source of the endpoint list, as the node uses it."""
 
     def follow(self, listener: EndpointListener) -> None:
-        """Send the complete list to the listener once it is known, and from then on each change."""
+        """Send the complete list to the listener as soon as it is known, and then each change."""
 
     def republish(self) -> None:
-        """Send the complete list to the listener once more."""
+        """Send the complete list to the listener again."""
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
         """Return the current list.
 
         Args:
-            replacement: the endpoints of new settings, which replace a static list; None to keep the list.
+            replacement: the endpoints of new settings, which first replace a static list; None: no change.
         """
 
 
 class StaticEndpointSource:
-    """The endpoints of the node's settings, and changes to them that are pushed over the admin service."""
+    """The endpoints of the node's settings, with the changes that are pushed through the admin service."""
 
     def __init__(self, endpoints: Sequence[EndpointConfig]) -> None:
         self._endpoints = {endpoint.address: endpoint for endpoint in endpoints}
         self._listener: EndpointListener = ignore_update
 
     def follow(self, listener: EndpointListener) -> None:
-        """Send the complete list to the listener now, and from then on each pushed change."""
+        """Send the complete list to the listener now, and then each pushed change."""
         self._listener = listener
         self.republish()
 
     def republish(self) -> None:
-        """Send the complete list to the listener once more."""
+        """Send the complete list to the listener again."""
         self._listener(EndpointListUpdate(list(self._endpoints.values()), is_complete=True))
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Return the current list, after `replacement` has replaced it where one is given."""
+        """Replace the list by `replacement` unless that is None, and return the current list."""
         if replacement is not None:
             self._endpoints = {endpoint.address: endpoint for endpoint in replacement}
         return list(self._endpoints.values())
 
     def push(self, endpoints: Sequence[EndpointConfig], is_complete: bool) -> None:
-        """Apply a pushed list, or a pushed change to the list, and send it to the listener."""
+        """Apply a pushed complete list or a pushed change, and send it to the listener."""
         if is_complete:
             self._endpoints.clear()
         self._endpoints.update((endpoint.address, endpoint) for endpoint in endpoints)
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -1,8 +1,7 @@
-"""The endpoint list from watched files.
+"""A source of the endpoint list that follows watched files.
 
-A file that is still being written is distinguished from a complete one by three conditions together: all
-files parse, two consecutive snapshots have the same bytes, and no change was seen for the quiet time between
-them.
+A snapshot is used only if no file was being written meanwhile. This is assumed if all files parse, two
+consecutive snapshots have the same bytes, and no change was detected for the quiet time between them.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -33,11 +32,11 @@
 from myrtlehub.membership.version_saver import VersionSaver
 from myrtlehub.membership.version_store import StoredVersion, VersionStore
 
-SOURCE_NAME = "files"  # as versions and rejections have it
+SOURCE_NAME = "files"  # the `source` of versions and rejections
 
 
 class SnapshotReader(Protocol):
-    """Reads a snapshot of the files, at once or in the background."""
+    """Reads a snapshot of the files, either immediately or in the background."""
 
     def __call__(
         self,
@@ -47,7 +46,7 @@
         callback: Callable[[Snapshot], None],
         /,
     ) -> None:
-        """Read the files and pass the snapshot to `callback`; see `read_snapshot` for the other arguments."""
+        """Read the files and pass the snapshot to `callback`. For the other arguments see `read_snapshot`."""
 
 
 def _read_now(
@@ -75,19 +74,19 @@
         reader: SnapshotReader | None = None,
         run_in_background: RunInBackground = run_now,
     ) -> None:
-        """Make a watcher that does nothing until it is followed.
+        """Make a watcher; it does nothing until `follow` is called.
 
         Args:
-            config: which files are watched, and how.
-            validator: makes versions of snapshots.
+            config: the watched files and the timing.
+            validator: turns valid snapshots into versions.
             clock: the node's clock.
-            store: preserves accepted versions over restarts; None: there is no store.
+            store: preserves accepted versions across restarts; None: versions are not stored.
             log: the node's log.
-            notify: sets up notification of changes by the operating system.
-            unresponsive: returns the addresses that do not answer this node.
-            reader: reads snapshots without blocking the event loop, as a list of thousands takes seconds to
-                parse; None: snapshots are read in the event loop.
-            run_in_background: runs what may block on the disk.
+            notify: sets up change notification by the operating system.
+            unresponsive: returns the addresses of endpoints that currently do not respond to this node.
+            reader: reads snapshots without blocking the event loop, because a list of thousands of endpoints
+                takes seconds to parse; None: snapshots are read in the event loop.
+            run_in_background: runs disk operations that may block.
         """
         self.config = config
         self.validator = validator
@@ -98,16 +97,16 @@
         self._saver = VersionSaver(store, run_in_background, log) if store is not None else None
         self._monitor = FileMonitor(config, clock, notify, self._read)
         self._listener: EndpointListener = ignore_update
-        self._is_busy = False  # reading files, or validating the snapshot
-        self._must_read_again = False  # files changed while the watcher was busy
-        self._last_digest: str | None = None  # of the last snapshot's bytes
+        self._is_busy = False  # between a read request and the result of validation
+        self._must_read_again = False  # a read was requested while the watcher was busy
+        self._last_digest: str | None = None  # digest of the last snapshot's bytes
 
     def follow(self, listener: EndpointListener) -> None:
-        """Read the files now; if they are missing or invalid, begin with the stored version."""
+        """Read the files now, then watch them; if they are missing or invalid, use the stored version."""
         self._listener = listener
         stored = self._saver.load_latest() if self._saver is not None else None
         if stored is not None:
-            self.validator.last_number = stored.number  # numbers continue over restarts
+            self.validator.last_number = stored.number  # version numbers continue across restarts
         snapshot = read_snapshot(self.config.patterns, self.config.base, self.config.requires_end_mark)
         self._monitor.record_stamps()
         self._last_digest = snapshot.digest
@@ -117,12 +116,12 @@
         self._monitor.start()
 
     def republish(self) -> None:
-        """Send the complete list to the listener once more, if there is a version of it."""
+        """Send the complete list to the listener again, if there is a version."""
         if self.validator.version is not None:
             self._publish_complete(self.validator.version)
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Return the current list; `replacement` is ignored, as only the files can change the list."""
+        """Return the current list. `replacement` is ignored, because only the files can change the list."""
         version = self.validator.version
         return list(version.endpoints.values()) if version is not None else []
 
@@ -131,7 +130,7 @@
         self._monitor.stop()
 
     def files_changed(self) -> None:
-        """Read the files once they have been quiet."""
+        """Read the files once they have not changed for the quiet time."""
         self._monitor.files_changed()
 
     def _use_stored(self, stored: StoredVersion) -> None:
@@ -154,14 +153,14 @@
         self._must_read_again = False
         self._is_busy = False
         if snapshot.digest != self._last_digest:
-            # The bytes differ from the last snapshot's: a file may be half-written. A second snapshot after
-            # the quiet time has to confirm them.
+            # The bytes differ from those of the last snapshot, so a file may be half-written. A second
+            # snapshot after the quiet time has to have the same bytes.
             self._last_digest = snapshot.digest
             must_read_again = True
         else:
             self._is_busy = True
             verdict = self._validate(snapshot, self.unresponsive())
-            # Validating and applying a long list both take long: each gets its own turn of the event loop.
+            # Validating and applying a long list both take long, so each has its own turn of the event loop.
             self.clock.callLater(0, self._validated, verdict)
         if must_read_again:
             self._monitor.schedule(self.config.quiet_time)
--- a/myrtlehub/membership/file_monitor.py
+++ b/myrtlehub/membership/file_monitor.py
@@ -1,7 +1,7 @@
 """Detection of changes to the watched files: by inotify where it is available, and by polling everywhere.
 
-A change is reported once no further change has been seen for the quiet time, because an editor or a program
-that writes a file changes it several times.
+A change is reported once no further change has been detected for the quiet time, because programs that write
+a file usually change it several times in a row.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,18 +11,18 @@
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.membership.snapshot import FileStamp, expand_patterns, stamp_files
 
-MAX_QUIET_WAITS = 20  # quiet times after the first change at which files are read though they still change
+MAX_QUIET_WAITS = 20  # longest wait for files that keep changing, as a multiple of the quiet time
 
 
 class WatchConfig(NamedTuple):
-    """Which files are watched, and how.
+    """The watched files and the timing.
 
     Attributes:
         patterns: paths, globs and directories.
-        base: the directory that relative patterns start from.
+        base: the directory that relative patterns are resolved against.
         poll_interval: seconds between polls.
-        quiet_time: seconds without a change after which files are read.
-        requires_end_mark: whether a file without the line `end: yes` is incomplete.
+        quiet_time: seconds without a change that must pass before files are read.
+        requires_end_mark: whether a file without the line `end: yes` counts as incomplete.
     """
 
     patterns: Sequence[str]
@@ -33,18 +33,18 @@
 
 
 class WatchDirectories(Protocol):
-    """Asks the operating system for notification of changes."""
+    """Sets up change notification by the operating system."""
 
     def __call__(self, directories: list[str], callback: Callable[[], None], /) -> None:
         """Call `callback` at each change in one of the directories."""
 
 
 def poll_only(directories: list[str], callback: Callable[[], None], /) -> None:
-    """Set up no notification: polling alone detects changes."""
+    """Set up no notification, so that only polling detects changes."""
 
 
 class FileMonitor:
-    """Reports that the watched files have changed and have been quiet since."""
+    """Calls back once the watched files have changed and then not changed again for the quiet time."""
 
     def __init__(
         self,
@@ -53,13 +53,13 @@
         watch_directories: WatchDirectories,
         on_quiet: Callable[[], None],
     ) -> None:
-        """Make a monitor that watches nothing until it is started.
+        """Make a monitor; it watches nothing until `start` is called.
 
         Args:
             config: the files, the poll interval and the quiet time.
             clock: the node's clock.
-            watch_directories: sets up notification by the operating system.
-            on_quiet: called once changed files have been quiet, and at the times of `schedule`.
+            watch_directories: sets up change notification by the operating system.
+            on_quiet: called when the quiet time after a change is over, and at times set by `schedule`.
         """
         self.config = config
         self._clock = clock
@@ -68,14 +68,14 @@
         self._stamps: tuple[FileStamp, ...] = ()
         self._quiet_timer: Timer | None = None
         self._poll_timer: Timer | None = None
-        self._first_change_at: float | None = None  # of the changes that the quiet timer is for
+        self._first_change_at: float | None = None  # the last change that found no quiet timer set
 
     def record_stamps(self) -> None:
-        """Record the files' stamps; the next poll reports what differs from them."""
+        """Record the stamps of the files, with which the next poll compares."""
         self._stamps = self._stamp_files()
 
     def start(self) -> None:
-        """Begin to watch and to poll."""
+        """Start notification and polling."""
         self.update_directories()
         self._poll_timer = self._clock.callLater(self.config.poll_interval, self._poll)
 
@@ -86,24 +86,24 @@
                 timer.cancel()
 
     def files_changed(self) -> None:
-        """Restart the quiet time, unless the files have been changing for too long."""
+        """Restart the quiet time, unless the files have kept changing for too long."""
         now = self._clock.seconds()
         if self._quiet_timer is None:
             self._first_change_at = now
         elif self._quiet_timer.active():
             if self._has_waited_too_long(now):
-                # A file that is written more often than once in the quiet time would never be read.
+                # Let the timer fire. Otherwise files that keep changing would never be read.
                 return
             self._quiet_timer.cancel()
         self._quiet_timer = self._clock.callLater(self.config.quiet_time, self._quiet_time_over)
 
     def schedule(self, delay: float) -> None:
-        """Call `on_quiet` after `delay` seconds, unless a call of it is scheduled already."""
+        """Call `on_quiet` after `delay` seconds, unless a call is already scheduled."""
         if self._quiet_timer is None or not self._quiet_timer.active():
             self._quiet_timer = self._clock.callLater(delay, self._quiet_time_over)
 
     def update_directories(self) -> None:
-        """Set up notification for the directories in which files may be added, removed and replaced."""
+        """Set up notification for the directories that contain watched files or may get new ones."""
         patterns = self.config.patterns
         base = self.config.base
         directories = {str(Path(file).parent) for file in expand_patterns(patterns, base)}
--- a/myrtlehub/membership/file_notifier.py
+++ b/myrtlehub/membership/file_notifier.py
@@ -1,6 +1,6 @@
 """Notification of file changes through Twisted's inotify support.
 
-On a system without inotify there are no notifications, and changes are found only by polling.
+On a system without inotify there are no notifications, and only polling detects changes.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,11 +33,11 @@
         mask: int,
         callbacks: Iterable[Callable[[object, FilePath[bytes], int], None]],
     ) -> object:
-        """Call `callbacks` at each event of `mask` in a directory."""
+        """Call `callbacks` at each event in a directory that `mask` selects."""
 
 
 def _open_inotify(reactor: IReactorFDSet) -> _Inotify | None:
-    """Return an inotify instance that delivers events; None if the system has none left, or no inotify."""
+    """Return an active inotify instance; None if the system has no inotify or no instance left."""
     if not HAS_INOTIFY:
         return None
     try:
@@ -50,7 +50,7 @@
 
 
 def _change_mask() -> int:
-    """Return the events by which a file in a directory may have changed, appeared or disappeared."""
+    """Return the mask of the events that signal a changed, added or removed file in a directory."""
     return (
         inotify.IN_MODIFY
         | inotify.IN_ATTRIB
@@ -64,7 +64,7 @@
 
 
 class FileNotifier:
-    """Watches directories for files that are added, changed, replaced or removed; one for each reactor."""
+    """Watches directories for files that are added, changed, replaced or removed; one per reactor."""
 
     def __init__(self, reactor: IReactorFDSet) -> None:
         self._inotify = _open_inotify(reactor)
@@ -81,13 +81,13 @@
             try:
                 self._inotify.watch(FilePath(directory.encode()), mask=_change_mask(), callbacks=[on_event])
             except (OSError, inotify.INotifyError):
-                continue  # the directory is gone again, or the system allows no more watches
+                continue  # the directory was removed, or the system allows no more watches
             self._watched.add(directory)
 
     def _handle_event(
         self, callback: ChangeCallback, ignored: object, path: FilePath[bytes], event: int
     ) -> None:
         if event & (inotify.IN_DELETE_SELF | inotify.IN_IGNORED):
-            # A directory of the same name may be created later, and has to be watched again.
+            # The watch has ended. If a directory of the same name is created later, it needs a new watch.
             self._watched.discard(path.path.decode() if isinstance(path.path, bytes) else path.path)
         callback()
--- a/myrtlehub/membership/flap_damping.py
+++ b/myrtlehub/membership/flap_damping.py
@@ -15,24 +15,25 @@
     """A version in which the changes of flapping endpoints are not applied."""
 
     version: ListVersion
-    damped_until: float | None  # when the first endpoint's damping ends; None if none is damped
+    damped_until: float | None  # when the damping of an endpoint ends next; None: none is damped
 
 
 class FlapDamper:
-    """Records when endpoints were added and removed, and damps those for which this happens too often."""
+    """Records when endpoints were added and removed, and damps those that were changed so too often."""
 
     def __init__(self, max_flaps: int | None, window: float, quiet_time: float) -> None:
         """Make a damper without history.
 
         Args:
-            max_flaps: additions and removals of an endpoint within `window` that damp it; None: no damping.
+            max_flaps: number of additions and removals within `window` from which an endpoint is damped;
+                None: no endpoint is damped.
             window: seconds.
-            quiet_time: seconds since the last addition or removal after which an endpoint is not damped.
+            quiet_time: seconds after its last addition or removal at which an endpoint's damping ends.
         """
         self.max_flaps = max_flaps
         self.window = window
         self.quiet_time = quiet_time
-        self._flaps: dict[str, deque[float]] = {}  # times of the latest ones by address, oldest first
+        self._flaps: dict[str, deque[float]] = {}  # latest additions and removals by address, oldest first
 
     def record(self, now: float, addresses: Iterable[str]) -> None:
         """Record that these endpoints were added or removed."""
@@ -44,12 +45,12 @@
     def apply(self, now: float, candidate: ListVersion, before: Map[str, EndpointConfig]) -> DampedVersion:
         """Return the candidate without the additions and removals of flapping endpoints.
 
-        A flapping endpoint that the candidate removes is draining meanwhile, and one that it adds stays
-        absent. So in both cases the endpoint gets no new attempts, and those in flight there can end.
+        While it is damped, a flapping endpoint that the candidate removes is listed as draining, and one that
+        it adds stays absent. In both cases the endpoint gets no new attempts; attempts in flight can end.
 
         Args:
             now: seconds on the node's clock.
-            candidate: the version that a snapshot would make.
+            candidate: the version made from a snapshot.
             before: the endpoints of the current version.
         """
         damped_until = None
--- a/myrtlehub/membership/list_faults.py
+++ b/myrtlehub/membership/list_faults.py
@@ -1,4 +1,4 @@
-"""Faults of an endpoint list: why the router could not route by it, in sentences for operators."""
+"""Faults that make an endpoint list unusable for the router, described for operators."""
 
 from collections.abc import Iterable
 
@@ -13,13 +13,13 @@
     zones: Iterable[str],
     writers_read: bool = True,
 ) -> list[str]:
-    """Return the faults of a complete list, one sentence each; none if the router can route by it.
+    """Return the faults of a complete list, one sentence each; an empty list if the router can use it.
 
     Args:
         endpoints: the complete list.
         kinds: the engine kinds of the settings, by name.
         zones: the zones of the settings.
-        writers_read: whether a writer can read a prompt itself, so that a list needs no readers.
+        writers_read: whether writers can read prompts themselves, so that a list may have no readers.
     """
     endpoints = list(endpoints)
     zones = set(zones)
--- a/myrtlehub/membership/list_version.py
+++ b/myrtlehub/membership/list_version.py
@@ -1,4 +1,4 @@
-"""Versions of the endpoint list: immutable, numbered, with a digest; and the difference between two."""
+"""Versions of the endpoint list (immutable, numbered, with a digest), and differences between versions."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -11,13 +11,13 @@
 
 
 class ListVersion(NamedTuple):
-    """One complete endpoint list; the maps of similar versions share memory.
+    """One complete endpoint list.
 
     Attributes:
-        number: grows by one with each accepted version, also over restarts.
+        number: increases by one with each accepted version, also across restarts.
         endpoints: the endpoints by address, none of them in state `gone`.
-        source: where the list came from, as logs and the admin service name it.
-        digest: the digest of the content, see `content_digest`.
+        source: the origin of the list, as logs and the admin service show it.
+        digest: the result of `content_digest`.
         accepted_at: seconds on the node's clock.
         is_from_store: whether the version store supplied it because the files were missing or invalid.
     """
@@ -31,7 +31,7 @@
 
 
 class EndpointChange(NamedTuple):
-    """A listed endpoint with changed fields; that it is now draining is not among these changes."""
+    """An endpoint of both versions whose fields differ, and not only by its new state of draining."""
 
     endpoint: EndpointConfig  # with its new fields
     fields: tuple[str, ...]  # names of the fields that differ
@@ -41,8 +41,8 @@
     """What changed from one version to the next; each tuple is sorted by address."""
 
     added: tuple[EndpointConfig, ...] = ()
-    removed: tuple[EndpointConfig, ...] = ()  # with their fields in the earlier version
-    draining: tuple[EndpointConfig, ...] = ()  # their state alone changed, to draining
+    removed: tuple[EndpointConfig, ...] = ()  # as they were in the earlier version
+    draining: tuple[EndpointConfig, ...] = ()  # only their state changed, to draining
     changed: tuple[EndpointChange, ...] = ()
 
     def __bool__(self) -> bool:
@@ -63,7 +63,7 @@
 
 
 def content_digest(endpoints: Iterable[EndpointConfig]) -> str:
-    """Return the digest of the endpoints; it does not depend on their order or on the files they are in."""
+    """Return the digest of the endpoints, which does not depend on their order or their files."""
     fields = sorted(endpoint.field_values for endpoint in _effective(endpoints))
     return xxhash.xxh3_128_hexdigest(repr(fields).encode())
 
@@ -81,10 +81,10 @@
     Args:
         number: the version's number.
         endpoints: the complete list; entries in state `gone` are left out.
-        source: where the list came from.
+        source: the origin of the list.
         now: seconds on the node's clock.
         is_from_store: whether the version store supplied the list.
-        digest: the `content_digest` of the endpoints if the caller has it; else it is computed.
+        digest: the `content_digest` of the endpoints if the caller has it; None: it is computed.
     """
     effective = _effective(endpoints)
     by_address = Map({endpoint.address: endpoint for endpoint in effective})
@@ -92,7 +92,7 @@
 
 
 def compare_versions(before: Map[str, EndpointConfig], after: Map[str, EndpointConfig]) -> ListDifference:
-    """Return what changed, sorted by address so that all nodes apply a change in the same order."""
+    """Return the difference, sorted by address so that all nodes apply changes in the same order."""
     added = []
     draining = []
     changed = []
--- a/myrtlehub/membership/reader_process.py
+++ b/myrtlehub/membership/reader_process.py
@@ -1,4 +1,4 @@
-"""The node's side of the reader process: sends requests, receives replies, and restarts it if it dies."""
+"""The node's side of the reader process: exchanges messages with it, and replaces it if it dies."""
 
 import os
 import sys
@@ -15,16 +15,16 @@
 from myrtlehub.membership.reader_worker import LENGTH_BYTES, ReadReply, ReadRequest, encode_message
 from myrtlehub.membership.snapshot import Snapshot
 
-ENDPOINTS_PER_TURN = 250  # endpoints that are made in one turn of the event loop
-MAX_ATTEMPTS = 3  # processes that may die on one request before it is answered with a fault
-MAX_ERROR_OUTPUT = 500  # bytes of the process's standard error that are retained
+ENDPOINTS_PER_TURN = 250  # endpoints that are constructed per turn of the event loop
+MAX_ATTEMPTS = 3  # processes that may die while they handle a request; then it fails
+MAX_ERROR_OUTPUT = 500  # last bytes of the process's standard error, kept for the fault message
 WORKER_MODULE = "myrtlehub.membership.reader_worker"
 
 SnapshotCallback = Callable[[Snapshot], None]
 
 
 class ReadInProgressError(RuntimeError):
-    """A snapshot was requested before the reply to the request before it."""
+    """A snapshot was requested while the previous request had no reply yet."""
 
     def __init__(self) -> None:
         super().__init__("the last request has no reply yet")
@@ -38,7 +38,7 @@
 
 
 class WorkerTransport(Protocol):
-    """The pipes to a reader process, as Twisted's `IProcessTransport` has them."""
+    """The pipes to a reader process: the part of Twisted's `IProcessTransport` that is used here."""
 
     def write(self, data: bytes) -> object:
         """Write to the process's standard input."""
@@ -82,16 +82,16 @@
             self._owner.reply_received(reply)
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        """Retain the end of the process's standard error, which says why it died."""
+        """Keep the end of the process's standard error, which shows why it died."""
         self._owner.error_output = (self._owner.error_output + data)[-MAX_ERROR_OUTPUT:]
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
-        """Notify the owner."""
+        """Notify the owner that the process has ended."""
         self._owner.process_ended(self)
 
 
 class _Worker(NamedTuple):
-    """A reader process that runs."""
+    """A running reader process."""
 
     protocol: _WorkerProtocol
     transport: WorkerTransport
@@ -105,18 +105,18 @@
         self.error_output = b""
         self._worker: _Worker | None = None
         self._pending: PendingRead | None = None
-        self._failed_attempts = 0  # processes that died on the pending request
-        # The endpoints of the last snapshot by address: an unchanged endpoint is the same object in the next.
+        self._failed_attempts = 0  # processes that died while they handled the pending request
+        # The endpoints of the last snapshot by address; the next snapshot reuses unchanged ones.
         self._endpoints: dict[str, EndpointConfig] = {}
         self._is_closed = False
 
     def read(
         self, patterns: Iterable[str], base: Path, requires_end_mark: bool, callback: SnapshotCallback
     ) -> None:
-        """Request a snapshot, which is passed to `callback` later; see `read_snapshot` for the arguments.
+        """Request a snapshot, which is passed to `callback` later. For the arguments see `read_snapshot`.
 
         Raises:
-            ReadInProgressError: the request before has no reply yet.
+            ReadInProgressError: the previous request has no reply yet.
         """
         if self._pending is not None:
             raise ReadInProgressError
@@ -126,7 +126,7 @@
         self._send(self._pending)
 
     def start(self) -> Self:
-        """Start the process before the first request, as a fork would hold up a node that serves clients."""
+        """Start the process now: a fork at the first request would block a node that serves clients."""
         self._running_worker()
         return self
 
@@ -157,7 +157,7 @@
         made.addErrback(lambda failure: pending.callback(_failed_snapshot(failure.getErrorMessage())))
 
     def _make_snapshot(self, reply: ReadReply, callback: SnapshotCallback) -> Iterator[None]:
-        """Make `ENDPOINTS_PER_TURN` endpoints in each turn of the event loop, so that no turn is long."""
+        """Construct `ENDPOINTS_PER_TURN` endpoints per turn of the event loop, so that no turn takes long."""
         endpoints = []
         for count, fields in enumerate(reply.endpoints, 1):
             endpoint = self._endpoints.get(fields[0])
@@ -180,7 +180,7 @@
         )
 
     def process_ended(self, protocol: _WorkerProtocol) -> None:
-        """Send the pending request to a new process; after `MAX_ATTEMPTS`, answer it with a fault."""
+        """Send the pending request to a new process; report a fault after `MAX_ATTEMPTS` processes."""
         if self._worker is None or self._worker.protocol is not protocol:
             return
         self._worker = None
@@ -197,7 +197,7 @@
         callback(_failed_snapshot(f"the reading process died {MAX_ATTEMPTS} times: {last_line}"))
 
     def close(self) -> None:
-        """Close the process's input, at which it ends."""
+        """Close the process's standard input, which makes it exit."""
         self._is_closed = True
         if self._worker is not None:
             self._worker.transport.closeStdin()
--- a/myrtlehub/membership/snapshot.py
+++ b/myrtlehub/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of endpoint files: the files there are, the endpoints they list, and their faults by line."""
+"""Snapshots of endpoint files: the files, their endpoints, and their faults with line numbers."""
 
 from collections.abc import Iterable
 from glob import glob
@@ -11,21 +11,21 @@
 from myrtlehub.config.loader import ConfigError, parse_config
 
 MAX_FILES = 1000
-SUFFIXES = (".yaml", ".yml")  # of the files that are read in a directory
+SUFFIXES = (".yaml", ".yml")  # of the files that are read if a pattern is a directory
 GLOB_CHARACTERS = "*?["
 
 
 class Snapshot(NamedTuple):
-    """All files as read at one moment.
+    """The result of reading all files once.
 
     Attributes:
-        endpoints: what the files list; not to be used if there are faults.
+        endpoints: the endpoints that the files list; must not be used if there are faults.
         files: the real paths of the files.
-        faults: one line each for operators, with file and line number.
-        digest: the digest of the bytes of all files, valid or not. Two snapshots with the same digest mean
-            that no file was written between them. None if the files could not be read at all.
+        faults: a line of text per fault, for operators, with file and line number.
+        digest: the digest of the bytes of all files, valid or not; equal if no file was written between two
+            snapshots. None if reading failed altogether.
         is_missing: whether no file exists.
-        content_digest: the digest of the endpoints if the reader has computed it.
+        content_digest: the digest of the endpoints if the reader has computed it; see `list_version`.
     """
 
     endpoints: tuple[EndpointConfig, ...]
@@ -37,18 +37,18 @@
 
 
 class FileStamp(NamedTuple):
-    """What the file system knows of a file without reading it."""
+    """The metadata of a file by which a poll detects changes without reading the file."""
 
     path: str
     inode: int = 0
     size: int = 0  # bytes
     modified_ns: int = 0
-    changed_ns: int = 0  # of the inode: changes even if a program sets the modification time back
-    error: int | None = None  # the errno if the file could not be examined; the figures are 0 then
+    changed_ns: int = 0  # inode change time: advances even if a program sets the modification time back
+    error: int | None = None  # the errno if stat() failed; then the other numbers are 0
 
 
 class PendingFile(NamedTuple):
-    """A file that is still to be read."""
+    """A file that has not been read yet."""
 
     path: str
     included_by: tuple[str, ...]  # the real paths of the files that include it, outermost first
@@ -62,7 +62,7 @@
 
 
 def expand_patterns(patterns: Iterable[str], base: Path) -> list[str]:
-    """Return the files that match paths, globs and directories, in order and without repeats."""
+    """Return the files that match paths, globs and directories, in order and without duplicates."""
     found: dict[str, None] = {}
     for pattern in patterns:
         found.update(dict.fromkeys(_expand_pattern(pattern, base)))
@@ -82,7 +82,7 @@
 def stamp_files(patterns: Iterable[str], base: Path) -> tuple[FileStamp, ...]:
     """Return a stamp of each file.
 
-    A poll compares stamps for equality alone: a modification time may lie in the past.
+    Polls compare stamps for equality, not by time: a new file may have an older modification time.
     """
     return tuple(_stamp_file(path) for path in expand_patterns(patterns, base))
 
@@ -100,8 +100,8 @@
 
     Args:
         patterns: paths, globs and directories.
-        base: the directory that relative patterns start from.
-        requires_end_mark: whether a file without the line `end: yes` is incomplete, which is a fault.
+        base: the directory that relative patterns are resolved against.
+        requires_end_mark: whether a file without the line `end: yes` has a fault, as it may be incomplete.
     """
     reader = _SnapshotReader(requires_end_mark)
     reader.read(expand_patterns(patterns, base))
@@ -117,7 +117,7 @@
         self._endpoints: list[EndpointConfig] = []
         self._faults: list[str] = []
         self._listed: dict[str, ListedEndpoint] = {}  # by address
-        self._visited: dict[str, None] = {}  # real paths, in the order of reading
+        self._visited: dict[str, None] = {}  # real paths, in the order in which they were read
         self._readable_count = 0
         self._pending: list[PendingFile] = []  # a stack: the next file is the last one
 
--- a/myrtlehub/membership/validation.py
+++ b/myrtlehub/membership/validation.py
@@ -1,8 +1,8 @@
 """List validation: whether a snapshot becomes the next version of the endpoint list.
 
-The validator answers four questions in this order: can the router route by the snapshot, do endpoints flap,
-does the snapshot remove too many endpoints at once, and has a second snapshot confirmed the removal. It makes
-pure decisions by the times that the caller passes in, and does not act on what it decides.
+The validator checks in this order whether the router can use the snapshot, whether endpoints flap, whether
+the snapshot removes too many endpoints at once, and, if so, whether a second snapshot has confirmed the
+removal. Its decisions depend only on its input, including the times, and the caller carries them out.
 """
 
 from collections import deque
@@ -16,20 +16,21 @@
 from myrtlehub.membership.list_faults import find_list_faults
 from myrtlehub.membership.list_version import ListDifference, ListVersion, compare_versions, make_version
 
-MAX_REJECTIONS = 20  # that are remembered for the admin service
-ANY_REMOVED = 1.0  # value of `max_removed` with which no removal needs confirmation
+MAX_REJECTIONS = 20  # latest rejections that are kept for the admin service
+ANY_REMOVED = 1.0  # the value of `max_removed` that switches confirmation of removals off
 TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early because of rounding
 
 
 class ValidationConfig(NamedTuple):
-    """The bounds of the settings.
+    """The validation settings.
 
     Attributes:
-        max_removed: the share of serving endpoints that may be removed at once without confirmation.
-        confirm_after: seconds until a second snapshot of the same content confirms a removal.
-        max_flaps: additions and removals of an endpoint within `flap_window` that damp it; None: no damping.
+        max_removed: the fraction of serving endpoints that may be removed at once without confirmation.
+        confirm_after: seconds after the first snapshot from which one of the same content confirms a removal.
+        max_flaps: number of additions and removals within `flap_window` from which an endpoint is damped;
+            None: no endpoint is damped.
         flap_window: seconds.
-        flap_quiet_time: seconds without an addition or removal after which an endpoint is not damped.
+        flap_quiet_time: seconds after its last addition or removal at which an endpoint's damping ends.
     """
 
     max_removed: float = 0.5
@@ -43,21 +44,21 @@
     """The snapshot became the current version."""
 
     version: ListVersion
-    difference: ListDifference  # from the version before; empty for the first version
+    difference: ListDifference  # from the previous version; empty for the first version
     recheck_at: float | None = None  # when damping of an endpoint ends; None if none is damped
 
 
 class Unchanged(NamedTuple):
-    """The snapshot has the content of the current version, apart from damped endpoints."""
+    """The snapshot has the same content as the current version, except for damped endpoints."""
 
     recheck_at: float | None = None  # when damping of an endpoint ends; None if none is damped
 
 
 class Deferred(NamedTuple):
-    """The snapshot is not applied until a second one of the same content confirms it."""
+    """The snapshot is not applied unless a second one of the same content confirms it later."""
 
     reason: str
-    recheck_at: float  # the earliest time at which a snapshot confirms it
+    recheck_at: float  # the earliest time at which another snapshot can confirm it
 
 
 class Rejected(NamedTuple):
@@ -70,7 +71,7 @@
 
 
 class Rejection(NamedTuple):
-    """A rejected snapshot, as it is remembered for the admin service."""
+    """A rejected snapshot, as shown by the admin service."""
 
     at: float  # seconds on the node's clock
     source: str
@@ -85,9 +86,9 @@
 
 
 class ListValidator:
-    """Validates snapshots and makes versions of those that it accepts.
+    """Validates snapshots, and turns those that it accepts into versions.
 
-    All times are seconds on the node's clock, which only advances.
+    All times are seconds on the node's monotonic clock.
     """
 
     def __init__(
@@ -97,29 +98,29 @@
         zones: Iterable[str],
         writers_read: bool = True,
     ) -> None:
-        """Make a validator that has no version yet; see `find_list_faults` for `kinds` to `writers_read`."""
+        """Make a validator without a version. For the last three arguments see `find_list_faults`."""
         self.config = config
         self.kinds = kinds
         self.zones = tuple(zones)
         self.writers_read = writers_read
         self.version: ListVersion | None = None
-        self.last_number = 0  # of the latest version that was accepted, by this process or before a restart
+        self.last_number = 0  # of the last accepted version, also across restarts
         self.rejections: deque[Rejection] = deque(maxlen=MAX_REJECTIONS)
         self.source_lost_at: float | None = None
         self._unconfirmed: UnconfirmedChange | None = None
         self._damper = FlapDamper(config.max_flaps, config.flap_window, config.flap_quiet_time)
 
     def reject(self, now: float, source: str, reason: str) -> Rejected:
-        """Reject a snapshot, whatever it lists; the current version stays.
+        """Reject a snapshot without validating it; the current version stays in use.
 
-        A rejection that repeats the last one is remembered once.
+        A rejection that repeats the last one is not recorded again.
         """
         if not self.rejections or self.rejections[-1][1:] != (source, reason):
             self.rejections.append(Rejection(now, source, reason))
         return Rejected(reason)
 
     def reject_lost_source(self, now: float, source: str, reason: str) -> Rejected:
-        """Reject the absence of all files; the current version stays, and its age counts from now."""
+        """Reject a snapshot without files; the current version stays, and its age counts from the loss."""
         if self.source_lost_at is None:
             self.source_lost_at = now
         return self.reject(now, source, reason)
@@ -138,9 +139,10 @@
         Args:
             now: seconds on the node's clock.
             endpoints: the complete list.
-            source: where the list came from, as logs and the admin service name it.
+            source: the origin of the list, as logs and the admin service show it.
             is_from_store: whether the version store supplied the list.
-            unresponsive: addresses that do not answer this node; their removal needs no confirmation.
+            unresponsive: addresses of endpoints that do not respond to this node; they may be removed without
+                confirmation.
             digest: the `content_digest` of the endpoints if the caller has it.
         """
         endpoints = list(endpoints)
@@ -180,7 +182,7 @@
         return Accepted(version, difference)
 
     def _confirmed_at(self, now: float, candidate: ListVersion, removed: float) -> float | None:
-        """Return when a removal of this share counts as confirmed; None if the candidate may be accepted."""
+        """Return when a removal of this fraction can be confirmed; None if it may be accepted now."""
         if self.config.max_removed >= ANY_REMOVED or removed <= self.config.max_removed:
             return None
         if self._unconfirmed is None or self._unconfirmed.digest != candidate.digest:
@@ -191,7 +193,7 @@
     def age(self, now: float) -> float:
         """Return the seconds since the current version was accepted, or since its source was lost.
 
-        Before the first version the age is 0.
+        If there is no version yet, the age is 0.
         """
         if self.version is None:
             return 0.0
@@ -200,7 +202,7 @@
 
 
 def _removed_share(current: ListVersion, difference: ListDifference, unresponsive: frozenset[str]) -> float:
-    """Return the share of serving endpoints that would be removed, draining, or of another kind."""
+    """Return the fraction of serving endpoints that are removed, change kind, or only change to draining."""
     serving = [address for address, endpoint in current.endpoints.items() if is_serving(endpoint)]
     lost = {endpoint.address for endpoint in (*difference.removed, *difference.draining)}
     lost |= {change.endpoint.address for change in difference.changed if "kind" in change.fields}
--- a/myrtlehub/membership/version_saver.py
+++ b/myrtlehub/membership/version_saver.py
@@ -9,14 +9,14 @@
 
 
 class VersionSaver:
-    """Saves one version at a time; a store that cannot be used is logged and does not stop the node."""
+    """Saves one version at a time. A store that cannot be used is logged, and the node runs without it."""
 
     def __init__(self, store: VersionStore, run_in_background: RunInBackground, log: Log) -> None:
         self._store = store
         self._run_in_background = run_in_background
         self._log = log
         self._is_saving = False
-        self._pending: ListVersion | None = None  # to save next; a newer version replaces an older one
+        self._pending: ListVersion | None = None  # the version to save next; a newer one replaces it
 
     def load_latest(self) -> StoredVersion | None:
         """Return the latest stored version; None if there is none or the store cannot be used."""
@@ -27,7 +27,7 @@
             return None
 
     def save(self, version: ListVersion) -> None:
-        """Save a version as soon as the one before is saved."""
+        """Save a version once the save in progress, if any, has ended."""
         self._pending = version
         self._save_next()
 
--- a/myrtlehub/membership/version_store.py
+++ b/myrtlehub/membership/version_store.py
@@ -1,7 +1,6 @@
-"""Version store: the last accepted list versions, preserved over restarts in SQLite with a write-ahead log.
+"""Version store: the last accepted list versions, preserved across restarts in SQLite with a write-ahead log.
 
-Each version has a checksum. So a version that was not written completely, or in which a bit has flipped, is
-recognized and not used.
+Each version has a checksum. A version that is incomplete or has flipped bits is thereby detected and skipped.
 """
 
 import sqlite3
@@ -18,8 +17,8 @@
 from myrtlehub.membership.list_version import ListVersion, content_digest
 
 MAX_VERSIONS = 5  # versions that the store retains; the oldest are deleted
-LOCK_TIMEOUT = 2.0  # seconds to wait for another process that has the database locked
-SCHEMA_VERSION = 1  # a store with a later one was written by a newer program and is not changed
+LOCK_TIMEOUT = 2.0  # seconds to wait while another process locks the database
+SCHEMA_VERSION = 1  # a store with a later version was written by a newer program and is left unchanged
 SCHEMA = """CREATE TABLE IF NOT EXISTS versions (
     number INTEGER PRIMARY KEY, source TEXT NOT NULL, digest TEXT NOT NULL, sum TEXT NOT NULL,
     rows BLOB NOT NULL)"""
@@ -40,11 +39,11 @@
 
 
 def ignore_step(step: SaveStep) -> None:
-    """Do nothing before a step."""
+    """Ignore the step; used except by tests."""
 
 
 class VersionStoreError(Exception):
-    """The store cannot be used."""
+    """The version store cannot be used."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -61,13 +60,13 @@
 
 
 class StoredRow(NamedTuple):
-    """A row of the table as it is in the file; flipped bits may have changed the types of its columns."""
+    """A row of the table as stored; flipped bits may have changed the types of its columns."""
 
     number: int
     source: str
     digest: str
     checksum: str
-    endpoints: bytes  # JSON: the list of the endpoints' fields
+    endpoints: bytes  # JSON: a list of the field values of each endpoint
 
     @property
     def is_intact(self) -> bool:
@@ -87,10 +86,10 @@
 
 
 class VersionStore:
-    """The store in one file, which is opened when it is first used."""
+    """The version store in one file, which is opened at its first use."""
 
     def __init__(self, path: str | Path, on_step: Callable[[SaveStep], None] = ignore_step) -> None:
-        """Make a store; `on_step` is called before each step of a save, so that tests can interrupt it."""
+        """Make a store. `on_step` is called before each step of a save, so that tests can interrupt saves."""
         self.path = Path(path)
         self.on_step = on_step
         self._connection: sqlite3.Connection | None = None
@@ -104,7 +103,7 @@
         return self._connection
 
     def _connect(self) -> sqlite3.Connection:
-        # Saves run on the threads of a pool: one at a time, but not always on the same thread.
+        # check_same_thread: saves run one at a time, but on changing threads of a pool.
         connection = sqlite3.connect(
             self.path, isolation_level=None, timeout=LOCK_TIMEOUT, check_same_thread=False
         )
@@ -123,7 +122,7 @@
         return connection
 
     def save(self, version: ListVersion) -> None:
-        """Store a version, completely or not at all, and delete the oldest ones.
+        """Store a version atomically, and delete the oldest ones beyond MAX_VERSIONS.
 
         Raises:
             VersionStoreError: the version could not be stored.
@@ -146,7 +145,7 @@
             raise VersionStoreError(self.path, str(error)) from error
 
     def load_latest(self) -> StoredVersion | None:
-        """Return the latest intact version; None if nothing was stored.
+        """Return the latest intact version; None if the store is empty or does not exist.
 
         Raises:
             VersionStoreError: the file is not a version store, or none of its versions is intact.
@@ -180,7 +179,7 @@
 
 
 def _decode_endpoints(row: StoredRow) -> list[EndpointConfig] | None:
-    """Return the endpoints of a row; None if it is not intact, or not in the format of this program."""
+    """Return the endpoints of a row; None if the row is not intact or its format is unknown."""
     if not row.is_intact:
         return None
     try:
