--- a/myrtlehub/http1/byte_arrivals.py
+++ b/myrtlehub/http1/byte_arrivals.py
@@ -1,19 +1,20 @@
-"""Arrival times of received bytes: the deadline of a request counts from the arrival of its last byte."""
+"""Arrival times of received bytes, because the deadline of a request counts from its last byte's arrival."""
 
 from collections import deque
 from typing import NamedTuple
 
-# Data that arrives this soon after other data counts as part of it, so that small pieces need no memory each.
+# Data that arrives within this time, in seconds, is recorded with the arrival time of the first piece. This
+# bounds the memory for a client that sends many small pieces.
 MERGE_INTERVAL_S = 0.01
 
 
 class _Segment(NamedTuple):
-    end: int  # position behind its last byte, counted from the first byte of the connection
+    end: int  # offset behind its last byte, from the start of the connection's data
     arrived_at: float  # clock time in seconds
 
 
 class ByteArrivals:
-    """Arrival times of the bytes of one connection that are not consumed yet."""
+    """Arrival times of the bytes of one connection that are not part of a complete request yet."""
 
     __slots__ = ("_segments", "_total_bytes")
 
@@ -29,7 +30,7 @@
         self._segments.append(_Segment(self._total_bytes, now))
 
     def consume(self, unread: int) -> float:
-        """Consume all bytes but the last `unread`; return the arrival time of the last consumed byte."""
+        """Consume all bytes except the last `unread` ones; return when the last consumed byte arrived."""
         position = self._total_bytes - unread
         while len(self._segments) > 1 and self._segments[0].end < position:
             self._segments.popleft()
--- a/myrtlehub/http1/client_connection.py
+++ b/myrtlehub/http1/client_connection.py
@@ -14,8 +14,9 @@
 class ClientConnection(TcpProtocol):
     """Connection to a peer; see `client_interfaces.PooledConnection` for its attributes.
 
-    It is a pull producer of its transport while it sends a request: the transport asks for more once all
-    written data has left the process, which tells when the last byte of the request was sent.
+    While it sends a request, it is registered as a pull producer of its transport. The transport asks a pull
+    producer for more data once all written data has left the process; by this call the connection learns that
+    the last byte of the request was sent.
     """
 
     def __init__(self, pool: ConnectionOwner, peer: str) -> None:
@@ -57,7 +58,7 @@
         return b"".join([self.http.send(event) or b"" for event in events])
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the request, or note that its last byte has left this process."""
+        """Write the request; at the next call, record that its last byte has left this process."""
         if self._unwritten is not None:
             data, self._unwritten = self._unwritten, None
             self.transport.write(data)
@@ -66,10 +67,10 @@
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: `connectionLost` is called as well."""
+        """Do nothing, because `connectionLost` is called as well."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Parse the response; surplus bytes on an idle connection close it."""
+        """Parse received data as a response; close the connection if no request is pending."""
         if self.pending is None:
             self.close()
             return
@@ -83,7 +84,7 @@
             self._fail()
 
     def _handle_event(self, event: _ParserEvent, pending: OutstandingRequest) -> bool:
-        """Handle one event of the parser; return False if it has ended the request as failed."""
+        """Handle one event of the parser; return False if the request has failed by it."""
         self._has_response_begun = True
         if type(event) is h11.Data:
             self._chunk_bytes = len(event.data) + (0 if event.chunk_start else self._chunk_bytes)
--- a/myrtlehub/http1/client_interfaces.py
+++ b/myrtlehub/http1/client_interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces between client connections, their pool, the requests on them and the reactor."""
+"""Interfaces by which client connections, their pool, pending requests and the reactor use each other."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -9,10 +9,10 @@
 
 
 class OutstandingRequest(Protocol):
-    """Request as its connection sees it.
+    """A pending request, as far as its connection uses it.
 
     Attributes:
-        request: What is sent.
+        request: The request to send.
         address: HOST:PORT of the peer, sent as the Host header.
         handler: Receives the response.
     """
@@ -26,15 +26,15 @@
 
 
 class PooledConnection(Protocol):
-    """Connection to a peer as its pool and its request see it.
+    """A connection to a peer, as far as its pool and its request use it.
 
     Attributes:
         peer: Name of the peer.
         pending: Request that awaits its response, if any.
         idle_since: Clock time in seconds at which the pool last stored it; undefined while it is in use.
-        is_closed: It is closed or lost.
-        is_request_sent: The last byte of the current request has been sent.
-        has_completed_request: An earlier request was completed on it.
+        is_closed: Whether it is closed or lost.
+        is_request_sent: Whether the last byte of the current request has been sent.
+        has_completed_request: Whether an earlier request was completed on it.
         transport: Its TCP transport.
     """
 
@@ -57,7 +57,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """Pool as its connections and requests see it."""
+    """A connection pool, as far as its connections and requests use it."""
 
     clock: Clock
 
@@ -65,17 +65,17 @@
         """Store a connection for reuse."""
 
     def remove(self, connection: PooledConnection) -> None:
-        """Forget a connection that is closed or lost."""
+        """Remove a connection that is closed or lost."""
 
     def suspend_reuse(self) -> None:
-        """Reuse no idle connection for a while: one failed under its next request."""
+        """Stop reusing idle connections for REUSE_SUSPENSION_S, because one has failed when it was reused."""
 
     def is_reuse_allowed(self) -> bool:
         """Return whether idle connections may be reused now."""
 
 
 class Connecting(Protocol):
-    """Connection attempt: a Deferred that fires with the protocol of the connection."""
+    """A connection attempt: a Deferred that fires with the protocol of the connection."""
 
     def addCallbacks(  # noqa: N802
         self,
--- a/myrtlehub/http1/client_request.py
+++ b/myrtlehub/http1/client_request.py
@@ -1,4 +1,4 @@
-"""Messages between the users of the client and its connections: requests, responses and failures."""
+"""Types that the client's users and its connections exchange: requests, response handlers and failures."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """Request to a peer; the connection adds Host and Content-Length to `headers`."""
+    """A request to a peer; the connection adds Host and Content-Length to `headers`."""
 
     method: bytes
     target: bytes
@@ -16,15 +16,15 @@
 
 
 class RequestFailure(StrEnum):
-    """How far a request had got when it failed, which says whether the peer may have run it."""
+    """How far a failed request had progressed, which determines whether the peer may have executed it."""
 
-    NOT_SENT = "not_sent"  # abandoned, or no local resource for a connection: no byte was sent
-    SEND_FAILED = "send_failed"  # peer unreachable, or connection lost before the last byte: it has not run
-    RESPONSE_FAILED = "response_failed"  # no complete response to a request sent in full: it may have run
+    NOT_SENT = "not_sent"  # no byte sent: request abandoned, or no local resource for a connection
+    SEND_FAILED = "send_failed"  # peer unreachable, or connection lost before the last byte: not executed
+    RESPONSE_FAILED = "response_failed"  # sent in full, but no complete response: may have been executed
 
 
 class ResponseHandler:
-    """Receives one response; either `on_complete` or `on_failure` is called last, and only once."""
+    """Receives one response. The last call is `on_complete` or `on_failure`, unless it is cancelled."""
 
     def on_head(self, status: int, headers: Headers) -> None:
         """Receive the status and the headers, with names in lower case."""
@@ -33,7 +33,7 @@
         """Receive a part of the body."""
 
     def on_complete(self) -> None:
-        """Handle the end of a response that is complete by its own framing."""
+        """Handle the end of a complete response."""
 
     def on_failure(self, failure: RequestFailure) -> None:
-        """Handle the end of a request that gets no complete response."""
+        """Handle the failure of a request without a complete response."""
--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -36,11 +36,11 @@
 
     Attributes:
         dialer: `dialer(address)` returns a function that connects a factory to HOST:PORT.
-        max_connections: Upper bound of `count`.
+        max_connections: Upper bound for `count`.
         idle: The idle connections.
-        count: Connections that are open or being made.
-        opened_count: Connections made so far, failed attempts included.
-        reuse_count: Requests so far that were sent on a reused connection.
+        count: Number of connections that are open or being established.
+        opened_count: Total number of connection attempts, including failed ones.
+        reuse_count: Total number of requests that were sent on a reused connection.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         Args:
             peer: Name of the peer.
             address: HOST:PORT of the peer.
-            request: What to send.
+            request: The request to send.
             handler: Receives the response.
             may_reuse: Whether an idle connection may be used.
             at_first_byte: Called with the request just before its first byte is written; returns the request
@@ -90,8 +90,8 @@
         if self.count >= self.max_connections and not self.idle.close_longest_idle():
             self._retry_locally(pending)
             return
-        # The factory must not refer to the request: the reactor keeps factory, connector and transport in a
-        # reference cycle while the connection is open, and then until a full garbage collection, hours later.
+        # The factory must not refer to the request. Factory, connector and transport form a reference cycle,
+        # which lives until the connection is closed and a full garbage collection follows, hours later.
         # Test: `test_a_request_is_freed_with_its_end_though_its_connection_stays_open`.
         factory = _SingleConnectionFactory(partial(ClientConnection, self, pending.peer))
         pending.connecting = self.dialer(pending.address)(factory)
@@ -102,7 +102,7 @@
         )
 
     def _retry_locally(self, pending: PendingRequest) -> None:
-        """Connect again after a backoff: a local resource is missing, which is no fault of the peer."""
+        """Connect again after a backoff, because the attempt failed for lack of a local resource."""
         if pending.local_failures >= MAX_LOCAL_RETRIES:
             self.clock.callLater(0, self._finish_failed, pending, RequestFailure.NOT_SENT)
             return
@@ -113,16 +113,16 @@
     def _write_if_wanted(self, pending: PendingRequest, connection: PooledConnection) -> None:
         """Send the request unless it was cancelled in the meantime.
 
-        This is called two reactor turns after an idle connection was taken, or one turn after a new one was
-        established. If this process was delayed, the socket data that reports a client's disconnect or an
-        engine's drain may still be unread in the kernel; the reactor reads that data in the turn in between.
+        It is called two reactor turns after an idle connection was taken, or one turn after a new one was
+        established. If this process was delayed, data that signals a client's disconnect or an engine's drain
+        may still be unread in the kernel; the reactor reads it before this call.
         Test: `test_a_client_that_left_while_the_node_was_stopped_gets_no_attempt`.
         """
         if pending.is_finished:
             return
         if connection.is_closed:
             pending.connection = None
-            if connection.has_completed_request:  # the peer closed it while idle: nothing was written
+            if connection.has_completed_request:  # the peer closed it while it was idle; nothing was written
                 self._connect(pending)
             else:
                 self._finish_failed(pending, RequestFailure.SEND_FAILED)
@@ -163,14 +163,14 @@
             pending.handler.on_failure(failure)
 
     def add_idle(self, connection: PooledConnection) -> None:
-        """Store a connection for reuse: its response is complete, or nothing was sent on it."""
+        """Store a connection for reuse, after a complete response or if nothing was sent on it."""
         if connection.is_closed or not self.idle.is_reuse_allowed():
             connection.close()
             return
         self.idle.add(connection)
 
     def suspend_reuse(self) -> None:
-        """Reuse no idle connection for a while: one failed under its next request."""
+        """Stop reusing idle connections for REUSE_SUSPENSION_S, because one has failed when it was reused."""
         self.idle.suspend_reuse()
 
     def is_reuse_allowed(self) -> bool:
@@ -178,7 +178,7 @@
         return self.idle.is_reuse_allowed()
 
     def remove(self, connection: PooledConnection) -> None:
-        """Forget a connection that is closed or lost."""
+        """Remove a connection that is closed or lost."""
         if connection in self._connected:
             self._connected.discard(connection)
             self.count -= 1
--- a/myrtlehub/http1/idle_connections.py
+++ b/myrtlehub/http1/idle_connections.py
@@ -1,10 +1,10 @@
-"""Idle connections to peers: which may be reused, and which have been idle for too long."""
+"""Idle connections to peers: selection for reuse, and closing of those that have been idle for too long."""
 
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.bounds import MIN_IDLE_BEFORE_REUSE_S, REUSE_SUSPENSION_S
 from myrtlehub.http1.client_interfaces import PooledConnection
 
-SWEEP_INTERVAL_S = 1.0  # between searches for connections that have been idle for too long
+SWEEP_INTERVAL_S = 1.0  # between checks for connections that have been idle for longer than `max_idle`
 
 
 class IdleConnections:
@@ -29,7 +29,7 @@
         return list(self._by_peer.get(peer, ()))
 
     def add(self, connection: PooledConnection) -> None:
-        """Store a connection that is idle from now on."""
+        """Store a connection that has just become idle."""
         connection.idle_since = self.clock.seconds()
         self._by_peer.setdefault(connection.peer, []).append(connection)
         if self._sweep_timer is None:
@@ -38,8 +38,8 @@
     def take(self, peer: str) -> PooledConnection | None:
         """Remove and return the most recently used connection that may be reused, if any.
 
-        A connection rests for MIN_IDLE_BEFORE_REUSE_S first: surplus bytes behind its last response show
-        within that time, and close it.
+        A connection must have been idle for MIN_IDLE_BEFORE_REUSE_S. If the peer sent surplus bytes after its
+        last response, they arrive within that time and the connection is closed.
         """
         now = self.clock.seconds()
         connections = self._by_peer.get(peer, [])
@@ -54,7 +54,7 @@
         return None
 
     def remove(self, connection: PooledConnection) -> None:
-        """Forget a connection that is closed or lost."""
+        """Remove a connection that is closed or lost."""
         connections = self._by_peer.get(connection.peer)
         if connections and connection in connections:
             connections.remove(connection)
@@ -62,7 +62,7 @@
             del self._by_peer[connection.peer]
 
     def suspend_reuse(self) -> None:
-        """Reuse no connection for REUSE_SUSPENSION_S: others may be dead without a sign of it as well."""
+        """Stop reusing connections for REUSE_SUSPENSION_S, because others may also be lost unnoticed."""
         self._reuse_from = self.clock.seconds() + REUSE_SUSPENSION_S
 
     def is_reuse_allowed(self) -> bool:
@@ -87,6 +87,6 @@
                 ]
                 for connection in expired:
                     connection.close()
-        finally:  # sweep again even if closing a transport raises an exception
+        finally:  # schedule the next sweep even if closing a transport raises
             if self._by_peer:
                 self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)
--- a/myrtlehub/http1/local_errors.py
+++ b/myrtlehub/http1/local_errors.py
@@ -1,4 +1,4 @@
-"""Connection errors that are caused by this machine and not by the peer."""
+"""Connection errors that are caused by this machine, not by the peer."""
 
 import errno
 
--- a/myrtlehub/http1/partial_request.py
+++ b/myrtlehub/http1/partial_request.py
@@ -1,4 +1,4 @@
-"""Request whose body is still being received, and the checks that reject it."""
+"""A request whose body is still being received, and the checks for rejecting it."""
 
 from http import HTTPStatus
 
@@ -8,7 +8,7 @@
 from myrtlehub.http1.headers import Header
 from myrtlehub.http1.server_request import ServerRequest
 
-MAX_LENGTH_DIGITS = 15  # of a Content-Length: a longer one exceeds any permitted body
+MAX_LENGTH_DIGITS = 15  # of a Content-Length; a number with more digits exceeds MAX_BODY_BYTES
 
 
 def head_error(head: h11.Request) -> HTTPStatus | None:
@@ -27,7 +27,7 @@
 
 
 class PartialRequest:
-    """Head and the body received so far of one request."""
+    """The head of a request, and the part of its body received so far."""
 
     __slots__ = ("_body_bytes", "_head", "_parts")
 
@@ -37,7 +37,7 @@
         self._body_bytes = 0
 
     def add(self, data: bytes) -> HTTPStatus | None:
-        """Add a part of the body; return the status with which to reject the request, if it is too large."""
+        """Add a part of the body; if the body is now too large, return the status for a rejection."""
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
             return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -57,5 +57,5 @@
         )
 
     def discard_body(self) -> None:
-        """Free the body received so far: the request is not read any further."""
+        """Free the body received so far, because the request will not be completed."""
         self._parts = []
--- a/myrtlehub/http1/pending_request.py
+++ b/myrtlehub/http1/pending_request.py
@@ -1,4 +1,4 @@
-"""Request to a peer, from its submission to its end."""
+"""A request to a peer, from its submission to its end."""
 
 from collections.abc import Callable
 
@@ -10,18 +10,18 @@
 
 
 class PendingRequest:
-    """One request: waiting for a connection, on a connection, or finished.
+    """One request, in one of three states: waiting for a connection, on a connection, or finished.
 
     Attributes:
         peer: Name of the peer.
         address: HOST:PORT of the peer.
         connection: Connection assigned to the request, if any.
-        connecting: Connection attempt that is under way, if any.
+        connecting: Connection attempt in progress, if any.
         ready_since: Clock time in seconds at which the request was submitted or, if later, a new connection
             for it was established.
         local_failures: Connection attempts that failed for lack of a local resource.
-        is_finished: The request was completed, has failed or was cancelled.
-        is_paused: Reading of the response is paused.
+        is_finished: Whether the request was completed, has failed or was cancelled.
+        is_paused: Whether reading of the response is paused.
     """
 
     __slots__ = (
@@ -63,7 +63,7 @@
 
     @property
     def is_sent(self) -> bool:
-        """Whether the whole request has been sent but its response is not complete yet."""
+        """Whether the complete request has been sent, and its response is not complete yet."""
         return self.connection is not None and self.connection.is_request_sent
 
     def mark_finished(self) -> None:
@@ -72,7 +72,7 @@
         self.connection = None
 
     def cancel(self) -> None:
-        """Cancel the request: close its connection if it was used, and call the handler no more."""
+        """Cancel the request without calling its handler; close its connection if it was used."""
         if self.is_finished:
             return
         self.is_finished = True
@@ -88,13 +88,13 @@
                 connection.close()
 
     def pause(self) -> None:
-        """Stop reading the response for now."""
+        """Pause reading of the response."""
         if self.connection is not None:
             self.is_paused = True
             self.connection.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read the response again."""
+        """Resume reading of the response."""
         if self.connection is not None:
             self.is_paused = False
             self.connection.transport.resumeProducing()
--- a/myrtlehub/http1/request_reader.py
+++ b/myrtlehub/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one client's connection, with bounds on what is buffered ahead of them."""
+"""Reads requests from one client's connection, with bounds on the data that is buffered ahead."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -13,7 +13,7 @@
 
 
 class RequestRejection(NamedTuple):
-    """The client's data can't be a valid request: respond with `status` and close."""
+    """The client's data is not a valid request: the server has to respond with `status` and close."""
 
     status: int
 
@@ -27,10 +27,10 @@
 
 
 class ReadAheadAccount(Protocol):
-    """Counter that all connections of a listener share.
+    """A counter that all connections of a listener share.
 
     Attributes:
-        total_read_ahead: Bytes that were received but are not part of a complete request yet.
+        total_read_ahead: Number of bytes received that are not part of a complete request yet.
     """
 
     total_read_ahead: int
@@ -39,9 +39,10 @@
 class RequestReader:
     """Turns received data into requests, one at a time.
 
-    Data behind an open request is buffered up to MAX_READ_AHEAD_BYTES, and up to MAX_TOTAL_READ_AHEAD_BYTES
-    for all connections. Data beyond that is discarded rather than left unread: the end of the connection lies
-    behind it, and the open request would go on long after its client has disconnected.
+    Data that follows an open request is buffered, up to MAX_READ_AHEAD_BYTES for the connection and up to
+    MAX_TOTAL_READ_AHEAD_BYTES for all connections. Data beyond that is read and discarded. If it were left
+    unread in the socket, the end of the connection behind it would not be noticed, and the open request would
+    continue long after its client has disconnected.
     Test: `test_a_disconnect_behind_a_flood_of_bytes_is_noticed`.
     """
 
@@ -60,21 +61,21 @@
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether a request has begun that is not complete yet."""
+        """Whether a part of a request has been received, but not all of it."""
         return self._partial is not None or self._read_ahead_bytes > 0
 
     @property
     def is_discarding(self) -> bool:
-        """Whether data has been discarded, so that all that follows it has to be discarded as well."""
+        """Whether data has been discarded; then all data after it has to be discarded as well."""
         return self._discarded_bytes > 0
 
     @property
     def has_discarded_too_much(self) -> bool:
-        """Whether the client goes on sending without limit."""
+        """Whether the client sent so much surplus data that it has to be disconnected."""
         return self._discarded_bytes > MAX_DISCARDED_BYTES
 
     def may_buffer(self, size: int) -> bool:
-        """Return whether `size` more bytes are within the bounds of the read-ahead."""
+        """Return whether `size` more bytes may be buffered."""
         return (
             self._read_ahead_bytes + size <= MAX_READ_AHEAD_BYTES
             and self._account.total_read_ahead + size <= MAX_TOTAL_READ_AHEAD_BYTES
@@ -92,18 +93,18 @@
         self._http.receive_data(data)
 
     def discard(self, size: int) -> None:
-        """Count bytes that are discarded."""
+        """Count bytes that the caller has discarded."""
         self._discarded_bytes += size
 
     def next_event(self) -> ReadEvent | None:
-        """Return the next event, or None if it takes more data."""
+        """Return the next event, or None if more data is needed."""
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 return RequestRejection(error.error_status_hint or HTTPStatus.BAD_REQUEST)
             if event is h11.NEED_DATA or event is h11.PAUSED:
-                # the rest of a request that is incomplete now was discarded
+                # after a discard, an incomplete request can never be completed
                 return RequestRejection(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) if self.is_discarding else None
             read_event = self._handle_event(event)
             if read_event is not None:
@@ -136,7 +137,7 @@
         return request
 
     def discard_body(self) -> None:
-        """Free the body received so far: nothing more is read from this connection."""
+        """Free the body received so far, because no further request is read from this connection."""
         if self._partial is not None:
             self._partial.discard_body()
 
--- a/myrtlehub/http1/response_head.py
+++ b/myrtlehub/http1/response_head.py
@@ -26,8 +26,8 @@
 
     Args:
         status: Status code.
-        headers: Header fields without Connection.
-        must_close: Whether to announce that the connection closes after this response.
+        headers: Header fields, without a Connection field.
+        must_close: Whether to announce that the connection is closed after this response.
     """
     fields: list[tuple[bytes, bytes]] = [*headers]
     if must_close:
--- a/myrtlehub/http1/server_exchange.py
+++ b/myrtlehub/http1/server_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and the response to it, as seen by the code that responds."""
+"""One request of a client and its response: the interface for the code that responds."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -9,13 +9,13 @@
 
 
 class ResponseWriter(Protocol):
-    """Connection of a request, as its exchange writes to it."""
+    """The connection of a request, as far as its exchange uses it."""
 
     def respond(self, status: int, headers: Headers, body: bytes, must_close: bool) -> None:
         """Write a complete response."""
 
     def start_stream(self, producer: Producer, status: int, headers: Headers) -> None:
-        """Write the head of a streamed response, and pause `producer` while the client reads nothing."""
+        """Write the head of a streamed response, and apply back-pressure to `producer`."""
 
     def write(self, data: bytes) -> None:
         """Write a part of a streamed response."""
@@ -27,20 +27,20 @@
         """Close the connection without ending the response."""
 
     def set_stalled(self, is_stalled: bool) -> None:
-        """Note that the client has stopped reading its stream, or reads it again."""
+        """Record whether the client has stopped reading its stream."""
 
 
 def _do_nothing() -> None:
-    """Ignore the event: no callback is set."""
+    """Ignore the event; used where no callback is set."""
 
 
 class ServerExchange:
-    """One request and its response; a push producer of the transport while the response is streamed.
+    """One request and its response; while the response is streamed, a push producer of the transport.
 
     Attributes:
         request: The request.
-        is_started: The head of a response has been written.
-        is_finished: The response is complete or aborted, or the connection is lost.
+        is_started: Whether the head of the response has been written.
+        is_finished: Whether the response is complete or aborted, or the connection is lost.
         on_lost: Called if the connection is lost before the response is finished.
         on_pause: Called when the client has stopped reading the stream.
         on_resume: Called when the client reads the stream again.
@@ -56,7 +56,7 @@
         self.clear_callbacks()
 
     def clear_callbacks(self) -> None:
-        """Remove all callbacks, and with them the references to their objects."""
+        """Remove all callbacks, and so the references to the objects behind them."""
         self.on_lost: Callable[[], None] = _do_nothing
         self.on_pause: Callable[[], None] = _do_nothing
         self.on_resume: Callable[[], None] = _do_nothing
@@ -68,7 +68,7 @@
 
         Args:
             status: Status code.
-            headers: Header fields without Connection and Content-Length.
+            headers: Header fields, without Connection and Content-Length.
             body: Body of the response.
             close: Whether to close the connection afterwards.
         """
@@ -97,7 +97,7 @@
             self._connection.finish()
 
     def abort(self) -> None:
-        """Close the connection without a last chunk, which marks the response as incomplete."""
+        """Close the connection without the last chunk, so that the client sees an incomplete response."""
         if not self.is_finished:
             self.is_finished = True
             self._connection.abort_response()
@@ -113,4 +113,4 @@
         self.on_resume()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: `on_lost` is called as well."""
+        """Do nothing, because `on_lost` is called as well."""
--- a/myrtlehub/http1/server_request.py
+++ b/myrtlehub/http1/server_request.py
@@ -1,4 +1,4 @@
-"""Complete request of a client."""
+"""A complete request of a client."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,11 @@
 
 
 class ServerRequest(NamedTuple):
-    """Complete request; header names are in lower case.
+    """A complete request; header names are in lower case.
 
     Attributes:
-        received_at: Clock time in seconds of the arrival of its last byte; it may be read much later.
+        received_at: Clock time in seconds at which its last byte arrived; it may be handled much later, if it
+            waited behind another request.
     """
 
     method: bytes
--- a/myrtlehub/http1/tcp_transport.py
+++ b/myrtlehub/http1/tcp_transport.py
@@ -1,4 +1,4 @@
-"""TCP transports of the reactor: their types, a protocol base class and the abortive close."""
+"""TCP transports: interfaces of those of the reactor, a base class for protocols, and the abortive close."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -9,20 +9,20 @@
 
 
 class AbortableTransport(Protocol):
-    """Transport that can be closed without a graceful shutdown."""
+    """A transport that can be closed without sending its queued data."""
 
     def abortConnection(self) -> None:  # noqa: N802
         """Close the connection at once; data that was written but not sent yet is discarded."""
 
 
 class Producer(Protocol):
-    """Source of data that a transport pauses or pulls from; see `twisted.internet.interfaces`."""
+    """A push or pull producer of a transport; see `twisted.internet.interfaces`."""
 
     def resumeProducing(self) -> None:  # noqa: N802
         """Produce more data."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop for good: the connection is lost."""
+        """Stop permanently, because the connection is lost."""
 
 
 class Transport(AbortableTransport, Protocol):
@@ -32,7 +32,7 @@
         """Queue data to be sent."""
 
     def registerProducer(self, producer: Producer, streaming: bool, /) -> None:  # noqa: N802
-        """Attach a push producer (`streaming`), or a pull producer."""
+        """Attach a push producer if `streaming`, otherwise a pull producer."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
         """Detach the producer, if any."""
@@ -53,17 +53,18 @@
     transport: Transport  # type: ignore[assignment]  # zope's ITransport declares methods without `self`
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Disable Nagle's algorithm; transports in memory do not have it."""
+        """Disable Nagle's algorithm; in-memory transports have no such option."""
         set_no_delay: Callable[[bool], None] | None = getattr(self.transport, "setTcpNoDelay", None)
         if set_no_delay is not None:
             set_no_delay(True)
 
 
 def abortive_close(transport: AbortableTransport) -> None:
-    """Close a connection so that its peer sees the end before any data that is written afterwards.
+    """Close a connection so that its peer sees the end before data written later on other connections.
 
     `abortConnection` alone closes the socket one reactor turn later. Data written on other connections in the
-    meantime would arrive first: an engine would see the next request while it still runs the cancelled one.
+    meantime could arrive first, and an engine would get the next request while it still runs the cancelled
+    one.
     Test: `test_an_abortive_close_is_seen_before_anything_written_later`.
     """
     get_handle: Callable[[], socket] | None = getattr(transport, "getHandle", None)
--- a/myrtlehub/http1/timeout.py
+++ b/myrtlehub/http1/timeout.py
@@ -1,4 +1,4 @@
-"""Timeout of a connection, on one timer that is used again and again."""
+"""The timeout of a connection, on one timer that is rescheduled rather than replaced."""
 
 from collections.abc import Callable
 
@@ -6,10 +6,10 @@
 
 
 class Timeout:
-    """Calls a function once a time has passed, unless it is restarted or cancelled before.
+    """Calls a function after a delay, unless it is restarted or cancelled before.
 
-    The function is passed to each start and not kept here: it is usually a method of the object that holds
-    the timeout, and a permanent reference cycle would keep that object alive until a full garbage collection.
+    The function is passed at each start and not stored here. It is usually a method of the object that owns
+    the timeout: a stored reference would form a cycle that lives until a full garbage collection.
     """
 
     __slots__ = ("_clock", "_timer")
@@ -19,14 +19,14 @@
         self._timer: Timer | None = None
 
     def restart(self, delay: float, on_timeout: Callable[[], None]) -> None:
-        """Call `on_timeout` in `delay` seconds; a timer that is running is moved and keeps its function."""
+        """Call `on_timeout` in `delay` seconds; a running timer is rescheduled and keeps its function."""
         if self._timer is not None and self._timer.active():
             self._timer.reset(delay)
         else:
             self._timer = self._clock.callLater(delay, on_timeout)
 
     def start_once(self, delay: float, on_timeout: Callable[[], None]) -> None:
-        """Call `on_timeout` in `delay` seconds; do nothing if it was started and not cleared since."""
+        """Call `on_timeout` in `delay` seconds; do nothing if a timer was started and not cleared since."""
         if self._timer is None:
             self._timer = self._clock.callLater(delay, on_timeout)
 
@@ -36,6 +36,6 @@
             self._timer.cancel()
 
     def clear(self) -> None:
-        """Stop the timer and forget it; one that has fired still refers to its function."""
+        """Stop the timer and drop the reference to it: even a fired timer refers to its function."""
         self.cancel()
         self._timer = None
