--- a/myrtlehub/relay/__init__.py
+++ b/myrtlehub/relay/__init__.py
@@ -1,12 +1,12 @@
 """A router node for the operators' HTTP/1.1 platform, run as `python -m myrtlehub.relay`.
 
-- `settings`: the node settings and their reload on SIGHUP.
-- `discovery`: the endpoint list, followed at the platform's discovery service.
-- `clients`: requests of clients and the responses to them.
-- `engines`: attempts at engines, their streams, releases of read state and probes.
+- `settings`: the node settings, and their reload on SIGHUP.
+- `discovery`: the client of the platform's discovery service, which supplies the endpoint list.
+- `clients`: decoding of clients' requests, and the responses to them.
+- `engines`: attempts on engines, their event streams, releases of read state, and probes.
 - `monitoring`: the event log and the checks of invariants.
 - `process`: the listening port, start-up retries and graceful shutdown.
-- `node`: assembles these parts.
+- `node`: the node, assembled from these parts.
 
 Routing decisions are made by `myrtlehub.routing` and executed by `myrtlehub.node.action_executor`; the HTTP
 protocol is implemented in `myrtlehub.http1`.
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -28,7 +28,7 @@
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
 EXIT_CONFIGURATION_ERROR = 2
-LAST_FLUSH_TIMEOUT_S = 0.2  # for which the process waits at its end for a slow reader of its log
+LAST_FLUSH_TIMEOUT_S = 0.2  # longest wait at exit, per write, for a slow reader of the log
 
 
 def _fail(message: str) -> NoReturn:
@@ -37,7 +37,7 @@
 
 
 def _within_process_limit(settings: NodeSettings) -> NodeSettings:
-    """Return the settings with `descriptors` reduced to the system's limit for this process."""
+    """Return the settings with `descriptors` reduced to this process's limit if that is lower."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit == resource.RLIM_INFINITY or limit >= settings.descriptors:
         return settings
@@ -54,8 +54,8 @@
         self.reactor = reactor
         clock = SteadyClock(reactor)
         self.log = EventLog(LogWriter(STANDARD_OUTPUT), clock.seconds, os.environ.get("RELAY_LOG") == "all")
-        # Registered before the file is read and the port bound: a signal that arrives in between is handled
-        # as soon as the reactor runs.
+        # Registered before the file is read and the port is bound, so that a signal during start-up is not
+        # lost: it is handled as soon as the reactor runs.
         call_on_signal(signal.SIGHUP, self._on_hangup, reactor)
         call_on_termination(self._on_terminate, reactor)
         self.settings = retry_on_resource_shortage(partial(read_node_settings, path))
@@ -73,10 +73,10 @@
         )
 
     def _listen(self) -> BoundedPort:
-        """Bind the port, without accepting connections until the node opens.
+        """Bind the port, but accept no connections until the node opens.
 
-        Otherwise a request that waited for a restarted node would be read in the same reactor turn as
-        discovery's first response, and be routed by the outdated fallback list.
+        Otherwise a request that was sent while the node restarted could be read in the same reactor turn as
+        discovery's first response, but before it, and would be routed by the outdated fallback list.
         """
         listen = self.settings.listen
         port = BoundedPort(self.node.listener, self.node.clock, (listen.host, listen.port), self.reactor)
@@ -95,7 +95,7 @@
         reload_settings(self.path, self.settings, self.node.discovery.change_address, self.log)
 
     def _on_terminate(self) -> None:
-        # Clients in the system's accept queue are connected already, so they need a response.
+        # For clients in the accept queue the connection is already established, so they need a response.
         self.node.open()
         self.shutdown.start()
 
@@ -104,7 +104,7 @@
         self.port.stopListening()  # type: ignore[no-untyped-call] # Twisted has no annotation
 
     def run(self) -> None:
-        """Run until SIGTERM was received and nothing is in flight."""
+        """Run until SIGTERM has been received and nothing is in flight any more."""
         self.node.measure_lag()
         self.node.start()
         freeze_startup_objects()
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -1,4 +1,4 @@
-"""The front for clients: requests become arrivals at the action executor, final answers become responses."""
+"""The front for clients: passes their requests to the action executor, and its answers to them."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -23,7 +23,7 @@
     """The action executor's response sink for one sequence, which writes to the client's exchange.
 
     Attributes:
-        sequence: The sequence; None before it was accepted and after its final answer.
+        sequence: The sequence; None before it is accepted, and after its final answer.
     """
 
     __slots__ = ("exchange", "front", "sequence", "sequence_id")
@@ -38,7 +38,7 @@
         exchange.on_resume = self._on_resume
 
     def tokens(self, message: bytes) -> None:
-        """Send events to the client."""
+        """Send server-sent events with tokens to the client."""
         if not self.exchange.is_started:
             self.exchange.start_stream(HTTPStatus.OK, STREAM_HEADERS)
         self.exchange.write(message)
@@ -49,7 +49,7 @@
         self.exchange.finish()
 
     def rejected(self, retry_after: float) -> None:
-        """Respond 503, with Retry-After in seconds unless `retry_after` is 0."""
+        """Respond 503, with a Retry-After header in seconds unless `retry_after` is 0."""
         self._detach_answered()
         headers = (Header(b"Retry-After", b"%.3f" % retry_after),) if retry_after else ()
         self.exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE, headers)
@@ -63,7 +63,7 @@
             self.exchange.respond(HTTPStatus.BAD_GATEWAY)
 
     def _detach_answered(self) -> None:
-        """Detach from the sequence as it gets its final answer, and check that it is the only one."""
+        """Check the invariant that a sequence gets only one final answer, and detach from the sequence."""
         has_final_answer = self.sequence_id not in self.front.open_sinks
         self.front.invariants.check(broken_by_answer(has_final_answer), self.sequence_id)
         self._detach()
@@ -71,8 +71,9 @@
     def _detach(self) -> InFlightSequence | None:
         """Break the references between exchange, sink and sequence, and return the sequence.
 
-        Otherwise this cycle would keep the whole request in memory until the next full garbage collection,
-        seconds to minutes later (test_answered_requests_are_freed_without_the_garbage_collector).
+        They form a cycle, which would otherwise keep the complete request in memory until the next full
+        garbage collection, seconds to minutes later
+        (test_answered_requests_are_freed_without_the_garbage_collector).
         """
         self.front.open_sinks.pop(self.sequence_id, None)
         sequence, self.sequence = self.sequence, None
@@ -95,7 +96,7 @@
             request.resume()
 
     def _streaming_request(self) -> PendingRequest | None:
-        """Return the request whose response is streamed to the client; None if there is none outstanding."""
+        """Return the engine request whose response is being streamed to the client; None if there is none."""
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
         if attempt is None or not attempt.is_outstanding:
             return None
@@ -103,11 +104,11 @@
 
 
 class ClientFront:
-    """Handles the requests of all clients' connections.
+    """Handles the requests of all clients.
 
     Attributes:
-        open_sinks: Sinks of the sequences without a final answer, by sequence id.
-        is_ready: Returns whether there is an endpoint list.
+        open_sinks: The sinks of sequences without a final answer, by sequence id.
+        is_ready: Returns whether the node has an endpoint list.
         rejected_count: Number of malformed requests so far.
     """
 
@@ -163,5 +164,5 @@
             sink.rejected(self.executor.config.max_retry_after)
             return
         sequence = self.executor.accept(decoded.engine_request, decoded.arrival, sink, sequence_id)
-        if sequence_id in self.open_sinks:  # otherwise it was answered within accept()
+        if sequence_id in self.open_sinks:  # otherwise accept() has already answered it
             sink.sequence = sequence
--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -23,17 +23,17 @@
 # The unreserved characters of RFC 3986, since a sequence id becomes a part of a path.
 ID_CHARACTERS = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 MAX_ID_BYTES = 128
-ESTIMATED_BYTES_PER_TOKEN = 4  # of a body, if the client does not state the length of its prompt
-RESUMED = b"again"  # value of X-Resent for a resumed sequence; any other value means a retry
+ESTIMATED_BYTES_PER_TOKEN = 4  # bytes of body per prompt token, if the client states no prompt length
+RESUMED = b"again"  # X-Resent of a resumed sequence; any other non-empty value marks a retry
 
 
 class TrafficRow(NamedTuple):
-    """A traffic type, as the action executor and the engine client need it.
+    """The properties of a traffic type that the action executor and the engine client use.
 
     Attributes:
         name: Name in the settings.
-        is_at_most_once: A request of this type must not be executed twice.
-        front: Kind of front; the relay has only the one for chat.
+        is_at_most_once: Whether a request of this type must not be executed twice.
+        front: Name of the front; the relay has only the chat front.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class _PromptSize(NamedTuple):
-    """Numbers of tokens: in the prompt, in the part shared with other prompts, and at most in the answer."""
+    """Token counts: of the prompt, of its prefix shared with other prompts, and the maximum of the answer."""
 
     prompt: int
     shared: int
@@ -72,13 +72,13 @@
 
 
 class _ChatBody(msgspec.Struct):
-    """The part of a body that every engine requires."""
+    """The fields that a body must have; every engine requires them."""
 
     messages: list[msgspec.Raw]
 
 
 class RequestDecoder:
-    """Decodes requests by the platform's settings.
+    """Decodes requests according to the platform's settings.
 
     Attributes:
         rows: The traffic types, by index.
@@ -87,7 +87,7 @@
         kinds: Indices of the machine types, by name.
         zones: Indices of the zones, by name.
         engines: The engines of the endpoint list.
-        lag: Measures the event loop lag, which is subtracted from clients' time.
+        lag: Measures the event loop lag, which is subtracted from the remaining time that clients state.
     """
 
     def __init__(self, settings: NodeSettings, config: contract.RouterConfig) -> None:
@@ -129,8 +129,8 @@
             traffic=traffic,
             tenant=tenant,
             prompt_tokens=float(size.prompt),
-            # The client's time counts from the last byte of its request, which may have waited here behind
-            # another request on its connection.
+            # The remaining time that the client states counts from the arrival of its request's last byte.
+            # Since then, the request may have waited behind another one on its connection.
             time_left=self.lag.time_left(now, stated_time - (now - request.received_at)),
             session=hash_key(fields.get(b"x-entity", b"").decode("latin-1")),
             prefix=hash_key(labels.get(b"prefix", b"").decode("latin-1")),
@@ -182,7 +182,7 @@
 
 
 def _check_body(body: bytes) -> None:
-    """Raise RejectedRequestError if the body is not a chat request, or its nesting is too deep."""
+    """Raise RejectedRequestError if the body is not a chat request or is nested too deeply."""
     try:
         msgspec.json.decode(body, type=_ChatBody)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
--- a/myrtlehub/relay/clients/request_headers.py
+++ b/myrtlehub/relay/clients/request_headers.py
@@ -1,13 +1,13 @@
-"""Headers of clients' requests: those interpreted by the relay, and those forwarded to engines."""
+"""Headers of clients' requests: which ones the relay interprets, and which it forwards to engines."""
 
 from http import HTTPStatus
 
 from myrtlehub.http1.headers import Headers
 from myrtlehub.relay.errors import RejectedRequestError
 
-MAX_NUMBER_DIGITS = 12  # of a number in a header: more than any time in ms or length in tokens needs
+MAX_NUMBER_DIGITS = 12  # of a number in a header; enough for any time in ms or length in tokens
 
-# Headers that the relay interprets. Each may occur once.
+# Headers that the relay interprets. None of them may occur more than once in a request.
 INTERPRETED_HEADERS = frozenset(
     (
         b"x-txn",
@@ -21,8 +21,8 @@
         b"x-estimate",
     )
 )
-# Headers that are not forwarded: they concern one connection only (RFC 9110, section 7.6.1), or the relay
-# sends its own. All others are forwarded.
+# Headers that are not forwarded, because they apply to one connection only (RFC 9110, section 7.6.1) or the
+# relay sends its own. All others are forwarded.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -61,15 +61,15 @@
 def forwarded_headers(headers: Headers) -> Headers:
     """Return the headers that are forwarded to engines.
 
-    Headers unknown to the relay are included, since engines interpret more of them: an engine that does not
-    get the Idempotency-Key executes a retry as a new request.
+    Headers unknown to the relay are included, because engines interpret some of them. For example, an engine
+    that does not get the Idempotency-Key executes a retry as a new request.
     """
     own = _connection_headers(headers)
     return [header for header in headers if header.name not in own]
 
 
 def _connection_headers(headers: Headers) -> frozenset[bytes]:
-    """Return the names of the headers that are not forwarded, with those listed in a Connection header."""
+    """Return the names of the headers not to forward, including those that Connection headers list."""
     named = [
         part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
     ]
@@ -80,7 +80,7 @@
     """Parse a non-negative integer.
 
     Raises:
-        RejectedRequestError: `text` is not one; the message has `name`.
+        RejectedRequestError: `text` is not a non-negative integer; the message contains `name`.
     """
     if not (0 < len(text) <= MAX_NUMBER_DIGITS and text.isdigit()):
         raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name} is not a non-negative integer")
--- a/myrtlehub/relay/discovery/discovery_client.py
+++ b/myrtlehub/relay/discovery/discovery_client.py
@@ -15,22 +15,23 @@
 from myrtlehub.relay.parsing import parse_json
 
 PATH = b"/discovery/hosts"
-# A change has to take effect within 6 s. In the worst case a watch falls silent just after it was sent and
-# the next connection is slow, which takes WATCH_S + RESPONSE_TIMEOUT_S + RETRY_INTERVAL_S +
-# CONNECT_TIMEOUT_S + RESPONSE_TIMEOUT_S = 5.12 s.
-WATCH_S = 2.0  # time for which discovery may hold a watch without a change; bounds the time to notice silence
-RESPONSE_TIMEOUT_S = 1.0  # limit for a response, in addition to the time of the watch
+# A change of the list has to take effect within 6 s. In the worst case a watch gets no response and the next
+# connection is slow. This takes WATCH_S + RESPONSE_TIMEOUT_S + RETRY_INTERVAL_S + CONNECT_TIMEOUT_S +
+# RESPONSE_TIMEOUT_S = 5.12 s.
+WATCH_S = 2.0  # for which discovery may delay its response to a watch while the list does not change
+RESPONSE_TIMEOUT_S = 1.0  # limit for a response; for a watch, in addition to WATCH_S
 CONNECT_TIMEOUT_S = 1.0
-# Between requests while there is no current list. Requests that discovery received while it was silent are
-# never answered, and a draining engine accepts work for as little as 250 ms after discovery knows of it.
+# Interval of requests while there is no current list. It is short because discovery, once it responds again,
+# does not answer earlier requests, and because a draining engine may accept work for only 250 ms after
+# discovery has learned that it drains.
 RETRY_INTERVAL_S = 0.12
-MAX_LIST_BYTES = 4 * 1024 * 1024  # limit of the body of one response
-TIMER_TOLERANCE_S = 0.001  # a timer may fire this much before its time
+MAX_LIST_BYTES = 4 * 1024 * 1024  # limit for the body of one response
+TIMER_TOLERANCE_S = 0.001  # a timer may fire early by this much
 STATUS_OK = 200
 
 
 class _ListResponse(ResponseHandler):
-    """Collects a response; `on_body` is called once, with the body or None if there is no usable response."""
+    """Collects a response; calls `on_body` once, with the body, or with None if the response is unusable."""
 
     def __init__(self, on_body: Callable[[bytes | None], None]) -> None:
         self.on_body = on_body
@@ -55,12 +56,12 @@
 
 
 class DiscoveryClient:
-    """Follows the endpoint list and calls `on_update` with each complete list and each change, in order.
+    """Follows the endpoint list, and calls `on_update` with each complete list and each change, in order.
 
     Attributes:
         address: HOST:PORT of the discovery service.
-        version: Version of the current list; None if the complete list has to be fetched next.
-        has_answered: Whether discovery has sent a valid list or change since the start.
+        version: Version of the current list; None if the complete list has to be fetched.
+        has_answered: Whether discovery has sent a valid list or change since this client was started.
     """
 
     def __init__(
@@ -83,16 +84,16 @@
         self.version: int | None = None
         self.has_answered = False
         self._failure_count = 0  # since the last valid response
-        self._pending: list[PendingRequest] = []  # more than one only while discovery is silent
+        self._pending: list[PendingRequest] = []  # more than one only while discovery does not respond
         self._timers: list[Timer] = []
         self._is_closed = False
 
     def start(self) -> None:
-        """Fetch the complete list and follow it from then on."""
+        """Fetch the complete list, then watch it for changes."""
         self._send_request()
 
     def change_address(self, address: str) -> None:
-        """Follow discovery at another address, beginning with the complete list."""
+        """Follow the discovery service at another address, beginning with the complete list."""
         if address == self.address:
             return
         self._cancel_all()
@@ -103,11 +104,11 @@
         self._send_request()
 
     def is_armed(self) -> bool:
-        """Return whether a timer is scheduled that will send the next request; True once closed."""
+        """Return whether a timer that leads to the next request is scheduled, or the client is closed."""
         return self._is_closed or any(timer.active() for timer in self._timers)
 
     def close(self) -> None:
-        """Stop following the list for good."""
+        """Stop following the list permanently."""
         self._is_closed = True
         self._cancel_all()
 
@@ -127,28 +128,29 @@
         return timer
 
     def _send_request(self) -> None:
-        """Send a watch from the current version, or a request for the complete list."""
+        """Send a watch from the current version, or a request for the complete list if there is none."""
         watch_time = 0.0
         target = PATH
         if self.version is not None:
             watch_time = WATCH_S
             target += b"?since=%d&timeout_ms=%d" % (self.version, WATCH_S * 1000)
         response = _ListResponse(lambda body: self._on_body(pending, body))
-        # Scheduled before the send, which may raise: otherwise discovery would never be polled again.
+        # Scheduled before the send, because that may raise: otherwise no request would ever be sent again.
         next_request = self._call_later(RETRY_INTERVAL_S, self._send_request)
         pending = self.pool.send(self.address, self.address, ClientRequest(b"GET", target, []), response)
         self._pending.append(pending)
         self._call_later(watch_time + RESPONSE_TIMEOUT_S, self._on_timeout, pending, watch_time)
         if self.version is not None:
-            # A watch runs alone; requests for the complete list overlap. If this process was suspended, the
-            # response to the watch may have arrived already.
+            # Requests for the complete list are repeated while one is outstanding, but watches are not: the
+            # response to a watch may have arrived already, and this process was suspended before reading it.
             next_request.cancel()
 
     def _on_timeout(self, pending: PendingRequest, watch_time: float) -> None:
-        """Cancel a request that was not answered within its time since its connection was established.
+        """Cancel a request that has no response within its time limit.
 
-        The time counts from the connection, not from the request. Otherwise, if each connection took almost
-        RESPONSE_TIMEOUT_S, each request would be cancelled just after it was sent.
+        The time limit counts from when the connection was established, not from when the request was made.
+        Otherwise, if establishing a connection always took almost RESPONSE_TIMEOUT_S, each request would be
+        cancelled just after it was sent.
         """
         if pending not in self._pending:
             return
@@ -179,7 +181,7 @@
         if update.entries or update.is_complete:
             self.on_update(update)
         self.version = update.version
-        # The watch is renewed in the next reactor turn, as an immediate response would cause recursion.
+        # The next watch is sent in the next reactor turn: an immediate response would cause recursion.
         next_request.reset(0)
 
     def _decode(self, body: bytes | None) -> EndpointListUpdate:
@@ -187,16 +189,16 @@
             raise EndpointListError("no answer")
         now = self.clock.seconds()
         update = self.decoder.decode(parse_json(body), now)
-        # Not called for the fallback list, which may be old.
+        # Only for responses of discovery: the fallback list also passes the decoder, but may be old.
         self.decoder.start_times.discovery_responded(now)
         if self.version is None and not update.is_complete:
             raise EndpointListError("whole: the first answer has to be the whole list")
         return update
 
     def _on_failure(self, reason: str) -> None:
-        """Fetch the complete list next, and retry until it has been received.
+        """Fetch the complete list, and retry until it has been received.
 
-        If there was no current list, the timer of the next request is scheduled already.
+        If there was no current list, the timer for the next request is already scheduled.
         """
         self._failure_count += 1
         if self.version is not None:
--- a/myrtlehub/relay/discovery/endpoint_list.py
+++ b/myrtlehub/relay/discovery/endpoint_list.py
@@ -8,7 +8,7 @@
 from myrtlehub.relay.errors import EndpointListError
 from myrtlehub.relay.parsing import parse_address
 
-# Least age of an engine whose start is stated, in seconds, since an age of 0 means that it is unknown.
+# Smallest age in seconds of an engine whose start is stated, because an age of 0 means unknown.
 MIN_AGE_S = 1e-6
 STATE_BY_HEALTH = {
     "active": EndpointState.SERVING,
@@ -25,12 +25,12 @@
         address: Name of the engine in the list.
         kind: Machine type.
         zone: Zone of the engine.
-        cell: Block of engines within the zone; its engines may share a memory of idempotency keys.
-        weight: Relative amount of work; an engine of weight 0 is treated as draining.
-        state: One of `EndpointState`.
-        age: Seconds since the engine started; 0 if unknown or long ago.
-        dial_address: HOST:PORT of the engine; may be empty for an engine that is gone.
-        model: Model that the engine serves; the platform does not state it.
+        cell: Number of the block of engines within the zone; a block may be a dedup group.
+        weight: Load relative to other engines; an engine of weight 0 is treated as draining.
+        state: The value of an `EndpointState`.
+        age: Seconds since the engine started; 0 if the entry does not state the start.
+        dial_address: HOST:PORT of the engine; may be empty for a removed engine.
+        model: Version of the model that the engine serves; empty, because the platform does not state it.
     """
 
     address: str
@@ -45,7 +45,7 @@
 
     @property
     def field_values(self) -> EndpointFields:
-        """The fields that entries of all endpoint sources have."""
+        """The values of the fields that the entries of all endpoint sources have in common."""
         return (*self[:7], self.model)
 
     def with_fields(self, **fields: Any) -> Self:  # noqa: ANN401
@@ -58,7 +58,7 @@
 
     Attributes:
         version: Version of the list after the update.
-        is_complete: `entries` is the whole list; otherwise it has only the changed entries.
+        is_complete: Whether `entries` is the complete list; otherwise it has only the changed entries.
         entries: The valid entries.
     """
 
@@ -68,7 +68,7 @@
 
 
 class EndpointListDecoder:
-    """Decodes endpoint lists and changes, and caches the latest entry of each engine.
+    """Decodes endpoint lists and changes to them, and caches the latest entry of each engine.
 
     Args:
         kinds: The machine types of the settings.
@@ -76,7 +76,7 @@
         epoch: The Unix time in seconds at which the node's clock showed 0.
 
     Attributes:
-        start_times: Start times of the engines.
+        start_times: The start times of the engines.
         entries: The latest entry of each engine that is not gone, by name.
     """
 
@@ -89,8 +89,8 @@
     def decode(self, message: Any, now: float) -> EndpointListUpdate:  # noqa: ANN401
         """Decode a message of discovery.
 
-        An invalid entry is skipped, unless it says that a known engine drains or is gone: then the rest is
-        taken from the engine's latest valid entry, because no work may be sent to it any more.
+        An invalid entry is skipped, unless its health field says that a known engine is draining or gone.
+        This engine must not get new work, so its other fields are taken from its latest valid entry.
 
         Args:
             message: The message, parsed from JSON.
@@ -120,7 +120,7 @@
             self.entries[entry.address] = entry
 
     def _leaving_notice(self, host: Any) -> EndpointEntry | None:  # noqa: ANN401
-        """Return the latest entry with its new state if an invalid entry says that the engine is leaving."""
+        """Return an engine's latest entry in its new state if an invalid entry says draining or gone."""
         if not isinstance(host, dict) or not isinstance(host.get("host"), str):
             return None
         state = STATE_BY_HEALTH.get(str(host.get("health")))
@@ -130,7 +130,7 @@
         return entry._replace(state=state)
 
     def _decode_entry(self, host: Any, now: float) -> EndpointEntry | None:  # noqa: ANN401
-        """Return the entry; None if it is invalid."""
+        """Return the decoded entry; None if `host` is not a valid entry."""
         try:
             state = STATE_BY_HEALTH[host["health"]]
             stated_ms = _stated_start_ms(host)
@@ -159,7 +159,7 @@
 
 
 def _stated_start_ms(host: Any) -> float:  # noqa: ANN401
-    """Return the start that an entry states, in Unix milliseconds; 0 if it states none or an invalid one."""
+    """Return the start time that an entry states, in Unix milliseconds; 0 if it is missing or invalid."""
     stated_ms = host.get("born_ms") if isinstance(host, dict) else None
     if not isinstance(stated_ms, (int, float)) or isinstance(stated_ms, bool):
         return 0.0
--- a/myrtlehub/relay/discovery/engine_start_times.py
+++ b/myrtlehub/relay/discovery/engine_start_times.py
@@ -1,17 +1,17 @@
-"""Start times of engines by the node's clock, corrected for errors of the wall clock."""
+"""Start times of engines on the node's clock, corrected for errors of the wall clock."""
 
 from typing import NamedTuple
 
-# Longest time in seconds from a change at the discovery service until a node is notified of it.
+# Longest time in seconds until a node learns of a change at the discovery service.
 MAX_NOTIFICATION_DELAY_S = 6.0
 
 
 class KnownStart(NamedTuple):
-    """A start of an engine.
+    """The start time of an engine.
 
     Attributes:
-        stated_ms: The start as discovery states it, in Unix milliseconds.
-        started_at: The start in seconds of the node's clock.
+        stated_ms: The start time as discovery states it, in Unix milliseconds.
+        started_at: The start time in seconds on the node's clock.
     """
 
     stated_ms: float
@@ -19,12 +19,12 @@
 
 
 class EngineStartTimes:
-    """Converts the Unix times at which engines started into times of the node's clock.
+    """Converts the Unix times at which engines started into times on the node's clock.
 
-    The wall clock may be wrong by an hour, if it was stepped just before this process started. A converted
-    time is therefore kept within bounds known without it: no engine starts in the future, and an engine that
-    appears or restarts between two responses of discovery started after the first of them, less the delay of
-    a notification.
+    The conversion uses the wall clock as it was when this process started. It may have been wrong by an hour,
+    if it was stepped shortly before. A converted time is therefore limited to a range that does not depend on
+    the wall clock. Its upper end is now. Its lower end is MAX_NOTIFICATION_DELAY_S before the last response
+    of discovery, because that response would have shown an earlier start.
 
     Args:
         epoch: The Unix time in seconds at which the node's clock showed 0.
@@ -38,8 +38,8 @@
     def started_at(self, name: str, stated_ms: float, now: float) -> float:
         """Return when an engine started, in seconds of the node's clock.
 
-        The result is the same at each call until discovery states another start: if it varied, the engine
-        would seem to have restarted with an empty prefix cache.
+        The result does not change until discovery states another start time. If it varied, the engine would
+        appear to have restarted with an empty prefix cache.
         """
         known = self._known.get(name)
         if known is not None and known.stated_ms == stated_ms:
@@ -51,14 +51,14 @@
         return started_at
 
     def correct_epoch(self, latest_stated_ms: float, now: float) -> None:
-        """Advance the epoch if the latest stated start would otherwise be in the future.
+        """Advance the epoch if the latest stated start time would otherwise be in the future.
 
-        Such a start indicates that the wall clock was set back.
+        Such a time indicates that the wall clock was behind when this process started.
         """
         self.epoch = max(self.epoch, latest_stated_ms / 1e3 - now)
 
     def discovery_responded(self, now: float) -> None:
-        """Record that discovery responded: engines that first appear later are new."""
+        """Record that discovery responded: an engine that first appears after now is new."""
         self._last_response_at = now
 
     def forget(self, name: str) -> None:
--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -1,4 +1,4 @@
-"""Handler for the response to an attempt, which reports tokens and the outcome to the action executor."""
+"""Handler for the response to an attempt. It reports tokens and the outcome to the action executor."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -21,14 +21,16 @@
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
-# A client's stream has to end within 5 s of an engine's fault; both timeouts leave time to detect it.
-# Time for the rest of an event, a chunk or the end of a stream: engines write each at once.
+# After an engine's fault, the client's stream has to end within 5 s. Both timeouts are shorter than that, to
+# leave time for the detection.
+# Limit for receiving the rest of an event, of a chunk or of the end of a stream, each of which engines write
+# in one piece.
 INCOMPLETE_EVENT_TIMEOUT_S = 2.5
-SILENCE_TIMEOUT_S = 4.2  # time without an event
+SILENCE_TIMEOUT_S = 4.2  # limit for the time between two events
 
 
 class FailureReason(StrEnum):
-    """Why an attempt failed; the values are logged and listed in docs/operators/relay.md."""
+    """The reason why an attempt failed; the values are logged, and listed in docs/operators/relay.md."""
 
     MALFORMED_EVENT = "malformed_event"
     BODY_TOO_LARGE = "body_too_large"
@@ -47,7 +49,7 @@
 
 
 class AttemptClient(Protocol):
-    """The parts of the engine client that the handlers of its attempts share."""
+    """The parts of the engine client that the response handlers use."""
 
     executor: ActionExecutor
     directory: EngineDirectory
@@ -61,7 +63,7 @@
 
     Attributes:
         pending: The request; None once the attempt has ended.
-        longest_gap: The longest time between two events, in seconds.
+        longest_gap: The longest time between two events so far, in seconds.
     """
 
     def __init__(self, client: AttemptClient, attempt: Attempt) -> None:
@@ -70,12 +72,12 @@
         self.attempt = attempt
         self.pending: PendingRequest | None = None
         self.longest_gap = 0.0
-        self._end: AttemptEnd | None = None  # None until the head was received
+        self._end: AttemptEnd | None = None  # None until the head is received
         self._events: EventStreamParser | None = None  # None unless the response is a stream
         self._load: contract.LoadReport | None = None
         self._body = b""
         self._last_event_at = 0.0
-        self._incomplete_since: float | None = None  # since when an event, chunk or stream end is incomplete
+        self._incomplete_since: float | None = None  # start of an incomplete event, chunk or stream end
 
     def on_head(self, status: int, headers: Headers) -> None:
         """Determine the outcome that the head announces."""
@@ -89,12 +91,12 @@
             self._last_event_at = self.executor.clock.seconds()
             self.client.stream_monitor.add(self)
         elif end.outcome != contract.Outcome.READ:
-            self._report(end)  # the rest of the response is ignored
+            self._report(end)  # the attempt ends here; the body is ignored
 
     def on_data(self, data: bytes) -> None:
-        """Pass on complete events of a stream, or collect a small body."""
+        """Pass complete events of a stream to the executor, or collect a small body."""
         if self.pending is None:
-            return  # the attempt ended with the head
+            return  # the attempt has already ended with the head
         if self._events is not None:
             self._on_stream_data(self._events, data)
         else:
@@ -125,7 +127,7 @@
         return self.pending
 
     def _is_incomplete(self) -> bool:
-        """Return whether the received part of the stream ends within an event, a chunk or its end mark."""
+        """Return whether the end of an event, of a chunk or, after `[DONE]`, of the body is missing."""
         events = self._events
         connection = self._outstanding_request().connection
         return (events is not None and (bool(events.incomplete) or events.is_done)) or (
@@ -133,9 +135,9 @@
         )
 
     def check_progress(self, now: float) -> None:
-        """Fail the attempt if its stream stopped within an event, or if there was no event for too long.
+        """Fail the attempt if an event stays incomplete for too long, or if there is no event for too long.
 
-        An engine that sends bytes which never complete an event makes no progress either
+        Received bytes that do not complete an event are not progress
         (test_an_endless_chunk_ends_the_stream_within_5_s).
         """
         if self._outstanding_request().is_paused:
@@ -151,12 +153,12 @@
             self.fail(FailureReason.SILENCE_TIMEOUT)
 
     def fail(self, reason: FailureReason) -> None:
-        """Close the connection and end the attempt; the engine may have executed the request."""
+        """Close the connection and end the attempt as failed; the engine may have executed the request."""
         self._outstanding_request().cancel()
         self._report(end_by_failure(True), reason=reason)
 
     def cancel(self) -> None:
-        """Close the connection, without a report to the executor."""
+        """Close the connection without reporting an outcome to the executor."""
         self.client.stream_monitor.remove(self)
         if self.pending is not None:
             self.pending.cancel()
@@ -186,10 +188,10 @@
         if self.attempt.is_streaming:
             self._report(end, events.cached_tokens, events.load or self._load, events.token_count)
         else:
-            self._report(end_by_failure(True))  # a stream without an event is no answer
+            self._report(end_by_failure(True))  # a stream without any event is a failure
 
     def on_failure(self, failure: RequestFailure) -> None:
-        """End the attempt; the engine may have executed the request if all of it was sent."""
+        """End the attempt as failed; if the request was sent in full, the engine may have executed it."""
         if failure is RequestFailure.NOT_SENT:
             self._report(AttemptEnd(contract.Outcome.UNSENT), reason=FailureReason.NOT_SENT)
             return
@@ -214,7 +216,7 @@
                 attempt=self.attempt.number,
                 reason=reason,
             )
-        # The executor takes a value above 0 for a write that failed as "the reader had no state".
+        # For a rejected write, the executor interprets a value above 0 as "the reader had no read state".
         cached_tokens = cached_tokens or float(end.is_state_missing)
         handle = True if end.outcome == contract.Outcome.READ else None
         self.executor.ended(self.attempt, end.outcome, cached_tokens, load or self._load, handle, token_count)
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -1,4 +1,4 @@
-"""The action executor's engine transport over HTTP/1.1: attempts, releases of read state and probes."""
+"""The action executor's engine transport over HTTP/1.1: attempts, releases of read state, and probes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -26,8 +26,9 @@
 from myrtlehub.state.invariants import InvariantCounter, SendFacts, broken_by_send
 
 LOAD_PATH = b"/metrics/load"
-# Subtracted from the remaining time that is stated to an engine, for the transit and a reactor turn or two.
-# The statement may be 0.15 s too long, which covers a delay of this process between clock and write.
+# Subtracted from the remaining time that is stated to an engine, for transit and one or two reactor turns.
+# The platform accepts a stated time that is up to 0.15 s too long, which covers a delay of this process
+# between reading the clock and writing.
 REMAINING_TIME_MARGIN_S = 0.02
 
 
@@ -35,11 +36,11 @@
     """Sends attempts, releases and probes to engines.
 
     Attributes:
-        executor: The executor that outcomes are reported to; set by `attach` before any attempt is started.
+        executor: The executor that gets the outcomes; set by `attach` before any attempt is started.
         directory: Addresses of the engines.
-        uncertain_attempts: Sequences with an attempt that may still be running at its engine.
+        uncertain_attempts: Ids of sequences with a former attempt that its engine may still be running.
         releaser: Sends releases of read state.
-        stream_monitor: Ends streams without progress.
+        stream_monitor: Ends streams that make no progress.
     """
 
     executor: ActionExecutor
@@ -63,13 +64,13 @@
         self.stream_monitor = StreamMonitor(clock)
 
     def attach(self, executor: ActionExecutor) -> None:
-        """Set the executor that outcomes are reported to, and observe the ends of its attempts."""
+        """Set the executor that gets the outcomes, and observe when its attempts end."""
         self.executor = executor
         self.releaser.in_flight = executor.in_flight
         executor.add_observer(self)
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Log the end of an attempt and release its response handler."""
+        """Log the end of an attempt, and drop the references to its response handler."""
         handler = _response_handler(attempt)
         now = self.clock.seconds()
         self.log(
@@ -85,7 +86,7 @@
             longest_gap_s=round(handler.longest_gap, 2) if handler is not None else 0.0,
         )
         if handler is not None:
-            # Breaks the reference cycle of attempt, request and handler, which would keep the whole client
+            # Breaks the reference cycle of attempt, request and handler, which would keep the complete client
             # request in memory until the next full garbage collection.
             attempt.call = handler.pending = None
 
@@ -107,10 +108,10 @@
         )
 
     def _at_first_byte(self, attempt: Attempt, request: ClientRequest) -> ClientRequest | None:
-        """Return the request with the time left now; None if sending it now would break an invariant.
+        """Return the request with its remaining time; None if sending it now would break an invariant.
 
-        The decision may be outdated: establishing a connection can take longer than the grace period of a
-        draining engine, and this process may have been suspended in between
+        The router's decision may be outdated by now. Establishing the connection can have taken longer than
+        the grace period of a draining engine, or this process may have been suspended meanwhile
         (test_an_engine_that_drains_between_a_decision_and_its_first_byte_gets_nothing).
         """
         time_left = attempt.times_out_at - self.clock.seconds()
@@ -137,13 +138,13 @@
     def _needs_new_connection(self, attempt: Attempt) -> bool:
         """Return whether the attempt must not reuse an idle connection.
 
-        - A write that fetches a read state: if the engine was cut off unnoticed, a request on an idle
-          connection never arrives, and its reader keeps the state meanwhile
+        - A write that fetches a read state: if a network fault has cut the engine off, a request on an idle
+          connection is lost without an error, and meanwhile the reader keeps the state
           (test_a_state_is_released_in_time_although_its_writers_were_cut_off_unnoticed).
-        - An at-most-once write: if the engine has closed the idle connection unnoticed, the request fails as
-          possibly executed and may not be retried.
-        - An at-most-once read after an attempt that may still be running: over an idle connection it could
-          arrive before the close of the former attempt's connection
+        - An at-most-once write: if the engine has closed the idle connection and this node does not know it
+          yet, the request fails as possibly executed, and may not be retried.
+        - An at-most-once read of a sequence with a former attempt that may still be running: over an idle
+          connection, the read could arrive before the close of the former attempt's connection
           (test_a_retried_at_most_once_read_uses_a_new_connection).
         """
         if attempt.claimed_state is not None:
@@ -197,14 +198,14 @@
 
 
 def _engine_request(sequence: InFlightSequence) -> EngineRequest:
-    """Return the request of a sequence. The executor stores the request as an opaque object."""
+    """Return the request of a sequence, which the executor stores as an opaque object."""
     if not isinstance(sequence.request, EngineRequest):
         raise UnknownRequestTypeError(sequence.sequence_id)
     return sequence.request
 
 
 def _response_handler(attempt: Attempt) -> AttemptResponseHandler | None:
-    """Return the handler of an attempt's response; None if it was not started or has ended."""
+    """Return the response handler of an attempt; None if the attempt was not started or has ended."""
     if not isinstance(attempt.call, PendingRequest):
         return None
     handler = attempt.call.handler
--- a/myrtlehub/relay/engines/engine_directory.py
+++ b/myrtlehub/relay/engines/engine_directory.py
@@ -1,4 +1,4 @@
-"""Addresses of the engines, and the time of the latest contact with each."""
+"""Addresses of the engines, and the time of the last contact with each."""
 
 from myrtlehub.clock import Clock
 from myrtlehub.http1.connection_pool import ConnectionPool
@@ -7,11 +7,11 @@
 
 
 class EngineDirectory:
-    """The engines of the endpoint list, by dense index or by name.
+    """The engines of the endpoint list, found by dense index or by name.
 
     Attributes:
         dial_addresses: HOST:PORT of each engine, by name.
-        last_contact_at: Time at which each engine last sent something, by name, in seconds of the clock.
+        last_contact_at: Time at which each engine last sent data, by name, in seconds of the clock.
     """
 
     def __init__(self, clock: Clock, pool: ConnectionPool, index: EndpointIndex) -> None:
@@ -26,19 +26,19 @@
         return self.index.rows[engine].address
 
     def is_serving(self, engine: int) -> bool:
-        """Return whether the endpoint list allows new work for the engine."""
+        """Return whether the engine is in the endpoint list and in state serving."""
         return not self.index.is_removed(engine) and self.index.rows[engine].state == EndpointState.SERVING
 
     def serving_names(self) -> list[str]:
-        """Return the names of all engines that accept new work."""
+        """Return the names of all engines in state serving."""
         return [row.address for row in self.index.rows if row.state == EndpointState.SERVING]
 
     def record_contact(self, engine: int) -> None:
-        """Record that the engine has just sent something, and so can be reached."""
+        """Record that the engine has just sent data, which shows that it is reachable."""
         self.last_contact_at[self.name(engine)] = self.clock.seconds()
 
     def set_address(self, name: str, dial_address: str) -> None:
-        """Set the HOST:PORT of an engine; if it has changed, close idle connections to the former one."""
+        """Set the HOST:PORT of an engine; if it has changed, close the idle connections to the engine."""
         if self.dial_addresses.get(name, dial_address) != dial_address:
             self.pool.close_idle(name)
         self.dial_addresses[name] = dial_address
--- a/myrtlehub/relay/engines/event_stream.py
+++ b/myrtlehub/relay/engines/event_stream.py
@@ -1,4 +1,4 @@
-"""Parser for the server-sent events of an engine's stream. It does no I/O."""
+"""Parser for the server-sent events in an engine's stream. It does no I/O."""
 
 import msgspec
 
@@ -6,8 +6,8 @@
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
-MAX_EVENT_BYTES = 128 * 1024  # an event holds a few tokens, so that a longer one is malformed
-EVENT_PREFIXES = (b"data:", b":", b"event:", b"id:", b"retry:")  # fields, and the colon of a comment
+MAX_EVENT_BYTES = 128 * 1024  # far more than the few tokens of an event need; a longer one is malformed
+EVENT_PREFIXES = (b"data:", b":", b"event:", b"id:", b"retry:")  # event fields; the colon of a comment
 DONE = b"[DONE]"
 LOAD_COMMENT = b": X-Pressure:"
 
@@ -29,14 +29,14 @@
 
 
 class EventStreamParser:
-    """Parses one stream.
+    """Parses one stream of events.
 
     Attributes:
-        incomplete: The received part of an event that is not complete yet.
+        incomplete: The data received of an event that is not complete yet.
         cached_tokens: Number of prompt tokens that the engine had cached, from the usage event.
         token_count: Number of generated tokens, from the usage event.
         load: The latest load report in the stream, if any.
-        is_done: The final event `[DONE]` was received.
+        is_done: Whether the final event `[DONE]` was received.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self.is_done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Add received data and return the events that it completes, unchanged.
+        """Add received data, and return the events that it completes, as the unchanged bytes.
 
         Raises:
             EventStreamError: The data is not a stream of events, or an event is too long.
@@ -66,13 +66,13 @@
 
     @staticmethod
     def _may_become_event(text: bytes) -> bool:
-        """Return whether more data can complete the text to an event."""
+        """Return whether the text can be the beginning of an event."""
         return not text or any(
             text.startswith(prefix) or prefix.startswith(text) for prefix in EVENT_PREFIXES
         )
 
     def _inspect(self, event: bytes) -> None:
-        """Validate an event, and read its usage, load report or end mark."""
+        """Validate a complete event; if it contains usage, a load report or the end mark, record that."""
         if not event.startswith(EVENT_PREFIXES):
             raise EventStreamError("the data is not the beginning of an event")
         if event.startswith(b":"):
@@ -100,7 +100,7 @@
         """Process the end of the stream.
 
         Raises:
-            EventStreamError: The last event is incomplete. A comment needs no blank line behind it.
+            EventStreamError: The last event is incomplete. A final comment may lack its blank line.
         """
         incomplete = self.incomplete.strip(b"\n")
         if incomplete.startswith(LOAD_COMMENT):
--- a/myrtlehub/relay/engines/response_outcomes.py
+++ b/myrtlehub/relay/engines/response_outcomes.py
@@ -1,4 +1,4 @@
-"""How an engine's response, or the lack of one, ends an attempt: one table by status and rejection header."""
+"""The outcome of an attempt, by the status and rejection header of its response or the lack of one."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
     Attributes:
         outcome: The outcome reported to the router.
-        is_state_missing: The writer found no read state to fetch.
+        is_state_missing: Whether the writer found no read state to fetch at the reader.
     """
 
     outcome: Outcome
@@ -18,12 +18,12 @@
 
 
 class ResponseHead(NamedTuple):
-    """The parts of a response that determine the outcome.
+    """The facts that determine the outcome of an attempt with a response.
 
     Attributes:
-        is_read: The attempt is a read; otherwise a write.
+        is_read: Whether the attempt is a read; otherwise it is a write.
         status: The HTTP status.
-        is_rejection: The header X-Turned-Away says that the engine has not executed the request.
+        is_rejection: Whether the header X-Turned-Away states that the engine has not executed the request.
     """
 
     is_read: bool
@@ -44,7 +44,7 @@
 
 
 def end_by_response(is_read: bool, status: int, is_rejection: bool) -> AttemptEnd:
-    """Return the end that a response's head announces; READ and GENERATED need a complete body as well."""
+    """Return the end that a response's head announces. READ and GENERATED also require a complete body."""
     return END_BY_RESPONSE.get(ResponseHead(is_read, status, is_rejection), AttemptEnd(Outcome.ERROR))
 
 
@@ -52,6 +52,6 @@
     """Return the end of an attempt without a complete response.
 
     Args:
-        request_sent: The last byte of the request was sent; otherwise the engine cannot have executed it.
+        request_sent: Whether the last byte of the request was sent. If not, the engine has not executed it.
     """
     return AttemptEnd(Outcome.RESET if request_sent else Outcome.UNREACHED)
--- a/myrtlehub/relay/engines/small_response.py
+++ b/myrtlehub/relay/engines/small_response.py
@@ -6,14 +6,14 @@
 from myrtlehub.http1.client_request import RequestFailure, ResponseHandler
 from myrtlehub.http1.headers import Headers
 
-SUCCESS_CLASS = 2  # of status codes 200 to 299
+SUCCESS_CLASS = 2  # first digit of the status codes 200 to 299
 
 
 class SmallResponseHandler(ResponseHandler):
     """Collects a small response.
 
     Args:
-        on_end: Called once, with whether the request succeeded and with the body of the response.
+        on_end: Called once, with whether the request succeeded, and with the body of the response.
     """
 
     def __init__(self, on_end: Callable[[bool, bytes], None]) -> None:
@@ -26,7 +26,7 @@
         self.status = status
 
     def on_data(self, data: bytes) -> None:
-        """Store the body, up to MAX_SMALL_RESPONSE_BYTES."""
+        """Store the body; discard data once it has MAX_SMALL_RESPONSE_BYTES or more."""
         if len(self.body) < MAX_SMALL_RESPONSE_BYTES:
             self.body += data
 
--- a/myrtlehub/relay/engines/state_release.py
+++ b/myrtlehub/relay/engines/state_release.py
@@ -1,4 +1,4 @@
-"""Releases of read state: requests to engines to free the state that a reader holds for a sequence."""
+"""Releases of read state: requests to engines to free the state that a reader stores for a sequence."""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -12,34 +12,34 @@
 from myrtlehub.relay.engines.small_response import SmallResponseHandler
 
 STATE_PATH = b"/state/"  # followed by the sequence id
-# Delay of the second release, for an attempt that may have ended at its engine after the first one.
+# Time from the first to the second release, in case an attempt ended at its engine after the first one.
 SECOND_RELEASE_DELAY_S = 0.25
-# Interval of the checks whether a sequence is still in flight, while its release waits for that.
+# Interval of the checks whether a sequence is still in flight, while a release waits for its end.
 SEQUENCE_CHECK_INTERVAL_S = 0.1
-# Delays from one request of a release to the next if there is no response; the last delay is repeated.
+# Times after each request of a release to the next one if there is no response; the last one is repeated.
 RETRY_DELAYS_S = (0.12, 0.2, 0.3, 0.6, 0.8)
 REQUESTS_PER_ROUND = len(RETRY_DELAYS_S)
-# Backoff after a round in which all engines refused or failed at once, doubled from round to round: a fault
-# that lasts a moment, such as a restart or a lack of local ports, must not use up the time for the release.
+# Backoff after a round whose requests have failed, doubled from round to round. The first one is short,
+# because a brief fault, such as a restart or a lack of local ports, must not use up the time for the release.
 ROUND_BACKOFF_S = 0.12
 MAX_ROUND_BACKOFF_S = 0.96
-RELEASE_TIMEOUT_S = 10.0  # longer than any fault that an engine survives with its state
-MAX_OUTSTANDING_REQUESTS = 5  # of one release; each occupies a connection
+RELEASE_TIMEOUT_S = 10.0  # longer than any fault after which an engine still has its state
+MAX_OUTSTANDING_REQUESTS = 5  # per release, as each occupies a connection
 
 
 class ReleaseTarget(NamedTuple):
-    """An engine that a release is sent to."""
+    """An engine to which a release is sent."""
 
     name: str
     dial_address: str
 
 
 class StateReleaser:
-    """Sends releases and keeps those that no engine has answered yet.
+    """Sends releases, and keeps track of those that no engine has answered yet.
 
     Attributes:
         in_flight: The executor's in-flight sequences, by number.
-        unanswered: The releases without a response.
+        unanswered: The releases without a successful response.
     """
 
     def __init__(self, clock: Clock, pool: ConnectionPool, directory: EngineDirectory) -> None:
@@ -51,15 +51,15 @@
         self._scheduled_count = 0  # second releases that are still to be sent
 
     def release(self, engine: int, sequence_id: str, is_uncertain: bool) -> None:
-        """Release the read state that `engine` holds for a sequence.
+        """Release the read state that `engine` stores for a sequence.
 
         Args:
             engine: The engine that the read was sent to.
             sequence_id: The sequence.
-            is_uncertain: An attempt of the sequence may still be running at its engine, so that a second
-                release is sent. The first one is too early if a read completes after it although its
-                connection was closed, or if an engine receives it before it notices that the writer's
-                connection was closed.
+            is_uncertain: Whether an attempt of the sequence may still be running at its engine. Then a second
+                release is sent after SECOND_RELEASE_DELAY_S, because the first one may be too early: a read
+                can complete after it although its connection was closed, or an engine can receive it before
+                it notices that the connection of the write was closed.
         """
         reader = self.directory.name(engine)
         if is_uncertain:
@@ -68,15 +68,16 @@
         StateRelease(self, reader, sequence_id)
 
     def is_busy(self) -> bool:
-        """Return whether a release is unanswered or still to be sent."""
+        """Return whether a release is unanswered, or a second release is still to be sent."""
         return bool(self.unanswered) or self._scheduled_count > 0
 
     def targets(self, reader: str, sequence_id: str) -> list[ReleaseTarget]:
         """Return the engines of one round, in order: the reader twice, then other engines.
 
-        Any engine forwards a release to all others, which helps if the reader drained and ended while its
-        state was being transferred to a writer. The others are sorted by their latest contact, in case a
-        network partition separates the reader and its neighbours in the endpoint list
+        The other engines are included because any engine forwards a release to all others. This helps if the
+        reader exited while its state was being transferred to a writer. They are sorted by last contact, the
+        most recent first, in case a network partition separates this node from the reader and from its
+        neighbours in the endpoint list
         (test_a_state_behind_a_partition_is_released_through_the_engine_of_latest_contact).
         """
         directory = self.directory
@@ -95,7 +96,7 @@
         StateRelease(self, reader, sequence_id, is_second=True)
 
     def _sequences(self, sequence_id: str) -> Iterator[InFlightSequence]:
-        """Yield the in-flight sequences with this id: a client may reuse the id of an answered one."""
+        """Yield the in-flight sequences with this id; a client may reuse the id of an answered one."""
         return (sequence for sequence in self.in_flight.values() if sequence.sequence_id == sequence_id)
 
     def is_in_flight(self, sequence_id: str) -> bool:
@@ -105,7 +106,7 @@
     def has_outstanding_attempt(self, sequence_id: str) -> bool:
         """Return whether an attempt of the sequence is outstanding.
 
-        Its read state may be a new one, which a release would free by mistake.
+        If so, the sequence may have a new read state, which a release would free by mistake.
         """
         return any(
             attempt.is_outstanding
@@ -115,16 +116,17 @@
 
 
 class StateRelease:
-    """One release: the same request to one engine after another, until one has answered.
+    """One release: the same request to one engine after another, until one responds with success.
 
-    The requests are made in rounds. If an engine refuses or fails at once, the next request follows at once.
-    All requests but the first use new connections, so that one whose last byte was sent has arrived; a round
-    with such a request is the last one, even if there is no response. After any other round there is a
-    backoff, and the next round determines its engines again.
+    The requests are sent in rounds over the engines that `StateReleaser.targets` returns. If a request fails,
+    the next one follows immediately. If it gets no response, the next one follows after RETRY_DELAYS_S. All
+    requests except the first use new connections, so a request that was sent in full is assumed to have been
+    delivered. If a round ends with such a request outstanding, the release ends even without a response.
+    Otherwise another round follows after a backoff.
 
-    While an attempt of the sequence is outstanding, nothing more is sent, because its read state may be a new
-    one, which a late release would free by mistake. A release without a response by then is started again
-    once the sequence is no longer in flight.
+    While an attempt of the sequence is outstanding, only the first request of the first release is sent: the
+    attempt may create a new read state, which a later request would free by mistake. A release that is
+    interrupted so is restarted once the sequence is no longer in flight.
     """
 
     def __init__(
@@ -134,10 +136,10 @@
         self.reader = reader
         self.sequence_id = sequence_id
         self.request = ClientRequest(b"DELETE", STATE_PATH + sequence_id.encode(), [])
-        self._round: list[ReleaseTarget] = []  # engines of this round that have not been sent a request yet
+        self._round: list[ReleaseTarget] = []  # engines of this round that have no request yet
         self._round_count = 0
         self._request_count = 0
-        self._first: PendingRequest | None = None  # the request that may use an idle connection
+        self._first: PendingRequest | None = None  # the only request that may use an idle connection
         self._pending: list[PendingRequest] = []
         self._timer: Timer | None = None
         self._expires_at = releaser.clock.seconds() + RELEASE_TIMEOUT_S
@@ -157,7 +159,7 @@
             self._cancel_requests()
             self._wait_for_sequence_end()
             return
-        # Scheduled before the steps that may raise: otherwise the release would never be retried.
+        # Scheduled first, because the steps below may raise: otherwise the release would not be retried.
         delay = RETRY_DELAYS_S[min(self._request_count, REQUESTS_PER_ROUND - 1)]
         self._timer = releaser.clock.callLater(delay, self._send_next)
         if not self._round:
@@ -184,14 +186,14 @@
             self._first = pending
 
     def _was_delivered(self) -> bool:
-        """Return whether a request has been sent on a new connection and awaits its response.
+        """Return whether a request was sent in full on a new connection and awaits its response.
 
-        The first request does not count: its engine may have been cut off while the connection was idle.
+        The first request does not count, because its connection may have failed unnoticed while it was idle.
         """
         return any(pending.is_sent and pending is not self._first for pending in self._pending)
 
     def _wait_for_sequence_end(self) -> None:
-        """Start the release again once the sequence is no longer in flight."""
+        """Restart the release once the sequence is no longer in flight."""
         if self.releaser.is_in_flight(self.sequence_id):
             self._timer = self.releaser.clock.callLater(
                 SEQUENCE_CHECK_INTERVAL_S, self._wait_for_sequence_end
@@ -200,7 +202,7 @@
             self._restart()
 
     def _restart(self) -> None:
-        """Start from the first round: the last attempt may have left a state after the former requests."""
+        """Restart from the first round: the last attempt may have created a state after the requests."""
         self._round = []
         self._round_count = 0
         self._request_count = 0
@@ -214,7 +216,7 @@
             self._timer.reset(self._delay_after_failure())
 
     def _delay_after_failure(self) -> float:
-        """Return the seconds until the next request: none within a round, a backoff after it."""
+        """Return the delay before the next request, in seconds: 0 within a round, a backoff after it."""
         if self._round:
             return 0.0
         backoff: float = ROUND_BACKOFF_S * 2 ** (self._round_count - 1)
--- a/myrtlehub/relay/engines/stream_monitor.py
+++ b/myrtlehub/relay/engines/stream_monitor.py
@@ -1,4 +1,4 @@
-"""Periodic check of the engines' streams, which ends those without progress."""
+"""Periodic check of the engines' streams, which ends those that make no progress."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 
 
 class Stream(Protocol):
-    """A stream of an engine."""
+    """The response stream of an attempt."""
 
     def check_progress(self, now: float) -> None:
         """End the stream if it makes no progress."""
@@ -18,7 +18,7 @@
     """Checks the progress of all open streams.
 
     Attributes:
-        streams: The open streams, in the order in which they began.
+        streams: The open streams, in the order in which they were added.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -31,11 +31,11 @@
         return self._timer.active()
 
     def add(self, stream: Stream) -> None:
-        """Check this stream from now on."""
+        """Add a stream to the periodic check."""
         self.streams[stream] = None
 
     def remove(self, stream: Stream) -> None:
-        """Stop checking this stream. No effect if it was not added."""
+        """Remove a stream from the periodic check. No effect if it was not added."""
         self.streams.pop(stream, None)
 
     def _check(self) -> None:
@@ -43,7 +43,7 @@
         self._check_each(list(self.streams), self.clock.seconds())
 
     def _check_each(self, streams: list[Stream], now: float) -> None:
-        """Check all streams; if a check raises, continue with the others in the next reactor turn."""
+        """Check the streams; if a check raises, check the others in the next reactor turn."""
         while streams:
             stream = streams.pop(0)
             try:
--- a/myrtlehub/relay/errors.py
+++ b/myrtlehub/relay/errors.py
@@ -6,15 +6,15 @@
 
 
 class MalformedJsonError(RelayError, ValueError):
-    """The bytes are not JSON, or their nesting is too deep."""
+    """The data is not JSON, or is nested too deeply."""
 
 
 class SettingsError(RelayError, ValueError):
-    """The node settings cannot be used. The message names the key, the fault and the remedy."""
+    """The node settings are invalid. The message names the key, the fault and the remedy."""
 
 
 class EndpointListError(RelayError, ValueError):
-    """The endpoint list cannot be used. The message names the key."""
+    """The endpoint list is invalid. The message names the key and the fault."""
 
 
 class EventStreamError(RelayError, ValueError):
@@ -22,7 +22,7 @@
 
 
 class RejectedRequestError(RelayError):
-    """A client's request is malformed. It has not been executed.
+    """A client's request is malformed, and is rejected without being executed.
 
     Attributes:
         status: HTTP status of the response to the client.
--- a/myrtlehub/relay/monitoring/event_log.py
+++ b/myrtlehub/relay/monitoring/event_log.py
@@ -1,4 +1,4 @@
-"""The event log: JSON lines, and a flight recorder with the latest events for the analysis of violations."""
+"""The event log: JSON lines, and a flight recorder with the latest events, which is dumped at violations."""
 
 import itertools
 from collections import deque
@@ -10,7 +10,7 @@
 from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.monitoring.log_writer import LogWriter
 
-# Events that are too frequent to be written, unless RELAY_LOG=all.
+# Events that are too frequent to be written by default; they are written if RELAY_LOG=all.
 DETAILED_EVENTS = frozenset(
     (
         LogEvent.SEQUENCE_ANSWERED,
@@ -22,9 +22,9 @@
         LogEvent.CONNECTION_CLOSED,
     )
 )
-MAX_RECORDED_EVENTS = 2000  # size of the flight recorder
-MAX_DUMPED_EVENTS = 300  # the latest events written by one dump
-DUMP_INTERVAL_S = 10.0  # least time between two dumps, so that repeated violations do not flood the log
+MAX_RECORDED_EVENTS = 2000  # events in the flight recorder
+MAX_DUMPED_EVENTS = 300  # events written by one dump
+DUMP_INTERVAL_S = 10.0  # shortest time between two dumps, so that repeated violations do not flood the log
 TIME_DIGITS = 4  # decimal places of the seconds in a dump
 _line_encoder = msgspec.json.Encoder(enc_hook=str)
 
@@ -45,7 +45,7 @@
     Args:
         writer: Writes the lines.
         now: Returns the node's time in seconds.
-        log_all: Write detailed events too.
+        log_all: Whether to write detailed events too.
     """
 
     def __init__(self, writer: LogWriter, now: Callable[[], float], log_all: bool = False) -> None:
@@ -56,7 +56,7 @@
         self._last_dump_at = float("-inf")
 
     def __call__(self, event: LogEvent, /, **fields: object) -> None:
-        """Record an event, and write it unless it is a detailed one."""
+        """Record an event, and write it unless it is a detailed event and `log_all` is off."""
         self._recorded.append(RecordedEvent(self._now(), event, fields))
         if self._log_all or event not in DETAILED_EVENTS:
             self._write(event, fields)
@@ -71,7 +71,10 @@
         self._writer.write_line(line + b"\n")
 
     def dump(self) -> None:
-        """Write the latest recorded events, detailed ones included, unless a dump was written recently."""
+        """Write the latest recorded events, including detailed ones.
+
+        No effect if all events are written anyway, or within DUMP_INTERVAL_S of the last dump.
+        """
         now = self._now()
         if self._log_all or now < self._last_dump_at + DUMP_INTERVAL_S:
             return
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -1,4 +1,4 @@
-"""Periodic checks of a running node's invariants, and the periodic log line with its counters."""
+"""Checks of a running node's invariants, and the periodic log line with its counters."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -22,7 +22,7 @@
 
 CHECK_INTERVAL_S = 0.1
 COUNTERS_INTERVAL_S = 10.0
-# Lateness of an answer that is not yet a violation: a client accepts it up to 0.5 s after its deadline.
+# Seconds by which an answer may be late without a violation; clients accept it up to 0.5 s late.
 LATE_ANSWER_TOLERANCE_S = 0.1
 
 
@@ -34,12 +34,12 @@
 
 
 class InvariantMonitor(ExecutorObserver):
-    """Checks the invariants that no single code path can check: overdue answers and timers that have stopped.
+    """Checks invariants that no single code path can check, such as overdue answers and stopped timers.
 
     Attributes:
         counter: Counts withheld sends and violations.
-        timers: The periodic tasks that have to run for as long as the node does.
-        on_violation: Called after a violation was logged.
+        timers: The periodic tasks that must always have their next run scheduled.
+        on_violation: Called after a violation has been logged.
         worst_lag: Returns the largest event loop lag so far, in seconds.
         executor: Owns the sequences that are checked; set by `attach`.
     """
@@ -57,7 +57,7 @@
         self._next_counters_at = clock.seconds() + COUNTERS_INTERVAL_S
 
     def attach(self, executor: ActionExecutor) -> None:
-        """Check the sequences of this executor."""
+        """Set the executor whose sequences are checked, and observe it."""
         self.executor = executor
         executor.add_observer(self)
 
@@ -66,7 +66,7 @@
         self.clock.callLater(CHECK_INTERVAL_S, self._check)
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
-        """Check a close of a client's connection by this side."""
+        """Log that the node closes a client's connection, and check that no request on it is unanswered."""
         is_open = exchange is not None and not exchange.is_finished
         self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
         self.counter.check(broken_by_close(is_open))
@@ -87,7 +87,7 @@
         self.on_violation()
 
     def sequence_forgotten(self, sequence: InFlightSequence) -> None:
-        """Check that a forgotten sequence has its answer and holds no read state."""
+        """Check that a forgotten sequence has its final answer and no unreleased read state."""
         broken = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(broken, sequence.sequence_id)
 
@@ -107,10 +107,10 @@
             self.executor.abort(sequence, "its deadline has passed")
 
     def _overdue_sequences(self, now: float) -> list[InFlightSequence]:
-        """Return the sequences that were unanswered after their deadline at this check and the last one.
+        """Return the sequences that are unanswered after their deadline, at this check and at the one before.
 
-        If the process was suspended past a deadline, the first check may run before the router's own wake-up,
-        which answers the sequence.
+        One check is not enough: if the process was suspended past a deadline, the check may run before the
+        router's wake-up that answers the sequence.
         """
         late = [sequence for sequence in self.executor.in_flight.values() if self._is_overdue(sequence, now)]
         overdue = [sequence for sequence in late if sequence.number in self._overdue_at_last_check]
--- a/myrtlehub/relay/monitoring/log_writer.py
+++ b/myrtlehub/relay/monitoring/log_writer.py
@@ -6,24 +6,24 @@
 from typing import Protocol
 
 MAX_BUFFERED_BYTES = 256 * 1024
-# A pipe that polls as writable accepts this many bytes without blocking (POSIX, PIPE_BUF).
+# A pipe that poll() reports as writable accepts this many bytes without blocking (POSIX, PIPE_BUF).
 MAX_WRITE_BYTES = select.PIPE_BUF
-DROP_NOTICE = b'{"event":"log_lines_dropped","count":%d}\n'  # LogEvent.LOG_LINES_DROPPED, encoded beforehand
+DROP_NOTICE = b'{"event":"log_lines_dropped","count":%d}\n'  # LogEvent.LOG_LINES_DROPPED as JSON
 
 
 class Poll(Protocol):
     """The part of `select.poll()` objects that is used here."""
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
-        """Return descriptors and their event masks, waiting up to `timeout` milliseconds."""
+        """Return pairs of a descriptor and its event mask, after waiting up to `timeout` milliseconds."""
 
 
 class LogWriter:
     """Writes lines to a file descriptor without blocking and without raising.
 
-    A full device, a closed reader or a pipe that is not read must not delay answers to clients. Lines wait in
-    a bounded buffer until the descriptor accepts them. When the buffer is full, further lines are dropped;
-    a notice with their number is written before the next line.
+    Answers to clients must not be delayed by a full device, or by a pipe that is closed or not read. Lines
+    are buffered until the descriptor accepts them. If the bounded buffer is full, further lines are dropped,
+    and a notice with their number is written once the buffer is empty again.
 
     Attributes:
         dropped_count: Number of lines dropped so far.
@@ -50,7 +50,7 @@
         return poll
 
     def write_line(self, line: bytes) -> None:
-        """Write or buffer a line, which ends in a line feed; drop it if the buffer is full."""
+        """Write or buffer a line, which must end with a line feed; drop it if the buffer is full."""
         self.flush()
         if self._unreported_drops and not self._buffer:
             self._buffer += DROP_NOTICE % self._unreported_drops
@@ -69,7 +69,7 @@
                 written = os.write(self._descriptor, bytes(self._buffer[:MAX_WRITE_BYTES]))
                 del self._buffer[:written]
         except OSError:
-            pass  # a full device or a closed reader: the next line tries again
+            pass  # full device or closed reader; the next line causes another try
 
     def _is_writable(self, timeout: float) -> bool:
         if self._poll is None:
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -21,17 +21,17 @@
 from myrtlehub.relay.settings.platform_limits import platform_limits_of
 from myrtlehub.routing.policy.router import Router
 
-DISCOVERY_MAX_IDLE_S = 5.0  # for which an idle connection to discovery is kept
-# Fraction of the engines' keep-alive time for which idle connections are reused: closer to its end, an engine
-# might close a connection while the next request is on its way.
+DISCOVERY_MAX_IDLE_S = 5.0  # for which an idle connection to discovery stays open
+# Fraction of the engines' keep-alive time for which idle connections are reused. Near the end of that time,
+# an engine might close the connection while a request is in transit.
 REUSE_SHARE = 0.4
-FALLBACK_DELAY_S = 1.0  # from the start, after which the fallback list is used if discovery is silent
+FALLBACK_DELAY_S = 1.0  # from the start until the fallback list is used, if discovery has not answered
 
 Dialer = Callable[[str, float], Dial]
 
 
 class RelayNode:
-    """One node.
+    """One relay node.
 
     Args:
         settings: The node settings.
@@ -43,7 +43,7 @@
         executor_class: The class of the action executor.
 
     Attributes:
-        on_open: Called once, when the node opens to clients.
+        on_open: Called once, when the node starts to accept clients.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         )
 
     def start(self) -> None:
-        """Start following discovery; open once it has answered, or after FALLBACK_DELAY_S."""
+        """Start following discovery; open to clients once it has answered, or after FALLBACK_DELAY_S."""
         self.executor.start()
         self.monitor.start()
         self.discovery.start()
@@ -131,7 +131,7 @@
     def _use_fallback_list(self) -> None:
         """Apply the fallback list of the settings if discovery has not answered, and open.
 
-        It is not applied earlier, because it may be older than discovery's list.
+        It is not applied earlier, because discovery's list may be newer.
         """
         try:
             if not self.discovery.has_answered and self.settings.fallback_list is not None:
@@ -165,11 +165,11 @@
         self.executor.update_endpoints(update.entries, update.is_complete, update.version or None)
 
     def is_busy(self) -> bool:
-        """Return whether a client, an engine or a connection still needs this process.
+        """Return whether a sequence, a client's connection or a release of read state needs this process.
 
-        Each connection of a client counts until it is lost: a partial request may still be completed, a last
-        response may not have been sent, and data that arrives after the process has ended would reset the
-        connection before the client has read its response.
+        Each client's connection counts until it is closed. Its partial request may still be completed, or its
+        last response may not have been sent completely. If data arrived after the process has exited, the
+        connection would be reset before the client has read its response.
         """
         return (
             bool(self.executor.in_flight)
@@ -178,7 +178,7 @@
         )
 
     def measure_lag(self) -> None:
-        """Measure the event loop lag now and periodically; the decoder subtracts it from clients' time."""
+        """Measure the event loop lag now and periodically; see `LagMeter`."""
         now = self.clock.seconds()
         next_tick_at = now + TICK_PERIOD
         try:
--- a/myrtlehub/relay/parsing.py
+++ b/myrtlehub/relay/parsing.py
@@ -30,7 +30,7 @@
     """Parse JSON.
 
     Raises:
-        MalformedJsonError: `data` is not JSON, or its nesting exceeds the recursion limit.
+        MalformedJsonError: `data` is not JSON, or is nested too deeply.
     """
     try:
         return msgspec.json.decode(data)
--- a/myrtlehub/relay/process/bounded_port.py
+++ b/myrtlehub/relay/process/bounded_port.py
@@ -9,16 +9,17 @@
 from myrtlehub.http1.listener import ConnectionListener
 from myrtlehub.relay.process.descriptor_budget import MAX_ACCEPTS_PER_TURN
 
-BACKLOG = 511  # length of the system's accept queue: connections arrive in bursts of hundreds
-RETRY_DELAY_S = 0.02  # after accept() failed for lack of a resource, as an immediate retry would fail too
+BACKLOG = 511  # length of the accept queue, as connections arrive in bursts of hundreds
+RETRY_DELAY_S = 0.02  # after accept() failed for lack of a resource; an immediate retry would fail too
 
 
 class BoundedPort(Port):
     """A port that accepts at most MAX_ACCEPTS_PER_TURN connections per reactor turn.
 
-    Twisted's own port adapts this number to the recent load. A burst can then exhaust the descriptors before
-    the listener closes an unused connection, and for lack of a descriptor Twisted accepts the next connection
-    only to close it, so that a request already sent on it is lost. Here it stays in the system's queue.
+    Twisted's `Port` adapts this number to the recent load. A burst can then exhaust the file descriptors
+    before the listener has closed unused connections. Without a free descriptor, Twisted accepts the next
+    connection and closes it at once, so that a request already sent on it is lost. Here the connection stays
+    in the accept queue.
     """
 
     def __init__(
@@ -34,11 +35,11 @@
         )
         self._listener = listener
         self._clock = clock
-        # Since when connections may have been waiting in the accept queue; None if it was empty.
+        # Time since when connections may have been waiting in the accept queue; None if it was empty.
         self._stalled_since: float | None = None
 
     def doRead(self) -> None:  # noqa: N802
-        """Accept pending connections and tell the listener since when they may have been waiting."""
+        """Accept pending connections, and set the listener's `waiting_since` meanwhile."""
         self._listener.waiting_since = self._stalled_since
         try:
             for _ in range(MAX_ACCEPTS_PER_TURN):
@@ -66,7 +67,7 @@
         protocol.makeConnection(transport)  # type: ignore[no-untyped-call] # Twisted has no annotation
 
     def set_full(self, is_full: bool) -> None:
-        """Pause or resume accepting, as the listener has reached its limit or has capacity again."""
+        """Stop accepting if the listener has reached its connection limit, otherwise accept again."""
         if is_full:
             self.pause()
         else:
@@ -82,13 +83,13 @@
     def resume(self) -> None:
         """Accept again. No effect on a closed port.
 
-        Connections accepted until the queue is empty count as waiting since the pause.
+        All connections that are accepted until the queue is empty count as waiting since the pause.
         """
         if self.connected:
             self.startReading()  # type: ignore[no-untyped-call] # Twisted has no annotation
             self.doRead()
 
     def accept_all(self) -> None:
-        """Accept the whole accept queue: its clients are connected, so their requests need a response."""
+        """Accept all connections in the accept queue: they are established, so they need a response."""
         for _ in range(BACKLOG // MAX_ACCEPTS_PER_TURN + 1):
             self.doRead()
--- a/myrtlehub/relay/process/descriptor_budget.py
+++ b/myrtlehub/relay/process/descriptor_budget.py
@@ -2,18 +2,18 @@
 
 from typing import NamedTuple
 
-# Connections to discovery: while it is silent, one request each 120 ms, each open for up to 2 s.
+# Connections to discovery. While it does not respond, a request is sent every 120 ms and lasts up to 2 s.
 MAX_DISCOVERY_CONNECTIONS = 18
-# Connections accepted per reactor turn; none of them can be closed before the next turn.
+# Connections accepted per reactor turn. The listener cannot close any of them before the next turn.
 MAX_ACCEPTS_PER_TURN = 32
-# Standard streams, selector, wakers, listening port and its spare, settings file, lazily imported modules.
+# For standard streams, selector, wakers, listening port, Twisted's reserve, settings file and late imports.
 PROCESS_DESCRIPTORS = 14
 RESERVED_DESCRIPTORS = MAX_DISCOVERY_CONNECTIONS + MAX_ACCEPTS_PER_TURN + PROCESS_DESCRIPTORS
 
 # Fractions of the descriptors that are not reserved:
-CLIENT_SHARE = 0.47  # clients' connections, lingering ones included; a third may have open requests
-BURST_SHARE = 0.13  # additional new connections of clients, until the listener has closed unused ones
-ENGINE_SHARE = 0.40  # engines: one connection per in-flight request, and those of releases
+CLIENT_SHARE = 0.47  # clients' connections, including lingering ones; a third may have open requests
+BURST_SHARE = 0.13  # new connections of clients beyond that, until the listener has closed unused ones
+ENGINE_SHARE = 0.40  # connections to engines: one per request in flight, and those of releases
 
 
 class DescriptorBudget(NamedTuple):
@@ -31,6 +31,6 @@
 
     @classmethod
     def of(cls, descriptors: int) -> "DescriptorBudget":
-        """Divide the descriptors of a process, less the reserved ones."""
+        """Divide the descriptors of a process, except the reserved ones, among the uses."""
         free = descriptors - RESERVED_DESCRIPTORS
         return cls(int(CLIENT_SHARE * free), int(BURST_SHARE * free), int(ENGINE_SHARE * free))
--- a/myrtlehub/relay/process/graceful_shutdown.py
+++ b/myrtlehub/relay/process/graceful_shutdown.py
@@ -1,21 +1,21 @@
-"""Graceful shutdown on SIGTERM: accept late connections briefly, close unused ones, answer all requests."""
+"""Graceful shutdown on SIGTERM: accept late connections, close unused ones, answer all requests."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 from myrtlehub.clock import Clock
 
-# Time after SIGTERM during which connections are still accepted: the load balancer in front needs as long to
-# stop sending new ones.
+# Time after SIGTERM during which connections are still accepted, because the load balancer may need this long
+# to stop sending new ones.
 ACCEPT_PERIOD_S = 0.5
-IDLE_CHECK_INTERVAL_S = 0.1  # between checks whether the node is still busy
+IDLE_CHECK_INTERVAL_S = 0.1  # between checks of whether the node is still busy
 
 
 class Drainable(Protocol):
     """A set of connections that can be drained."""
 
     def drain(self) -> None:
-        """Close unused connections now and the others after their response; may be called again."""
+        """Close unused connections now, and the others after their response; may be called repeatedly."""
 
 
 class GracefulShutdown:
@@ -24,7 +24,7 @@
     Args:
         clock: Schedules the steps.
         listener: The connections of clients.
-        is_busy: Returns whether a client, an engine or a connection still needs the process.
+        is_busy: Returns whether anything in flight still needs the process; see `RelayNode.is_busy`.
         stop_listening: Closes the port for clients.
         end: Called once, when the node is no longer busy.
     """
@@ -53,7 +53,7 @@
         self.listener.drain()
 
     def _close(self) -> None:
-        # Scheduled first, so that the process also ends if a step below raises.
+        # Scheduled first, so that the process ends even if a step below raises.
         self.clock.callLater(0, self._end_when_idle)
         try:
             self.stop_listening()
@@ -63,9 +63,10 @@
     def _end_when_idle(self) -> None:
         """End the process once nothing is in flight.
 
-        There is no timeout here, because each thing in flight has its own: a sequence its deadline, a partial
-        request REQUEST_TIMEOUT_S, a last response LINGER_TIMEOUT_S, a release RELEASE_TIMEOUT_S, a stream
-        the engine's end or SILENCE_TIMEOUT_S. The platform sends SIGKILL 3.7 s after SIGTERM or later.
+        No timeout is needed here, because everything in flight has its own time limit: sequences have their
+        deadlines, partial requests REQUEST_TIMEOUT_S, last responses LINGER_TIMEOUT_S, and releases
+        RELEASE_TIMEOUT_S. A stream ends when the engine ends it, or after SILENCE_TIMEOUT_S without an event.
+        The platform sends SIGKILL no earlier than 3.7 s after SIGTERM.
         """
         is_busy = True
         try:
--- a/myrtlehub/relay/settings/__init__.py
+++ b/myrtlehub/relay/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The node settings: reading, checking and reloading them."""
+"""Reading, validation and reload of the node settings."""
--- a/myrtlehub/relay/settings/node_settings.py
+++ b/myrtlehub/relay/settings/node_settings.py
@@ -8,7 +8,7 @@
 from myrtlehub.relay.parsing import SocketAddress, parse_address, parse_json
 from myrtlehub.routing import contract
 
-MIN_DESCRIPTORS = 96  # fewest file descriptors that leave some for clients and some for engines
+MIN_DESCRIPTORS = 96  # fewer file descriptors would leave too few for clients and engines
 DEFAULT_DESCRIPTORS = 1024
 SEED_BASE = 16  # the seed is written in hexadecimal
 REQUIRED_KEYS = ("listen", "discovery", "settings")
@@ -19,12 +19,12 @@
 
     Attributes:
         name: Name of the node.
-        listen: Address of the port for clients.
+        listen: Address on which the node listens for clients.
         discovery: HOST:PORT of the discovery service.
         seed: Seed of the node's random generators.
         descriptors: Number of file descriptors that the process may use.
         platform: The platform's settings, in the form of the simulator's first message.
-        fallback_list: The endpoint list to use if discovery does not answer at the start, if any.
+        fallback_list: The endpoint list to use if discovery does not answer at the start, or None.
     """
 
     name: str
--- a/myrtlehub/relay/settings/platform_limits.py
+++ b/myrtlehub/relay/settings/platform_limits.py
@@ -25,7 +25,7 @@
 
 
 def platform_limits_of(settings: NodeSettings) -> PlatformLimits:
-    """Return the limits that the platform's settings state, or their defaults.
+    """Return the limits from the platform's settings; those that are not stated have default values.
 
     Raises:
         SettingsError: A limit is not a number above 0.
--- a/myrtlehub/relay/settings/settings_reload.py
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -10,15 +10,15 @@
 def reload_settings(
     path: str, current: NodeSettings, follow_discovery_at: Callable[[str], None], log: Log
 ) -> None:
-    """Read the settings file again and apply the address of discovery.
+    """Read the settings file again, and apply the address of discovery if the file is valid.
 
-    All other settings take effect at the next start; those that differ from `current` are logged. If the file
-    is invalid, nothing changes.
+    Other settings take effect only at the next start of the node. Those of them that differ from `current`
+    are logged.
 
     Args:
         path: The settings file.
         current: The settings that the node was started with.
-        follow_discovery_at: Called with the HOST:PORT of discovery.
+        follow_discovery_at: Called with the HOST:PORT of the discovery service.
         log: The event log.
     """
     try:
