--- a/myrtlehub/node/drain.py
+++ b/myrtlehub/node/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a node: waits until nothing is in flight, for a bounded time."""
+"""Graceful shutdown of a node: a bounded wait until nothing is in flight and all clients know of it."""
 
 from collections.abc import Sequence
 
@@ -13,20 +13,37 @@
 
 
 class Drain(ExecutorObserver):
-    """Waits for the sequences of all runtimes, and aborts those without an answer after `timeout` seconds."""
+    """Waits for the sequences of all runtimes and for clients' connections, for at most `timeout` seconds.
+
+    A client may send a request before it has read the GOAWAY of its connection. If the process ended then,
+    the client would get no final answer and could not know whether the request ran. So the drain also waits
+    until all connections are closed, each after its client has acknowledged that it opens no more streams.
+    Test: `test_a_request_sent_before_its_client_has_read_the_goaway_is_answered`.
+    """
 
     def __init__(self, clock: Clock, runtimes: Sequence[NodeRuntime], timeout: float) -> None:
         self._clock = clock
         self._runtimes = runtimes
         self._done: Deferred[None] = Deferred()
-        self._limit: Timer | None = clock.callLater(timeout, self._abort_all)
+        self._limit: Timer | None = clock.callLater(timeout, self._on_timeout)
+        self._awaits_connections = True
+
+    def start(self, hands_over: bool, connections_closed: "Deferred[None]") -> None:
+        """Start to wait.
 
-    def start(self, hands_over: bool) -> None:
-        """Start to wait; with `hands_over`, clients that can resume are told to do so at other nodes."""
+        Args:
+            hands_over: whether clients that can resume are told to do so at other nodes.
+            connections_closed: fires once the connections of all clients are closed.
+        """
         for runtime in self._runtimes:
             runtime.executor.add_observer(self)
             if hands_over:
                 runtime.front.hand_over()
+        connections_closed.addCallback(self._on_connections_closed)
+        self._check()
+
+    def _on_connections_closed(self, _result: None) -> None:
+        self._awaits_connections = False
         self._check()
 
     def wait(self) -> "Deferred[None]":
@@ -41,7 +58,9 @@
 
     def _check(self) -> None:
         # A replaced runtime may report more than once that it is idle; the drain ends once.
-        if self._limit is None or not all(runtime.is_idle for runtime in self._runtimes):
+        if self._limit is None or self._awaits_connections:
+            return
+        if not all(runtime.is_idle for runtime in self._runtimes):
             return
         for runtime in self._runtimes:
             runtime.executor.remove_observer(self)
@@ -51,6 +70,9 @@
             limit.cancel()
         self._clock.callLater(FLUSH_DELAY, self._done.callback, None)
 
-    def _abort_all(self) -> None:
+    def _on_timeout(self) -> None:
+        """Abort the sequences without an answer, and wait for no connection any more."""
+        self._awaits_connections = False
         for runtime in self._runtimes:
             runtime.abort_all(ABORT_REASON)
+        self._check()
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -247,11 +247,12 @@
     def _start_drain(self) -> Drain:
         self.is_draining = True
         self.front.is_closed = True
-        self.server.drain()
+        connections_closed = self.server.drain()
         timeout = self.sheet.node.drain_within
         runtimes = self._all_runtimes()
         sequences = sum(len(runtime.executor.in_flight) for runtime in runtimes)
         self.log(LogEvent.DRAINING, in_flight=sequences, timeout_s=timeout)
         drain = Drain(self.clock, runtimes, timeout)
-        drain.start(hands_over=self.replication is not None and self.sheet.engines_may.claims)
+        hands_over = self.replication is not None and self.sheet.engines_may.claims
+        drain.start(hands_over, connections_closed)
         return drain
