--- a/benchmarks/fleet_shape.py
+++ b/benchmarks/fleet_shape.py
@@ -169,7 +169,7 @@
         if fields["prefix"]:
             fields["shared_tokens"] = float(int(prompt * draw.random()))
         if draw.random() < self.resumed_share:
-            fields["state_held_by"] = draw.randrange(engine_count)
+            fields["state_engine"] = draw.randrange(engine_count)
         if draw.random() < self.resumed_share:
             fields["may_have_run_at"] = draw.randrange(engine_count)
             fields["may_have_run_ago"] = draw.random() * 3.0
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -48,7 +48,7 @@
     result = check_model(initial_state(config), ModelTransitions(config), max_depth, max_states)
     extent = "all reachable" if result.is_complete else "cut off"
     click.echo(
-        f"{' '.join(semantics)}: {result.states} states, {result.moves} moves, depth {result.depth}, "
+        f"{' '.join(semantics)}: {result.states} states, {result.steps} moves, depth {result.depth}, "
         f"{extent}, {time.perf_counter() - started_at:.0f} s"
     )
     if result.violation:
--- a/benchmarks/router_dialects.py
+++ b/benchmarks/router_dialects.py
@@ -68,12 +68,14 @@
         "expected_seconds": "expected",
         "is_resumed": "resumed",
         "is_retry": "repeated",
-        "state_held_by": "held_at",
+        "state_engine": "held_at",
         "may_have_run_at": "ran_at",
         "may_have_run_ago": "ran_ago",
     },
     "LoadReport": {},
 }
+# Present field: its name in the typed contract before it was renamed.
+FORMER_FIELDS = {"Arrival": {"state_engine": "state_held_by"}}
 # Fields whose values are enumerations in the typed contract; the older one takes the bare values.
 ENUMERATIONS = {
     "retry_semantics": "RetrySemantics",
@@ -101,7 +103,12 @@
         if type_name == "Arrival" and fields["tenant"] is None:
             fields["tenant"] = self._absent_index
         if self.is_typed:
-            return getattr(self._contract, type_name)(**self._enumerated(fields))
+            kind = getattr(self._contract, type_name)
+            former = FORMER_FIELDS.get(type_name, {})
+            typed_fields = self._enumerated(fields).items()
+            return kind(
+                **{name if name in kind._fields else former[name]: value for name, value in typed_fields}
+            )
         renamed = FIELDS[type_name]
         kind = getattr(self._contract, TYPES.get(type_name, type_name))
         return kind(**{renamed.get(name, name): value for name, value in fields.items()})
--- a/myrtlehub/emulator/claims.py
+++ b/myrtlehub/emulator/claims.py
@@ -131,7 +131,7 @@
     def _report(self, job: Job) -> pb.Stood:
         attempt_state = job.attempt_state
         read_state = None
-        if attempt_state == AttemptState.HOLDS_READ_STATE:
+        if attempt_state == AttemptState.HAS_READ_STATE:
             tokens = self._engine.model.state_tokens(job.work.sequence)
             if tokens:
                 address = self._engine.config.listen
--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -66,7 +66,7 @@
     def _answer_read(self, event: events.PromptRead[Job]) -> None:
         job = event.key
         job.note("held", tokens=event.tokens)
-        job.close(AttemptState.HOLDS_READ_STATE)
+        job.close(AttemptState.HAS_READ_STATE)
         address = self._engine.config.listen
         state = pb.State(engine=address, handle=job.work.sequence, tokens=int(event.tokens))
         reply = pb.ReadReply(
@@ -152,17 +152,17 @@
         job.finish()
 
     def _reject(self, job: Job, is_state_missing: bool) -> None:
-        job.close(AttemptState.REFUSED)
+        job.close(AttemptState.REJECTED)
         job.note("refused", no_state=is_state_missing)
-        refused = pb.Refused(no_state=is_state_missing, load=self._engine.load_with_answer())
+        rejection = pb.Refused(no_state=is_state_missing, load=self._engine.load_with_answer())
         if job.is_batch:
-            refused.model = self._engine.model_name
-            job.send(pb.BatchReply(refused=refused).SerializeToString())
+            rejection.model = self._engine.model_name
+            job.send(pb.BatchReply(refused=rejection).SerializeToString())
             job.finish()
         elif job.is_read:
-            job.read_answer.callback(pb.ReadReply(refused=refused).SerializeToString())
+            job.read_answer.callback(pb.ReadReply(refused=rejection).SerializeToString())
         else:
-            job.send(pb.WriteReply(refused=refused).SerializeToString())
+            job.send(pb.WriteReply(refused=rejection).SerializeToString())
             job.finish()
 
 
--- a/myrtlehub/emulator/faults.py
+++ b/myrtlehub/emulator/faults.py
@@ -9,7 +9,7 @@
     """The kinds of faults; the values are those of `Misbehaviour.how` in the protocol."""
 
     HANG = "hang"
-    REFUSE = "refuse"
+    REJECT = "refuse"
     ERROR = "error"
     SLOW = "slow"
     FLUSH = "flush"
@@ -50,7 +50,7 @@
             self.is_hung = True
         elif kind == FaultKind.SLOW:
             self.slowdown = max(1.0, factor)
-        elif kind == FaultKind.REFUSE:
+        elif kind == FaultKind.REJECT:
             self.rejected_share = factor or 1.0
         elif kind == FaultKind.ERROR:
             self.failed_share = factor or 1.0
--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -74,7 +74,7 @@
     return endpoint.state == EndpointState.DRAINING
 
 
-def is_gone(endpoint: Endpoint) -> bool:
+def is_removed(endpoint: Endpoint) -> bool:
     """Return whether the list names the endpoint only to remove it."""
     return endpoint.state == EndpointState.GONE
 
--- a/myrtlehub/membership/endpoint_source.py
+++ b/myrtlehub/membership/endpoint_source.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, Protocol, TypeAlias
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint import is_gone
+from myrtlehub.membership.endpoint import is_removed
 
 
 class VersionId(NamedTuple):
@@ -84,7 +84,7 @@
         if is_complete:
             self._endpoints.clear()
         self._endpoints.update((endpoint.address, endpoint) for endpoint in endpoints)
-        gone = [address for address, endpoint in self._endpoints.items() if is_gone(endpoint)]
-        for address in gone:
+        removed = [address for address, endpoint in self._endpoints.items() if is_removed(endpoint)]
+        for address in removed:
             del self._endpoints[address]
         self._listener(EndpointListUpdate(list(endpoints), is_complete))
--- a/myrtlehub/membership/list_version.py
+++ b/myrtlehub/membership/list_version.py
@@ -7,7 +7,7 @@
 from immutables import Map
 
 from myrtlehub.config.endpoints import EndpointConfig
-from myrtlehub.membership.endpoint import EndpointState, is_draining, is_gone, with_effective_state
+from myrtlehub.membership.endpoint import EndpointState, is_draining, is_removed, with_effective_state
 
 
 class ListVersion(NamedTuple):
@@ -59,7 +59,7 @@
 
 
 def _effective(endpoints: Iterable[EndpointConfig]) -> list[EndpointConfig]:
-    return [with_effective_state(endpoint) for endpoint in endpoints if not is_gone(endpoint)]
+    return [with_effective_state(endpoint) for endpoint in endpoints if not is_removed(endpoint)]
 
 
 def content_digest(endpoints: Iterable[EndpointConfig]) -> str:
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -49,9 +49,9 @@
             contract.LogNote: self._log_note,
             contract.Forget: self._forget,
             contract.Probe: self._probe,
-            contract.Reserve: self._refuse_action,
-            contract.Migrate: self._refuse_action,
-            contract.Gossip: self._refuse_action,
+            contract.Reserve: self._reject_action,
+            contract.Migrate: self._reject_action,
+            contract.Gossip: self._reject_action,
         }
 
     def _send(self, action: contract.Send) -> None:
@@ -146,12 +146,12 @@
         sequence.attempts = []
         sequence.streaming_attempt = None
 
-    def _refuse_action(self, action: contract.Action) -> None:
+    def _reject_action(self, action: contract.Action) -> None:
         raise ContractViolationError(action)
 
     def _probe(self, action: contract.Probe) -> None:
         if not self.config.may_probe:
-            self._refuse_action(action)
+            self._reject_action(action)
         # The engine may be removed before it responds, and its index must not name another engine until then
         # (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
         self.decoder.engines.mark_used(action.engine)
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -73,7 +73,7 @@
         """Send an abort."""
         self._send_final(pb.GenerateReply(aborted=pb.Aborted(reason=reason)))
 
-    def moved(self) -> None:
+    def migrated(self) -> None:
         """Tell the client to resume at another node, because this one ends; not a final answer."""
         self._send_final(pb.GenerateReply(moved=pb.Moved()))
 
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -231,10 +231,10 @@
         for chat_call in [movable for movable in self._movable_calls if not movable.call.over]:
             if chat_call.takeover is not None:
                 chat_call.takeover.hand_over()
-                chat_call.moved()
+                chat_call.migrated()
             elif chat_call.sequence is not None:
                 sequence = chat_call.sequence
                 support.replication.publisher.release_ownership(sequence.sequence_id)
                 chat_call.sequence = None
-                chat_call.moved()
+                chat_call.migrated()
                 self.executor.hand_over(sequence)
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -71,7 +71,7 @@
 
     def state_changes(self, rows: Sequence[Endpoint], is_complete: bool) -> list[EngineStateChange]:
         """Return the engines whose state a change will change; called before the change is applied."""
-        gone = EndpointState.GONE.value
+        removed_state = EndpointState.GONE.value
         former = {
             row.address: self.rows[self.index_of[row.address]].state
             for row in rows
@@ -80,11 +80,11 @@
         changes = [
             EngineStateChange(row.address, row.state)
             for row in rows
-            if former.get(row.address, gone) != row.state
+            if former.get(row.address, removed_state) != row.state
         ]
         if is_complete:
             removed = set(self.index_of).difference(row.address for row in rows)
-            changes += [EngineStateChange(address, gone) for address in sorted(removed)]
+            changes += [EngineStateChange(address, removed_state) for address in sorted(removed)]
         return changes
 
     def _apply_row(
--- a/myrtlehub/node/engine_transport/write_attempt.py
+++ b/myrtlehub/node/engine_transport/write_attempt.py
@@ -38,7 +38,7 @@
                 tokens=ended.tokens,
             )
         elif which == "refused":
-            refused = reply.refused
+            rejection = reply.refused
             self.executor.ended(
-                self.attempt, contract.Outcome.FULL, float(refused.no_state), load_report_of(refused)
+                self.attempt, contract.Outcome.FULL, float(rejection.no_state), load_report_of(rejection)
             )
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -56,12 +56,12 @@
             may_be_forgotten = now - intent.intended_at + MAX_CLOCK_ERROR > reply.age
             return AttemptReport(intent, AttemptState.UNKNOWN if may_be_forgotten else AttemptState.NEVER_RAN)
         state = AttemptState(row.says)
-        if state == AttemptState.HOLDS_READ_STATE and row.HasField("state"):
+        if state == AttemptState.HAS_READ_STATE and row.HasField("state"):
             self.read_states[intent.engine] = row.state
         return AttemptReport(intent, state, row.tokens, row.first)
 
 
-def is_refused(reply: pb.ClaimReply | None) -> bool:
+def is_rejected(reply: pb.ClaimReply | None) -> bool:
     """Return whether the engine refused the claim, because another node has a higher ownership."""
     return reply is not None and not reply.granted
 
--- a/myrtlehub/node/replication/replica_service.py
+++ b/myrtlehub/node/replication/replica_service.py
@@ -54,7 +54,7 @@
         self.on_abandoned: Callable[[SequenceRecord], None] = lambda record: None
         self.handed_out_count = 0  # records, since the start
         self.server = Server(clock)
-        self.server.add(PEERS_SERVICE + "Keep", unary(self._keep))
+        self.server.add(PEERS_SERVICE + "Keep", unary(self._update_record))
         self.server.add(PEERS_SERVICE + "Take", unary(self._take))
 
     def check_owners(self, now: float) -> None:
@@ -80,7 +80,7 @@
             if transferred is not None:
                 self.on_abandoned(transferred)
 
-    def _keep(self, call: ServerCall, data: bytes) -> bytes:
+    def _update_record(self, call: ServerCall, data: bytes) -> bytes:
         """Serve `Peers.Keep`: a heartbeat, with record updates."""
         request = pb.KeepRequest.FromString(data)
         now = self.clock.seconds()
--- a/myrtlehub/node/replication/retry_arrival.py
+++ b/myrtlehub/node/replication/retry_arrival.py
@@ -25,7 +25,7 @@
     arrival = arrival._replace(time_left=max(0.0, arrival.time_left - (now - started_at)))
     reader = decision.target
     if reader is not None and reader.engine in engine_indices:
-        arrival = arrival._replace(state_held_by=engine_indices[reader.engine])
+        arrival = arrival._replace(state_engine=engine_indices[reader.engine])
     uncertain = decision.uncertain_attempt
     if uncertain is not None and uncertain.engine in engine_indices:
         arrival = arrival._replace(
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -16,7 +16,7 @@
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.replication.attached_stream import attach_to_stream
-from myrtlehub.node.replication.engine_claims import EngineClaims, has_stream, is_refused
+from myrtlehub.node.replication.engine_claims import EngineClaims, has_stream, is_rejected
 from myrtlehub.node.replication.record_fetch import has_record, merge_replies
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.replication.reply_collector import ReplyCollector
@@ -175,7 +175,7 @@
     ) -> None:
         if self.machine.is_final:
             return
-        if any(is_refused(reply) for reply in replies):
+        if any(is_rejected(reply) for reply in replies):
             self.superseded("another node has claimed it")
             return
         reports = claims.reports(replies, self.clock.seconds())
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -42,5 +42,5 @@
             arrival: the arrival of the sequence, as the router's input.
             earlier_attempts: number of attempts of former owners.
             read_state: handle with which a writer fetches the read state from the engine
-                `arrival.state_held_by`; None if there is none.
+                `arrival.state_engine`; None if there is none.
         """
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -78,7 +78,7 @@
             client: takes the response.
             sequence_id: the id that its client or a former owner gave it; without one, the node gives it one.
             earlier_attempts: number of attempts that former owners made.
-            handle: of the read state that `arrival.state_held_by` holds for it.
+            handle: of the read state that `arrival.state_engine` holds for it.
         """
         accepted_at, number = self.clock.seconds(), self._next_number
         sequence_id = sequence_id or self.next_sequence_id()
@@ -86,9 +86,9 @@
         sequence = InFlightSequence(number, sequence_id, request, arrival, client, accepted_at)
         sequence.earlier_attempts = earlier_attempts
         self.in_flight[number] = sequence
-        reader = arrival.state_held_by
+        reader = arrival.state_engine
         if handle is not None and reader is not None:
-            sequence.read_states[reader] = ReadState.already_held(reader, handle)
+            sequence.read_states[reader] = ReadState.read_for_former_owner(reader, handle)
         self.accepted_count += 1
         self._call_router(lambda now: self.router.arrive(now, number, arrival))
         return sequence
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -92,7 +92,7 @@
         self.handle: StateHandle | None = None
 
     @classmethod
-    def already_held(cls, engine: int, handle: StateHandle) -> Self:
+    def read_for_former_owner(cls, engine: int, handle: StateHandle) -> Self:
         """Return a state that a reader holds since a former owner of the sequence sent it the prompt."""
         read_state = cls(engine)
         read_state.state_machine.step(ReadStateEvent.READ_SENT)
--- a/myrtlehub/platform_settings.py
+++ b/myrtlehub/platform_settings.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Mapping
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, TypedDict
 
 from myrtlehub.routing.contract import LoadReport, RetrySemantics, RouterConfig, TrafficType
 
@@ -43,29 +43,16 @@
 
     Unknown keys are ignored, and an absent key means the platform's default.
     """
-    capabilities = settings.get("Caps", {})
     rules = settings.get("Invariants", {})
     specifics = settings.get("Specifics", {})
-    kind_count = len(settings.get("MachineTypes") or [""])
-    duties = specifics.get("DutyByKind") or ["both"] * kind_count
     return RouterConfig(
         seed=seed,
         node=settings.get("Ordinal", 0),
         node_count=settings.get("Balancers", 1),
         zone=_zone_index(settings),
         traffic=_traffic_types(settings, specifics),
-        reads=tuple(duty in READING_DUTIES for duty in duties),
-        writes=tuple(duty in WRITING_DUTIES for duty in duties),
-        memory=tuple(specifics.get("KvTokens") or [0.0] * kind_count),
         quotas=tuple(tenant.get("QuotaPerS", 0.0) for tenant in settings.get("Orgs") or []),
         writers_can_read=specifics.get("SelfPrefill", False),
-        may_reserve=specifics.get("HoldsAllowed", False),
-        may_cancel=capabilities.get("Cancel", False),
-        may_migrate=specifics.get("Resume", False),
-        may_probe=capabilities.get("Probing", False),
-        may_gossip=capabilities.get("Peers", False),
-        may_hedge=capabilities.get("SecondCopies", False),
-        max_attempts=capabilities.get("MostTries", 1),
         state_timeout=_seconds(specifics, "LetGoByMs"),
         drain_grace=_seconds(rules, "DrainGraceMs"),
         cold_share=rules.get("ColdShare", 0.0),
@@ -74,12 +61,59 @@
         overload_window=_seconds(rules, "FallMs"),
         answer_slack=_seconds(rules, "AnswerSlackMs"),
         tick=_seconds(settings, "PeriodMs"),
-        max_retry_after=_seconds(capabilities, "MaxRetryAfterMs") if capabilities.get("RetryAfter") else 0.0,
         over_quota_utility=settings.get("OverShareWorth", 1.0),
         polls_endpoints=settings.get("Discovery") == "ask",
         load_by_probe_only=settings.get("Report", {}).get("How") == "on_probe",
-        connect_timeout=_seconds(capabilities, "ConnectTimeoutMs"),
         probe_price=settings.get("Prices", {}).get("Probe", 0.0),
+        **_engine_kinds(settings, specifics),
+        **_capabilities(settings.get("Caps", {}), specifics),
+    )
+
+
+class _EngineKinds(TypedDict):
+    """The fields of `RouterConfig` that have one value for each kind of engine."""
+
+    reads: tuple[bool, ...]
+    writes: tuple[bool, ...]
+    memory: tuple[float, ...]  # tokens
+
+
+def _engine_kinds(settings: Settings, specifics: Settings) -> _EngineKinds:
+    kind_count = len(settings.get("MachineTypes") or [""])
+    duties = specifics.get("DutyByKind") or ["both"] * kind_count
+    return _EngineKinds(
+        reads=tuple(duty in READING_DUTIES for duty in duties),
+        writes=tuple(duty in WRITING_DUTIES for duty in duties),
+        memory=tuple(specifics.get("KvTokens") or [0.0] * kind_count),
+    )
+
+
+class _Capabilities(TypedDict):
+    """The fields of `RouterConfig` that say what the platform lets a node do, and within which limits."""
+
+    may_reserve: bool
+    may_cancel: bool
+    may_migrate: bool
+    may_probe: bool
+    may_gossip: bool
+    may_hedge: bool
+    max_attempts: int
+    max_retry_after: float  # seconds
+    connect_timeout: float  # seconds
+
+
+def _capabilities(capabilities: Settings, specifics: Settings) -> _Capabilities:
+    may_send_retry_after = capabilities.get("RetryAfter")
+    return _Capabilities(
+        may_reserve=specifics.get("HoldsAllowed", False),
+        may_cancel=capabilities.get("Cancel", False),
+        may_migrate=specifics.get("Resume", False),
+        may_probe=capabilities.get("Probing", False),
+        may_gossip=capabilities.get("Peers", False),
+        may_hedge=capabilities.get("SecondCopies", False),
+        max_attempts=capabilities.get("MostTries", 1),
+        max_retry_after=_seconds(capabilities, "MaxRetryAfterMs") if may_send_retry_after else 0.0,
+        connect_timeout=_seconds(capabilities, "ConnectTimeoutMs"),
     )
 
 
--- a/myrtlehub/recovery/fencing.py
+++ b/myrtlehub/recovery/fencing.py
@@ -21,12 +21,12 @@
 
     NEVER_RAN = "never"  # it was not received, or it ended without any effect
     READING = "reading"
-    HOLDS_READ_STATE = "held"
+    HAS_READ_STATE = "held"
     WAITING = "waiting"
     WRITING = "writing"
     ENDED = "ended"
     STOPPED = "stopped"
-    REFUSED = "refused"
+    REJECTED = "refused"
     UNKNOWN = "unknown"
 
     @classmethod
--- a/myrtlehub/recovery/model/network_steps.py
+++ b/myrtlehub/recovery/model/network_steps.py
@@ -58,7 +58,7 @@
         yield Step(f"engine {sent.engine} refuses attempt {sent.attempt} by {sent.ownership}", without_send)
         return
     fence = engine.fence._replace(ownership=sent.ownership)
-    for attempt_state in (AttemptState.REFUSED, AttemptState.WAITING):
+    for attempt_state in (AttemptState.REJECTED, AttemptState.WAITING):
         attempt = EngineAttempt(sent.attempt, attempt_state, sent.ownership)
         next_engine = engine._replace(fence=fence, attempts=(*engine.attempts, attempt))
         label = f"engine {sent.engine} has attempt {sent.attempt} {attempt_state}"
--- a/myrtlehub/recovery/model/owner_steps.py
+++ b/myrtlehub/recovery/model/owner_steps.py
@@ -93,7 +93,7 @@
         ),
         None,
     )
-    if attempt_state == AttemptState.REFUSED:
+    if attempt_state == AttemptState.REJECTED:
         next_state = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
         yield Step(f"node {index} learns that attempt {intent.attempt} was refused", next_state)
     elif attempt_state == AttemptState.ENDED and engine.fence.ownership <= record.ownership:
@@ -114,15 +114,15 @@
         yield _close_engines(parameters, state, index, owner)
         return
     others_are_idle = all(other.phase == Phase.IDLE for other in state.owners[1:])
-    if others_are_idle and _all_were_refused(state, owner):
+    if others_are_idle and _all_were_rejected(state, owner):
         rejected = state.with_owner(index, owner.finish(Answer.REJECTED))
         yield Step(f"node {index} answers: rejected", rejected)
 
 
-def _all_were_refused(state: ModelState, owner: ModelOwner) -> bool:
+def _all_were_rejected(state: ModelState, owner: ModelOwner) -> bool:
     return all(
         any(
-            row.attempt == intent.attempt and row.state == AttemptState.REFUSED
+            row.attempt == intent.attempt and row.state == AttemptState.REJECTED
             for row in state.engines[index_of(intent.engine)].attempts
         )
         for intent in owner.sequence.record.intents
@@ -136,7 +136,7 @@
     for engine_index in sorted({index_of(intent.engine) for intent in record.intents}):
         engine = state.engines[engine_index]
         fence, is_granted = parameters.claim_fence(engine.fence, record.ownership, True)
-        is_harmless = engine.report(engine_index).state in (AttemptState.NEVER_RAN, AttemptState.REFUSED)
+        is_harmless = engine.report(engine_index).state in (AttemptState.NEVER_RAN, AttemptState.REJECTED)
         nothing_ran = nothing_ran and is_granted and is_harmless
         if is_granted:
             state = state.with_engine(engine_index, engine._replace(fence=fence))
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -133,11 +133,11 @@
         """Return what this engine, whose index is `engine`, reports to a claim."""
         if self.has_restarted:
             return EngineReport(engine, AttemptState.UNKNOWN, None)
-        accepted = [attempt for attempt in self.attempts if attempt.state != AttemptState.REFUSED]
+        accepted = [attempt for attempt in self.attempts if attempt.state != AttemptState.REJECTED]
         if accepted:
             return EngineReport(engine, accepted[-1].state, accepted[-1].attempt)
         if self.attempts:
-            return EngineReport(engine, AttemptState.REFUSED, self.attempts[-1].attempt)
+            return EngineReport(engine, AttemptState.REJECTED, self.attempts[-1].attempt)
         return EngineReport(engine, AttemptState.NEVER_RAN, None)
 
 
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -140,7 +140,7 @@
 
 def _attempt_report(intent: AttemptIntent, report: EngineReport) -> AttemptReport:
     """Return the report of an engine as one about an attempt that was intended there."""
-    states_without_attempt = (AttemptState.NEVER_RAN, AttemptState.UNKNOWN, AttemptState.REFUSED)
+    states_without_attempt = (AttemptState.NEVER_RAN, AttemptState.UNKNOWN, AttemptState.REJECTED)
     if report.state not in states_without_attempt and report.attempt != intent.attempt:
         return AttemptReport(intent, AttemptState.NEVER_RAN)  # the state is that of another attempt
     return AttemptReport(intent, report.state)
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -42,9 +42,9 @@
 STREAMING_STATES = (AttemptState.WAITING, AttemptState.WRITING, AttemptState.ENDED)
 HARMLESS_STATES = (
     AttemptState.NEVER_RAN,
-    AttemptState.REFUSED,
+    AttemptState.REJECTED,
     AttemptState.READING,
-    AttemptState.HOLDS_READ_STATE,
+    AttemptState.HAS_READ_STATE,
 )
 
 
@@ -79,7 +79,7 @@
     reads = [
         report.intent
         for report in reports
-        if report.intent.is_read and report.state == AttemptState.HOLDS_READ_STATE
+        if report.intent.is_read and report.state == AttemptState.HAS_READ_STATE
     ]
     if reads:
         return RecoveryDecision(RecoveryAction.USE_READ_STATE, reads[-1], uncertain_attempt=uncertain_attempt)
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -17,7 +17,7 @@
     RolloutState,
     initial_state,
 )
-from myrtlehub.rollout.states import MOVING_STATES, NodeEvent, NodeState, RolloutEvent, RolloutPhase
+from myrtlehub.rollout.states import CHANGING_STATES, NodeEvent, NodeState, RolloutEvent, RolloutPhase
 from myrtlehub.state.state_machine import InvalidTransitionError
 
 END_PHASES = frozenset({RolloutPhase.COMMITTED, RolloutPhase.ROLLED_BACK, RolloutPhase.STUCK})
@@ -68,11 +68,11 @@
     faults: int = 0
 
 
-class Move(NamedTuple):
-    """A move: one transition of the model, with its result."""
+class ModelStep(NamedTuple):
+    """One transition of the model, with its result."""
 
     label: str
-    state: ModelState  # after the move
+    state: ModelState  # after the step
     violation: str = ""  # the invariant that the state violates; empty if it violates none
 
 
@@ -91,37 +91,39 @@
 
 
 class ModelTransitions:
-    """The possible moves; an instance is called with a state and yields the moves from it."""
+    """The possible steps; an instance is called with a state and yields the steps from it."""
 
     def __init__(self, config: ModelConfig) -> None:
-        """Create the moves of a model with this configuration."""
+        """Create the steps of a model with this configuration."""
         self.config = config
         self.plan = config.plan
 
-    def __call__(self, state: ModelState) -> Iterator[Move]:
-        """Yield all moves from a state."""
+    def __call__(self, state: ModelState) -> Iterator[ModelStep]:
+        """Yield all steps from a state."""
         if state.pending:
             yield self._execute_action(state)
         else:
-            yield from self._status_moves(state)
-            yield from self._timer_moves(state)
-            yield from self._verdict_moves(state)
-        yield from self._process_moves(state)
+            yield from self._status_steps(state)
+            yield from self._timer_steps(state)
+            yield from self._verdict_steps(state)
+        yield from self._process_steps(state)
         if state.faults < self.config.max_faults:
-            yield from self._fault_moves(state)
+            yield from self._fault_steps(state)
 
-    def _apply(self, state: ModelState, node: int, event: NodeEvent | RolloutEvent, label: str = "") -> Move:
+    def _apply(
+        self, state: ModelState, node: int, event: NodeEvent | RolloutEvent, label: str = ""
+    ) -> ModelStep:
         label = label or f"{event} {'' if node == FLEET else node}".strip()
         try:
             result = step(self.plan, state.rollout, node, event)
         except InvalidTransitionError as error:
-            return Move(label, state, f"invalid transition: {error}")
+            return ModelStep(label, state, f"invalid transition: {error}")
         node_actions = tuple(action for action in result.actions if action.node != FLEET)
         after = state._replace(rollout=result.state, pending=state.pending + node_actions)
         return self._checked(label, after)
 
-    def _checked(self, label: str, after: ModelState) -> Move:
-        return Move(label, after, self._violation(after))
+    def _checked(self, label: str, after: ModelState) -> ModelStep:
+        return ModelStep(label, after, self._violation(after))
 
     def _violation(self, state: ModelState) -> str:
         rollout = state.rollout
@@ -145,7 +147,7 @@
             return f"nodes {unavailable} are unavailable by order, {self.plan.max_unavailable} may be"
         return ""
 
-    def _execute_action(self, state: ModelState) -> Move:
+    def _execute_action(self, state: ModelState) -> ModelStep:
         kind, node = state.pending[0]
         after = state._replace(pending=state.pending[1:])
         process = state.processes[node]
@@ -177,25 +179,25 @@
     def _fault_of(self, revision: ModelRevision) -> ProgramFault:
         return self.config.new_fault if revision == NEW else self.config.old_fault
 
-    def _status_moves(self, state: ModelState) -> Iterator[Move]:
+    def _status_steps(self, state: ModelState) -> Iterator[ModelStep]:
         for node, process in enumerate(state.processes):
             event = _status_event(process)
-            move = self._apply(state, node, event, f"{node} is seen {event}")
-            if move.violation or move.state != state:
-                yield move
+            model_step = self._apply(state, node, event, f"{node} is seen {event}")
+            if model_step.violation or model_step.state != state:
+                yield model_step
 
-    def _timer_moves(self, state: ModelState) -> Iterator[Move]:
+    def _timer_steps(self, state: ModelState) -> Iterator[ModelStep]:
         rollout = state.rollout
         for node, node_state in enumerate(rollout.nodes):
             if node_state is NodeState.WARMING:
                 yield self._apply(state, node, NodeEvent.WARMED_UP)
             is_restarting = node_state is NodeState.RESTARTING_OLD
-            if node_state in MOVING_STATES and (state.processes[node].is_up or is_restarting):
+            if node_state in CHANGING_STATES and (state.processes[node].is_up or is_restarting):
                 yield self._apply(state, node, NodeEvent.TIMED_OUT)
         if rollout.phase in (RolloutPhase.CHANGING, RolloutPhase.SETTLING, RolloutPhase.ON_HOLD):
             yield self._apply(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
 
-    def _verdict_moves(self, state: ModelState) -> Iterator[Move]:
+    def _verdict_steps(self, state: ModelState) -> Iterator[ModelStep]:
         is_last = state.rollout.stage == len(self.plan.stages) - 1
         passed = RolloutEvent.LAST_STAGE_PASSED if is_last else RolloutEvent.STAGE_PASSED
         events = {
@@ -207,7 +209,7 @@
         for event in events.get(state.rollout.phase, ()):
             yield self._apply(state, FLEET, event)
 
-    def _process_moves(self, state: ModelState) -> Iterator[Move]:
+    def _process_steps(self, state: ModelState) -> Iterator[ModelStep]:
         for node, process in enumerate(state.processes):
             if process.is_draining:
                 exited = process._replace(is_up=False, is_draining=False, is_own_child=False)
@@ -215,19 +217,21 @@
             never_ready = self._fault_of(process.revision) is ProgramFault.NEVER_READY
             if process.is_up and not process.is_ready and not never_ready:
                 ready = process._replace(is_ready=True)
-                yield Move(f"{node} becomes ready", _with_process(state, node, ready))
+                yield ModelStep(f"{node} becomes ready", _with_process(state, node, ready))
 
-    def _fault_moves(self, state: ModelState) -> Iterator[Move]:
+    def _fault_steps(self, state: ModelState) -> Iterator[ModelStep]:
         faulty = state._replace(faults=state.faults + 1)
         phase = state.rollout.phase
         if phase is not RolloutPhase.PLANNED and phase not in END_PHASES:
             yield self._apply(faulty, FLEET, RolloutEvent.ROLL_BACK, "the operator rolls back")
         orphans = tuple(process._replace(is_own_child=False) for process in faulty.processes)
-        yield Move("the controller is killed and resumed", faulty._replace(pending=(), processes=orphans))
+        yield ModelStep(
+            "the controller is killed and resumed", faulty._replace(pending=(), processes=orphans)
+        )
         for node, process in enumerate(state.processes):
             if process.is_up and not process.is_draining:
                 killed = process._replace(is_up=False, was_killed=True)
-                yield Move(f"{node} is killed", _with_process(faulty, node, killed))
+                yield ModelStep(f"{node} is killed", _with_process(faulty, node, killed))
 
 
 def _status_event(process: ProcessState) -> NodeEvent:
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -21,7 +21,7 @@
 )
 from myrtlehub.rollout.states import (
     CHANGED_STATES,
-    MOVING_STATES,
+    CHANGING_STATES,
     ROLLBACK_STATES,
     NodeEffect,
     NodeEvent,
@@ -190,8 +190,8 @@
         if all(state in _UNCHANGED_STATES for state in self.state.nodes):
             self.apply_rollout_event(RolloutEvent.ALL_ROLLED_BACK)
             return
-        is_moving = any(state in MOVING_STATES for state in self.state.nodes)
-        if self.state.phase is RolloutPhase.ROLLING_BACK and not is_moving:
+        is_changing = any(state in CHANGING_STATES for state in self.state.nodes)
+        if self.state.phase is RolloutPhase.ROLLING_BACK and not is_changing:
             # A node was rolled back, and its old program did not start: rolling back further nodes could lose
             # them as well (test_an_old_program_that_does_not_start_leaves_the_node_stuck_and_reported).
             self.apply_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
--- a/myrtlehub/rollout/rollout_state.py
+++ b/myrtlehub/rollout/rollout_state.py
@@ -7,7 +7,7 @@
 from myrtlehub.rollout.node_table import NODE_TABLE
 from myrtlehub.rollout.rollout_table import ROLLOUT_TABLE
 from myrtlehub.rollout.states import (
-    MOVING_STATES,
+    CHANGING_STATES,
     NodeEvent,
     NodeState,
     RolloutEffect,
@@ -89,8 +89,8 @@
 
 def unavailable_nodes(state: RolloutState) -> set[int]:
     """Return the nodes that may not be serving at present."""
-    moving = {node for node, node_state in enumerate(state.nodes) if node_state in MOVING_STATES}
-    return moving | state.absent
+    changing = {node for node, node_state in enumerate(state.nodes) if node_state in CHANGING_STATES}
+    return changing | state.absent
 
 
 def stage_nodes(plan: RolloutPlan, state: RolloutState) -> tuple[int, ...]:
--- a/myrtlehub/rollout/states.py
+++ b/myrtlehub/rollout/states.py
@@ -106,11 +106,11 @@
 
 
 # A node in one of these states may be unavailable.
-MOVING_STATES = frozenset(
+CHANGING_STATES = frozenset(
     {NodeState.DRAINING, NodeState.STARTING, NodeState.ROLLING_BACK, NodeState.RESTARTING_OLD}
 )
 ROLLBACK_STATES = frozenset({NodeState.ROLLING_BACK, NodeState.RESTARTING_OLD})
 SERVING_STATES = frozenset({NodeState.READY, NodeState.WARMING, NodeState.OBSERVED, NodeState.COMMITTED})
 COMPARED_STATES = frozenset({NodeState.OBSERVED, NodeState.COMMITTED})
 # The change has been ordered for a node in one of these states and may have to be rolled back.
-CHANGED_STATES = MOVING_STATES | SERVING_STATES | {NodeState.FAILED}
+CHANGED_STATES = CHANGING_STATES | SERVING_STATES | {NodeState.FAILED}
--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -86,9 +86,9 @@
         self.table.now = now
         sequence = self.sequences[sequence_id] = self._accept(now, sequence_id, arrival)
         engines = self.table.engines
-        if arrival.state_held_by is not None:  # the former owner of a taken-over sequence had its prompt read
-            sequence.state_holder = engines[arrival.state_held_by]
-            sequence.reader = sequence.state_holder
+        if arrival.state_engine is not None:  # the former owner of a taken-over sequence had its prompt read
+            sequence.state_engine = engines[arrival.state_engine]
+            sequence.reader = sequence.state_engine
             sequence.state_since = now
         if arrival.may_have_run_at is not None:
             sequence.record_possible_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
@@ -119,7 +119,7 @@
         sequence = self.sequences.get(sequence_id)
         if sequence is not None and attempt < len(sequence.attempts):
             sequence.has_begun = True
-            sequence.state_holder = None
+            sequence.state_engine = None
             self._attempt_began(sequence, sequence.attempts[attempt], now, latency)
         return self._finish(now)
 
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -134,7 +134,7 @@
     expected_seconds: float  # rough estimate of the answer's duration; 0.0 if there is none
     is_resumed: bool = False  # the client continues an answer that was interrupted
     is_retry: bool = False  # the client sends it again after a rejection or an abort
-    state_held_by: int | None = None  # engine that holds its read state
+    state_engine: int | None = None  # engine that holds its read state
     may_have_run_at: int | None = None  # engine at which a former attempt may have run
     may_have_run_ago: float = 0.0  # seconds since that attempt was sent
 
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -12,7 +12,7 @@
 from myrtlehub.routing.contract import EngineState
 from myrtlehub.routing.policy.engine_estimates import LEARNING, EngineEstimates
 from myrtlehub.routing.policy.retries import may_run_at
-from myrtlehub.routing.records import Engine, Refusal, Sequence, StartEstimate
+from myrtlehub.routing.records import Engine, NotPlaced, Sequence, StartEstimate
 from myrtlehub.routing.statistics import EstimateError
 
 # Share of a cold engine's overload limit that all nodes together send it on average, so that random peaks
@@ -53,19 +53,19 @@
         rate = self.estimates.arrivals.rate(tenant, self.estimates.now)
         return 0.0 < quota * QUOTA_SKEW < rate - QUOTA_SLACK / LEARNING.rate_half_life
 
-    def gate(self, sequence: Sequence, engine: Engine, now: float) -> Refusal | None:
+    def gate(self, sequence: Sequence, engine: Engine, now: float) -> NotPlaced | None:
         """Check rules 1 to 4 before an attempt at an engine; None lets the attempt pass."""
         attempts_left = self.config.max_attempts - len(sequence.attempts)
         if sequence.is_over or now >= sequence.abandon_at or attempts_left <= 0:
-            return Refusal.GIVE_UP  # rule 1
+            return NotPlaced.GIVE_UP  # rule 1
         if sequence.running_attempts():
-            return Refusal.WAIT
+            return NotPlaced.WAIT
         if not may_run_at(sequence, engine, now, self.config):
-            return Refusal.GIVE_UP  # rule 2
+            return NotPlaced.GIVE_UP  # rule 2
         if engine.state != EngineState.SERVING:
-            return Refusal.WAIT  # rule 3
+            return NotPlaced.WAIT  # rule 3
         if not self.is_in_slow_start_share(engine, sequence, now):
-            return Refusal.WAIT  # rule 4
+            return NotPlaced.WAIT  # rule 4
         return None
 
     def usable(self, engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
@@ -96,14 +96,14 @@
         draw = (sequence.slow_start_draw + engine.hash_seed * GOLDEN_RATIO) % 1.0
         return draw * max(1, len(peers)) < SLOW_START_SHARE * share * config.overload_multiple
 
-    def wait_or_reject(self, sequence: Sequence, now: float) -> Refusal:
+    def wait_or_reject(self, sequence: Sequence, now: float) -> NotPlaced:
         """Let a sequence wait for capacity, or reject it if it is over quota or has waited long.
 
         The rejection comes early enough for the client to retry elsewhere.
         """
         if sequence.is_over_quota or self.has_waited_long(sequence, now):
-            return Refusal.REJECT
-        return Refusal.WAIT
+            return NotPlaced.REJECT
+        return NotPlaced.WAIT
 
     def has_waited_long(self, sequence: Sequence, now: float) -> bool:
         """Return whether a sequence has reached the limit of its wait for a first attempt."""
@@ -127,6 +127,6 @@
             actual = min(now - estimate.made_at, MAX_DELAY_FACTOR * estimate.delay)
             self.delay_error.observe(estimate.delay, actual, MAX_DELAY_WEIGHT, now)
 
-    def holds_state_too_long(self, sequence: Sequence, now: float, share: float) -> bool:
+    def retains_state_too_long(self, sequence: Sequence, now: float, share: float) -> bool:
         """Rule 5: return whether a read state was not fetched within a share of the state timeout."""
         return now > sequence.state_since + share * self.config.state_timeout
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -16,10 +16,10 @@
 from myrtlehub.routing.records import (
     Affinity,
     Engine,
+    NotPlaced,
     PlannedRead,
     ReadEstimate,
     ReadPlan,
-    Refusal,
     Sequence,
 )
 from myrtlehub.routing.statistics import MovingAverages, rendezvous_weight
@@ -77,10 +77,10 @@
             cell: ratio * count / max(1, writers_of_cell[cell]) for cell, count in readers_of_cell.items()
         }
 
-    def place(self, sequence: Sequence, writer: Engine, now: float) -> Engine | Refusal:
+    def place(self, sequence: Sequence, writer: Engine, now: float) -> Engine | NotPlaced:
         """Return the engine for the next attempt: the selected writer, or a reader if the prompt is split."""
         sequence.is_split = False
-        if sequence.state_holder is not None:
+        if sequence.state_engine is not None:
             return writer
         plan = sequence.read_plan or self.plan(sequence, now)
         sequence.read_plan = None
@@ -94,7 +94,7 @@
             return self.admission.wait_or_reject(sequence, now)
         self.admission.expect_start(sequence, delay, now)
         if not read.is_possible:
-            return Refusal.WAIT
+            return NotPlaced.WAIT
         if read.reader is None or self._must_save_attempts(sequence, writer):
             return writer
         sequence.is_split = True
@@ -202,17 +202,17 @@
     def _can_read(self, writer: Engine) -> bool:
         return self.config.reads[writer.kind] or self.config.writers_can_read
 
-    def transfer_time(self, holder: Engine, writer: Engine, sequence: Sequence) -> float:
-        """Return the estimated seconds in which a writer fetches a read state from its holder."""
-        if holder.cell == writer.cell:
+    def transfer_time(self, source: Engine, writer: Engine, sequence: Sequence) -> float:
+        """Return the estimated seconds in which a writer fetches a read state from its source."""
+        if source.cell == writer.cell:
             return 0.0
-        times = self._transfer_times(holder, writer)
-        return sequence.arrival.prompt_tokens * times.get(holder.cell, INITIAL_TRANSFER_TIME)
+        times = self._transfer_times(source, writer)
+        return sequence.arrival.prompt_tokens * times.get(source.cell, INITIAL_TRANSFER_TIME)
 
-    def observe_transfer(self, holder: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
+    def observe_transfer(self, source: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
         """Learn from a transfer of a read state between cells, which took `latency` seconds."""
-        times = self._transfer_times(holder, writer)
-        times.observe(holder.cell, latency / max(MIN_TRANSFER_TOKENS, prompt_tokens), TRANSFER_WEIGHT)
+        times = self._transfer_times(source, writer)
+        times.observe(source.cell, latency / max(MIN_TRANSFER_TOKENS, prompt_tokens), TRANSFER_WEIGHT)
 
-    def _transfer_times(self, holder: Engine, writer: Engine) -> MovingAverages:
-        return self.zone_transfer_times if holder.zone == writer.zone else self.remote_transfer_times
+    def _transfer_times(self, source: Engine, writer: Engine) -> MovingAverages:
+        return self.zone_transfer_times if source.zone == writer.zone else self.remote_transfer_times
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -79,10 +79,10 @@
     if sequence.possible_run is None and not attempt.is_read and outcome not in NOT_RUN:
         sequence.record_possible_run(attempt.engine, attempt.sent_at)
     if outcome == Outcome.READ and attempt.is_read and not sequence.has_begun:
-        sequence.state_holder = attempt.engine
+        sequence.state_engine = attempt.engine
         sequence.state_since = now
     elif outcome == Outcome.FULL and attempt.cached_tokens and not attempt.is_read:
-        sequence.state_holder = None  # the writer found that the reader has lost the state
+        sequence.state_engine = None  # the writer found that the reader has lost the state
     elif outcome not in (Outcome.GENERATED, Outcome.READ, Outcome.UNSENT):
         sequence.failed_engines.add(attempt.engine)
         if outcome != Outcome.UNREACHED:  # a refused connection does not restart the time of a read state
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -1,7 +1,7 @@
 """The router of a node: runs the stages for each sequence, and answers its client when they cannot continue.
 
 A sequence passes three stages before each attempt: writer selection, read placement and the admission gate.
-A stage returns the engine to use, or a `Refusal`: the sequence then waits at this node or ends. When an
+A stage returns the engine to use, or a `NotPlaced`: the sequence then waits at this node or ends. When an
 attempt ends, the router first learns from it, and then ends the sequence or runs the stages again.
 """
 
@@ -16,7 +16,7 @@
 from myrtlehub.routing.policy.read_placement import ReadPlacement
 from myrtlehub.routing.policy.writer_selection import WriterSelection
 from myrtlehub.routing.prompt_cache import NO_ENTRY
-from myrtlehub.routing.records import Affinity, Attempt, Engine, Refusal, Sequence
+from myrtlehub.routing.records import Affinity, Attempt, Engine, NotPlaced, Sequence
 
 ANSWER_TICKS = 2  # multiple of the timers' lateness by which the final answer precedes the abandon time
 MIN_ANSWER_MARGIN = 0.004  # seconds by which it does so at least, to reach the client in time
@@ -96,27 +96,27 @@
         result = self._run_stages(sequence, now)
         if isinstance(result, Engine):
             self._send(sequence, result, now)
-        elif result is Refusal.WAIT:
+        elif result is NotPlaced.WAIT:
             self.waiting[sequence.id] = sequence
             if sequence.attempts and not sequence.running_attempts():
                 self._release_expired_state(sequence, now, admission.STATE_TIMEOUT_SHARE)
         else:
-            self._give_up(sequence, self.config.max_retry_after if result is Refusal.REJECT else 0.0)
+            self._give_up(sequence, self.config.max_retry_after if result is NotPlaced.REJECT else 0.0)
 
-    def _run_stages(self, sequence: Sequence, now: float) -> Engine | Refusal:
+    def _run_stages(self, sequence: Sequence, now: float) -> Engine | NotPlaced:
         """Return the engine for the next attempt, or the refusal of the first stage that does not pass."""
         writer = self.writers.select(sequence, now)
-        if isinstance(writer, Refusal):
+        if isinstance(writer, NotPlaced):
             return writer
         engine = self.reads.place(sequence, writer, now)
-        if isinstance(engine, Refusal):
+        if isinstance(engine, NotPlaced):
             return engine
         return self.admission.gate(sequence, engine, now) or engine
 
     def _release_expired_state(self, sequence: Sequence, now: float, share: float) -> None:
-        if self.admission.holds_state_too_long(sequence, now, share):
+        if self.admission.retains_state_too_long(sequence, now, share):
             self.actions.append(contract.Release(sequence.id))
-            sequence.state_holder = None
+            sequence.state_engine = None
             sequence.state_since = float("inf")
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
@@ -135,7 +135,7 @@
 
     def _new_attempt(self, sequence: Sequence, engine: Engine, now: float) -> Attempt:
         arrival, is_read = sequence.arrival, sequence.is_split
-        has_state = sequence.state_holder is not None
+        has_state = sequence.state_engine is not None
         cached = NO_ENTRY if has_state else engine.cache.find(arrival, now)
         affinity = sequence.affinity.get(engine, Affinity.OTHER) if is_read else Affinity.OTHER
         estimated = self.reads.hit_rates.estimated_tokens(arrival)[affinity] if is_read else 0.0
@@ -155,15 +155,15 @@
         )
 
     def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
-        writer, holder = attempt.engine, sequence.reader
+        writer, source = attempt.engine, sequence.reader
         # Where load reports include memory, they cover the sequence from now on; elsewhere it stays assigned.
         is_reported = writer.kind in self.estimates.usual_memory
         self.estimates.assign(sequence, None if is_reported else sequence.assigned_to)
         self.admission.observe_start(sequence, now)
         was_transferred = False
-        if attempt.fetches_state and holder is not None and holder.cell != writer.cell:
+        if attempt.fetches_state and source is not None and source.cell != writer.cell:
             was_transferred = True
-            self.reads.observe_transfer(holder, writer, sequence.arrival.prompt_tokens, latency)
+            self.reads.observe_transfer(source, writer, sequence.arrival.prompt_tokens, latency)
         self.estimates.attempt_began(attempt, latency, was_transferred)
 
     def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
@@ -207,7 +207,7 @@
         if sequence.running_attempts():
             return
         has_read = any(attempt.is_read for attempt in sequence.attempts)
-        if sequence.arrival.state_held_by is not None or has_read:
+        if sequence.arrival.state_engine is not None or has_read:
             self.actions.append(contract.Release(sequence.id))
         self.actions.append(contract.Forget(sequence.id))
         self.sequences.pop(sequence.id, None)
--- a/myrtlehub/routing/policy/writer_selection.py
+++ b/myrtlehub/routing/policy/writer_selection.py
@@ -9,7 +9,7 @@
 from myrtlehub.routing.policy.engine_estimates import LEARNING, EngineEstimates
 from myrtlehub.routing.policy.read_placement import ReadPlacement
 from myrtlehub.routing.policy.retries import prefer_accepting
-from myrtlehub.routing.records import Engine, ReadPlan, Refusal, Sequence
+from myrtlehub.routing.records import Engine, NotPlaced, ReadPlan, Sequence
 
 FREE_TOKENS = 20000.0  # cached tokens that outweigh the difference between an empty and a full writer
 ZONE_TOKENS = 500.0  # cached tokens that outweigh a writer's being in this node's zone
@@ -34,7 +34,7 @@
         self.reads = reads
         self.random = reads.random
 
-    def select(self, sequence: Sequence, now: float) -> Engine | Refusal:
+    def select(self, sequence: Sequence, now: float) -> Engine | NotPlaced:
         """Return the writer of a sequence: the one selected before while it is usable, else the best one."""
         if (writer := self._retained_writer(sequence, now)) is not None:
             return writer
@@ -46,10 +46,10 @@
         if not free and candidates is not self.estimates.writers:
             return self.select(sequence, now)  # among all writers
         if not usable:
-            return Refusal.WAIT
+            return NotPlaced.WAIT
         if not free and not sequence.attempts:
             return self.admission.wait_or_reject(sequence, now)
-        sequence.read_plan = None if sequence.state_holder is not None else self.reads.plan(sequence, now)
+        sequence.read_plan = None if sequence.state_engine is not None else self.reads.plan(sequence, now)
         score = self.score(sequence, sequence.read_plan or NO_READS, now)
         sequence.writer = max(free or usable, key=score)
         return sequence.writer
@@ -74,13 +74,13 @@
     def score(self, sequence: Sequence, plan: ReadPlan, now: float) -> Callable[[Engine], float]:
         """Return the function that scores writers for a sequence, in cached tokens; the highest is best."""
         config, estimates, reads, random = self.config, self.estimates, self.reads, self.random
-        arrival, holder = sequence.arrival, sequence.state_holder
+        arrival, source = sequence.arrival, sequence.state_engine
         near_factor = NEAR_CACHE_FACTOR if config.load_by_probe_only else 0.0
 
         def score(writer: Engine) -> float:
             cached = writer.cache.find(arrival, now).tokens
-            if holder is not None:
-                delay = reads.transfer_time(holder, writer, sequence)
+            if source is not None:
+                delay = reads.transfer_time(source, writer, sequence)
             else:
                 delay = reads.choose(writer, sequence, plan, arrival.prompt_tokens - cached, now).seconds
             near_read = plan.by_cell.get(writer.cell)
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -14,12 +14,12 @@
 NEVER = float("-inf")  # a time before all others
 
 
-class Refusal(Enum):
-    """Why a stage does not let a sequence be sent now, and what follows from it."""
+class NotPlaced(Enum):
+    """What happens to a sequence that a placement stage does not let be sent now."""
 
     WAIT = "wait"  # the sequence waits at this node and is placed again later
-    REJECT = "reject"  # no capacity: the sequence ends, and its client may be told when to retry
-    GIVE_UP = "give-up"  # the sequence ends, and its client is not told when to retry
+    REJECT = "reject"  # no capacity: the sequence ends, and its client may be sent a Retry-After
+    GIVE_UP = "give-up"  # the sequence ends, and its client is sent no Retry-After
 
 
 class Affinity(IntEnum):
@@ -190,7 +190,7 @@
     is_split: bool = False  # an engine other than its writer reads the prompt
     read_plan: ReadPlan | None = None  # passed from writer selection to read placement
     affinity: dict[Engine, Affinity] = field(default_factory=dict)  # of readers; those missing are OTHER
-    state_holder: Engine | None = None  # the engine that has its read state
+    state_engine: Engine | None = None  # the engine that has its read state
     # When the time of a read state at an engine began to count: 0.0 before any attempt ended in a way that
     # may have left one, inf once it was released.
     state_since: float = 0.0
--- a/myrtlehub/state/__init__.py
+++ b/myrtlehub/state/__init__.py
@@ -6,8 +6,8 @@
     invariants         what has to hold whenever a node sends, closes, answers or forgets
     model              the model: nodes, engines, sequences, a network
     model_router, model_client, model_engine, model_node, model_faults
-                       the moves of the model, by who makes them, over the steps in model_steps
-    model_transitions  all moves together
+                       the steps of the model, by who makes them, over the functions in model_steps
+    model_transitions  all steps together
     model_checker      the exhaustive search, which other models use as well
 
 A router decides what to do next; the tables state what is known and what may happen. The tables of takeovers
--- a/myrtlehub/state/invariants.py
+++ b/myrtlehub/state/invariants.py
@@ -55,7 +55,7 @@
         (facts.may_run, Invariant.MAY_RUN),
         (facts.is_in_slow_start_share, Invariant.SLOW_START),
     )
-    return next((invariant for holds, invariant in verdicts if not holds), None)
+    return next((invariant for is_satisfied, invariant in verdicts if not is_satisfied), None)
 
 
 def broken_by_close(has_open_request: bool) -> Invariant | None:
--- a/myrtlehub/state/model.py
+++ b/myrtlehub/state/model.py
@@ -97,7 +97,7 @@
         return (attempt for attempt in self.attempts if not config.is_reader(attempt.engine))
 
 
-class HeldState(NamedTuple):
+class RetainedState(NamedTuple):
     """A read state that a reader actually holds for a submission."""
 
     reader: int
@@ -116,7 +116,7 @@
 
     submissions: tuple[ModelSubmission, ...]
     engines_up: tuple[bool, ...]
-    held_states: frozenset[HeldState] = frozenset()
+    retained_states: frozenset[RetainedState] = frozenset()
     known_drains: frozenset[KnownDrain] = frozenset()
     cold_engines: frozenset[int] = frozenset()  # in slow start
     cold_sends: int = 0  # attempts that were sent to engines in slow start
@@ -144,7 +144,7 @@
         )
 
 
-class Move(NamedTuple):
+class ModelStep(NamedTuple):
     """One event that can happen next."""
 
     label: str
--- a/myrtlehub/state/model_checker.py
+++ b/myrtlehub/state/model_checker.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple, TypeAlias, TypeVar
 
 StateT = TypeVar("StateT", bound=Hashable)
-# Returns the moves from a state. Each has a label, the state after it and the rule that it violates; None or
+# Returns the steps from a state. Each has a label, the state after it and the rule that it violates; None or
 # "" if it violates none.
-Moves: TypeAlias = Callable[[StateT], Iterable[tuple[str, StateT, str | None]]]
-# Maps each visited state to its predecessor and the label of the move from there; the initial one to None.
+Steps: TypeAlias = Callable[[StateT], Iterable[tuple[str, StateT, str | None]]]
+# Maps each visited state to its predecessor and the label of the step from there; the initial one to None.
 _Parents: TypeAlias = dict[StateT, tuple[StateT, str] | None]
 
 DEFAULT_MAX_STATES = 10_000_000  # per search, because all visited states are kept in memory
@@ -21,32 +21,32 @@
     """The extent and the result of a search."""
 
     states: int
-    moves: int
-    depth: int  # moves from the initial state to the deepest state visited
+    steps: int
+    depth: int  # steps from the initial state to the deepest state visited
     is_complete: bool  # every reachable state was visited
     violation: str | None
-    trace: tuple[str, ...]  # labels of the moves from the initial state to the violation
+    trace: tuple[str, ...]  # labels of the steps from the initial state to the violation
 
 
-class UnknownMoveError(KeyError):
-    """A trace names a move that the model does not offer in the state reached."""
+class UnknownStepError(KeyError):
+    """A trace names a step that the model does not offer in the state reached."""
 
 
 def check_model(
-    initial: StateT, moves: Moves[StateT], max_depth: int, max_states: int = DEFAULT_MAX_STATES
+    initial: StateT, steps: Steps[StateT], max_depth: int, max_states: int = DEFAULT_MAX_STATES
 ) -> CheckResult:
     """Visit all states within a depth, up to a number of states, and stop at the first violation."""
     parents: _Parents[StateT] = {initial: None}
     queue: deque[tuple[StateT, int]] = deque([(initial, 0)])
-    move_count, deepest, is_complete = 0, 0, True
+    step_count, deepest, is_complete = 0, 0, True
     while queue:
         state, depth = queue.popleft()
         deepest = max(deepest, depth)
-        for label, next_state, violation in moves(state):
-            move_count += 1
+        for label, next_state, violation in steps(state):
+            step_count += 1
             if violation:
                 trace = (*_trace_to(parents, state), label)
-                return CheckResult(len(parents), move_count, depth + 1, False, violation, trace)
+                return CheckResult(len(parents), step_count, depth + 1, False, violation, trace)
             if next_state in parents:
                 continue
             if depth + 1 > max_depth or len(parents) >= max_states:
@@ -54,7 +54,7 @@
                 continue
             parents[next_state] = (state, label)
             queue.append((next_state, depth + 1))
-    return CheckResult(len(parents), move_count, deepest, is_complete, None, ())
+    return CheckResult(len(parents), step_count, deepest, is_complete, None, ())
 
 
 def _trace_to(parents: _Parents[StateT], state: StateT) -> tuple[str, ...]:
@@ -65,17 +65,17 @@
     return tuple(reversed(labels))
 
 
-def replay(initial: StateT, moves: Moves[StateT], trace: Iterable[str]) -> tuple[StateT, str | None]:
-    """Replay a trace of move labels; return the final state and the rule that the last move violates, if any.
+def replay(initial: StateT, steps: Steps[StateT], trace: Iterable[str]) -> tuple[StateT, str | None]:
+    """Replay a trace of step labels; return the final state and the rule that the last step violates, if any.
 
     Raises:
-        UnknownMoveError: no move with the next label is possible in the state reached.
+        UnknownStepError: no step with the next label is possible in the state reached.
     """
     state: StateT = initial
     violation: str | None = None
     for label in trace:
-        moves_by_label = {found: (next_state, broken) for found, next_state, broken in moves(state)}
-        if label not in moves_by_label:
-            raise UnknownMoveError(label)
-        state, violation = moves_by_label[label]
+        steps_by_label = {found: (next_state, broken) for found, next_state, broken in steps(state)}
+        if label not in steps_by_label:
+            raise UnknownStepError(label)
+        state, violation = steps_by_label[label]
     return state, violation
--- a/myrtlehub/state/model_client.py
+++ b/myrtlehub/state/model_client.py
@@ -1,15 +1,15 @@
-"""Moves of the model: clients that disconnect, deadlines that pass, clients that retry."""
+"""Steps of the model: clients that disconnect, deadlines that pass, clients that retry."""
 
 from collections.abc import Iterator
 
 from myrtlehub.routing.contract import RetrySemantics
 from myrtlehub.state.answer import AnswerEvent, AnswerState
 from myrtlehub.state.attempt import may_have_run
-from myrtlehub.state.model import ModelConfig, ModelState, Move
+from myrtlehub.state.model import ModelConfig, ModelState, ModelStep
 from myrtlehub.state.model_steps import answer_client
 
 
-def client_moves(config: ModelConfig, model: ModelState, index: int) -> Iterator[Move]:
+def client_steps(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
     """Iterate over what a client and the clock may do to a submission."""
     submission = model.submissions[index]
     semantics = config.semantics[submission.sequence]
@@ -27,10 +27,12 @@
         and submission.attempts
     ):
         expired = model.expired_windows | {submission.sequence}
-        yield Move(f"dedup window of {submission.sequence} ends", model._replace(expired_windows=expired))
+        yield ModelStep(
+            f"dedup window of {submission.sequence} ends", model._replace(expired_windows=expired)
+        )
 
 
-def client_retries(config: ModelConfig, model: ModelState, index: int) -> Iterator[Move]:
+def client_retries(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
     """Iterate over the retry of a client that may send its request again, to the next node."""
     submission = model.submissions[index]
     is_idempotent = config.semantics[submission.sequence] == RetrySemantics.IDEMPOTENT
@@ -41,4 +43,4 @@
     is_last = same_sequence[-1] is submission
     if may_retry and is_last and len(same_sequence) < config.max_submissions:
         retry = config.new_submission(submission.sequence, (submission.node + 1) % config.nodes)
-        yield Move(f"client of {index} retries", model._replace(submissions=(*model.submissions, retry)))
+        yield ModelStep(f"client of {index} retries", model._replace(submissions=(*model.submissions, retry)))
--- a/myrtlehub/state/model_engine.py
+++ b/myrtlehub/state/model_engine.py
@@ -1,9 +1,9 @@
-"""Moves of the model: what happens to an attempt at its engine."""
+"""Steps of the model: what happens to an attempt at its engine."""
 
 from collections.abc import Iterator
 
 from myrtlehub.routing.contract import RetrySemantics
-from myrtlehub.state.model import ActualState, HeldState, ModelConfig, ModelState, Move
+from myrtlehub.state.model import ActualState, ModelConfig, ModelState, ModelStep, RetainedState
 from myrtlehub.state.model_steps import reset_attempt
 
 _RESETTABLE_STATES = (
@@ -14,25 +14,25 @@
 )
 
 
-def engine_moves(config: ModelConfig, model: ModelState, index: int, number: int) -> Iterator[Move]:
+def engine_steps(config: ModelConfig, model: ModelState, index: int, number: int) -> Iterator[ModelStep]:
     """Iterate over what may happen next to an attempt at its engine."""
     name, attempt = f"{index}.{number}", model.submissions[index].attempts[number]
     if attempt.is_reset_pending and attempt.is_connected and attempt.actual_state in _RESETTABLE_STATES:
-        yield Move(f"reset of {name} arrives", reset_attempt(model, index, number))
+        yield ModelStep(f"reset of {name} arrives", reset_attempt(model, index, number))
     if not model.engines_up[attempt.engine]:
         return
     if attempt.actual_state == ActualState.IN_TRANSIT and attempt.is_connected:
         before = _apply_earlier_resets(model, index, number)
         arrived = attempt._replace(actual_state=ActualState.ARRIVED)
-        yield Move(f"{name} arrives", before.with_attempt(index, number, arrived))
+        yield ModelStep(f"{name} arrives", before.with_attempt(index, number, arrived))
         rejected = attempt._replace(actual_state=ActualState.REJECTED)
-        yield Move(f"{name} is rejected", before.with_attempt(index, number, rejected))
+        yield ModelStep(f"{name} is rejected", before.with_attempt(index, number, rejected))
     if attempt.actual_state != ActualState.ARRIVED:
         return
     if config.is_reader(attempt.engine):
         read = model.with_attempt(index, number, attempt._replace(actual_state=ActualState.READ))
-        held_states = model.held_states | {HeldState(attempt.engine, index)}
-        yield Move(f"{name} is read", read._replace(held_states=held_states))
+        retained_states = model.retained_states | {RetainedState(attempt.engine, index)}
+        yield ModelStep(f"{name} is read", read._replace(retained_states=retained_states))
     else:
         yield _run_write(config, model, index, number)
 
@@ -47,19 +47,19 @@
     return model
 
 
-def _run_write(config: ModelConfig, model: ModelState, index: int, number: int) -> Move:
+def _run_write(config: ModelConfig, model: ModelState, index: int, number: int) -> ModelStep:
     name, submission = f"{index}.{number}", model.submissions[index]
     attempt = submission.attempts[number]
-    held_states = model.held_states
+    retained_states = model.retained_states
     if attempt.claimed_reader is not None:
-        claimed_state = HeldState(attempt.claimed_reader, index)
-        if claimed_state not in held_states:
+        claimed_state = RetainedState(attempt.claimed_reader, index)
+        if claimed_state not in retained_states:
             missing = attempt._replace(actual_state=ActualState.STATE_MISSING)
-            return Move(f"{name} finds no state", model.with_attempt(index, number, missing))
-        held_states = held_states - {claimed_state}
+            return ModelStep(f"{name} finds no state", model.with_attempt(index, number, missing))
+        retained_states = retained_states - {claimed_state}
     running = model.with_attempt(index, number, attempt._replace(actual_state=ActualState.RUNNING))
-    running = running._replace(held_states=held_states)
+    running = running._replace(retained_states=retained_states)
     is_at_most_once = config.semantics[submission.sequence] == RetrySemantics.AT_MOST_ONCE
     has_run_twice = is_at_most_once and running.count_effects(config, submission.sequence) > 1
     violation = f"rule 2: at-most-once {submission.sequence} ran twice" if has_run_twice else None
-    return Move(f"{name} runs", running, violation)
+    return ModelStep(f"{name} runs", running, violation)
--- a/myrtlehub/state/model_faults.py
+++ b/myrtlehub/state/model_faults.py
@@ -1,8 +1,8 @@
-"""Moves of the model: crashes, restarts, drains, broken connections and killed nodes."""
+"""Steps of the model: crashes, restarts, drains, broken connections and killed nodes."""
 
 from collections.abc import Iterator
 
-from myrtlehub.state.model import ActualState, KnownDrain, ModelConfig, ModelState, Move
+from myrtlehub.state.model import ActualState, KnownDrain, ModelConfig, ModelState, ModelStep
 from myrtlehub.state.model_steps import replace_item, reset_attempt
 
 _AFTER_CRASH = {  # responses that the engine had not delivered are lost
@@ -20,7 +20,7 @@
 }
 
 
-def fault_moves(config: ModelConfig, model: ModelState) -> Iterator[Move]:
+def fault_steps(config: ModelConfig, model: ModelState) -> Iterator[ModelStep]:
     """Iterate over all faults that may happen next."""
     if model.fault_count >= config.max_faults:
         return
@@ -31,32 +31,32 @@
     yield from _disconnects(counted)
     for node in range(config.nodes):
         if any(submission.node == node and not submission.is_lost for submission in model.submissions):
-            yield Move(f"node {node} is killed", _kill_node(counted, node))
+            yield ModelStep(f"node {node} is killed", _kill_node(counted, node))
 
 
-def _crash_or_restart(config: ModelConfig, model: ModelState, engine: int) -> Move:
+def _crash_or_restart(config: ModelConfig, model: ModelState, engine: int) -> ModelStep:
     is_up = model.engines_up[engine]
     changed = model._replace(engines_up=replace_item(model.engines_up, engine, not is_up))
     if is_up:
-        return Move(f"engine {engine} crashes", _crash_engine(changed, engine))
+        return ModelStep(f"engine {engine} crashes", _crash_engine(changed, engine))
     if not config.is_reader(engine):
         changed = changed._replace(cold_engines=changed.cold_engines | {engine})
-    return Move(f"engine {engine} restarts, cold", changed)
+    return ModelStep(f"engine {engine} restarts, cold", changed)
 
 
-def _drains(config: ModelConfig, model: ModelState, engine: int) -> Iterator[Move]:
+def _drains(config: ModelConfig, model: ModelState, engine: int) -> Iterator[ModelStep]:
     for node in range(config.nodes):
         drain = KnownDrain(node, engine)
         if drain not in model.known_drains:
             drained = model._replace(known_drains=model.known_drains | {drain})
-            yield Move(f"node {node} learns that {engine} drains", drained)
+            yield ModelStep(f"node {node} learns that {engine} drains", drained)
 
 
-def _disconnects(model: ModelState) -> Iterator[Move]:
+def _disconnects(model: ModelState) -> Iterator[ModelStep]:
     for index, submission in enumerate(model.submissions):
         for number, attempt in enumerate(submission.attempts):
             if attempt.is_connected and attempt.is_outstanding and not submission.is_lost:
-                yield Move(f"connection of {index}.{number} breaks", _disconnect(model, index, number))
+                yield ModelStep(f"connection of {index}.{number} breaks", _disconnect(model, index, number))
 
 
 def _crash_engine(model: ModelState, engine: int) -> ModelState:
@@ -68,8 +68,8 @@
                     is_connected=attempt.actual_state == ActualState.IN_TRANSIT,
                 )
                 model = model.with_attempt(index, number, crashed)
-    held_states = frozenset(held for held in model.held_states if held.reader != engine)
-    return model._replace(held_states=held_states)
+    retained_states = frozenset(retained for retained in model.retained_states if retained.reader != engine)
+    return model._replace(retained_states=retained_states)
 
 
 def _disconnect(model: ModelState, index: int, number: int) -> ModelState:
@@ -87,5 +87,7 @@
                 model = reset_attempt(_disconnect(model, index, number), index, number)
             model = model.with_submission(index, model.submissions[index]._replace(is_lost=True))
     # Engines stop when the node's connections break; they free the read states after a timeout of their own.
-    held_states = frozenset(held for held in model.held_states if held.submission not in lost)
-    return model._replace(held_states=held_states)
+    retained_states = frozenset(
+        retained for retained in model.retained_states if retained.submission not in lost
+    )
+    return model._replace(retained_states=retained_states)
--- a/myrtlehub/state/model_router.py
+++ b/myrtlehub/state/model_router.py
@@ -1,4 +1,4 @@
-"""Moves of the model: a router's decisions, which are all sends and final answers that the tables allow."""
+"""Steps of the model: a router's decisions, which are all sends and final answers that the tables allow."""
 
 from collections.abc import Iterator
 
@@ -11,15 +11,15 @@
     ModelAttempt,
     ModelConfig,
     ModelState,
+    ModelStep,
     ModelSubmission,
-    Move,
 )
 from myrtlehub.state.model_steps import answer_client, replace_item, step
 from myrtlehub.state.read_state import CLAIMABLE_STATUSES, ReadStateEvent
 from myrtlehub.state.state_machine import CommonEffect
 
 
-def router_moves(config: ModelConfig, model: ModelState, index: int) -> Iterator[Move]:
+def router_steps(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
     """Iterate over the decisions that a router may make for a submission."""
     submission = model.submissions[index]
     if submission.answer != AnswerState.PENDING:
@@ -37,7 +37,7 @@
     return may_have_run(attempt.known_state for attempt in submission.writes(config))
 
 
-def _sends(config: ModelConfig, model: ModelState, index: int) -> Iterator[Move]:
+def _sends(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
     submission = model.submissions[index]
     for engine in range(len(model.engines_up)):
         if KnownDrain(submission.node, engine) in model.known_drains:
@@ -65,7 +65,7 @@
     return engine == first.engine and submission.sequence not in model.expired_windows
 
 
-def _send(config: ModelConfig, model: ModelState, index: int, engine: int) -> Move:
+def _send(config: ModelConfig, model: ModelState, index: int, engine: int) -> ModelStep:
     submission = model.submissions[index]
     violation: str | None = None
     read_states, claimed_reader = submission.read_states, None
@@ -93,12 +93,12 @@
 
 def _checked_send(
     config: ModelConfig, model: ModelState, index: int, engine: int, violation: str | None
-) -> Move:
-    """Return the move of a send that was made, after checking the rules on draining and cold engines."""
+) -> ModelStep:
+    """Return the step of a send that was made, after checking the rules on draining and cold engines."""
     if KnownDrain(model.submissions[index].node, engine) in model.known_drains:
         violation = "rule 3: sent to a draining engine"
     if engine in model.cold_engines:
         model = model._replace(cold_sends=model.cold_sends + 1)
         if model.cold_sends > (len(config.semantics) + 1) // 2 * config.max_attempts:
             violation = "rule 4: an engine in slow start got more than its share"
-    return Move(f"send {index} to {engine}", model, violation)
+    return ModelStep(f"send {index} to {engine}", model, violation)
--- a/myrtlehub/state/model_steps.py
+++ b/myrtlehub/state/model_steps.py
@@ -1,4 +1,4 @@
-"""Steps that several kinds of moves of the model have in common."""
+"""Parts that several kinds of steps of the model have in common."""
 
 from typing import NamedTuple, TypeVar
 
@@ -12,7 +12,7 @@
     ModelAttempt,
     ModelConfig,
     ModelState,
-    Move,
+    ModelStep,
 )
 from myrtlehub.state.read_state import ReadStateEvent, event_of_read_end, event_of_write_end
 from myrtlehub.state.state_machine import CommonEffect, EventT, StateT, Transition, TransitionTable
@@ -43,20 +43,22 @@
     return (*items[:index], item, *items[index + 1 :])
 
 
-def answer_client(config: ModelConfig, model: ModelState, index: int, event: AnswerEvent, label: str) -> Move:
+def answer_client(
+    config: ModelConfig, model: ModelState, index: int, event: AnswerEvent, label: str
+) -> ModelStep:
     """Give a submission its final answer, and cancel its outstanding attempts."""
     submission = model.submissions[index]
     answer = step(config.answer_table, submission.answer, event).next_state
     if answer == submission.answer:
         violation = f"rule 1: {event} left sequence {submission.sequence} unanswered"
-        return Move(label, model, violation if answer == AnswerState.PENDING else None)
+        return ModelStep(label, model, violation if answer == AnswerState.PENDING else None)
     model = model.with_submission(index, submission._replace(answer=answer))
     if answer == AnswerState.REJECTED and config.semantics[submission.sequence] != RetrySemantics.IDEMPOTENT:
         unsafe_states = STATES_WITH_EFFECT + STATES_BEFORE_EFFECT
         if any(attempt.actual_state in unsafe_states for attempt in submission.writes(config)):
             violation = f"rule 2: {submission.sequence} was rejected, and an attempt has run or still can"
-            return Move(label, model, violation)
-    return Move(label, cancel_outstanding(config, model, index))
+            return ModelStep(label, model, violation)
+    return ModelStep(label, cancel_outstanding(config, model, index))
 
 
 def cancel_outstanding(config: ModelConfig, model: ModelState, index: int) -> ModelState:
@@ -80,18 +82,18 @@
     label: str = "",
     *,
     is_state_missing: bool = False,
-) -> Move:
+) -> ModelStep:
     """Have the node learn the end of an attempt, or end it itself."""
     attempt = model.submissions[index].attempts[number]
     after = step(config.attempt_table, attempt.known_state, outcome)
     if after.effect == CommonEffect.VIOLATION:
-        return Move(label, model, f"attempt: {outcome} in {attempt.known_state}")
+        return ModelStep(label, model, f"attempt: {outcome} in {attempt.known_state}")
     violation: str | None = None
     read_state_step = _read_state_step(config, attempt, outcome, is_state_missing)
     if read_state_step is not None:
         model, violation = _step_read_state(config, model, index, read_state_step)
     ended = attempt._replace(known_state=after.next_state)
-    return Move(label, model.with_attempt(index, number, ended), violation)
+    return ModelStep(label, model.with_attempt(index, number, ended), violation)
 
 
 def _read_state_step(
--- a/myrtlehub/state/model_transitions.py
+++ b/myrtlehub/state/model_transitions.py
@@ -1,13 +1,13 @@
-"""All moves of the model, for the model checker."""
+"""All steps of the model, for the model checker."""
 
 from collections.abc import Iterator
 
-from myrtlehub.state.model import ModelConfig, ModelState, Move
-from myrtlehub.state.model_client import client_moves, client_retries
-from myrtlehub.state.model_engine import engine_moves
-from myrtlehub.state.model_faults import fault_moves
-from myrtlehub.state.model_node import node_moves, release_moves
-from myrtlehub.state.model_router import router_moves
+from myrtlehub.state.model import ModelConfig, ModelState, ModelStep
+from myrtlehub.state.model_client import client_retries, client_steps
+from myrtlehub.state.model_engine import engine_steps
+from myrtlehub.state.model_faults import fault_steps
+from myrtlehub.state.model_node import node_steps, release_steps
+from myrtlehub.state.model_router import router_steps
 
 
 class ModelTransitions:
@@ -20,16 +20,16 @@
     def __init__(self, config: ModelConfig) -> None:
         self.config = config
 
-    def __call__(self, model: ModelState) -> Iterator[Move]:
-        """Iterate over the moves, always in the same order."""
+    def __call__(self, model: ModelState) -> Iterator[ModelStep]:
+        """Iterate over the steps, always in the same order."""
         config = self.config
         for index, submission in enumerate(model.submissions):
             if not submission.is_lost:
-                yield from router_moves(config, model, index)
-                yield from client_moves(config, model, index)
+                yield from router_steps(config, model, index)
+                yield from client_steps(config, model, index)
                 for number in range(len(submission.attempts)):
-                    yield from engine_moves(config, model, index, number)
-                    yield from node_moves(config, model, index, number)
-                yield from release_moves(config, model, index)
+                    yield from engine_steps(config, model, index, number)
+                    yield from node_steps(config, model, index, number)
+                yield from release_steps(config, model, index)
             yield from client_retries(config, model, index)
-        yield from fault_moves(config, model)
+        yield from fault_steps(config, model)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -252,7 +252,7 @@
         (AT_MOST_ONCE, AttemptState.WAITING, 0, RecoveryAction.ATTACH),
         (AT_MOST_ONCE, AttemptState.UNKNOWN, 0, RecoveryAction.ABORT),
         (AT_MOST_ONCE, AttemptState.STOPPED, 0, RecoveryAction.ABORT),
-        (AT_MOST_ONCE, AttemptState.REFUSED, 0, RecoveryAction.RETRY),
+        (AT_MOST_ONCE, AttemptState.REJECTED, 0, RecoveryAction.RETRY),
         (AT_MOST_ONCE, AttemptState.NEVER_RAN, 0, RecoveryAction.RETRY),
         (IDEMPOTENT, AttemptState.UNKNOWN, 0, RecoveryAction.RETRY),
         (IDEMPOTENT, AttemptState.UNKNOWN, 3, RecoveryAction.ABORT),
@@ -272,8 +272,8 @@
 def test_a_read_state_is_used_and_a_missing_record_proves_nothing() -> None:
     read, write = AttemptIntent(0, "r1", True, 0.0), AttemptIntent(1, "w1", False, 0.0)
     reports = [
-        AttemptReport(read, AttemptState.HOLDS_READ_STATE),
-        AttemptReport(write, AttemptState.REFUSED),
+        AttemptReport(read, AttemptState.HAS_READ_STATE),
+        AttemptReport(write, AttemptState.REJECTED),
     ]
     assert decide(AT_MOST_ONCE, reports, 0)[:2] == (RecoveryAction.USE_READ_STATE, read)
     assert decide(AT_MOST_ONCE, [], 0, is_record_complete=False).action == RecoveryAction.ABORT
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -14,7 +14,7 @@
     """A held read state is written in its cell; a possible run is retried only in its group and window."""
     bench = RouterBench("R0 R0 W0 R1 W1")
     router, now = bench.router, bench.now
-    taken = arrival(AT_MOST_ONCE, prompt=5000.0, state_held_by=3)
+    taken = arrival(AT_MOST_ONCE, prompt=5000.0, state_engine=3)
     assert engines_sent_to(router.arrive(now, 1, taken)) == [4]  # no read
     done = router.ended(now + 0.1, 1, 0, Outcome.GENERATED, 0.1, True, 0.0, None)
     assert contract.Release(1) in done and contract.Forget(1) in done
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -10,7 +10,7 @@
 from myrtlehub.state.answer import ANSWER, AnswerEffect, AnswerEvent, AnswerState
 from myrtlehub.state.attempt import ATTEMPT, AttemptEffect, AttemptEvent, AttemptState
 from myrtlehub.state.model import ModelConfig, initial_state
-from myrtlehub.state.model_checker import CheckResult, UnknownMoveError, check_model, replay
+from myrtlehub.state.model_checker import CheckResult, UnknownStepError, check_model, replay
 from myrtlehub.state.model_transitions import ModelTransitions
 from myrtlehub.state.read_state import (
     READ_STATE,
@@ -82,7 +82,7 @@
 
 def test_a_trace_with_a_label_that_is_no_move_is_rejected() -> None:
     config = small_config(AT_MOST_ONCE)
-    with pytest.raises(UnknownMoveError, match="engine 9 crashes"):
+    with pytest.raises(UnknownStepError, match="engine 9 crashes"):
         replay(initial_state(config), ModelTransitions(config), ["engine 9 crashes"])
 
 
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("config", "states", "moves", "depth"),
+    ("config", "states", "steps", "depth"),
     [
         (small_config(AT_MOST_ONCE), 19054, 59748, 12),
         (small_config(IDEMPOTENT), 39820, 133002, 12),
@@ -118,11 +118,11 @@
     ids=["at most once", "idempotent", "idempotent without cancels", "idempotency key", "three attempts"],
 )
 def test_a_small_model_is_visited_completely_and_keeps_the_rules(
-    config: ModelConfig, states: int, moves: int, depth: int
+    config: ModelConfig, states: int, steps: int, depth: int
 ) -> None:
     result = check(config)
     assert result.is_complete and not result.violation, (result.violation, result.trace)
-    assert (result.states, result.moves, result.depth) == (states, moves, depth)
+    assert (result.states, result.steps, result.depth) == (states, steps, depth)
 
 
 def test_two_nodes_and_two_sequences_of_each_semantics_to_a_stated_depth() -> None:
@@ -227,10 +227,10 @@
         if result.violation:
             break
     assert result.violation.startswith(fault.rule), result
-    first, moves = initial_state(config), ModelTransitions(config)
-    assert replay(first, moves, result.trace)[1] == result.violation
+    first, steps = initial_state(config), ModelTransitions(config)
+    assert replay(first, steps, result.trace)[1] == result.violation
     for length in range(len(result.trace)):  # no prefix of the trace violates a rule
-        assert not replay(first, moves, result.trace[:length])[1]
+        assert not replay(first, steps, result.trace[:length])[1]
 
 
 def test_the_diagrams_of_the_design_page_are_those_of_the_tables() -> None:
