--- a/myrtlehub/clock.py
+++ b/myrtlehub/clock.py
@@ -1,20 +1,20 @@
-"""Time and timers as the packages see them; Twisted's reactors and `twisted.internet.task.Clock` fit."""
+"""Interfaces of clocks and timers; Twisted's reactors and `twisted.internet.task.Clock` have them."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 
 class Timer(Protocol):
-    """A call that was scheduled; `IDelayedCall` of Twisted."""
+    """A scheduled call; Twisted's is `IDelayedCall`."""
 
     def active(self) -> bool:
-        """Return whether the call is still to be made."""
+        """Return whether the call is still scheduled."""
 
     def cancel(self) -> None:
-        """Do not make the call."""
+        """Cancel the call."""
 
     def reset(self, delay: float, /) -> None:
-        """Make the call `delay` seconds from now instead."""
+        """Reschedule the call to `delay` seconds from now."""
 
 
 class Clock(Protocol):
--- a/myrtlehub/log_events.py
+++ b/myrtlehub/log_events.py
@@ -10,7 +10,7 @@
 
 
 class LogEvent(StrEnum):
-    """What a log line reports; the value stands in its `event` field."""
+    """An event that a log line reports; the value is that of the line's field `event`."""
 
     # Programs
     READY = "ready"
@@ -78,7 +78,7 @@
     """Writes one log line; it never raises."""
 
     def __call__(self, event: LogEvent, /, **fields: object) -> None:
-        """Log an event with its fields, which can be encoded as JSON."""
+        """Log an event and its fields; the values of fields can be encoded as JSON."""
 
 
 def no_log(event: LogEvent, /, **fields: object) -> None:
--- a/myrtlehub/platform_settings.py
+++ b/myrtlehub/platform_settings.py
@@ -11,7 +11,7 @@
 Settings = Mapping[str, Any]  # a JSON object; its values are of any JSON type
 
 MS_PER_SECOND = 1e3
-US_PER_1000_SECONDS = 1e9  # microseconds per 1000 tokens are divided by it for seconds per token
+US_PER_1000_SECONDS = 1e9  # divisor from microseconds per 1000 tokens to seconds per token
 RETRY_SEMANTICS = {
     "idempotent": RetrySemantics.IDEMPOTENT,
     "deduplicated": RetrySemantics.IDEMPOTENCY_KEY,
@@ -22,7 +22,7 @@
 
 
 class LoadValue(NamedTuple):
-    """The field of `LoadReport` that a reported value belongs to, and the factor to the field's unit."""
+    """The field of `LoadReport` for a reported value, and the factor that converts the value to its unit."""
 
     field: str
     factor: float
@@ -39,7 +39,7 @@
 
 
 def router_config_from_settings(settings: Settings, seed: int) -> RouterConfig:
-    """Return the router configuration in the settings that a node gets at its start.
+    """Convert the settings that a node gets at its start to the configuration of its router.
 
     Unknown keys are ignored, and an absent key means the platform's default.
     """
@@ -118,7 +118,7 @@
 
 
 def _seconds(settings: Settings, key: str) -> float:
-    """Return a duration that the settings state in milliseconds, 0.0 if it is absent."""
+    """Return a duration in seconds that the settings give in milliseconds; 0.0 if it is absent."""
     milliseconds: float = settings.get(key, 0.0)
     return milliseconds / MS_PER_SECOND
 
@@ -151,7 +151,7 @@
 
 
 def load_report_from_platform(report: Mapping[str, float] | None) -> LoadReport | None:
-    """Return a load report with our field names and units, None if there is none.
+    """Convert a load report of the platform to our field names and units; None if there is none.
 
     Values of unknown names are ignored.
     """
--- a/myrtlehub/records.py
+++ b/myrtlehub/records.py
@@ -1,8 +1,8 @@
 """Records of what clients and engines sent and received, for the rule checker.
 
-A record is a msgspec array: the time (seconds of the machine's monotonic clock, which all processes share),
-who wrote it, what happened, and details by name. Records are compressed with zstandard and flushed one by
-one, so a process that is killed loses at most the record that it was writing.
+A record is a msgpack array: the time (seconds of the machine's monotonic clock, which all processes share),
+the process that wrote it, the event, and the details of the event by name. Records are compressed with
+zstandard and flushed one by one, so a process that is killed loses at most the record that it was writing.
 """
 
 import os
@@ -19,7 +19,7 @@
 
 
 class Record(NamedTuple):
-    """One event, as a client or an engine saw it."""
+    """An event that a client or an engine observed; the module describes the fields."""
 
     at: float
     who: str
@@ -28,7 +28,7 @@
 
 
 class Recorder:
-    """Writes records to a file; without a path it keeps them in `kept`."""
+    """Writes records to a file, or collects them in the list `kept` if there is no path."""
 
     def __init__(self, who: str, clock: Clock, path: str | Path = "") -> None:
         self.who, self.clock = who, clock
@@ -50,7 +50,7 @@
         os.write(self._file, data + self._pack.flush(zstandard.COMPRESSOBJ_FLUSH_BLOCK))
 
     def close(self) -> None:
-        """Finish the file."""
+        """Write the end of the compressed data, and close the file."""
         if self._file >= 0:
             os.write(self._file, self._pack.flush())
             os.close(self._file)
@@ -61,14 +61,14 @@
     """Yield the records of a file, up to the first one that was not written completely.
 
     Raises:
-        ValueError: the file is not one of records.
+        ValueError: the file does not begin like a file of records.
     """
     data = Path(path).read_bytes()
     if not data.startswith(HEAD):
         raise ValueError(f"{path}: not a file of records")
     data = data[len(HEAD) :]
     raw = bytearray()
-    while data:  # a process that was restarted appends a frame of its own
+    while data:  # a restarted process appends a compressed frame of its own
         unpacker = zstandard.ZstdDecompressor().decompressobj()
         try:
             raw += unpacker.decompress(data)
--- a/myrtlehub/routing/__init__.py
+++ b/myrtlehub/routing/__init__.py
@@ -1,9 +1,9 @@
-"""Routing: which engine reads a prompt, which one writes the answer, and when a sequence is rejected.
+"""Routing: which engine reads (prefills) a prompt, which one writes (decodes) its answer, and rejections.
 
-What belongs where:
+The parts of the package:
 
-- `policy` has every choice between engines, between waiting and rejecting, and between retrying and giving
-  up, and every tuned constant. `policy.router.Router` is the router that a node creates.
+- `policy` makes every choice between engines, between waiting and rejecting, and between retrying and giving
+  up, and has every tuned constant. `policy.router.Router` is the router that a node creates.
 - Everything else is bookkeeping that would be the same under another policy. `contract` defines the events,
   actions and calls between a router and its node; `calls` applies events to the records of sequences
   (`records`) and engines (`engine_table`, `prompt_cache`); `statistics` has running averages and rates.
--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -1,6 +1,6 @@
-"""Bookkeeping common to all routers: applies each call of a node to the records of sequences and engines.
+"""Bookkeeping common to all routers: each call of a node updates the records of sequences and engines.
 
-Decisions are left to the abstract methods, which `routing.policy` implements.
+Decisions are made by the abstract methods, which `routing.policy` implements.
 """
 
 from abc import ABC, abstractmethod
@@ -38,11 +38,11 @@
 
     @abstractmethod
     def _admit(self, sequence: Sequence, now: float) -> None:
-        """Decide what happens first to an arriving sequence."""
+        """Place an arriving sequence, or first probe engines for it."""
 
     @abstractmethod
     def _place(self, sequence: Sequence, now: float) -> None:
-        """Decide where the next attempt of a sequence goes, if anywhere."""
+        """Send the next attempt of a sequence, let the sequence wait, or end it."""
 
     @abstractmethod
     def _place_waiting(self, now: float) -> None:
@@ -50,15 +50,15 @@
 
     @abstractmethod
     def _probe_unanswered(self, engine: Engine) -> None:
-        """Learn that an engine did not answer a probe."""
+        """Update the estimates of an engine that did not answer a probe."""
 
     @abstractmethod
     def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
-        """Learn from an answer that has started."""
+        """Update the estimates of an engine whose answer has started."""
 
     @abstractmethod
     def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
-        """Learn from the outcome of an attempt, and decide how its sequence continues."""
+        """Update the estimates from the outcome of an attempt, and decide how its sequence continues."""
 
     @abstractmethod
     def _end(self, sequence: Sequence, answer: Action | None) -> None:
@@ -100,7 +100,7 @@
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Learn from a probe, and place the sequences for which it was the last one awaited."""
+        """Update the estimates from a probe, and place the sequences that await no other probe."""
         self._record_feedback(now)
         probed = self.table.engines[engine]
         if load is not None:
@@ -155,7 +155,7 @@
         return self._finish(now)
 
     def wake(self, now: float, token: int) -> list[Action]:
-        """Handle a wake-up that `ScheduleWakeup` asked for."""
+        """Handle a wake-up that `ScheduleWakeup` requested."""
         self.table.now = now
         if now >= self.wake_at - WAKEUP_TOLERANCE:
             self.wake_at = float("inf")
@@ -175,7 +175,7 @@
         return actions
 
     def _schedule_wakeup(self, now: float) -> None:
-        """Ask for a wake-up at the next deadline, or sooner while sequences wait at this node."""
+        """Request a wake-up at the next deadline, or sooner while sequences wait at this node."""
         deadlines = [
             sequence.abandon_at
             for sequence in self.sequences.values()
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -19,7 +19,7 @@
     """Whether a sequence may run a second time; the values are those of the settings."""
 
     IDEMPOTENT = "repeatable"
-    IDEMPOTENCY_KEY = "tokened"  # engines of one dedup group drop repeats within the dedup window
+    IDEMPOTENCY_KEY = "tokened"  # engines of one dedup group run a key once within the dedup window
     AT_MOST_ONCE = "once-only"
 
 
@@ -39,7 +39,7 @@
     slo_per_token: float  # seconds added to the latency SLO for each prompt token
     abandon_time: float  # seconds after which clients of this traffic type abandon a sequence
     seconds_per_token: float  # objective for the time between two tokens of an answer
-    utility: float  # priority weight of an answer in time
+    utility: float  # priority weight of an answer within the latency SLO
     late_share: float  # share of the utility that an answer after the latency SLO still has
     dedup_group: DedupGroup = DedupGroup.ALL
     dedup_window: float = 0.0  # seconds for which engines remember an idempotency key
@@ -55,9 +55,10 @@
     traffic: tuple[TrafficType, ...]  # by index of the traffic type
     reads: tuple[bool, ...]  # by kind of engine: whether it reads prompts
     writes: tuple[bool, ...]  # by kind of engine: whether it writes answers
-    memory: tuple[float, ...]  # by kind of engine: tokens; 0 if unknown
+    memory: tuple[float, ...]  # tokens that fit in an engine, by kind; 0 if unknown
     quotas: tuple[float, ...]  # by tenant: sequences per second over all nodes; 0 for no quota
-    writers_can_read: bool  # an engine that only writes can read the prompt of its own answer
+    writers_can_read: bool  # engines that only write can read the prompts of their own answers
+    # What the platform lets a node do.
     may_reserve: bool
     may_cancel: bool
     may_migrate: bool
@@ -75,10 +76,10 @@
     tick: float  # seconds by which the node's timers may fire late
     max_retry_after: float  # longest Retry-After in seconds that clients honour; 0 if they honour none
     over_quota_utility: float  # utility of a sequence beyond its tenant's quota
-    polls_endpoints: bool  # the router has to ask for the endpoint list
+    polls_endpoints: bool  # the router has to request the endpoint list
     load_by_probe_only: bool = False  # engines report load to probes, and not with their responses
-    connect_timeout: float = 0.0  # seconds that a connection may take before its attempt is sent
-    probe_price: float = 0.0  # utility that one probe per sequence costs
+    connect_timeout: float = 0.0  # longest time in seconds to connect to an engine before a send
+    probe_price: float = 0.0  # cost of one probe, in units of utility
 
 
 class EngineState(IntEnum):
@@ -96,7 +97,7 @@
     READ = "read"  # the prompt was read, and the engine holds the read state
     FULL = "full"  # the engine rejected it before it ran: no capacity, or the read state was lost
     UNREACHED = "unreached"  # no connection was established
-    UNSENT = "unsent"  # it was withheld, because it was no longer needed or allowed
+    UNSENT = "unsent"  # the node did not send it, because it was no longer needed or allowed
     ERROR = "error"
     TIMEOUT = "timeout"
     RESET = "reset"
@@ -118,7 +119,7 @@
 
 
 class Arrival(NamedTuple):
-    """A sequence as it arrives.
+    """What the router knows of a sequence when it arrives.
 
     The last three fields are set for a sequence that this node takes over from another one.
     """
@@ -146,7 +147,7 @@
     unread: float | None = None  # prompt tokens still to be read or fetched
     slot_share: float | None = None  # share of the slots in use
     waiting: float | None = None  # queued sequences
-    latency: float | None = None  # recent seconds to the end of a read or to the first token
+    latency: float | None = None  # recent latency in seconds, of complete reads or to the first token
     active: float | None = None  # sequences in progress
 
 
@@ -155,7 +156,7 @@
 
     sequence: int
     engine: int
-    timeout: float  # seconds; 0.0 for none but the abandon time
+    timeout: float  # seconds; 0.0: until the abandon time
 
 
 class Reserve(NamedTuple):
@@ -179,14 +180,14 @@
 
 
 class Reject(NamedTuple):
-    """Answer the client that its sequence did not run, or that a retry is harmless."""
+    """End a sequence and tell its client that it did not run, or that a retry does no harm."""
 
     sequence: int
-    retry_after: float  # seconds; 0.0 if not stated
+    retry_after: float  # Retry-After in seconds; 0.0 for none
 
 
 class Abort(NamedTuple):
-    """Answer the client that its sequence failed and may have run."""
+    """End a sequence and tell its client that it failed and may have run."""
 
     sequence: int
 
@@ -268,8 +269,9 @@
     """Which conditions of an attempt still hold just before its first byte.
 
     Attributes:
-        may_run: No earlier attempt may have run, or another run would have no second effect.
-        is_in_slow_start_share: The engine is warm, or this sequence is in the share for it while cold.
+        may_run: No earlier attempt can have run, or another run would not repeat the effect.
+        is_in_slow_start_share: The engine has warmed up, or the sequence is in the share of sequences that a
+            cold engine may get.
     """
 
     may_run: bool
@@ -337,20 +339,20 @@
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Handle the response to a `Probe`, or its timeout if it is not answered."""
+        """Handle the response to a `Probe`, or the timeout of one that was not answered."""
 
     def gossip_received(self, now: float, node: int, payload: str) -> list[Action]:
         """Handle a message from another node."""
 
     def wake(self, now: float, token: int) -> list[Action]:
-        """Handle a wake-up that `ScheduleWakeup` asked for."""
+        """Handle a wake-up that `ScheduleWakeup` requested."""
 
     def check_send(self, now: float, sequence: int, attempt: int) -> SendCheck:
         """Return which conditions of an attempt still hold before its first byte; changes nothing."""
 
 
 class OptionalCalls:
-    """Defaults for the calls that follow only from actions which a router may never return."""
+    """Default calls of routers that never return the optional actions `Reserve`, `Probe` and `Gossip`."""
 
     def reservation_answered(
         self, now: float, sequence: int, attempt: int, engine: int, is_reserved: bool
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -1,8 +1,8 @@
 """The table of engines, with what this node counts and observes of them.
 
-The table learns, but decides nothing and has no tuned value: learning weights and half-lives come from the
-policy as `LearningSettings`. An observation of an engine is stored as its difference from what is usual for
-the engine's kind, and decays towards zero.
+The table computes averages, but decides nothing and has no tuned value: the weights and half-lives of the
+averages come from the policy as `LearningSettings`. An observation of an engine is stored as its difference
+from what is usual for the engine's kind, and decays towards zero.
 """
 
 from collections import Counter
@@ -20,9 +20,9 @@
     RecentMedians,
 )
 
-SAME_START_TOLERANCE = 0.001  # seconds between two reports of one start, which are rounded on the wire
-MIN_RATE = 0.01  # events per second; smallest divisor
-MIN_DURATION = 0.01  # seconds; smallest divisor
+SAME_START_TOLERANCE = 0.001  # seconds by which reports of one start differ: they are rounded on the wire
+MIN_RATE = 0.01  # events per second; lower bound of divisors
+MIN_DURATION = 0.01  # seconds; lower bound of divisors
 FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.UNREACHED)
 
 
@@ -32,24 +32,24 @@
     A weight (0 to 1) is the share of a new value in an exponential moving average.
     """
 
-    half_life: float  # seconds in which an observation of an engine decays to half; lower bound for each kind
-    max_half_life: float  # seconds; upper bound of the half-life for kinds of engines seldom observed
+    half_life: float  # seconds in which an observation of an engine halves; the lower bound for all kinds
+    max_half_life: float  # seconds; upper bound of the half-life, for kinds that are seldom observed
     rate_half_life: float  # seconds in which counts of arrivals and starts decay to half
     sequence_weight: float  # weight of one sequence in averages over all sequences
     kind_weight: float  # weight of one observation in averages over the engines of a kind
     engine_weight: float  # weight of one observation in the averages of one engine
-    failure_weight: float  # weight of a failed attempt in an engine's average share of failures
+    failure_weight: float  # weight of one failed attempt in the average share of failures of its engine
     unreached_weight: float  # the same for an attempt that could not connect
     slowdown_weight: float  # weight of one answer in an engine's average slowdown
-    initial_uncached_tokens: float  # uncached tokens of a queued sequence, before any were sent
+    initial_uncached_tokens: float  # assumed for a queued sequence before any were sent
     initial_read_rate: float  # prompt tokens per second, before any reads were observed
-    read_rate_samples: int  # recent reads of a kind whose median is its read rate
+    read_rate_samples: int  # number of recent reads of which the median is taken, by kind
     min_read_rate: float  # tokens per second; lower bound of one sample
     max_read_rate: float  # tokens per second; upper bound of one sample
     min_speed: float  # bounds of one sample of `Engine.speed`
     max_speed: float
-    min_sample_tokens: float  # uncached tokens below which a read is no sample of a rate
-    full_sample_tokens: float  # uncached tokens from which a sample has full weight for its engine
+    min_sample_tokens: float  # reads of fewer uncached tokens are not sampled
+    full_sample_tokens: float  # uncached tokens from which a sample has its full weight
     cache: CacheBounds
 
 
@@ -118,12 +118,12 @@
         return value * decay
 
     def updated(self, observation: Observation, engine: Engine, value: float, weight: float) -> Observation:
-        """Return an observation after decay, moved by `weight` (0 to 1) of its distance to a value."""
+        """Return an observation after decay, moved towards a value by the fraction `weight`."""
         decayed = self.observed(observation, engine)
         return Observation(decayed + weight * (value - decayed), self.now)
 
     def assign(self, sequence: Sequence, writer: Engine | None) -> None:
-        """Count the memory of a sequence at the writer where it will start, and no longer at a former one.
+        """Count the memory of a sequence at the writer where it will start, and stop counting it elsewhere.
 
         Args:
             sequence: The sequence, which has yet to start.
@@ -139,7 +139,7 @@
         sequence.assigned_to = writer
 
     def load_reported(self, engine: Engine, load: LoadReport) -> None:
-        """Learn from a load report of an engine."""
+        """Update the memory and the backlog of an engine from its load report."""
         weight = self.settings.kind_weight
         share = load.memory_share
         if share is not None:
@@ -158,19 +158,19 @@
         return self.read_rates.get(engine.kind) * (1.0 + self.observed(engine.speed, engine))
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """Count the prompt tokens that an attempt has its engine read."""
+        """Count the prompt tokens that an engine has to read for an attempt."""
         attempt.engine.own_backlog += attempt.uncached_tokens
         attempt.engine.own_reads += attempt.is_read
         if not attempt.fetches_state:
             self.usual_uncached.observe(attempt.uncached_tokens, self.settings.sequence_weight)
 
     def attempt_began(self, attempt: Attempt, latency: float, was_transferred: bool) -> None:
-        """Learn from an answer that has started.
+        """Update the estimates of an engine whose answer has started.
 
         Args:
             attempt: The attempt that writes the answer.
             latency: Seconds from the sending of the attempt to the start of its answer.
-            was_transferred: Its read state came from another cell, so its lateness is not the engine's.
+            was_transferred: Its read state came from another cell, which may have made it late.
         """
         engine = attempt.engine
         self._observe_success(engine)
@@ -182,7 +182,7 @@
         attempt.uncached_tokens = 0.0
 
     def attempt_ended(self, sequence: Sequence, attempt: Attempt) -> None:
-        """Learn from the outcome of an attempt, and take it out of its engine's accounts."""
+        """Update the estimates from the outcome of an attempt, and stop counting its tokens at its engine."""
         engine = attempt.engine
         self._update_half_life(engine.kind)
         if attempt.has_succeeded and attempt.is_read:
@@ -209,14 +209,14 @@
         self.starts.add(engine.kind, self.now)
 
     def _observe_answer(self, engine: Engine, traffic: int, latency: float) -> None:
-        """Learn how much longer than usual the answers of an engine take, and those of its kind."""
+        """Update by how much the answers of an engine, and of its kind, take longer than usual."""
         usual = self.usual_duration.observe(traffic, latency, self.settings.sequence_weight)
         excess = latency / max(usual, MIN_DURATION) - 1.0
         excess -= self.usual_slowdown.observe(engine.kind, excess, self.settings.kind_weight)
         engine.slowdown = self.updated(engine.slowdown, engine, excess, self.settings.slowdown_weight)
 
     def _observe_read(self, attempt: Attempt, latency: float, uncached_tokens: float) -> None:
-        """Learn the read rate of an engine and of its kind from one read that is long enough.
+        """Update the read rates of an engine and of its kind from a read, unless it is too short.
 
         The rate of a kind is a median. With a mean, one late answer would make all engines of the kind look
         too slow to send to at a node with little traffic, which would then observe nothing more
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -18,14 +18,14 @@
 # Share of a cold engine's overload limit that all nodes together send it on average, so that random peaks
 # stay below the limit (`test_slow_start_bounds_what_all_nodes_send_however_many_they_are`).
 SLOW_START_SHARE = 0.3
-SLOW_START_RAMP = 0.5  # share of a linear warm-up that is relied on, because the real curve is unknown
-MIN_COLD_TIME = 0.001  # seconds; smallest divisor
-GOLDEN_RATIO = 0.6180339887  # spreads one draw of a sequence evenly over engines
+SLOW_START_RAMP = 0.5  # assumed share of a linear warm-up, because the real curve is unknown
+MIN_COLD_TIME = 0.001  # seconds; lower bound of divisors
+GOLDEN_RATIO = 0.6180339887  # makes evenly spread draws for all engines from the one draw of a sequence
 MAX_WAIT_SHARE = 0.7  # share of the latency objective that a sequence may wait before it is rejected
 # Sequences per rate half-life that a tenant may send beyond its quota, because a rate estimated from few
 # arrivals is noisy.
 QUOTA_SLACK = 1.5
-QUOTA_SKEW = 1.25  # multiple of its even part of a quota that a node admits, because traffic is uneven
+QUOTA_SKEW = 1.25  # multiple of an even part of a quota that each node admits, as nodes get uneven traffic
 # Share of the state timeout after which a waiting sequence releases its read state.
 STATE_TIMEOUT_SHARE = 0.5
 # The same after a failed connection to a writer, so that one more writer can be tried first.
@@ -33,7 +33,9 @@
 INITIAL_DELAY_FACTOR = 0.5  # actual over estimated start delay, before any starts were observed
 MAX_DELAY_FACTOR = 5.0  # upper bound of that ratio in one sample, so that one stall has a limited effect
 MAX_DELAY_WEIGHT = 0.3  # upper bound of one sample's weight in the averages, however old the last sample is
-PROBED_LIMIT_SHARE = 0.7  # share of the time left that a start may take, where only probes report load
+# Share of the time left to the latency objective within which an answer must be expected to start, where
+# engines report load to probes only.
+PROBED_LIMIT_SHARE = 0.7
 
 
 class Admission:
@@ -42,7 +44,7 @@
     def __init__(self, estimates: EngineEstimates) -> None:
         self.config = estimates.config
         self.estimates = estimates
-        # The error decays, because a node that rejects everything observes no more starts.
+        # The error decays, so that a node which rejects everything, and observes no starts, accepts again.
         self.delay_error = EstimateError(INITIAL_DELAY_FACTOR, LEARNING.half_life)
 
     def is_over_quota(self, tenant: int | None) -> bool:
@@ -54,7 +56,7 @@
         return 0.0 < quota * QUOTA_SKEW < rate - QUOTA_SLACK / LEARNING.rate_half_life
 
     def gate(self, sequence: Sequence, engine: Engine, now: float) -> NotPlaced | None:
-        """Check rules 1 to 4 before an attempt at an engine; None lets the attempt pass."""
+        """Check rules 1 to 4 before an attempt at an engine; return None if it may be sent."""
         attempts_left = self.config.max_attempts - len(sequence.attempts)
         if sequence.is_over or now >= sequence.abandon_at or attempts_left <= 0:
             return NotPlaced.GIVE_UP  # rule 1
@@ -69,7 +71,7 @@
         return None
 
     def usable(self, engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
-        """Return the engines that are serving, are not ejected, and whose slow start allows this sequence."""
+        """Return the serving engines that are no outliers and may get this sequence (rule 4)."""
         is_outlier = self.estimates.is_outlier
         return [
             engine
@@ -80,11 +82,11 @@
         ]
 
     def is_in_slow_start_share(self, engine: Engine, sequence: Sequence, now: float) -> bool:
-        """Rule 4: return whether an engine is warm, or this sequence is in the share for it while cold.
+        """Rule 4: return whether an engine has warmed up, or may get this sequence although it is cold.
 
-        A sequence draws once, at its arrival. The sends of all nodes therefore add up to the share, however
-        many nodes there are and however little each observes; no node accumulates unused sends, and a retry
-        is no second draw.
+        One random number, drawn when a sequence arrives, decides for all engines and all its attempts. So
+        the sends of all nodes add up to the share of a cold engine without coordination, whatever the number
+        of nodes and the traffic of each; no node saves up unused sends, and a retry is no second chance.
         """
         config = self.config
         age = now - engine.started_at
@@ -106,7 +108,7 @@
         return NotPlaced.WAIT
 
     def has_waited_long(self, sequence: Sequence, now: float) -> bool:
-        """Return whether a sequence has reached the limit of its wait for a first attempt."""
+        """Return whether a sequence has waited for its first attempt as long as it may."""
         objective = sequence.slo_deadline - sequence.arrived_at
         return now - sequence.arrived_at > MAX_WAIT_SHARE * objective
 
@@ -116,11 +118,11 @@
         return delay * self.delay_error.factor(now) > limit_share * (sequence.slo_deadline - now)
 
     def expect_start(self, sequence: Sequence, delay: float, now: float) -> None:
-        """Remember the estimated start delay of a sequence, to be compared with the actual one."""
+        """Store the estimated start delay of a sequence, to compare it with the actual one later."""
         sequence.start_estimate = StartEstimate(now, delay)
 
     def observe_start(self, sequence: Sequence, now: float) -> None:
-        """Learn the error of the start estimate from a sequence that starts now, or is given up unstarted."""
+        """Update the error of start estimates when a sequence starts, or ends without having started."""
         estimate = sequence.start_estimate
         sequence.start_estimate = None
         if estimate is not None and estimate.delay > 0.0:
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -1,6 +1,6 @@
 """Estimates of an engine's load, free memory, speed and health, as all stages use them.
 
-Each starts from what is usual for the engine's kind, and adds the decaying observations of the engine itself.
+Each estimate is the average of the engine's kind plus the decaying observations of the engine itself.
 """
 
 from statistics import median
@@ -11,18 +11,18 @@
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
 LEARNING = LearningSettings(
-    half_life=5.0,  # seconds, for kinds of engines that are observed often
-    max_half_life=15.0,  # seconds: at 160 nodes a node hears from an engine about every 30
-    rate_half_life=20.0,  # seconds: long enough to count several starts at a node with little traffic
+    half_life=5.0,  # seconds, for kinds of engines that are often observed
+    max_half_life=15.0,  # seconds; of 160 nodes, each gets feedback from an engine about every 30 s
+    rate_half_life=20.0,  # seconds, in which also a node with little traffic counts several starts
     sequence_weight=0.05,  # averages over about 20 sequences
     kind_weight=0.1,  # averages over about 10 reports of the engines of a kind
     engine_weight=0.3,  # averages over about 3 observations of an engine
     failure_weight=0.5,  # two failures in a row raise the share of failures to 0.75
     unreached_weight=0.7,  # a refused connection says more than an error: two raise the share to 0.91
     slowdown_weight=0.2,  # averages over about 5 answers of an engine
-    initial_uncached_tokens=600.0,  # tokens of a queued sequence, before any were sent
+    initial_uncached_tokens=600.0,  # assumed for a queued sequence before any were sent
     initial_read_rate=12000.0,  # prompt tokens per second, before any reads were observed
-    read_rate_samples=20,  # reads, of which a few outliers do not move the median
+    read_rate_samples=20,  # reads: so many that a few outliers hardly change the median
     min_read_rate=200.0,  # tokens per second, so that one stalled read has a limited effect
     max_read_rate=100000.0,  # tokens per second, so that one very short read has a limited effect
     min_speed=-0.95,  # a read rate of 0.05 of the usual one, so that estimates stay positive
@@ -32,8 +32,8 @@
     cache=CACHE_BOUNDS,
 )
 DEFAULT_MEMORY = 150000.0  # tokens, of a kind whose memory is not configured
-# Other nodes at most that are assumed to send to the same engines as this one. Few nodes see the same load
-# reports and choose alike; many nodes spread their sends.
+# Upper bound of the number of other nodes that are assumed to choose the same engines as this one. A few
+# nodes see the same load reports and choose alike; many nodes make different choices.
 MAX_CORRELATED_NODES = 3.0
 OUTLIER_MARGIN = 0.25  # share of failures above the fleet's median from which an engine is ejected
 # Share of failures from which a reset or refused connection means a restart: three resets or two refused
@@ -49,7 +49,7 @@
         super().__init__(config, LEARNING)
 
     def probe_unanswered(self, engine: Engine) -> None:
-        """Assume that an engine is full: a probe queues like a request, so its timeout means a long queue."""
+        """Assume that an engine is full: probes queue like requests, so a timeout means a long queue."""
         backlog = UNANSWERED_PROBE_QUEUE_TIME * self.read_rate(engine)
         backlog -= self.usual_backlog.get(engine.kind, 0.0)
         engine.backlog = self.updated(engine.backlog, engine, backlog, 1.0)
@@ -57,10 +57,11 @@
         engine.memory = self.updated(engine.memory, engine, memory, 1.0)
 
     def free_share(self, writer: Engine, sequence: Sequence) -> float:
-        """Return the share of a writer's memory that is free once a sequence and all assigned ones are there.
+        """Return the share of a writer's memory that a sequence, and all those already assigned, leave free.
 
-        The tokens that other nodes assigned are estimated from this node's: the mean over all writers for
-        each node, and this node's preference for the writer for up to `MAX_CORRELATED_NODES`.
+        The tokens that other nodes have assigned to the writer are estimated from those of this node. Each
+        other node is assumed to assign as much as this one does to an average writer, and up to
+        `MAX_CORRELATED_NODES` of them to prefer this writer to the average as this node does.
         """
         memory = self.config.memory[writer.kind] or DEFAULT_MEMORY
         free = self.free_shares.get(writer.index)
@@ -73,10 +74,11 @@
         return free - sequence.memory_need / memory
 
     def _equivalent_other_nodes(self) -> float:
-        """Return the number of nodes with this node's traffic that the rest of all quotas would fill.
+        """Return by how many nodes with this node's traffic the other nodes can be represented.
 
-        It is at most the number of other nodes. Without the bound by quotas, a node with several times its
-        even part of the traffic would expect as much from each other node, and estimate all writers full
+        It is the number of other nodes, but at most as many as the rest of all quotas allows. Without this
+        bound, a node with several times its even part of the traffic would expect as much from each other
+        node, and estimate all writers to be full
         (`test_a_node_with_more_than_its_even_part_does_not_estimate_the_fleet_full`).
         """
         others = self.config.node_count - 1.0
@@ -105,7 +107,7 @@
         return self.usual_slowdown.get(writer.kind, 0.0) + self.observed(writer.slowdown, writer)
 
     def attempt_ended(self, sequence: Sequence, attempt: Attempt) -> None:
-        """Learn from the outcome of an attempt, and whether its engine has probably restarted.
+        """Update the estimates from the outcome of an attempt, and detect a probable restart of its engine.
 
         The endpoint list reports a restart seconds late. One reset is no restart, because connections also
         break at engines that keep running.
--- a/myrtlehub/routing/policy/load_probing.py
+++ b/myrtlehub/routing/policy/load_probing.py
@@ -8,17 +8,17 @@
 from myrtlehub.routing.policy.writer_selection import WriterSelection
 from myrtlehub.routing.records import Engine, Sequence
 
-PROBE_SPEND = 0.01  # utility per sequence that probes may cost
-MIN_PROBE_PRICE = 1e-6  # utility; smallest divisor
+PROBE_SPEND = 0.01  # average cost of probes per sequence, in units of utility
+MIN_PROBE_PRICE = 1e-6  # utility; lower bound of divisors
 MAX_PROBES = 6.0  # per sequence on average, however cheap they are
 MAX_PROBE_TOKENS = 3.0 * MAX_PROBES  # capacity of the token bucket that limits probes
-PROBED_WRITERS = 2  # best-ranked writers probed, each with its reader
-CANDIDATE_WRITERS = 8  # best-ranked writers among which the answers decide
+PROBED_WRITERS = 2  # number of best-ranked writers that are probed, each with its reader
+CANDIDATE_WRITERS = 8  # number of best-ranked writers that are ranked again after the probes
 PROBE_INTERVAL = 0.3  # seconds between two probes of an engine, as load changes little sooner
 
 
 class LoadProbing:
-    """Decides which engines are probed for a sequence, within a token bucket filled by arrivals."""
+    """Decides which engines to probe for a sequence; a token bucket filled by arrivals limits the probes."""
 
     def __init__(self, estimates: EngineEstimates, reads: ReadPlacement, writers: WriterSelection) -> None:
         config = estimates.config
@@ -44,7 +44,7 @@
         return probed
 
     def _wanted(self, sequence: Sequence, now: float) -> list[Engine]:
-        """Return the best writers, their readers and one random engine, in the order of their use."""
+        """Return the best writers, their readers and one random engine, the most important first."""
         estimates, arrival = self.estimates, sequence.arrival
         usable = self.writers.admission.usable(estimates.writers, sequence, now)
         plan = self.reads.plan(sequence, now)
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -13,13 +13,13 @@
     fresh_time=30.0,  # seconds; 10 and 120 scored alike within noise
     max_entries=4000,  # sessions and prefixes per engine, which bounds the memory of a node
 )
-# Tokens of an entry from which the engine's report of cached tokens is evidence for or against the entry.
+# An entry of fewer tokens is not compared with the cached tokens that its engine reports.
 MIN_CONFIRMED_TOKENS = 64.0
-# Share of an entry's tokens below which a report means a flush, a restart or eviction, by which the engine
-# has lost all older entries too.
+# If an engine reports less than this share of an entry's tokens, its cache was flushed or evicted, or it has
+# restarted: all older entries are then dropped too.
 MIN_CONFIRMED_SHARE = 0.5
-AFFINITY_READERS = 6  # readers at which a prefix is cached: more spread its load, fewer raise its hit rate
-INITIAL_HIT_SHARES = (0.5, 0.3, 0.0)  # of a prompt's tokens, by affinity, before any reads were observed
+AFFINITY_READERS = 6  # readers that cache a prefix: more of them spread its load, fewer raise its hit rate
+INITIAL_HIT_SHARES = (0.5, 0.3, 0.0)  # assumed by affinity before any reads were observed
 HIT_WEIGHT = 0.1  # weight of one read in the average hit share of its affinity
 SESSION_DRAW_KEYS = 2**40  # range of random affinity keys, for prompts without prefix and session
 
@@ -52,20 +52,20 @@
 
 
 class HitRates:
-    """Average shares of prompts that readers had cached, by affinity."""
+    """The average share of a prompt that a reader has cached, by affinity."""
 
     def __init__(self) -> None:
         self._averages = MovingAverages()
 
     def estimated_tokens(self, arrival: Arrival) -> list[float]:
-        """Return, by affinity, the tokens of a prompt that a reader without an entry for it has cached."""
+        """Return, by affinity, the prompt tokens expected to be cached at a reader without an entry."""
         if not arrival.shared_tokens:
             return [0.0 for _ in Affinity]
         shares = [self._averages.get(affinity, INITIAL_HIT_SHARES[affinity]) for affinity in Affinity]
         return [share * arrival.prompt_tokens for share in shares]
 
     def observe_success(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
-        """Learn from the cached tokens that an engine reported, and update its cache entries."""
+        """Update the hit rates and the engine's cache entries from the cached tokens that it reported."""
         arrival = sequence.arrival
         had_entry = attempt.cached.tokens >= MIN_CONFIRMED_TOKENS
         if attempt.is_read and not had_entry and arrival.shared_tokens:
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -26,17 +26,18 @@
 
 SPLIT_TOKENS = 600.0  # uncached prompt tokens from which another engine reads the prompt; 0 never splits
 INITIAL_TRANSFER_TIME = 1.0 / 24000.0  # seconds per token between cells, before any transfers were observed
-TRANSFER_WEIGHT = 0.2  # weight of one transfer in the average of its link
-MIN_TRANSFER_TOKENS = 500.0  # tokens that a transfer counts as at least; short ones are mostly fixed overhead
+TRANSFER_WEIGHT = 0.2  # weight of one transfer in the average time of its cell
+# Tokens that a smaller transfer counts as, because most of its time is fixed overhead.
+MIN_TRANSFER_TOKENS = 500.0
 OWN_READ_FACTOR = 3.0  # cost factor of a read by the writer itself, because it delays the writer's streams
 TIE_TIME = 0.1  # seconds of random difference between readers, so that not all nodes send to the same one
-# Multiple of an even share of all reads that the readers of a cell get without recent load reports.
+# Without recent load reports, the readers of a cell get this multiple of an even share of all reads.
 CELL_SLACK = 1.3
-# Share of the time left to the latency objective that a reader's queue and read together may take.
+# Share of the time left to the latency objective in which a reader has to finish its queue and the read.
 MAX_QUEUE_SHARE = 0.5
-MIN_QUEUE_TIME = 0.1  # seconds that a reader's queue and read together may take in any case
+MIN_QUEUE_TIME = 0.1  # seconds; lower bound of that time
 REPORT_HALF_LIFE = 1.0  # seconds in which the weight of a reader's load report halves
-LAST_ATTEMPTS = 2  # attempts left with which a rejected sequence is not split, as a read and a write use both
+LAST_ATTEMPTS = 2  # with so few attempts left, a rejected sequence is not split, which takes two
 
 
 class _RankedRead(NamedTuple):
@@ -47,9 +48,10 @@
 
 
 class _TimedRead(NamedTuple):
-    """The read found so far that ends soonest for a zone, with its sort key; a smaller key is better."""
+    """The read found so far that gives the writers of a zone the read state first, and its sort key."""
 
-    order: tuple[float, float]  # seconds with transfer and random difference, seconds of the read
+    # Seconds with transfer and random difference, seconds of the read; the smallest key is best.
+    order: tuple[float, float]
     read: ReadEstimate
 
 
@@ -62,7 +64,7 @@
         self.admission = admission
         self.random = random
         self.hit_rates = HitRates()
-        # By cell: its readers per writer, relative to the fleet's, times `CELL_SLACK`.
+        # By cell: its number of readers per writer, divided by that of the fleet, times `CELL_SLACK`.
         self.reader_shares: dict[int, float] = {}
         self.zone_transfer_times = MovingAverages()  # seconds per token, from a cell to others of its zone
         self.remote_transfer_times = MovingAverages()  # seconds per token, from a cell to other zones
@@ -90,7 +92,7 @@
         delay = read.seconds
         delay += self.estimates.wait(writer) + self.estimates.observed(writer.lateness, writer)
         if not sequence.attempts and self.admission.starts_late(sequence, delay, now):
-            # Sent all the same, it would only lengthen the queues that make it late.
+            # Sending it would only lengthen the queues that make it late.
             return self.admission.wait_or_reject(sequence, now)
         self.admission.expect_start(sequence, delay, now)
         if not read.is_possible:
@@ -106,10 +108,10 @@
         return sequence.was_rejected and attempts_left <= LAST_ATTEMPTS and self._can_read(writer)
 
     def plan(self, sequence: Sequence, now: float) -> ReadPlan:
-        """Find the best reader with capacity of each cell, and the soonest reader of each zone and of all.
+        """Find the best reader with capacity for each cell, and the one that finishes first for each zone.
 
-        Readers come in the order of their index, which decides between equals: the last one in a cell, the
-        first one in a zone.
+        Of equal readers in a cell the one with the highest index is best, and for a zone the one with the
+        lowest index.
         """
         limit = max(MIN_QUEUE_TIME, MAX_QUEUE_SHARE * (sequence.slo_deadline - now))
         by_cell: dict[int, _RankedRead] = {}
@@ -132,11 +134,11 @@
         )
 
     def _estimate_reads(self, sequence: Sequence, now: float) -> Iterator[tuple[Engine, float, int, float]]:
-        """Yield each usable reader, its cached tokens, its prefix rank, and the seconds until it has read.
+        """Yield each usable reader with its cached tokens, prefix rank and seconds until it has read.
 
-        A load report counts less as it ages, and a reader without one gets its cell's share of the reads.
-        Otherwise all nodes would send to the few readers of a cell with many writers
-        (`test_a_cell_with_few_readers_reads_its_part`).
+        The older the load report of a reader, the more often the reader is passed over, until it gets only
+        its cell's share of the reads. Otherwise all nodes would send to the few readers of a cell with many
+        writers (`test_a_cell_with_few_readers_reads_its_part`).
         """
         estimates, arrival, prompt = self.estimates, sequence.arrival, sequence.arrival.prompt_tokens
         draw = self.random()
@@ -177,8 +179,8 @@
             return PlannedRead(own_read)
         if writer.cell in plan.by_cell:
             return plan.by_cell[writer.cell]
-        # No reader of the cell has capacity: its readers may be flooded, and the links to other cells slow.
-        # The engine that would be ready first reads, which may be the writer.
+        # No reader of the cell has capacity: its readers may be overloaded, and links to other cells slow.
+        # The engine that would be ready first reads the prompt; this may be the writer.
         soonest = self._soonest_elsewhere(writer, sequence, plan)
         if can_read and (soonest is None or own_read + self.estimates.wait(writer) < soonest.seconds):
             return PlannedRead(own_read)
@@ -210,7 +212,7 @@
         return sequence.arrival.prompt_tokens * times.get(source.cell, INITIAL_TRANSFER_TIME)
 
     def observe_transfer(self, source: Engine, writer: Engine, prompt_tokens: float, latency: float) -> None:
-        """Learn from a transfer of a read state between cells, which took `latency` seconds."""
+        """Update the average transfer time after a transfer between cells that took `latency` seconds."""
         times = self._transfer_times(source, writer)
         times.observe(source.cell, latency / max(MIN_TRANSFER_TOKENS, prompt_tokens), TRANSFER_WEIGHT)
 
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -3,12 +3,12 @@
 from myrtlehub.routing.contract import DedupGroup, Outcome, RetrySemantics, RouterConfig
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
-CAPACITY_MEMORY = 20.0  # seconds for which a workload prefers engines that have not rejected it
-# Seconds from a decision, or the last check before the first byte, until the attempt reaches the engine. A
-# node may be suspended for 0.15 s between reading its clock and writing; two turns of the event loop and the
-# network take 0.05 s.
+CAPACITY_MEMORY = 20.0  # seconds for which an acceptance or rejection of a workload is remembered
+# Longest time in seconds from a decision, or from the last check before the first byte, until the attempt
+# reaches the engine. A node may be suspended for 0.15 s between reading its clock and writing; two turns of
+# the event loop and the network take 0.05 s.
 SEND_MARGIN = 0.15 + 0.05
-NOT_RUN = (  # outcomes after which the sequence has not run, or this node has its result
+NOT_RUN = (  # after these outcomes the sequence has not run, or this node has its result
     Outcome.GENERATED,
     Outcome.READ,
     Outcome.FULL,
@@ -18,10 +18,11 @@
 
 
 def may_run_at(sequence: Sequence, engine: Engine, now: float, config: RouterConfig) -> bool:
-    """Rule 2: return whether an attempt decided now may run at an engine.
+    """Rule 2: return whether an attempt that is decided now may run at an engine.
 
-    The attempt must arrive while the engines still remember the idempotency key of the first one, however
-    long its connection takes (`test_a_retry_arrives_within_its_dedup_window_though_its_connection_is_slow`).
+    The attempt must arrive while the engines still remember the idempotency key of the first one, even
+    if connecting takes as long as it may
+    (`test_a_retry_arrives_within_its_dedup_window_though_its_connection_is_slow`).
     """
     arrives_at = now + config.connect_timeout + SEND_MARGIN
     return may_arrive_at(sequence, engine, arrives_at, config)
@@ -40,7 +41,7 @@
 
 
 def may_reject(sequence: Sequence) -> bool:
-    """Return whether a rejection is true: the sequence has not run, or another run does no harm anywhere."""
+    """Return whether a client may be sent a rejection: the sequence did not run, or a retry does no harm."""
     traffic = sequence.traffic
     if traffic.retry_semantics == RetrySemantics.IDEMPOTENT:
         return True
@@ -85,5 +86,5 @@
         sequence.state_engine = None  # the writer found that the reader has lost the state
     elif outcome not in (Outcome.GENERATED, Outcome.READ, Outcome.UNSENT):
         sequence.failed_engines.add(attempt.engine)
-        if outcome != Outcome.UNREACHED:  # a refused connection does not restart the time of a read state
+        if outcome != Outcome.UNREACHED:  # a failed connection does not restart the time of a read state
             sequence.state_since = now
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -1,8 +1,8 @@
-"""The router of a node: runs the stages for each sequence, and answers its client when they cannot continue.
+"""The router of a node: runs the stages for each sequence, and ends the sequences that cannot continue.
 
 A sequence passes three stages before each attempt: writer selection, read placement and the admission gate.
 A stage returns the engine to use, or a `NotPlaced`: the sequence then waits at this node or ends. When an
-attempt ends, the router first learns from it, and then ends the sequence or runs the stages again.
+attempt ends, the router updates its estimates, and then ends the sequence or runs the stages again.
 """
 
 from random import Random
@@ -18,12 +18,13 @@
 from myrtlehub.routing.prompt_cache import NO_ENTRY
 from myrtlehub.routing.records import Affinity, Attempt, Engine, NotPlaced, Sequence
 
-ANSWER_TICKS = 2  # multiple of the timers' lateness by which the final answer precedes the abandon time
-MIN_ANSWER_MARGIN = 0.004  # seconds by which it does so at least, to reach the client in time
-EXPECTED_OUTPUT_SHARE = 0.25  # of the maximum output tokens, which an answer is expected to produce
-READ_TIMEOUT_SHARE = 0.6  # of the time left, for a first read, so that another attempt fits in the rest
+ANSWER_TICKS = 2  # the final answer is due this many times `RouterConfig.tick` before the abandon time
+MIN_ANSWER_MARGIN = 0.004  # seconds; lower bound of that margin, in which the answer reaches the client
+EXPECTED_OUTPUT_SHARE = 0.25  # share of the maximum output tokens that an answer is expected to have
+# Timeout of a first read, as a share of the time left: another attempt fits in the rest.
+READ_TIMEOUT_SHARE = 0.6
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, as each costs a full one
+RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, because each runs all stages
 PROBED_RETRY_INTERVAL = 0.4  # the same where engines report load to probes only: reports are fewer
 MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
 
@@ -84,7 +85,7 @@
                 failed_placements += sequence.id in self.waiting
 
     def _may_place_again(self, sequence: Sequence, now: float) -> bool:
-        """Return whether there was feedback from engines since the last placement, and that was long ago."""
+        """Return whether the last placement was long enough ago, and engines have given feedback since."""
         interval = PROBED_RETRY_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
         last_placed_at = sequence.last_placed_at
         return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
@@ -104,7 +105,7 @@
             self._give_up(sequence, self.config.max_retry_after if result is NotPlaced.REJECT else 0.0)
 
     def _run_stages(self, sequence: Sequence, now: float) -> Engine | NotPlaced:
-        """Return the engine for the next attempt, or the refusal of the first stage that does not pass."""
+        """Return the engine for the next attempt, or the result of the first stage that does not pass."""
         writer = self.writers.select(sequence, now)
         if isinstance(writer, NotPlaced):
             return writer
@@ -122,7 +123,8 @@
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
         """Send the next attempt: a read if the sequence is split, else one that writes the answer."""
         arrival = sequence.arrival
-        # Only first reads time out here: later timeouts would fire under load alone, and add retries to it.
+        # Only a first read has a timeout of its own: under high load, timeouts of later attempts would fire
+        # as well, and the retries would add to the load.
         is_first_read = sequence.is_split and not sequence.attempts
         timeout = READ_TIMEOUT_SHARE * (sequence.abandon_at - now) if is_first_read else 0.0
         attempt = self._new_attempt(sequence, engine, now)
@@ -156,7 +158,8 @@
 
     def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
         writer, source = attempt.engine, sequence.reader
-        # Where load reports include memory, they cover the sequence from now on; elsewhere it stays assigned.
+        # Once the answer has started, load reports include the memory of the sequence, which is no longer
+        # counted as assigned. If reports do not include memory, it stays assigned until the sequence ends.
         is_reported = writer.kind in self.estimates.usual_memory
         self.estimates.assign(sequence, None if is_reported else sequence.assigned_to)
         self.admission.observe_start(sequence, now)
@@ -185,7 +188,7 @@
             self._place(sequence, now)
 
     def _give_up(self, sequence: Sequence, retry_after: float = 0.0) -> None:
-        """End a sequence with a rejection if that is true, else with an abort."""
+        """End a sequence: with a rejection if it did not run or a retry does no harm, else with an abort."""
         self.admission.observe_start(sequence, self.estimates.now)
         is_harmless = retries.may_reject(sequence)
         answer = contract.Reject(sequence.id, retry_after) if is_harmless else contract.Abort(sequence.id)
@@ -201,7 +204,7 @@
         self._forget(sequence)
 
     def _forget(self, sequence: Sequence) -> None:
-        """Forget an ended sequence once no attempt of it runs; rule 5: release its read states."""
+        """Forget an ended sequence and release its read states (rule 5), once none of its attempts runs."""
         self.waiting.pop(sequence.id, None)
         self.estimates.assign(sequence, None)
         if sequence.running_attempts():
--- a/myrtlehub/routing/policy/writer_selection.py
+++ b/myrtlehub/routing/policy/writer_selection.py
@@ -1,6 +1,6 @@
 """Writer selection, the first stage: by free memory, cached tokens of the prompt and start delay.
 
-All three are expressed in cached tokens, so that a writer has one score.
+The score of a writer is the sum of the three, each converted to a number of cached tokens.
 """
 
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 from myrtlehub.routing.policy.retries import prefer_accepting
 from myrtlehub.routing.records import Engine, NotPlaced, ReadPlan, Sequence
 
-FREE_TOKENS = 20000.0  # cached tokens that outweigh the difference between an empty and a full writer
-ZONE_TOKENS = 500.0  # cached tokens that outweigh a writer's being in this node's zone
-SLOWDOWN_COST = 0.5  # share of free memory that outweighs answers of twice the usual duration
-LATENESS_COST = 3.0  # multiple by which the lateness of a writer counts, beside its estimated delay
-# Share of a writer's memory below which it gets no first attempts: a writer out of memory preempts answers
-# and reads their prompts again, which keeps it full.
+FREE_TOKENS = 20000.0  # cached tokens that count as much as a writer's whole memory being free
+ZONE_TOKENS = 500.0  # cached tokens that count as much as being in this node's zone
+SLOWDOWN_COST = 0.5  # share of free memory that answers of twice the usual duration cost a writer
+LATENESS_COST = 3.0  # seconds of delay that one second of a writer's lateness counts as
+# A writer with a smaller share of free memory gets no first attempts. When its memory is full, a writer
+# preempts answers and later reads their prompts again, so that it stays full.
 MIN_FREE_SHARE = 1.0 - 0.92
-# Multiple by which a token cached at the reader in a writer's cell counts, where writers are probed. It does
-# not count elsewhere, because many nodes would follow a prefix to writers that they do not know to be full.
+# Weight of a token cached at the best reader in a writer's cell, where writers are probed. Elsewhere such
+# tokens do not count, because many nodes would choose the same writers without knowing that they are full.
 NEAR_CACHE_FACTOR = 10.0
-NO_READS = ReadPlan({}, {})  # the plan of a sequence whose prompt has been read
+NO_READS = ReadPlan({}, {})  # the plan of a sequence whose prompt has been read already
 
 
 class WriterSelection:
@@ -38,7 +38,7 @@
         """Return the writer of a sequence: the one selected before while it is usable, else the best one."""
         if (writer := self._retained_writer(sequence, now)) is not None:
             return writer
-        # The writers ranked best before probing come first: only of these, load has just been reported.
+        # Only writers that ranked best before the probes have just reported load, so these are tried first.
         candidates = sequence.candidate_writers or self.estimates.writers
         sequence.candidate_writers = []
         usable = self._preferred(candidates, sequence, now)
@@ -62,10 +62,7 @@
         return writer if self.admission.usable([writer], sequence, now) else None
 
     def _preferred(self, candidates: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
-        """Return the usable writers, by preference without those that failed, were full or are silent.
-
-        A silent writer is one whose probe this sequence still awaits.
-        """
+        """Return the usable writers, if possible without failed or full ones or ones with a pending probe."""
         usable = self.admission.usable(candidates, sequence, now)
         usable = [writer for writer in usable if writer not in sequence.failed_engines] or usable
         usable = prefer_accepting(usable, sequence, now) or usable
--- a/myrtlehub/routing/prompt_cache.py
+++ b/myrtlehub/routing/prompt_cache.py
@@ -18,15 +18,15 @@
 class CacheBounds(NamedTuple):
     """Limits on the age and number of the entries of a `PromptCache`."""
 
-    fresh_time: float  # seconds for which an entry counts in full, and again over which it fades to nothing
+    fresh_time: float  # seconds for which an entry counts fully; it fades to nothing in as many more
     max_entries: int
 
 
 class PromptCache:
-    """Cache entries in the order of their confirmation, oldest first.
+    """The cache entries of one engine, least recently confirmed first.
 
     An entry is keyed by the session of a prompt or by the negated number of its shared prefix, so that
-    sessions and prefixes need no second table.
+    one table has both.
     """
 
     __slots__ = ("bounds", "entries")
@@ -59,7 +59,7 @@
         return best
 
     def add(self, arrival: Arrival, now: float) -> None:
-        """Record that an engine reads a prompt, and evict entries that have faded or exceed the limit."""
+        """Record that the engine reads a prompt, and evict entries that have faded or exceed the limit."""
         entries = self.entries
         for key, tokens in (
             (arrival.session, arrival.prompt_tokens),
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -1,6 +1,6 @@
-"""Mutable records of engines, sequences and attempts, and the typed plans that pass between stages.
+"""Mutable records of engines, sequences and attempts, and the plans that one stage passes to another.
 
-Records hold state and answer questions about it. The choices made from that state are in `routing.policy`.
+The records make no decisions: those are made in `routing.policy`.
 """
 
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
 
 
 class Affinity(IntEnum):
-    """The rank of a reader in the shared order of readers for a prompt's prefix."""
+    """How near a reader is to the top of the order in which all nodes rank the readers for a prefix."""
 
     HOME = 0  # the reader to which all prompts of one session go
     NEAR = 1  # the other readers that cache the prefix, and the highest-ranked reader of each cell
@@ -38,7 +38,7 @@
 
 
 class PossibleRun(NamedTuple):
-    """The first attempt of a sequence that may have run, as far as deduplication depends on it."""
+    """The dedup group and the send time of the first attempt of a sequence that may have run."""
 
     dedup_group: int
     sent_at: float
@@ -65,8 +65,8 @@
     zone: int = 0
     cell: int = 0
     hash_seed: int = 0
-    started_at: float = 0.0  # 0.0: before this node can have seen it, so it needs no slow start
-    own_backlog: float = 0.0  # prompt tokens that this node sent and that the engine has yet to read
+    started_at: float = 0.0  # 0.0: long ago, so that it needs no slow start
+    own_backlog: float = 0.0  # prompt tokens sent by this node, which the engine has yet to read
     own_reads: int = 0  # reads that this node has in flight there
     assigned_tokens: float = 0.0  # memory needed by this node's sequences that have yet to start there
     last_probed_at: float = NEVER
@@ -76,11 +76,13 @@
     slowdown: Observation = UNOBSERVED  # answer duration over the usual one of the traffic type, minus 1
     lateness: Observation = UNOBSERVED  # seconds by which its answers start later than estimated
     failures: Observation = UNOBSERVED  # share of its attempts that failed
-    full_until: dict[Workload, float] = field(default_factory=dict)  # it rejected these
-    accepts_until: dict[Workload, float] = field(default_factory=dict)  # it accepted these
+    # Until when sequences of a workload avoid the engine, because it rejected one for lack of capacity.
+    full_until: dict[Workload, float] = field(default_factory=dict)
+    # Until when rejected sequences of a workload prefer the engine, because it accepted one.
+    accepts_until: dict[Workload, float] = field(default_factory=dict)
 
     def reset(self, is_new: bool) -> None:
-        """Discard the observations of a former process.
+        """Discard the observations of the process that was replaced at this index.
 
         Args:
             is_new: The index now names another engine, at which this node has nothing in flight.
@@ -104,7 +106,7 @@
         return self.zone if traffic.dedup_group == DedupGroup.ZONE else self.cell
 
     def record_restart(self, at: float) -> None:
-        """Record that its process started at a time, with an empty cache."""
+        """Record that its process started at the time `at`, with an empty cache."""
         self.started_at = at
         self.cache.clear()
 
@@ -161,9 +163,9 @@
     """The readers that a sequence may use, whichever writer is selected."""
 
     by_cell: dict[int, PlannedRead]  # the best reader with capacity, of each cell that has one
-    by_zone: dict[
-        int | None, ReadEstimate
-    ]  # the soonest reader for writers of its zone; None: of other zones
+    # The reader from which the writers of a zone, its own, would have the read state first; at the key None
+    # the one from which writers of other zones would.
+    by_zone: dict[int | None, ReadEstimate]
 
 
 @dataclass(slots=True, eq=False)
@@ -175,7 +177,7 @@
     traffic: TrafficType
     arrived_at: float
     abandon_at: float  # deadline of the final answer
-    slow_start_draw: float  # uniform in [0, 1): decides which engines in slow start it may use
+    slow_start_draw: float  # uniform in [0, 1); decides which cold engines it may use
     memory_need: float  # estimated tokens of a writer's memory
     slo_deadline: float = field(init=False)  # the answer should have started by then
     workload: Workload = field(init=False)
@@ -191,20 +193,20 @@
     read_plan: ReadPlan | None = None  # passed from writer selection to read placement
     affinity: dict[Engine, Affinity] = field(default_factory=dict)  # of readers; those missing are OTHER
     state_engine: Engine | None = None  # the engine that has its read state
-    # When the time of a read state at an engine began to count: 0.0 before any attempt ended in a way that
-    # may have left one, inf once it was released.
+    # Time since which an engine may have had its read state while no writer fetched it: 0.0 until the end of
+    # an attempt that can have left a read state, inf after the release.
     state_since: float = 0.0
     start_estimate: StartEstimate | None = None  # None once it was compared with the actual start
     attempts: list[Attempt] = field(default_factory=list)
     failed_engines: set[Engine] = field(default_factory=set)
     possible_run: PossibleRun | None = None
     awaited_probes: set[Engine] = field(default_factory=set)
-    candidate_writers: list[Engine] = field(default_factory=list)  # the best-ranked when probes were sent
+    candidate_writers: list[Engine] = field(default_factory=list)  # the best ones when probes were sent
 
     def __post_init__(self) -> None:
         arrival = self.arrival
         objective = self.arrived_at + self.traffic.latency_slo
-        # A client that grants less time than the objective sets the deadline itself.
+        # If the client abandons the sequence before the objective, its abandon time is the deadline.
         self.slo_deadline = min(
             self.abandon_at, objective + self.traffic.slo_per_token * arrival.prompt_tokens
         )
--- a/myrtlehub/routing/statistics.py
+++ b/myrtlehub/routing/statistics.py
@@ -1,4 +1,4 @@
-"""Running statistics and a hash rank, free of routing policy.
+"""Moving averages, rates, medians and rendezvous hashing, independent of the routing policy.
 
 Weights, half-lives and sample counts are parameters, because every tuned value belongs to `routing.policy`.
 """
@@ -7,7 +7,7 @@
 from statistics import median_high
 from typing import NamedTuple
 
-MIN_ESTIMATE = 0.001  # smallest divisor, in the unit of the estimates
+MIN_ESTIMATE = 0.001  # lower bound of divisors, in the unit of the estimates
 LN_2 = 0.69  # rounded to two digits; a more exact value would change every decision that compares rates
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 / golden ratio: Fibonacci hashing spreads neighbouring keys
 RANK_SHIFT = 20  # drops the low bits of the product, which mix least
@@ -37,7 +37,7 @@
         return default if self.value is None else self.value
 
     def observe(self, value: float, weight: float) -> None:
-        """Move the average by `weight` (0 to 1) of its distance to a value."""
+        """Move the average towards a value, by the fraction `weight` of their distance."""
         average = value if self.value is None else self.value
         self.value = average + weight * (value - average)
 
@@ -46,7 +46,7 @@
     """Exponential moving averages by key, each of which starts at the first value of its key."""
 
     def observe(self, key: int, value: float, weight: float) -> float:
-        """Move the average of a key by `weight` (0 to 1) of its distance to a value.
+        """Move the average of a key towards a value, by the fraction `weight` of their distance.
 
         Returns:
             The average before this observation.
@@ -57,7 +57,7 @@
 
 
 class DecayingCounters:
-    """Event rates by key, from counts that decay exponentially with time."""
+    """Recent event rates by key, computed from counts that decay exponentially with time."""
 
     def __init__(self, half_life: float) -> None:
         self.half_life = half_life
@@ -108,7 +108,7 @@
 
 
 class EstimateError:
-    """The ratio of actual to estimated values, which decays to a default ratio while nothing is observed."""
+    """The average ratio of actual to estimated values; without observations it decays to a default."""
 
     def __init__(self, default_factor: float, half_life: float) -> None:
         self.default_factor = default_factor
@@ -125,7 +125,7 @@
         return self.default_factor + deviation * decay
 
     def observe(self, estimated: float, actual: float, max_weight: float, now: float) -> None:
-        """Record one estimate with its actual value; its weight grows with the time since the last one."""
+        """Record an estimate and the actual value; the weight is greater, the longer ago the last one was."""
         weight = min(max_weight, 1.0 - 0.5 ** ((now - self.observed_at) / self.half_life))
         self._estimated.observe(estimated, weight)
         self._actual.observe(actual, weight)
--- a/myrtlehub/simulator/__init__.py
+++ b/myrtlehub/simulator/__init__.py
@@ -4,7 +4,7 @@
 one line on standard output. Each simulated node has its own router. The adapter makes no decisions.
 
 - `wire`: the names of the protocol, and the encoding of actions.
-- `ids`: the protocol's ids, as the indices that routers use.
+- `ids`: the tables from the protocol's ids to the indices that routers use.
 - `node`: one simulated node.
 - `__main__`: the program.
 """
--- a/myrtlehub/simulator/__main__.py
+++ b/myrtlehub/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator adapter as a program: answers one batch of events per line."""
+"""The program of the simulator adapter: answers each line, a batch of events, with a line of orders."""
 
 import sys
 
@@ -19,7 +19,7 @@
         name = event["NodeId"]
         if event["verb"] == "KILL":
             nodes.pop(name, None)
-            # The orders of a killed node in this batch have not reached the simulator: they are lost with it.
+            # Orders that a killed node gave earlier in this batch have not been sent, and are lost with it.
             orders = [order for order in orders if order["NodeId"] != name]
             continue
         actions = _call_node(nodes, name, event, now)
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
-        self.frame: int | None = None  # of the last batch, for error messages; None before the first one
+        self.frame: int | None = None  # number of the last batch, for error messages
         self._decode = msgspec.json.Decoder().decode
         self._encode = msgspec.json.Encoder().encode
 
--- a/myrtlehub/simulator/ids.py
+++ b/myrtlehub/simulator/ids.py
@@ -1,14 +1,14 @@
-"""The ids of the simulator's protocol, as the indices and numbers that routers use."""
+"""The tables from the ids of the simulator's protocol to the indices and numbers that routers use."""
 
 from myrtlehub.routing.contract import EngineState
 from myrtlehub.simulator.wire import WireError
 
 
 class EngineIds:
-    """The ids of engines and their dense indices.
+    """The table from the ids of engines to dense indices.
 
-    The index of a removed engine is reused once no attempt or probe of it is in flight. Reused earlier, the
-    response to such an attempt would be attributed to the new engine
+    The index of a removed engine is reused only when no attempt or probe of it is in flight any more. If it
+    were reused earlier, a late response would be attributed to the new engine
     (`test_an_engines_index_is_reused_once_nothing_of_it_is_in_flight`).
     """
 
@@ -16,7 +16,7 @@
         self._ids: list[str] = []  # by index
         self._in_flight: list[int] = []  # number of attempts and probes, by index
         self._index_of: dict[str, int] = {}
-        self._removed: set[int] = set()  # indices of removed engines that are not free yet
+        self._removed: set[int] = set()  # indices of removed engines that cannot be reused yet
         self._free: list[int] = []  # in the order of their reuse
 
     def index(self, engine_id: str) -> int:
@@ -30,7 +30,7 @@
         return self._ids[index]
 
     def is_listed(self, engine_id: str) -> bool:
-        """Return whether an engine has an index."""
+        """Return whether the endpoint list has the engine, or had it and its index is not free yet."""
         return engine_id in self._index_of
 
     def add_or_update(self, engine_id: str, state: EngineState) -> int:
@@ -79,7 +79,7 @@
 
 
 class SequenceIds:
-    """The ids of sequences and their numbers, which are never reused."""
+    """The table from the ids of sequences to numbers, which are never reused."""
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
@@ -95,7 +95,7 @@
         return number
 
     def number(self, sequence_id: str) -> int | None:
-        """Return the number of a sequence, None once it is forgotten."""
+        """Return the number of a sequence; None after it was forgotten."""
         return self._numbers.get(sequence_id)
 
     def id_of(self, number: int) -> str:
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -22,7 +22,7 @@
     fields_of,
 )
 
-RESERVED = 1  # the value of a note that confirms a reservation
+RESERVED = 1  # the value of a note by which an engine confirms a reservation
 
 
 class Node:
@@ -56,7 +56,7 @@
     def call(self, event: Event, now: float) -> list[Action]:
         """Call the router with an event, and return its actions.
 
-        An event of a sequence that has been forgotten is ignored: it crossed the final answer on the wire.
+        An event of a forgotten sequence is ignored: it was sent before the final answer arrived.
         """
         verb = event["verb"]
         if verb in self._node_events:
@@ -163,7 +163,7 @@
         return self.router.reservation_answered(now, sequence, event.get("Copy", 0), engine, is_reserved)
 
     def encode(self, action: Action) -> Order | None:
-        """Return an action as an order of the protocol, None if it concerns the adapter only."""
+        """Return an action as an order of the protocol, None if the simulator need not know it."""
         if isinstance(action, contract.Forget):
             self.sequences.forget(action.sequence)
             return None
@@ -187,7 +187,7 @@
 
 
 def _expected_seconds(event: Event, options: int) -> float:
-    """Return the predicted duration in a request in seconds, 0.0 if it has none."""
+    """Return the duration in seconds that a request predicts for its answer; 0.0 if it predicts none."""
     if not options & RequestOption.HAS_ESTIMATE:
         return 0.0
     predicted_ms: float = event.get("PredictedMs", 0.0)
@@ -195,6 +195,6 @@
 
 
 def _latency(event: Event) -> float:
-    """Return the latency in an event in seconds, 0.0 if there is none."""
+    """Return the latency that an event reports, in seconds; 0.0 if it reports none."""
     latency_ms: float = event.get("LatencyMs", 0.0)
     return latency_ms / MS_PER_SECOND
--- a/myrtlehub/simulator/wire.py
+++ b/myrtlehub/simulator/wire.py
@@ -10,7 +10,7 @@
 Order = dict[str, Any]  # a JSON object, to be encoded
 
 MS_PER_SECOND = 1e3  # times are milliseconds on the wire
-ALL_NODES = "all"  # the receiver of gossip to all nodes
+ALL_NODES = "all"  # name of the receiver for gossip to all nodes
 OUTCOMES = {
     "ok": Outcome.GENERATED,
     "read": Outcome.READ,
@@ -58,7 +58,7 @@
 class RequestOption(IntFlag):
     """The bits of a request's options that the adapter reads."""
 
-    HAS_ESTIMATE = 1  # its predicted duration is set
+    HAS_ESTIMATE = 1  # the request predicts the duration of its answer
     IS_RETRY = 2
     IS_RESUMED = 16
 
--- a/myrtlehub/state/answer.py
+++ b/myrtlehub/state/answer.py
@@ -1,6 +1,6 @@
-"""The state machine of an answer: what the client of a sequence has got.
+"""The state machine of an answer: what the client of a sequence has received.
 
-In `STREAMING` the answer belongs to one attempt. After a final state the client gets nothing more.
+In `STREAMING`, all tokens come from one attempt. After a final state the client is sent nothing more.
 """
 
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class AnswerState(StrEnum):
-    """What the client has got. Values of final states are counted and logged."""
+    """What the client has received. The values of final states are counted and logged."""
 
     PENDING = "pending"
     STREAMING = "streaming"
@@ -36,7 +36,7 @@
     """What the owner of an answer has to do."""
 
     PASS = "pass"  # pass the tokens to the client
-    STOP = "stop"  # another attempt streams already: stop the one that these tokens are of
+    STOP = "stop"  # another attempt is streaming: stop the one that sent these tokens
     ANSWER = "answer"  # give the client its final answer
 
 
--- a/myrtlehub/state/attempt.py
+++ b/myrtlehub/state/attempt.py
@@ -1,4 +1,4 @@
-"""The state machine of an attempt: what its node knows of its effect at an engine.
+"""The state machine of an attempt: what the node knows of its effect at the engine.
 
 An attempt that certainly had no effect ends in `HARMLESS`. One that may have had an effect ends in `UNKNOWN`,
 or in `RAN` if tokens prove it. A read has no effect, whatever its outcome.
@@ -11,7 +11,7 @@
 
 
 class AttemptState(StrEnum):
-    """What the node knows of an attempt. Values are logged."""
+    """What the node knows of an attempt. The values are logged."""
 
     READING = "reading"
     WRITING = "writing"
@@ -39,7 +39,7 @@
 class AttemptEffect(StrEnum):
     """What the owner of an attempt has to do."""
 
-    BEGIN = "begin"  # begin the answer with these first tokens
+    BEGIN = "begin"  # these are the first tokens: start the answer with them
     PASS = "pass"  # pass the tokens on
     REPORT = "report"  # report the end of the attempt
 
@@ -54,7 +54,7 @@
 _REJECTIONS = (AttemptEvent.FULL, AttemptEvent.UNREACHED, AttemptEvent.UNSENT)
 _FAILURES = (AttemptEvent.ERROR, AttemptEvent.TIMEOUT, AttemptEvent.RESET, AttemptEvent.CANCELLED)
 
-# The machine of a read is made in READING, not in the initial state.
+# State machines of reads are created in READING instead of the initial state.
 ATTEMPT = TransitionTable.build(
     "attempt",
     initial=AttemptState.WRITING,
--- a/myrtlehub/state/invariants.py
+++ b/myrtlehub/state/invariants.py
@@ -1,7 +1,7 @@
-"""The invariants of a node: what has to hold whenever it sends, closes, answers or forgets.
+"""The invariants of a node: conditions that hold whenever it sends, closes, answers or forgets.
 
-All paths ask here: facts are passed in, and the invariant that they violate, or None, is returned. A send
-that would violate an invariant is withheld; that is no defect, because the facts can change between the
+Every code path checks them with the functions of this module, which return the violated invariant or None. A
+send that would violate an invariant is withheld; that is no defect, because the facts can change between the
 router's decision and the first byte. Every other violation is a defect of the node; it is counted by kind.
 """
 
@@ -12,7 +12,7 @@
 
 
 class Invariant(StrEnum):
-    """What has to hold. Values are counted and logged."""
+    """A condition that has to hold. The values are counted and logged."""
 
     CLIENT_PRESENT = "client present"  # an attempt is sent only for a client that waits for its answer
     TIME_LEFT = "time left"  # an attempt is sent only before its deadline
@@ -21,18 +21,18 @@
     MAY_RUN = (
         "may run"  # an attempt is sent only if an earlier one cannot have run or a second run is harmless
     )
-    ANSWER_BEFORE_CLOSE = "answer before close"  # the node closes no connection with an open request
+    ANSWER_BEFORE_CLOSE = "answer before close"  # the node closes no client connection with an open request
     ONE_FINAL_ANSWER = "one final answer"  # each sequence gets one, and nothing after it
     ANSWER_IN_TIME = "answer in time"  # the final answer is given before the deadline
     STATE_RELEASED = "state released"  # each read state was fetched, or its release was sent
-    TIMER_ARMED = "timer armed"  # the next call of everything that recurs is scheduled
+    TIMER_ARMED = "timer armed"  # the next run of each recurring call is scheduled
 
 
 class SendFacts(NamedTuple):
     """What is known of an attempt just before its first byte.
 
     Attributes:
-        client_is_present: The client is connected and has got no part of an answer.
+        client_is_present: The client is connected and has received no part of an answer.
         time_left: Seconds until the attempt's own deadline.
         engine_is_serving: The endpoint list has the engine in state serving.
         is_in_slow_start_share: The engine is warm, or its slow start allows this sequence.
@@ -59,29 +59,29 @@
 
 
 def broken_by_close(has_open_request: bool) -> Invariant | None:
-    """Return the invariant that the node violates by closing a client's connection."""
+    """Return the invariant that closing a client's connection violates, or None."""
     return Invariant.ANSWER_BEFORE_CLOSE if has_open_request else None
 
 
 def broken_by_answer(has_final_answer: bool) -> Invariant | None:
-    """Return the invariant that an answer violates; `has_final_answer`: its client has got one already."""
+    """Return the invariant that a final answer violates, or None; `has_final_answer`: there was one."""
     return Invariant.ONE_FINAL_ANSWER if has_final_answer else None
 
 
 def broken_by_forgetting(has_final_answer: bool, has_unreleased_state: bool) -> Invariant | None:
-    """Return the invariant that is violated by forgetting a sequence."""
+    """Return the invariant that forgetting a sequence violates, or None."""
     if not has_final_answer:
         return Invariant.ONE_FINAL_ANSWER
     return Invariant.STATE_RELEASED if has_unreleased_state else None
 
 
 def broken_by_waiting(overdue: float, tolerance: float) -> Invariant | None:
-    """Return the invariant that a sequence violates that is unanswered `overdue` s after its deadline."""
+    """Return the invariant violated by a sequence without answer `overdue` s after its deadline, or None."""
     return Invariant.ANSWER_IN_TIME if overdue > tolerance else None
 
 
 def broken_by_timer(is_armed: bool) -> Invariant | None:
-    """Return the invariant that a recurring call violates; `is_armed`: its next call is scheduled."""
+    """Return the invariant that a recurring call violates, or None; `is_armed`: its next run is scheduled."""
     return None if is_armed else Invariant.TIMER_ARMED
 
 
--- a/myrtlehub/state/model.py
+++ b/myrtlehub/state/model.py
@@ -1,7 +1,7 @@
-"""Data types of the model: a network with so few nodes, engines and sequences that all states can be visited.
+"""Data types of the model: a system with so few nodes, engines and sequences that all states can be visited.
 
-An attempt has two states: the one that its node knows, from the transition tables, and its actual state at
-the engine. The rules are checked on the actual states, so an error in a table is found in some interleaving
+An attempt has two states: what its node knows of it, by the transition tables, and its actual state at the
+engine. The rules are checked on the actual states, so an error in a table is found in some interleaving
 of events.
 """
 
@@ -72,12 +72,12 @@
 
     @property
     def is_outstanding(self) -> bool:
-        """Whether the node still waits for the end of this attempt."""
+        """Whether the node has not observed the end of this attempt yet."""
         return self.known_state in OUTSTANDING_STATES
 
 
 class ModelSubmission(NamedTuple):
-    """A sequence at one node; a client that retries makes another submission of it."""
+    """A sequence at one node; each retry of its client is a submission of its own."""
 
     sequence: int
     node: int
@@ -98,7 +98,7 @@
 
 
 class RetainedState(NamedTuple):
-    """A read state that a reader actually holds for a submission."""
+    """A read state that actually exists at a reader, whether the node knows it or not."""
 
     reader: int
     submission: int
@@ -145,7 +145,7 @@
 
 
 class ModelStep(NamedTuple):
-    """One event that can happen next."""
+    """An event that can happen next, and the state after it."""
 
     label: str
     state: ModelState  # after the event
--- a/myrtlehub/state/model_checker.py
+++ b/myrtlehub/state/model_checker.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple, TypeAlias, TypeVar
 
 StateT = TypeVar("StateT", bound=Hashable)
-# Returns the steps from a state. Each has a label, the state after it and the rule that it violates; None or
-# "" if it violates none.
+# A function that returns the steps from a state. A step has a label, the state after it, and the rule that it
+# violates; None or "" if it violates none.
 Steps: TypeAlias = Callable[[StateT], Iterable[tuple[str, StateT, str | None]]]
-# Maps each visited state to its predecessor and the label of the step from there; the initial one to None.
+# By visited state: its predecessor and the label of the step between them; None for the initial state.
 _Parents: TypeAlias = dict[StateT, tuple[StateT, str] | None]
 
 DEFAULT_MAX_STATES = 10_000_000  # per search, because all visited states are kept in memory
@@ -35,7 +35,7 @@
 def check_model(
     initial: StateT, steps: Steps[StateT], max_depth: int, max_states: int = DEFAULT_MAX_STATES
 ) -> CheckResult:
-    """Visit all states within a depth, up to a number of states, and stop at the first violation."""
+    """Visit all states up to a depth and a number of states; stop at the first violation."""
     parents: _Parents[StateT] = {initial: None}
     queue: deque[tuple[StateT, int]] = deque([(initial, 0)])
     step_count, deepest, is_complete = 0, 0, True
--- a/myrtlehub/state/model_client.py
+++ b/myrtlehub/state/model_client.py
@@ -1,4 +1,4 @@
-"""Steps of the model: clients that disconnect, deadlines that pass, clients that retry."""
+"""Steps of the model: clients disconnect or retry, and deadlines and dedup windows end."""
 
 from collections.abc import Iterator
 
@@ -10,7 +10,7 @@
 
 
 def client_steps(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
-    """Iterate over what a client and the clock may do to a submission."""
+    """Iterate over the events of a submission that its client and the clock may cause."""
     submission = model.submissions[index]
     semantics = config.semantics[submission.sequence]
     if submission.answer in (AnswerState.PENDING, AnswerState.STREAMING):
@@ -33,7 +33,7 @@
 
 
 def client_retries(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
-    """Iterate over the retry of a client that may send its request again, to the next node."""
+    """Yield the step by which a client retries its request at the next node, if it may."""
     submission = model.submissions[index]
     is_idempotent = config.semantics[submission.sequence] == RetrySemantics.IDEMPOTENT
     may_retry = submission.answer == AnswerState.REJECTED or (
--- a/myrtlehub/state/model_engine.py
+++ b/myrtlehub/state/model_engine.py
@@ -1,4 +1,4 @@
-"""Steps of the model: what happens to an attempt at its engine."""
+"""Steps of the model: what happens to attempts at their engines."""
 
 from collections.abc import Iterator
 
@@ -38,7 +38,7 @@
 
 
 def _apply_earlier_resets(model: ModelState, index: int, number: int) -> ModelState:
-    """Apply the resets that were sent before this attempt on the same connection."""
+    """Apply the resets that were sent before this attempt on its connection, so that they arrive first."""
     attempts = model.submissions[index].attempts
     for earlier_number, earlier in enumerate(attempts[:number]):
         is_same_engine = earlier.engine == attempts[number].engine
--- a/myrtlehub/state/model_faults.py
+++ b/myrtlehub/state/model_faults.py
@@ -5,14 +5,14 @@
 from myrtlehub.state.model import ActualState, KnownDrain, ModelConfig, ModelState, ModelStep
 from myrtlehub.state.model_steps import replace_item, reset_attempt
 
-_AFTER_CRASH = {  # responses that the engine had not delivered are lost
+_AFTER_CRASH = {  # responses that had not reached the node are lost
     ActualState.IN_TRANSIT: ActualState.STOPPED,
     ActualState.ARRIVED: ActualState.STOPPED,
     ActualState.RUNNING: ActualState.STOPPED_AFTER_EFFECT,
     ActualState.READ: ActualState.STOPPED,
     ActualState.COMPLETED: ActualState.STOPPED_AFTER_EFFECT,
 }
-_AFTER_DISCONNECT = {  # the engine stops what it has not completed, and its last message may be lost
+_AFTER_DISCONNECT = {  # the engine stops what is not complete, and its last message may be lost
     ActualState.IN_TRANSIT: ActualState.STOPPED,
     ActualState.ARRIVED: ActualState.STOPPED,
     ActualState.RUNNING: ActualState.STOPPED_AFTER_EFFECT,
--- a/myrtlehub/state/model_node.py
+++ b/myrtlehub/state/model_node.py
@@ -1,4 +1,4 @@
-"""Steps of the model: what a node learns of its attempts, and its releases of read states."""
+"""Steps of the model: what a node observes of its attempts, and its releases of read states."""
 
 from collections.abc import Iterator
 
@@ -18,7 +18,7 @@
 
 
 def node_steps(config: ModelConfig, model: ModelState, index: int, number: int) -> Iterator[ModelStep]:
-    """Iterate over what the node may learn next of an attempt, given its actual state."""
+    """Iterate over what the node may observe next of an attempt, given its actual state."""
     name, attempt = f"{index}.{number}", model.submissions[index].attempts[number]
     if not attempt.is_outstanding:
         yield from _late_tokens(config, model, index, number)
@@ -43,7 +43,7 @@
 def _outcome_without_response(model: ModelState, attempt: ModelAttempt) -> AttemptEvent:
     """Return the outcome of an attempt whose connection broke or whose engine stopped it.
 
-    A connection that was never established is known not to have carried anything.
+    If no connection was established, the node knows that nothing was sent.
     """
     is_unreached = (
         attempt.actual_state == ActualState.STOPPED
--- a/myrtlehub/state/model_router.py
+++ b/myrtlehub/state/model_router.py
@@ -1,4 +1,4 @@
-"""Steps of the model: a router's decisions, which are all sends and final answers that the tables allow."""
+"""Steps of the model: the decisions of a router, that is all sends and final answers that are allowed."""
 
 from collections.abc import Iterator
 
@@ -50,7 +50,7 @@
 
 
 def _is_in_slow_start_share(submission: ModelSubmission) -> bool:
-    """Return whether a sequence may go to engines in slow start: here every second one may."""
+    """Return whether a sequence may be sent to cold engines; in the model, every second one may."""
     return submission.sequence % 2 == 0
 
 
@@ -94,7 +94,7 @@
 def _checked_send(
     config: ModelConfig, model: ModelState, index: int, engine: int, violation: str | None
 ) -> ModelStep:
-    """Return the step of a send that was made, after checking the rules on draining and cold engines."""
+    """Check a send against the rules on draining and cold engines, and return it as a step."""
     if KnownDrain(model.submissions[index].node, engine) in model.known_drains:
         violation = "rule 3: sent to a draining engine"
     if engine in model.cold_engines:
--- a/myrtlehub/state/model_steps.py
+++ b/myrtlehub/state/model_steps.py
@@ -1,4 +1,4 @@
-"""Parts that several kinds of steps of the model have in common."""
+"""Functions that several kinds of steps of the model share."""
 
 from typing import NamedTuple, TypeVar
 
@@ -83,7 +83,7 @@
     *,
     is_state_missing: bool = False,
 ) -> ModelStep:
-    """Have the node learn the end of an attempt, or end it itself."""
+    """Apply the end of an attempt, which the node observes or causes, to what the node knows."""
     attempt = model.submissions[index].attempts[number]
     after = step(config.attempt_table, attempt.known_state, outcome)
     if after.effect == CommonEffect.VIOLATION:
@@ -99,7 +99,7 @@
 def _read_state_step(
     config: ModelConfig, attempt: ModelAttempt, outcome: AttemptEvent, is_state_missing: bool
 ) -> _ReadStateStep | None:
-    """Return what the end of an attempt means for a read state; None if it concerns none."""
+    """Return the read-state event that follows from the end of an attempt; None if there is none."""
     if not attempt.is_outstanding:
         return None
     if config.is_reader(attempt.engine):
@@ -113,7 +113,7 @@
 def _step_read_state(
     config: ModelConfig, model: ModelState, index: int, read_state_step: _ReadStateStep
 ) -> tuple[ModelState, str | None]:
-    """Step what the node knows of a reader's state; return the model after it and the violation, if any."""
+    """Apply a read-state event to what the node knows; return the model after it, and any violation."""
     submission = model.submissions[index]
     reader, event = read_state_step
     after = step(config.read_state_table, submission.read_states[reader], event)
@@ -123,7 +123,7 @@
 
 
 def reset_attempt(model: ModelState, index: int, number: int) -> ModelState:
-    """Have the engine receive the reset of an attempt: it stops."""
+    """Have the engine receive the reset of an attempt, and stop it."""
     attempt = model.submissions[index].attempts[number]
     actual_state = _AFTER_RESET.get(attempt.actual_state, attempt.actual_state)
     return model.with_attempt(
--- a/myrtlehub/state/model_transitions.py
+++ b/myrtlehub/state/model_transitions.py
@@ -13,8 +13,8 @@
 class ModelTransitions:
     """Everything that can happen next in a state of the model.
 
-    The router's decisions are left open: any send, rejection or abort that the tables allow can come at any
-    time. What holds here holds for every router that is bound by the tables.
+    The router may decide on any send, rejection or abort that the tables allow, at any time. An invariant of
+    the model is therefore an invariant of every router that follows the tables.
     """
 
     def __init__(self, config: ModelConfig) -> None:
--- a/myrtlehub/state/read_state.py
+++ b/myrtlehub/state/read_state.py
@@ -1,7 +1,7 @@
-"""The state machine of a read state: what one reader holds for one sequence, as far as the node can know.
+"""The state machine of a read state: what the node knows of the state that a reader has for a sequence.
 
-In `READING`, `READING_AGAIN`, `CLAIMED` and `CLAIMED_UNCERTAIN` an attempt is outstanding whose end decides
-the next state, so a release waits for that end.
+In `READING`, `READING_AGAIN`, `CLAIMED` and `CLAIMED_UNCERTAIN` an attempt is outstanding, and its end
+decides the next state. A release is therefore sent only after that end.
 """
 
 from enum import StrEnum
@@ -11,17 +11,17 @@
 
 
 class ReadStateStatus(StrEnum):
-    """What the node knows that a reader holds."""
+    """What the node knows of the read state at a reader."""
 
     NONE = "none"
     READING = "reading"
     READING_AGAIN = (
-        "reading_again"  # an earlier read may have left a state, which a rejection does not remove
+        "reading_again"  # a second read: even if it is rejected, an earlier one may have left a state
     )
     HELD = "held"
-    UNCERTAIN = "uncertain"  # the attempt ended without a result
+    UNCERTAIN = "uncertain"  # a state may exist: an attempt ended without a result
     CLAIMED = "claimed"  # a write that fetches the state was sent
-    CLAIMED_UNCERTAIN = "claimed_uncertain"  # as CLAIMED; a read that was given up may still complete later
+    CLAIMED_UNCERTAIN = "claimed_uncertain"  # as CLAIMED, but a read without result may yet leave a state
 
 
 class ReadStateEvent(StrEnum):
@@ -42,7 +42,7 @@
 class ReadStateEffect(StrEnum):
     """What the owner of a read state has to do."""
 
-    RETAIN_HANDLE = "retain_handle"  # the handle by which writers fetch the state
+    RETAIN_HANDLE = "retain_handle"  # store the handle by which writers fetch the state
     SEND_RELEASE = "send_release"  # to the reader
 
 
@@ -125,7 +125,7 @@
 
 
 def event_of_write_end(outcome: AttemptEvent, *, is_state_missing: bool) -> ReadStateEvent:
-    """Return the event of a claimed read state that corresponds to the outcome of the write."""
+    """Return the read-state event that corresponds to the outcome of the write that claimed the state."""
     if outcome == AttemptEvent.FULL:
         return ReadStateEvent.MISSING if is_state_missing else ReadStateEvent.NOT_FETCHED
     if outcome in (AttemptEvent.UNREACHED, AttemptEvent.UNSENT):
--- a/myrtlehub/state/state_machine.py
+++ b/myrtlehub/state/state_machine.py
@@ -5,7 +5,7 @@
     rows={
         Lamp.OFF: (
             on(LampEvent.SWITCH, to=Lamp.ON, effect=LampEffect.LIGHT),
-            on(LampEvent.LOOK),  # the state stays as it is, and there is nothing to do
+            on(LampEvent.LOOK),  # no change and no effect
             forbid(LampEvent.BURN_OUT),
         ),
         ...
@@ -34,13 +34,13 @@
     VIOLATION = "violation"  # the event cannot occur in this state: its sender violates the contract
 
 
-# Read in every step, and there is a step for each token message: looking the member up in its enumeration
-# would cost as much as the rest of the step.
+# A constant, because `step` runs for each token message, and an access to the member of the enumeration would
+# take as long as the rest of it.
 _VIOLATION = CommonEffect.VIOLATION
 
 
 class Transition(NamedTuple, Generic[StateT]):
-    """The state that an event leads to, and what the owner of the machine has to do."""
+    """The state after an event, and the effect that the owner of the machine has to carry out."""
 
     next_state: StateT
     effect: StrEnum
@@ -105,7 +105,7 @@
         """Make a table.
 
         Args:
-            name: names the machine in error messages.
+            name: identifies the machine in error messages.
             initial: the state of a new machine.
             events: all events, in the order in which final states list them.
             rows: the transitions of each state that is not final.
@@ -165,7 +165,7 @@
     __slots__ = ("state", "table")
 
     def __init__(self, table: TransitionTable[StateT, EventT], state: StateT | None = None) -> None:
-        """Make a machine in the given state, or else in the table's initial state."""
+        """Create a machine in the given state; None stands for the table's initial state."""
         self.table = table
         self.state = state or table.initial
 
