--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -74,8 +74,8 @@
     return endpoint.state == EndpointState.DRAINING
 
 
-def is_gone(endpoint: Endpoint) -> bool:
-    """Return whether the endpoint's state is gone: it is listed only to be removed."""
+def is_removed(endpoint: Endpoint) -> bool:
+    """Return whether the list names the endpoint only to remove it."""
     return endpoint.state == EndpointState.GONE
 
 
