--- a/myrtlehub/config/batches.py
+++ b/myrtlehub/config/batches.py
@@ -1,4 +1,4 @@
-"""Batches of embeddings and rerank."""
+"""Settings of batches of embeddings and rerank: `batches` in a node's file."""
 
 from myrtlehub.config.field_types import Count, Share
 from myrtlehub.config.loader import ConfigModel
@@ -6,12 +6,12 @@
 
 
 class BatchConfig(ConfigModel):
-    """Batches: how they are cut, gathered and kept."""
+    """How requests are split into parts, merged into groups, and how their results are cached."""
 
-    least_part: Tokens = 2000.0  # below this a part costs more to send than it saves
-    gather: Duration = 0.004  # small requests wait so long at most to be gathered; 0: never
-    gather_tokens: Tokens = 1000.0  # a group of this size is sent at once
-    gather_items: Count = 32
-    gather_left: Share = 0.8  # of a request's time left, that must remain when it is sent
-    keep: Size = 64 * 2**20  # bytes of cached vectors, over all tenants; 0: none
-    most_items: Count = 4096  # of one request
+    least_part: Tokens = 2000.0  # no smaller parts are made: sending one would cost more time than it saves
+    gather: Duration = 0.004  # longest time that a small request waits to be merged; 0: it never waits
+    gather_tokens: Tokens = 1000.0  # a group is sent as soon as it has this size
+    gather_items: Count = 32  # likewise, by the number of its items
+    gather_left: Share = 0.8  # of a request's remaining time, fraction that must be left at the send
+    keep: Size = 64 * 2**20  # bytes of cached results, of all tenants together; 0: no cache
+    most_items: Count = 4096  # largest number of items of one request
--- a/myrtlehub/config/emulated_engine.py
+++ b/myrtlehub/config/emulated_engine.py
@@ -1,4 +1,4 @@
-"""The settings of an emulated engine."""
+"""The file of an emulated engine."""
 
 from typing import Annotated, Literal, Self
 
@@ -35,9 +35,7 @@
     batch_rate: Rate = 60000.0  # tokens per second, for a batch without concurrent streams
     batch_slots: Count = 1  # batches that run concurrently
     batch_queue: CountOrZero = 16
-    batch_drag: NotNegative = (
-        0.5  # fraction by which batches and streams that run together prolong one another
-    )
+    batch_drag: NotNegative = 0.5  # fraction by which concurrent batches and streams slow one another
     longest_input: Tokens = 8192.0
     slots: Count = 8
     queue: CountOrZero = 32
--- a/myrtlehub/config/engines.py
+++ b/myrtlehub/config/engines.py
@@ -1,4 +1,4 @@
-"""Engines: their kinds, what they can be asked for, and how they report their load."""
+"""Engines: their kinds, the optional requests that they support, and how they report their load."""
 
 from typing import Literal, Self
 
@@ -18,12 +18,12 @@
     writes: bool = False
     embeds: bool = False
     ranks: bool = False
-    memory: Tokens = 0.0
-    batch: Tokens = 16000.0  # of one part of a batch, at most
-    batch_items: Count = 256
+    memory: Tokens = 0.0  # capacity for sequences; 0: unknown
+    batch: Tokens = 16000.0  # largest part of a batch
+    batch_items: Count = 256  # largest number of items of a part
 
     def serves(self, front: Front) -> bool:
-        """Whether it does work of this front."""
+        """Return whether engines of this kind do the work of a front."""
         return {"chat": self.reads or self.writes, "embed": self.embeds, "rank": self.ranks}[front]
 
     @model_validator(mode="after")
@@ -34,19 +34,19 @@
 
 
 class EngineCapabilities(ConfigModel):
-    """What the engines of this fleet can be asked for."""
+    """The optional requests that all engines of this fleet support."""
 
-    read_alone: bool = True  # a pure writer reads a prompt itself
-    cancel: bool = True
-    hold: bool = False
-    resume: bool = False
-    probe: bool = False
-    claims: bool = False  # streams outlive their node, and claims on sequences are answered
+    read_alone: bool = True  # an engine that only writes can read a prompt itself
+    cancel: bool = True  # cancelling an attempt
+    hold: bool = False  # reserving capacity; engines of myrtlehub.v1 cannot
+    resume: bool = False  # migrating a stream; engines of myrtlehub.v1 cannot
+    probe: bool = False  # reporting the load when polled for it
+    claims: bool = False  # continuing streams whose node is lost, and answering claims on sequences
 
 
 class LoadReportConfig(ConfigModel):
-    """How engines tell their load, and what asking for it costs."""
+    """How engines report their load, and the cost of polling for it."""
 
-    how: Literal["answers", "probe"] = "answers"
-    probe_price: Share = 0.0  # of the utility asked for, that one probe a sequence costs
-    probe_timeout: Duration = 0.25
+    how: Literal["answers", "probe"] = "answers"  # messages that carry the load report
+    probe_price: Share = 0.0  # utility that one probe per sequence costs, as a fraction of the sequence's
+    probe_timeout: Duration = 0.25  # an engine that has not responded by then counts as full
--- a/myrtlehub/config/fault_lines.py
+++ b/myrtlehub/config/fault_lines.py
@@ -1,16 +1,15 @@
-"""Lines for people about what is wrong with a file: file, line, field, what was found and the likely fix."""
+"""Descriptions of the faults of a settings file: file, line, field, the value found and the likely fix."""
 
-from collections.abc import Mapping
 from difflib import get_close_matches
-from typing import NamedTuple, get_args
+from typing import NamedTuple, TypeAlias, get_args
 
 from pydantic import BaseModel
 from pydantic_core import ErrorDetails
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 
-Location = tuple[int | str, ...]  # of a field, from the root of the file
-CLOSE_MATCH = 0.5  # similarity from which a known name is suggested
-MESSAGES = {
+FieldPath: TypeAlias = tuple[int | str, ...]  # keys and indices from the root of the file to a field
+MIN_SIMILARITY = 0.5  # of difflib, 0 to 1, from which a known name is suggested for an unknown one
+MESSAGES = {  # by pydantic's type of error; others have pydantic's message
     "missing": "is missing",
     "extra_forbidden": "is not known here",
     "int_type": "has to be a whole number",
@@ -22,19 +21,19 @@
 }
 
 
-class Place(NamedTuple):
-    """Where a field stands, and its name as people write it."""
+class FieldLocation(NamedTuple):
+    """The line of a field, counted from 1, and its name, such as `traffic[0](ask).utility`."""
 
     line: int
     name: str
 
 
-def find_place(tree: CommentedMap, location: Location) -> Place:
-    """Return the place of a field, with the line of the nearest group that holds it if it is not there."""
+def locate_field(tree: CommentedMap, path: FieldPath) -> FieldLocation:
+    """Return the location of a field; a missing one has the line of the innermost group around it."""
     line = 0
     name = ""
-    node = tree
-    for part in location:
+    node: object = tree
+    for part in path:
         if isinstance(node, CommentedMap) and isinstance(part, str):
             name = _join(name, part)
             line = node.lc.key(part)[0] if part in node else line
@@ -45,7 +44,7 @@
             name += f"[{part}]{_label(node)}"
         elif isinstance(part, str) and node is None:
             name = _join(name, part)
-    return Place(line + 1, name)
+    return FieldLocation(line + 1, name)
 
 
 def _join(name: str, part: str) -> str:
@@ -53,14 +52,14 @@
 
 
 def _label(item: object) -> str:
-    """Return the name of an item of a list in brackets, where it has one."""
+    """Return the name or address of a list item in parentheses, or "" for an item without either."""
     label = (item.get("name") or item.get("address")) if isinstance(item, CommentedMap) else None
     return f"({label})" if label else ""
 
 
-def _known_fields(model: type, location: Location) -> list[str]:
-    """Return the names that would be known at a place."""
-    for part in location:
+def _known_fields(model: type, path: FieldPath) -> list[str]:
+    """Return the names of the fields that the group at a path may have."""
+    for part in path:
         if isinstance(part, int):
             continue
         fields = getattr(model, "model_fields", {})
@@ -73,26 +72,26 @@
     return list(getattr(model, "model_fields", {}))
 
 
-def describe_fault(path: str, tree: CommentedMap, model: type[BaseModel], error: ErrorDetails) -> str:
-    """Return the line for one fault that the model has found."""
-    place = find_place(tree, error["loc"])
+def describe_fault(file: str, tree: CommentedMap, model: type[BaseModel], error: ErrorDetails) -> str:
+    """Return one line that describes a validation error of pydantic."""
+    location = locate_field(tree, error["loc"])
     message = _message(error)
-    prefix = f"{path}:{place.line}: {place.name}"
+    prefix = f"{file}:{location.line}: {location.name}"
     if error["type"] == "extra_forbidden":
         return f"{prefix}: {message}; {_suggestion(model, error['loc'])}"
     if error["type"] == "missing":
         return f"{prefix}: {message}; add it"
     found = error.get("input")
     shown = "" if isinstance(found, dict | list) else f" (found {found!r})"
-    return f"{path}:{place.line}: {place.name or 'file'}: {message}{shown}"
+    return f"{file}:{location.line}: {location.name or 'file'}: {message}{shown}"
 
 
-def _message(error: Mapping[str, str]) -> str:
+def _message(error: ErrorDetails) -> str:
     known = MESSAGES.get(error["type"])
     return known or error["msg"].removeprefix("Value error, ").removeprefix("Input ")
 
 
-def _suggestion(model: type[BaseModel], location: Location) -> str:
-    known = _known_fields(model, location[:-1])
-    near = get_close_matches(str(location[-1]), known, 1, CLOSE_MATCH)
+def _suggestion(model: type[BaseModel], path: FieldPath) -> str:
+    known = _known_fields(model, path[:-1])
+    near = get_close_matches(str(path[-1]), known, 1, MIN_SIMILARITY)
     return f"did you mean {near[0]!r}?" if near else "remove it"
--- a/myrtlehub/config/field_types.py
+++ b/myrtlehub/config/field_types.py
@@ -1,4 +1,4 @@
-"""Types of fields that several models use."""
+"""Types of fields that several models have."""
 
 from typing import Annotated
 
@@ -14,5 +14,5 @@
 
 
 def find_duplicates(names: list[str]) -> list[str]:
-    """Return the names that stand more than once, sorted."""
+    """Return the names that occur more than once, sorted."""
     return sorted({name for name in names if names.count(name) > 1})
--- a/myrtlehub/config/limits.py
+++ b/myrtlehub/config/limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients."""
+"""Settings of the limits on clients: `limits` in a node's file."""
 
 from typing import Literal
 
@@ -8,16 +8,16 @@
 
 
 class LimitsConfig(ConfigModel):
-    """Limits on clients."""
+    """Limits on the memory, rates and connections of clients, by peer address and by tenant."""
 
-    held_bytes: Size = 256 * 2**20  # that a node uses for clients: their requests, and what waits for them
-    peer_share: Share = 0.25  # of that, for one peer's address
-    tenant_share: Share = 0.5  # of that, for one tenant
-    least_rate: NotNegative = 50.0  # bytes a second that a peer has to take of what waits for it; 0: any
-    rate_window: Duration = 5.0  # over which that is judged
-    linger: Duration = 5.0  # until a client that does not take its last answer is reset
-    admit: bool = False  # admission control: sequences are queued, and shed by utility, as latency grows
-    retries: NotNegative | Literal["any"] = "any"  # that a tenant may send for each first attempt
-    connections: Count = 4000
-    peer_connections: Count = 1000  # of one peer's address
-    idle: Duration = 300.0  # a connection without calls is closed after this; 0: never
+    held_bytes: Size = 256 * 2**20  # memory for requests and for answers that clients have not read yet
+    peer_share: Share = 0.25  # fraction of it that one peer address may use
+    tenant_share: Share = 0.5  # fraction of it that one tenant may use
+    least_rate: NotNegative = 50.0  # bytes per second that a peer must read of queued data; 0: any rate
+    rate_window: Duration = 5.0  # window over which that rate is measured
+    linger: Duration = 5.0  # time after which a client that does not read its last answer is reset
+    admit: bool = False  # admission control: as latency grows, sequences are queued, and shed by utility
+    retries: NotNegative | Literal["any"] = "any"  # retries that a tenant may send per first attempt
+    connections: Count = 4000  # largest number, of all clients
+    peer_connections: Count = 1000  # largest number, of one peer address
+    idle: Duration = 300.0  # time after which a connection without calls is closed; 0: never
--- a/myrtlehub/config/loader.py
+++ b/myrtlehub/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads a YAML file against a model: whole or not at all, one line a fault."""
+"""Reads a YAML file and validates it completely against a model; each fault is described by one line."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -14,13 +14,13 @@
 
 
 class ConfigModel(BaseModel):
-    """Base of all models: unknown fields are faults, and nothing is guessed."""
+    """Base of all models; unknown fields are faults."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
 
 
 class ConfigError(Exception):
-    """All that is wrong with a file, a line each."""
+    """A settings file is invalid; `lines` describes each of its faults."""
 
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
@@ -28,10 +28,10 @@
 
 
 def load_config(path: str | Path, model: type[Model]) -> Model:
-    """Check a file whole.
+    """Return the model of a file.
 
     Raises:
-        ConfigError: it cannot be read, or there are faults.
+        ConfigError: the file cannot be read or is invalid.
     """
     try:
         text = Path(path).read_text()
@@ -42,10 +42,10 @@
 
 
 def parse_config(text: str, model: type[Model], path: str = "-") -> Model:
-    """Check a text whole.
+    """Return the model of a YAML text; `path` is the name of the file in error messages.
 
     Raises:
-        ConfigError: there are faults.
+        ConfigError: the text is invalid.
     """
     tree = _parse_yaml(text, path)
     try:
@@ -72,7 +72,7 @@
 
 
 def _to_builtins(tree: object) -> object:
-    """Return the tree without what ruamel remembers of its text."""
+    """Return the tree in built-in types, without the line numbers and comments that ruamel attaches."""
     if isinstance(tree, CommentedMap):
         return {str(key): _to_builtins(value) for key, value in tree.items()}
     if isinstance(tree, CommentedSeq):
--- a/myrtlehub/config/node.py
+++ b/myrtlehub/config/node.py
@@ -1,4 +1,4 @@
-"""The file of a node."""
+"""The file of a node, and the checks of its sections against each other."""
 
 from typing import Annotated, Self
 
@@ -16,28 +16,28 @@
 
 
 class NodeProcessConfig(ConfigModel):
-    """The node itself."""
+    """The node itself: its identity, addresses and limits."""
 
     name: Name
-    listen: Address
-    admin: Address | None = None
-    index: CountOrZero = 0
+    listen: Address  # for clients
+    admin: Address | None = None  # for operators' programs
+    index: CountOrZero = 0  # number of this node; quotas are divided among `nodes`
     nodes: Count = 1
     zone: Name
-    seed: int = 0
-    drain_within: Duration = 10.0
-    most_attempts: Count = 5
-    max_wait: Duration = 2.0  # longest Retry-After; 0: clients are told none
-    over_share_utility: Share = 0.1
-    tick: Duration = 0.004
-    tell_nodes: bool = False
-    connect_timeout: Duration = 0.25
-    most_sequences: Count = 20000
-    prompt_limit: Size = 8 * 2**20
+    seed: int = 0  # of all random choices; different from other nodes'
+    drain_within: Duration = 10.0  # longest graceful shutdown
+    most_attempts: Count = 5  # per sequence
+    max_wait: Duration = 2.0  # longest Retry-After; 0: none is sent
+    over_share_utility: Share = 0.1  # utility of sequences that a tenant sends beyond its quota
+    tick: Duration = 0.004  # by how much a timer may be late
+    tell_nodes: bool = False  # nodes notify each other of their sends; not implemented
+    connect_timeout: Duration = 0.25  # an engine without a connection by then counts as unreachable
+    most_sequences: Count = 20000  # in flight; more are rejected before they are routed
+    prompt_limit: Size = 8 * 2**20  # bytes of one request
 
 
 class NodeConfig(ConfigModel):
-    """A node's file."""
+    """The file of a node."""
 
     node: NodeProcessConfig
     traffic: Annotated[list[TrafficTypeConfig], Field(min_length=1)]
@@ -92,7 +92,11 @@
                 )
 
     def _check_load_reports(self) -> None:
-        """Guards against a half-changed file: load comes with answers, or by probes, never some of each."""
+        """Reject a file that mixes the settings of the two sources of load reports, answers and probes.
+
+        An operator who changes from one to the other may forget a setting; the node would then work without
+        load reports, or ignore the setting.
+        """
         by_probe = self.reports.how == "probe"
         if by_probe and not self.engines_may.probe:
             raise ValueError("reports.how: probe needs engines_may.probe: yes, or load would never be known")
@@ -119,7 +123,11 @@
 
 
 def check_endpoints(config: NodeConfig, endpoints: list[EndpointConfig]) -> None:
-    """Raise ValueError where an endpoint names a kind or zone that the file does not state."""
+    """Check that the kind and zone of each endpoint are in the node's file.
+
+    Raises:
+        ValueError: one is not; pydantic reports it as a fault of the settings file.
+    """
     kinds = {kind.name for kind in config.kinds}
     for endpoint in endpoints:
         if endpoint.kind not in kinds:
--- a/myrtlehub/config/rollout_plan.py
+++ b/myrtlehub/config/rollout_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a rollout."""
+"""The file of a rollout plan."""
 
 from string import Formatter
 from typing import Annotated, Literal, NamedTuple, Self
@@ -9,28 +9,28 @@
 from myrtlehub.config.loader import ConfigModel
 from myrtlehub.config.units import Duration
 
-NODE_FIELDS = frozenset({"name", "settings"})  # that a command line or a path may have in braces
-PROCESS_FIELDS = frozenset({"name", "pid"})
-LEAST_BLOCKS = 3  # of a stage's watch
+NODE_FIELDS = frozenset({"name", "settings"})  # placeholders of node paths and command lines
+PROCESS_FIELDS = frozenset({"name", "pid"})  # placeholders of commands for processes on other machines
+MIN_SAMPLE_WINDOWS = 3  # per observation of a stage
 
 
 class SettingsChange(ConfigModel):
-    """New settings, in place: paths of a node's file, before and after, with {name}."""
+    """New settings for running nodes: paths of a node's file before and after the change, with {name}."""
 
     was: str
     now: str
 
 
 class ProgramChange(ConfigModel):
-    """A new program: command lines, before and after, with {name} and {settings}."""
+    """A new program: command lines before and after the change, with {name} and {settings}."""
 
     was: str
     now: str
-    revision: str = ""  # digest that the new one shows; empty: that of the first node that shows another
+    revision: str = ""  # digest that the new program reports; empty: the first other digest
 
 
 class ChangeConfig(ConfigModel):
-    """What changes: one of the two."""
+    """What the rollout changes: either settings or the program."""
 
     settings: SettingsChange | None = None
     program: ProgramChange | None = None
@@ -43,9 +43,9 @@
 
 
 class ProcessCommands(ConfigModel):
-    """Nodes on other machines: commands that look at a process there and end it, with {name} and {pid}."""
+    """Commands that check and kill the process of a node on another machine, with {name} and {pid}."""
 
-    alive: str  # exit 0: the process runs; 1: there is none; anything else: nobody knows
+    alive: str  # exit code 0: the process runs; 1: it does not run; any other: unknown
     kill: str
 
 
@@ -58,7 +58,7 @@
 
 
 class StageConfig(ConfigModel):
-    """How many nodes have the change once this stage is done."""
+    """How many nodes have the change at the end of a stage: a count or a fraction of all."""
 
     nodes: Count | None = None
     share: Annotated[float, Field(gt=0.0, le=1.0)] | None = None
@@ -71,22 +71,26 @@
 
 
 class GuardConfig(ConfigModel):
-    """One figure that may not get worse."""
+    """A metric that the change may not worsen."""
 
     figure: Literal["served", "rejected", "aborted", "first_token", "tail", "attempts", "memory"]
-    worse: Positive  # by so much is not acceptable, in the figure's unit
-    traffic: str = ""  # a traffic type; empty: all together; each: every one by itself
+    worse: Positive  # smallest unacceptable difference, in the metric's unit
+    traffic: str = ""  # a traffic type; empty: all together; "each": each type separately
 
 
 class Template(NamedTuple):
-    """A text of the plan with fields in braces."""
+    """A text of the plan with placeholders in braces."""
 
     name: str  # of the setting
     text: str
     known_fields: frozenset[str]
 
     def check(self) -> None:
-        """Raise ValueError where a field is not known, or the braces do not match."""
+        """Check the placeholders.
+
+        Raises:
+            ValueError: a placeholder is unknown, or the braces do not match.
+        """
         try:
             fields = {field for _, field, _, _ in Formatter().parse(self.text) if field is not None}
         except ValueError as error:
@@ -98,25 +102,25 @@
 
 
 class RolloutPlanConfig(ConfigModel):
-    """A plan. Times are durations with a unit."""
+    """The file of a rollout plan."""
 
     format: Literal[1] = 1
     change: ChangeConfig
     nodes: Annotated[list[PlannedNode], Field(min_length=2)]
-    settings: str = ""  # path of a node's file with {name}, where the program changes
-    start: str = "hub-node {settings}"  # command line of a node that died while its settings changed
-    processes: ProcessCommands | None = None  # none: they run on this machine
+    settings: str = ""  # path of a node's file with {name}; required if the program changes
+    start: str = "hub-node {settings}"  # command line of a node that exited while its settings changed
+    processes: ProcessCommands | None = None  # None: the nodes run on this machine
     stages: Annotated[list[StageConfig], Field(min_length=1)]
-    one_zone: CountOrZero = 1  # stages at first that stay within one zone
-    most_away: Count = 1
-    measure: Duration = 60.0  # before anything is changed
-    warm: Duration = 10.0  # of a changed node, before it is compared
-    watch: Duration = 60.0  # of a stage
-    hold: Duration = 300.0  # at most, of a stage amid trouble that is not the change's
-    block: Duration = 5.0  # of time that is compared at once
-    look: Duration = 1.0
-    drain_within: Duration = 20.0  # a node that has not left by then is killed
-    start_within: Duration = 30.0  # a node that has not proven itself by then has failed
+    one_zone: CountOrZero = 1  # number of first stages that stay within the largest zone
+    most_away: Count = 1  # largest number of unavailable nodes
+    measure: Duration = 60.0  # duration of the baseline measurement, before anything is changed
+    warm: Duration = 10.0  # duration of a stage's warm-up, without a comparison
+    watch: Duration = 60.0  # duration of a stage's observation, after the warm-up
+    hold: Duration = 300.0  # longest time for which a disturbance may put a stage on hold
+    block: Duration = 5.0  # length of a sample window
+    look: Duration = 1.0  # interval of the polls
+    drain_within: Duration = 20.0  # a node that has not exited by then is killed
+    start_within: Duration = 30.0  # a node that has not generated a sequence by then has failed
     guards: Annotated[list[GuardConfig], Field(min_length=1)] = Field(
         default=[
             GuardConfig(figure="served", worse=0.005),
@@ -128,9 +132,9 @@
             GuardConfig(figure="memory", worse=20.0),
         ]
     )
-    alarm: Share = 0.01  # of equal versions, that may be taken for worse
-    most_lost: Duration = 30.0  # utility that it may cost, as what the fleet is asked in this time
-    journal: str = ""  # empty: beside the plan
+    alarm: Share = 0.01  # fraction of equal versions that may be rolled back
+    most_lost: Duration = 30.0  # limit on the lost utility, as the utility offered to the fleet in this time
+    journal: str = ""  # path of the journal; empty: beside the plan
 
     @model_validator(mode="after")
     def _check(self) -> Self:
@@ -141,7 +145,7 @@
             raise ValueError("settings: say where each node's file is, with {name}")
         if self.one_zone > len(self.stages):
             raise ValueError(f"one_zone: there are {len(self.stages)} stages, not {self.one_zone}")
-        if self.watch < LEAST_BLOCKS * self.block:
+        if self.watch < MIN_SAMPLE_WINDOWS * self.block:
             raise ValueError("watch: has to be three blocks or more")
         if self.most_away >= len(self.nodes):
             raise ValueError(f"most_away: at least one of the {len(self.nodes)} nodes has to stay")
--- a/myrtlehub/config/traffic.py
+++ b/myrtlehub/config/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic types, tenants and the rules for all of them."""
+"""Traffic types, tenants, and the facts of the fleet that the five rules depend on."""
 
 from typing import Literal, Self
 
@@ -12,19 +12,19 @@
 
 
 class TrafficTypeConfig(ConfigModel):
-    """One traffic type."""
+    """One traffic type: its latency objective, its utility and the effect of a second execution."""
 
     name: Name
     front: Front = "chat"
     repeats: Literal["repeatable", "tokened", "once-only"]
-    latency_slo: Duration
-    slo_per_1000_tokens: Duration = 0.0
-    abandon_time: Duration
-    pace: Duration = 0.05
-    utility: Positive = 1.0
-    late_share: Share = 0.3
-    dedup_group: Literal["all", "zone", "cell"] = "all"
-    dedup_window: Duration = 0.0
+    latency_slo: Duration  # latency objective of the first token
+    slo_per_1000_tokens: Duration = 0.0  # added to it per 1,000 prompt tokens
+    abandon_time: Duration  # deadline of the first token
+    pace: Duration = 0.05  # time per generated token that clients expect
+    utility: Positive = 1.0  # priority weight
+    late_share: Share = 0.3  # fraction of the utility of an answer after its latency objective
+    dedup_group: Literal["all", "zone", "cell"] = "all"  # engines that share a memory of idempotency keys
+    dedup_window: Duration = 0.0  # for how long they remember a key
 
     @model_validator(mode="after")
     def _check_times(self) -> Self:
@@ -36,19 +36,19 @@
 
 
 class TenantConfig(ConfigModel):
-    """One tenant and its quota, in sequences a second over all nodes; 0: none."""
+    """One tenant and its quota, in sequences per second over all nodes; 0: no quota."""
 
     name: Name
     quota: NotNegative = 0.0
 
 
 class RulesConfig(ConfigModel):
-    """Figures of the five rules."""
-
-    answer_slack: Duration = 0.016
-    drain_grace: Duration
-    let_go: Duration
-    cold_share: Share
-    cold_time: Duration
-    fall_multiple: Positive
-    fall_time: Duration
+    """Facts of the fleet that the five rules depend on; they are not objectives."""
+
+    answer_slack: Duration = 0.016  # time before the deadline at which a final answer is sent
+    drain_grace: Duration  # from the notification that an engine drains until the last send to it
+    let_go: Duration  # longest time of a read state without an attempt in flight
+    cold_share: Share  # fraction of its usual work that an engine can do right after its start
+    cold_time: Duration  # time from its start until it is warm
+    fall_multiple: Positive  # work received, relative to the cold capacity, that crashes a cold engine
+    fall_time: Duration  # window over which received work is counted for that
--- a/myrtlehub/config/units.py
+++ b/myrtlehub/config/units.py
@@ -1,4 +1,4 @@
-"""Durations, sizes and tokens as people write them; a number without a unit is rejected."""
+"""Types of fields with a unit: durations, sizes and tokens. A number without a unit is rejected, except 0."""
 
 import re
 from collections.abc import Mapping
@@ -13,7 +13,11 @@
 
 
 def _parse(value: object, units: Mapping[str, float], example: str) -> float:
-    """Return the value in the base unit; raise ValueError, as pydantic wants it, where it has none."""
+    """Return the value in the base unit.
+
+    Raises:
+        ValueError: it is not a number with a known unit; pydantic reports it as a fault of the field.
+    """
     if value == 0 and not isinstance(value, bool):
         return 0.0
     match = _NUMBER_WITH_UNIT.fullmatch(value) if isinstance(value, str) else None
@@ -27,21 +31,21 @@
     return float(match[1]) * units[unit]
 
 
-def duration(value: object) -> float:
+def parse_duration(value: object) -> float:
     """Return the seconds of a text like "250ms", "2s" or "1.5 m"."""
     return _parse(value, _DURATION_UNITS, "250ms or 2s")
 
 
-def size(value: object) -> int:
+def parse_size(value: object) -> int:
     """Return the bytes of a text like "64KiB"."""
     return int(_parse(value, _SIZE_UNITS, "64KiB"))
 
 
-def tokens(value: object) -> float:
+def parse_tokens(value: object) -> float:
     """Return the tokens of a text like "200k tokens"."""
     return _parse(value, _TOKEN_UNITS, '"200k tokens"')
 
 
-Duration = Annotated[float, BeforeValidator(duration)]
-Size = Annotated[int, BeforeValidator(size)]
-Tokens = Annotated[float, BeforeValidator(tokens)]
+Duration = Annotated[float, BeforeValidator(parse_duration)]
+Size = Annotated[int, BeforeValidator(parse_size)]
+Tokens = Annotated[float, BeforeValidator(parse_tokens)]
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -106,12 +106,18 @@
 
 
 def test_units_are_parsed_and_numbers_without_one_rejected() -> None:
-    assert [units.duration(t) for t in ("250ms", "2 s", "1.5m", "0.5us", 0)] == [0.25, 2.0, 90.0, 5e-7, 0.0]
-    assert [units.size(t) for t in ("64KiB", "1 MB", "5B")] == [65536, 10**6, 5]
-    assert [units.tokens(t) for t in ("200k tokens", "5 tokens", "1.5M tokens")] == [2e5, 5.0, 1.5e6]
+    assert [units.parse_duration(t) for t in ("250ms", "2 s", "1.5m", "0.5us", 0)] == [
+        0.25,
+        2.0,
+        90.0,
+        5e-7,
+        0.0,
+    ]
+    assert [units.parse_size(t) for t in ("64KiB", "1 MB", "5B")] == [65536, 10**6, 5]
+    assert [units.parse_tokens(t) for t in ("200k tokens", "5 tokens", "1.5M tokens")] == [2e5, 5.0, 1.5e6]
     for bad in (True, 5, "5", "", "ms", "-1s", "1e3s", None, [1]):
         with pytest.raises(ValueError, match="write it like 250ms or 2s"):
-            units.duration(bad)
+            units.parse_duration(bad)
 
 
 def test_programs_exit_with_2_and_one_line_on_invalid_files(tmp_path: Path) -> None:
