--- a/benchmarks/batch_throughput.py
+++ b/benchmarks/batch_throughput.py
@@ -17,7 +17,7 @@
 from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
 from twisted.internet.task import LoopingCall, deferLater
 
-from myrtlehub.cli.common import dialer
+from myrtlehub.cli.network import dialer
 from myrtlehub.lab.processes import free_ports
 from myrtlehub.proto import chat_pb2
 from myrtlehub.proto import items_pb2 as pb
--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -20,7 +20,7 @@
 from twisted.internet.defer import DeferredList, inlineCallbacks
 from twisted.internet.task import LoopingCall, deferLater
 
-from myrtlehub.cli.common import dialer
+from myrtlehub.cli.network import dialer
 from myrtlehub.node.admin.service import SERVICE
 from myrtlehub.rpc.channel import Channel
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from myrtlehub.cli.common import dialer
+from myrtlehub.cli.network import dialer
 from myrtlehub.proto import chat_pb2, engine_pb2
 from myrtlehub.rpc.channel import Channel
 from myrtlehub.rpc.client_call import CallWatcher, ClientCall
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -28,7 +28,7 @@
 from twisted.internet.defer import DeferredList, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from myrtlehub.cli.common import dialer
+from myrtlehub.cli.network import dialer
 from myrtlehub.rpc.channel import Channel
 
 NODES, ENGINES = 3, 2
--- a/benchmarks/sequence_cost.py
+++ b/benchmarks/sequence_cost.py
@@ -13,7 +13,7 @@
 from twisted.internet import reactor
 from twisted.internet.defer import DeferredList, inlineCallbacks
 
-from myrtlehub.cli.common import dialer
+from myrtlehub.cli.network import dialer
 from myrtlehub.rpc.channel import Channel
 
 
--- a/myrtlehub/cli/__init__.py
+++ b/myrtlehub/cli/__init__.py
@@ -1,5 +1,7 @@
-"""The programs: command lines, exit codes, printed lines, and how the parts of a process are put together.
+"""The programs: their command lines, exit codes and output, and the construction of each process.
 
-Here are `hub-node`, `hub-emulator`, `hub-scenario`, `hub-endpoints` and `hub-rollout`, and two programs for
-trials (`stepped_clock`, `faulty_node`). What they run is in the other packages.
+`hub-node`, `hub-emulator`, `hub-scenario`, `hub-endpoints`, `hub-rollout` and `hub-soak` have a module each,
+and so have two programs for tests, `stepped_clock` and `faulty_node`. They share `event_loop`, `network`,
+`json_log` and `exits`. What the programs run is in the other packages; a module imports most of it only when
+its command runs, so that commands that only validate a file start quickly.
 """
--- a/myrtlehub/cli/emulator.py
+++ b/myrtlehub/cli/emulator.py
@@ -1,4 +1,4 @@
-"""hub-emulator: an emulated engine (simulated)."""
+"""hub-emulator: runs an emulated engine; its figures are simulated."""
 
 import os
 import sys
@@ -6,7 +6,10 @@
 
 import click
 
-from myrtlehub.cli.common import dialer, listen, load_or_exit, logger
+from myrtlehub.cli.event_loop import get_event_loop
+from myrtlehub.cli.exits import load_or_exit
+from myrtlehub.cli.json_log import make_log
+from myrtlehub.cli.network import dialer, listen
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
 from myrtlehub.log_events import LogEvent
 from myrtlehub.node.process import call_on_termination, freeze_startup_objects
@@ -24,14 +27,13 @@
     invalid; 3: the engine was overloaded while warming up.
     """
     settings = load_or_exit(config, EmulatedEngineConfig)
-    from twisted.internet import reactor
-
     from myrtlehub.emulator.server import EmulatedEngine
     from myrtlehub.node.clock import SteadyClock
     from myrtlehub.records import Recorder
 
-    log = logger(engine=settings.name)
-    clock = SteadyClock(reactor)
+    event_loop = get_event_loop()
+    log = make_log(engine=settings.name)
+    clock = SteadyClock(event_loop)
     recorder = Recorder(settings.listen, clock, settings.records)
 
     def on_crashed() -> None:
@@ -40,12 +42,12 @@
         sys.stdout.flush()
         os._exit(CRASHED)
 
-    engine = EmulatedEngine(settings, clock, dialer(reactor), recorder, on_crashed)
-    listen(reactor, settings.listen, engine.server)
-    call_on_termination(reactor.stop, reactor)
-    reactor.callWhenRunning(lambda: log(LogEvent.READY, listen=settings.listen, cold=settings.cold))
+    engine = EmulatedEngine(settings, clock, dialer(event_loop), recorder, on_crashed)
+    listen(event_loop, settings.listen, engine.server)
+    call_on_termination(event_loop.stop, event_loop)
+    event_loop.callWhenRunning(lambda: log(LogEvent.READY, listen=settings.listen, cold=settings.cold))
     freeze_startup_objects()
-    reactor.run(installSignalHandlers=False)
+    event_loop.run(installSignalHandlers=False)
     recorder.close()
     log(LogEvent.ENDED)
 
--- a/myrtlehub/cli/endpoints.py
+++ b/myrtlehub/cli/endpoints.py
@@ -1,12 +1,14 @@
-"""hub-endpoints: checks and compares endpoint files, and asks a node what it routes by."""
+"""hub-endpoints: validates and compares files of endpoint lists, and shows the list that a node uses."""
 
 import sys
 from pathlib import Path
 
 import click
+from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from myrtlehub.cli.common import fail, load_or_exit
+from myrtlehub.cli.event_loop import get_event_loop, run_until_fired
+from myrtlehub.cli.exits import fail, load_or_exit
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.engines import EngineKindConfig
 from myrtlehub.config.node import NodeConfig
@@ -16,16 +18,16 @@
 from myrtlehub.proto import admin_pb2 as pb
 
 SHOW_METHOD = "/myrtlehub.v1.NodeAdmin/Show"
-SHOW_TIMEOUT = 5.0  # seconds
+SHOW_TIMEOUT_S = 5.0
 
 
 @click.group()
 def main() -> None:
-    """Files of engines: check them, compare them, and see what a node routes by."""
+    """Validate and compare files of endpoint lists, and show the list that a node uses."""
 
 
 def read_valid_snapshot(paths: tuple[str, ...], node_file: Path | None) -> Snapshot:
-    """Read files; print all their faults a line each on standard error, and exit 2, if there are any."""
+    """Return the snapshot of files; print one line per fault and exit with INVALID if there are any."""
     snapshot = read_snapshot(paths, Path())
     faults = list(snapshot.faults)
     if not faults:
@@ -39,19 +41,19 @@
     if node_file is None:
         kinds = {endpoint.kind: guess_kind(endpoint.kind) for endpoint in snapshot.endpoints}
         return find_list_faults(snapshot.endpoints, kinds, [endpoint.zone for endpoint in snapshot.endpoints])
-    sheet = load_or_exit(node_file, NodeConfig)
-    kinds = {kind.name: kind for kind in sheet.kinds}
-    return find_list_faults(snapshot.endpoints, kinds, sheet.zones, sheet.engines_may.read_alone)
+    settings = load_or_exit(node_file, NodeConfig)
+    kinds = {kind.name: kind for kind in settings.kinds}
+    return find_list_faults(snapshot.endpoints, kinds, settings.zones, settings.engines_may.read_alone)
 
 
 def guess_kind(name: str) -> EngineKindConfig:
-    """Return what a kind of this name most likely does."""
+    """Return an engine kind with the tasks that its name suggests."""
     reads = any(part in name for part in ("read", "mixed", "both"))
     return EngineKindConfig(name=name, reads=reads, writes="read" not in name)
 
 
 def describe_difference(difference: ListDifference) -> list[str]:
-    """Return a difference, a line an endpoint."""
+    """Return one line per endpoint that differs."""
     lines = [f"+ {_describe(endpoint)}" for endpoint in difference.added]
     lines += [f"- {_describe(endpoint)}" for endpoint in difference.removed]
     lines += [f"~ {endpoint.address}: drains" for endpoint in difference.draining]
@@ -79,7 +81,10 @@
 @click.argument("paths", nargs=-1, required=True, metavar="FILE...")
 @NODE_FILE
 def check(paths: tuple[str, ...], node_file: Path | None) -> None:
-    """Check FILEs (paths, globs, directories) as a node would. Exit 0: sound. 2: not, a line a fault."""
+    """Validate FILEs (paths, globs, directories) as a node would.
+
+    Exit 0: they are valid. 2: they are not; one line per fault.
+    """
     snapshot = read_valid_snapshot(paths, node_file)
     version = make_version(1, snapshot.endpoints, "files", 0.0)
     click.echo(
@@ -92,7 +97,10 @@
 @click.argument("after")
 @NODE_FILE
 def diff(before: str, after: str, node_file: Path | None) -> None:
-    """What changes from BEFORE to AFTER. Exit 0: nothing. 1: something. 2: one of them is not sound."""
+    """Print the differences between BEFORE and AFTER.
+
+    Exit 0: there is none. 1: there are some. 2: one of the two is invalid.
+    """
     old, new = (
         make_version(number, read_valid_snapshot((path,), node_file).endpoints, path, 0.0)
         for number, path in enumerate((before, after))
@@ -106,7 +114,7 @@
 @main.command()
 @click.option("--node", required=True, help="The node's admin address, host:port.")
 def show(node: str) -> None:
-    """What a running node routes by: version, age, where from; and what was refused and why."""
+    """Print the endpoint list that a running node uses, its source, and the lists that it rejected."""
     if ":" not in node:
         fail(f"--node {node}: write it as host:port")
     reply = _request_state(node)
@@ -129,22 +137,17 @@
 
 
 def _request_state(node: str) -> bytes | Failure:
-    """Ask the node, in a reactor that runs until it has answered."""
-    from twisted.internet import reactor
-
-    from myrtlehub.cli.common import dialer
+    """Call the node's admin service; return the encoded NodeState, or the failure of the call."""
+    from myrtlehub.cli.network import dialer
     from myrtlehub.rpc.channel import Channel
 
-    channel = Channel(reactor, dialer(reactor)(node), node)
-    replies: list[bytes | Failure] = []
+    event_loop = get_event_loop()
+    channel = Channel(event_loop, dialer(event_loop)(node), node)
 
-    def ask() -> None:
-        done = channel.unary(SHOW_METHOD, b"", timeout=SHOW_TIMEOUT)
-        done.addBoth(replies.append).addBoth(lambda ignored: reactor.stop())
+    def request() -> Deferred[bytes]:
+        return channel.unary(SHOW_METHOD, b"", timeout=SHOW_TIMEOUT_S)
 
-    reactor.callWhenRunning(ask)
-    reactor.run()
-    return replies[0]
+    return run_until_fired(event_loop, request)
 
 
 if __name__ == "__main__":
--- a/myrtlehub/cli/fault_soak.py
+++ b/myrtlehub/cli/fault_soak.py
@@ -1,4 +1,4 @@
-"""hub-soak: randomized faults against relay nodes as processes, judged by the rules."""
+"""hub-soak: runs relay nodes as processes under randomized faults, and checks the rules."""
 
 import subprocess
 import sys
@@ -13,16 +13,17 @@
 from myrtlehub.lab.fault_soak.runner import SoakResult, play
 from myrtlehub.lab.fault_soak.schedule import Schedule, TroubleKind, shrink
 
-MAX_SEEDS = 1000
-MAX_SHOWN_PER_RULE = 4
-RUN_PATIENCE_S = 60.0  # beyond the length of a run
+MAX_SEEDS = 1000  # of one command
+MAX_SHOWN_PER_RULE = 4  # findings of a run that are printed
+MAX_STDERR_SHOWN = 2000  # characters, from the end, of a run that failed
+RUN_MARGIN_S = 60.0  # by which the process of a run may take longer than the run's length
 
 
 @click.group()
 def main() -> None:
-    """Play randomized, overlapping faults against relay nodes on loopback; judge what their peers recorded.
+    """Inject randomized, overlapping faults into relay nodes on loopback; check what their peers recorded.
 
-    Exit 0: all rules kept. 1: one was broken. 2: wrong arguments.
+    Exit status 0: all rules were kept. 1: a rule was broken. 2: an argument is invalid.
     """
 
 
@@ -42,10 +43,14 @@
 @click.option("--seconds", default=30.0, type=click.FloatRange(12.0, 3600.0), help="Length of a run.")
 @click.option("--nodes", default=10, type=click.IntRange(1, 40))
 @click.option("--engines", default=8, type=click.IntRange(2, 40))
-@click.option("--jobs", default=1, type=click.IntRange(1, 8), help="Runs at a time.")
+@click.option("--jobs", default=1, type=click.IntRange(1, 8), help="Number of concurrent runs.")
 @click.option("--program", default=RELAY, help="Module that is run as a node.")
 @click.option("--kind", "kinds", multiple=True, type=click.Choice([kind.value for kind in TroubleKind]))
-@click.option("--keep", type=click.Path(path_type=Path, file_okay=False), help="Schedules of failed runs.")
+@click.option(
+    "--keep",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Folder for the schedules of failed runs.",
+)
 def run(
     seeds: str,
     seconds: float,
@@ -56,15 +61,15 @@
     kinds: tuple[str, ...],
     keep: Path | None,
 ) -> None:
-    """Play a run for each seed, with troubles of the given kinds or of some that are drawn."""
+    """Play one run per seed, with faults of the given kinds, or of kinds that are drawn from the seed."""
     chosen = tuple(TroubleKind(kind) for kind in kinds)
     schedules = [Schedule.draw(seed, seconds, nodes, engines, chosen) for seed in _parse_seeds(seeds)]
     failed = 0
     with ThreadPoolExecutor(jobs) as pool:
         for schedule, result in zip(
-            schedules, pool.map(lambda one: _play_in_process(one, program), schedules), strict=True
+            schedules, pool.map(lambda each: _play_in_process(each, program), schedules), strict=True
         ):
-            failed += _report(schedule, result)
+            failed += _print_result(schedule, result)
             if keep is not None and (result is None or result.findings):
                 keep.mkdir(parents=True, exist_ok=True)
                 schedule.write(keep / f"seed-{schedule.seed}.json")
@@ -79,19 +84,21 @@
     "--keep", type=click.Path(path_type=Path, file_okay=False), help="Folder for logs of the nodes."
 )
 def replay(file: Path, program: str, keep: Path | None) -> None:
-    """Play the schedule of FILE once more."""
+    """Play the schedule of FILE again."""
     schedule = Schedule.read(file)
     result = play(schedule, keep, program)
-    sys.exit(1 if _report(schedule, result) else 0)
+    sys.exit(1 if _print_result(schedule, result) else 0)
 
 
 @main.command("shrink")
 @click.argument("file", type=click.Path(exists=True, path_type=Path, dir_okay=False))
-@click.option("--rule", required=True, help="The rule that has to stay broken.")
-@click.option("--tries", default=2, help="Plays after which a schedule counts as one that passes.")
+@click.option("--rule", required=True, help="The rule that the smaller schedule has to break.")
+@click.option(
+    "--tries", default=2, help="Number of runs without a violation after which a schedule counts as passed."
+)
 @click.option("--program", default=RELAY, help="Module that is run as a node.")
 def shrink_schedule(file: Path, rule: str, tries: int, program: str) -> None:
-    """Drop troubles from the schedule of FILE while RULE stays broken; written beside it."""
+    """Remove faults from the schedule of FILE as long as RULE is broken; write the result beside FILE."""
 
     def fails(schedule: Schedule) -> bool:
         for _ in range(tries):
@@ -109,28 +116,28 @@
 @main.command("play", hidden=True)
 @click.option("--program", default=RELAY)
 def play_from_input(program: str) -> None:
-    """Play the schedule on standard input, and write the result to standard output."""
+    """Play the schedule that is read from standard input, and write the result to standard output."""
     schedule = msgspec.json.decode(sys.stdin.buffer.read(), type=Schedule)
     sys.stdout.buffer.write(msgspec.json.encode(play(schedule, program=program)))
 
 
 def _play_in_process(schedule: Schedule, program: str) -> SoakResult | None:
-    """Play a schedule in a process of its own; None where that failed."""
+    """Play a schedule in a process of its own; return None if the process failed."""
     done = subprocess.run(
         [sys.executable, "-m", "myrtlehub.cli.fault_soak", "play", "--program", program],
         input=msgspec.json.encode(schedule),
         capture_output=True,
         check=False,
-        timeout=schedule.seconds + RUN_PATIENCE_S,
+        timeout=schedule.seconds + RUN_MARGIN_S,
     )
     if done.returncode != 0:
-        click.echo(done.stderr.decode(errors="replace")[-2000:], err=True)
+        click.echo(done.stderr.decode(errors="replace")[-MAX_STDERR_SHOWN:], err=True)
         return None
     return msgspec.json.decode(done.stdout, type=SoakResult)
 
 
-def _report(schedule: Schedule, result: SoakResult | None) -> bool:
-    """Print a run; returns whether it failed."""
+def _print_result(schedule: Schedule, result: SoakResult | None) -> bool:
+    """Print the result of a run; return whether the run failed."""
     kinds = ", ".join(sorted({trouble.kind.value for trouble in schedule.troubles}))
     if result is None:
         click.echo(f"seed {schedule.seed}: could not be played ({kinds})")
--- a/myrtlehub/cli/faulty_node.py
+++ b/myrtlehub/cli/faulty_node.py
@@ -1,8 +1,9 @@
-"""Nodes with one stated fault, for trials of rollouts.
+"""Runs a node with one injected fault, to test rollouts of a worse program.
 
     python -m myrtlehub.cli.faulty_node KIND CONFIG
 
-The node is the real one; only what the kind names is different. It shows a revision of its own.
+The program of the node is unchanged except for the fault that KIND names, and for its build label, which
+gives it a revision of its own.
 """
 
 import os
@@ -15,6 +16,7 @@
 
 from twisted.internet.defer import Deferred
 
+from myrtlehub.cli.event_loop import get_event_loop
 from myrtlehub.lab.rollout_scenario import FOLDER_VARIABLE, NODE_COUNT_VARIABLE
 from myrtlehub.node import node, node_runtime, revision
 from myrtlehub.node.clock import SteadyClock
@@ -22,110 +24,139 @@
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.records import Recorder
 from myrtlehub.routing.contract import Action, Arrival, Forget, Reject
-
-CRASH_AFTER = 5.0  # seconds, of `crashes`
-SLOWER = 0.06  # seconds by which `slow` sends later: about a third of a first token's time
-LEAK = 2_000_000  # bytes a second, of `leaks`
-REJECTS = 0.02  # share of sequences that `rejects` rejects besides
-REJECTS_MOST = 0.8  # of `rejects-most`, and of `foreign`
-SPOILS = 0.5  # share of the second traffic type that `spoils` rejects
-SPOILED_TRAFFIC = 1  # index of that type
-HALF = 0.3  # share that `half` rejects, once half of the nodes have it
-RETRY_AFTER = 0.5  # seconds, of these rejections
-
-
-def _refusing(share: Callable[[Arrival], float]) -> None:
-    """Have the router reject this share of what arrives."""
-    draw = Random(7).random
-
-    class Refusing(node_runtime.Router):
+from myrtlehub.routing.policy.router import Router
+
+CRASH_AFTER_S = 5.0  # from the start of `crashes` to its exit
+CRASH_EXIT_CODE = 3
+NEVER_READY_S = 3600.0  # for which `never-ready` sleeps: longer than any rollout of a test
+SEND_DELAY_S = 0.06  # of each send of `slow`: about a third of the usual time to first token
+LEAK_BYTES_PER_S = 2_000_000  # of `leaks`
+LEAK_INTERVAL_S = 0.1
+RANDOM_SEED = 7
+# Fractions of sequences that are rejected, in addition to those that the router rejects.
+REJECTED = 0.02  # by `rejects`
+MOSTLY_REJECTED = 0.8  # by `rejects-most` and `foreign`
+REJECTED_OF_ONE_TRAFFIC_TYPE = 0.5  # by `spoils`, of the traffic type below
+REJECTED_BY_HALF = 0.3  # by `half`, as soon as half of the nodes run it
+AFFECTED_TRAFFIC_TYPE = 1  # index in the settings
+RETRY_AFTER_S = 0.5  # of these rejections
+
+
+def _replace(owner: object, name: str, replacement: object) -> None:
+    """Replace an attribute of a module or class of the node's program."""
+    setattr(owner, name, replacement)
+
+
+def _reject_fraction(fraction: Callable[[Arrival], float]) -> None:
+    """Have the router reject a fraction of the arriving sequences, drawn at random."""
+    draw = Random(RANDOM_SEED).random
+
+    class RejectingRouter(Router):
         def arrive(self, now: float, ident: int, arrival: Arrival) -> list[Action]:
-            if draw() < share(arrival):
-                return [Reject(ident, RETRY_AFTER), Forget(ident)]
+            if draw() < fraction(arrival):
+                return [Reject(ident, RETRY_AFTER_S), Forget(ident)]
             return super().arrive(now, ident, arrival)
 
-    node_runtime.Router = Refusing
+    _replace(node_runtime, "Router", RejectingRouter)
 
 
 def _slow() -> None:
+    """Delay each send to an engine."""
     start = GrpcEngineTransport.start
 
     def start_late(self: GrpcEngineTransport, attempt: Attempt) -> None:
-        self.clock.callLater(SLOWER, lambda: start(self, attempt) if attempt.is_outstanding else None)
+        self.clock.callLater(SEND_DELAY_S, lambda: start(self, attempt) if attempt.is_outstanding else None)
 
-    GrpcEngineTransport.start = start_late
+    _replace(GrpcEngineTransport, "start", start_late)
 
 
 def _leaks() -> None:
+    """Leak memory from the start of the node on."""
     leaked: list[bytes] = []
     measure = node.Node.measure_lag
 
     def leak(self: node.Node) -> None:
-        leaked.append(b"\1" * (LEAK // 10))
-        self.clock.callLater(0.1, leak, self)
+        leaked.append(b"\1" * int(LEAK_BYTES_PER_S * LEAK_INTERVAL_S))
+        self.clock.callLater(LEAK_INTERVAL_S, leak, self)
 
     def measure_and_leak(self: node.Node) -> None:
         if not leaked:
             leak(self)
         measure(self)
 
-    node.Node.measure_lag = measure_and_leak
+    _replace(node.Node, "measure_lag", measure_and_leak)
 
 
 def _crashes() -> None:
-    from twisted.internet import reactor
-
+    """Exit after some seconds."""
+    event_loop = get_event_loop()
     name = Path(sys.argv[1]).name.split(".")[0]
 
     def crash() -> None:
-        # The records have to say that this process ends here, as nothing else can.
-        Recorder(
-            "variant", SteadyClock(reactor), Path(os.environ[FOLDER_VARIABLE]) / f"crash-{os.getpid()}.rec"
-        ).note("killed", who=name)
-        os._exit(3)
+        # Only this process knows the time of its end, which the rule checker needs.
+        path = Path(os.environ[FOLDER_VARIABLE]) / f"crash-{os.getpid()}.rec"
+        Recorder("variant", SteadyClock(event_loop), path).note("killed", who=name)
+        os._exit(CRASH_EXIT_CODE)
 
-    reactor.callLater(CRASH_AFTER, crash)
+    event_loop.callLater(CRASH_AFTER_S, crash)
 
 
 def _half() -> None:
+    """Reject a fraction of the sequences as soon as half of the nodes run this program.
+
+    Each of them leaves a file named by its process id, by which they count one another.
+    """
     folder = Path(os.environ[FOLDER_VARIABLE])
     (folder / f"half-{os.getpid()}").touch()
 
-    def share(arrival: Arrival) -> float:
-        with_it = len(
-            {file.name for file in folder.glob("half-*") if Path(f"/proc/{file.name[5:]}").exists()}
-        )
-        return HALF if 2 * with_it >= int(os.environ[NODE_COUNT_VARIABLE]) else 0.0
+    def fraction(arrival: Arrival) -> float:
+        pids = [file.name.removeprefix("half-") for file in folder.glob("half-*")]
+        running = sum(Path(f"/proc/{pid}").exists() for pid in pids)
+        return REJECTED_BY_HALF if 2 * running >= int(os.environ[NODE_COUNT_VARIABLE]) else 0.0
 
-    _refusing(share)
+    _reject_fraction(fraction)
 
 
 def _deaf() -> None:
-    """Do not end on SIGTERM, nor on an order to leave."""
-    node.Node.drain = lambda self: Deferred()
+    """Never complete a graceful shutdown, whether SIGTERM or the admin service requests it."""
+
+    def drain(self: node.Node) -> Deferred[None]:
+        return Deferred()
+
+    _replace(node.Node, "drain", drain)
 
 
 def _foreign() -> None:
-    """Store by a later schema; reject most, so that the earlier program is rolled back to."""
+    """Store endpoint lists by a later schema, and reject most sequences, so that the node is rolled back.
+
+    The earlier program then has to start with a version store of the later schema.
+    """
     from myrtlehub.membership import version_store
 
     version_store.SCHEMA_VERSION += 1
     version_store.SCHEMA = version_store.SCHEMA.replace(
         "NOT NULL)", "NOT NULL, more TEXT NOT NULL DEFAULT '')"
     )
-    _refusing(lambda arrival: REJECTS_MOST)
+    _reject_fraction(lambda arrival: MOSTLY_REJECTED)
+
+
+def _spoils() -> None:
+    """Reject half of the sequences of one traffic type."""
+    _reject_fraction(
+        lambda arrival: REJECTED_OF_ONE_TRAFFIC_TYPE if arrival.traffic == AFFECTED_TRAFFIC_TYPE else 0.0
+    )
 
 
 KINDS: dict[str, Callable[[], None]] = {
     "equal": lambda: None,
-    "exits": partial(sys.exit, 3),
-    "never-ready": lambda: time.sleep(3600),
+    "exits": partial(sys.exit, CRASH_EXIT_CODE),
+    "never-ready": lambda: time.sleep(NEVER_READY_S),
     "crashes": _crashes,
     "slow": _slow,
     "leaks": _leaks,
-    "rejects": lambda: _refusing(lambda arrival: REJECTS),
-    "rejects-most": lambda: _refusing(lambda arrival: REJECTS_MOST),
-    "spoils": lambda: _refusing(lambda arrival: SPOILS * (arrival.traffic == SPOILED_TRAFFIC)),
+    "rejects": lambda: _reject_fraction(lambda arrival: REJECTED),
+    "rejects-most": lambda: _reject_fraction(lambda arrival: MOSTLY_REJECTED),
+    "spoils": _spoils,
     "half": _half,
     "deaf": _deaf,
     "foreign": _foreign,
@@ -133,15 +164,15 @@
 
 
 def main() -> None:
-    """Run a node of this kind."""
+    """Inject the fault, and run the node."""
     kind = sys.argv.pop(1)
     if kind not in KINDS:
         sys.exit(f"{kind!r} is not one of {', '.join(KINDS)}")
     os.environ[revision.BUILD_LABEL_VARIABLE] = f"variant {kind}"
     KINDS[kind]()
-    from myrtlehub.cli.node import main as hub_node
+    from myrtlehub.cli.node import main as run_node
 
-    hub_node()
+    run_node()
 
 
 if __name__ == "__main__":
--- a/myrtlehub/cli/rollout.py
+++ b/myrtlehub/cli/rollout.py
@@ -1,4 +1,4 @@
-"""hub-rollout: changes the program or settings of a fleet in stages; rolls back a change that does worse."""
+"""hub-rollout: changes the program or the settings of a fleet in stages, and rolls back a worse version."""
 
 import json
 import sys
@@ -8,31 +8,36 @@
 from typing import TYPE_CHECKING
 
 import click
+from twisted.internet.defer import Deferred, succeed
+from twisted.python.failure import Failure
 
-from myrtlehub.cli.common import dialer, fail, load_or_exit
+from myrtlehub.cli.event_loop import EventLoopStoppedError, get_event_loop, run_until_fired
+from myrtlehub.cli.exits import fail, load_or_exit
+from myrtlehub.cli.network import dialer
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
 from myrtlehub.log_events import LogEvent
 
 if TYPE_CHECKING:
     from myrtlehub.rollout.journal_format import DecodedJournal
     from myrtlehub.rollout_controller.controller import RolloutController
+    from myrtlehub.rollout_controller.errors import ExitCode
 
 PLAN = click.argument("plan", type=click.Path(path_type=Path))
 
 
 @click.group()
 def main() -> None:
-    """Rolling changes by a PLAN, a YAML file (docs/operators/rolling-change.md).
+    """Roll out a change by a PLAN, a YAML file (docs/operators/rolling-change.md).
 
-    Exit 0: the change is kept. 1: it was undone; the last line says why. 2: the plan or the fleet is wrong,
-    and nothing was done. 3: stuck, people are needed. 4: the journal cannot be written. 5: another controller
-    has taken over. In 4 and 5 nodes are left as they are.
+    Exit status 0: the change is committed. 1: it was rolled back; the last line gives the reason. 2: the plan
+    or the fleet does not allow it, and nothing was changed. 3: stuck, an operator has to intervene. 4: the
+    journal cannot be written. 5: another controller has taken over. After 4 and 5, nodes stay as they are.
     """
 
 
 @contextmanager
 def _plan_errors(plan: Path | None = None) -> Iterator[None]:
-    """End the program with one line where the plan cannot be carried out."""
+    """Print one line and exit with INVALID if the block finds that the rollout cannot begin."""
     from myrtlehub.rollout_controller.errors import RolloutError
 
     try:
@@ -41,26 +46,25 @@
         fail(f"{plan}: {error}" if plan else str(error))
 
 
-def _controller(plan: Path) -> "RolloutController":
-    from twisted.internet import reactor
-
+def _make_controller(plan: Path) -> "RolloutController":
     from myrtlehub.node.clock import SteadyClock
     from myrtlehub.rollout_controller.controller import RolloutController
 
-    sheet = load_or_exit(plan, RolloutPlanConfig)
+    config = load_or_exit(plan, RolloutPlanConfig)
+    event_loop = get_event_loop()
     with _plan_errors(plan):
         return RolloutController(
-            sheet,
+            config,
             plan.read_text(),
             plan.resolve().parent,
-            SteadyClock(reactor),
-            dialer(reactor),
+            SteadyClock(event_loop),
+            dialer(event_loop),
             _print_event,
         )
 
 
 def _print_event(event: LogEvent, /, **fields: object) -> None:
-    """Print a line for people on a terminal, JSON otherwise."""
+    """Print an event: a readable line on a terminal, a JSON object otherwise."""
     if not sys.stdout.isatty():
         click.echo(json.dumps({"event": event, **fields}))
     elif event is LogEvent.NODE_STATE_CHANGED:
@@ -76,39 +80,36 @@
 
 
 def _run_controller(plan: Path, resume: bool, roll_back: bool = False) -> None:
-    """Run a controller until it ends, and exit with its code."""
-    from twisted.internet import reactor
-
+    """Run a controller until the rollout has ended, and exit with its code."""
     from myrtlehub.node.process import call_on_termination
     from myrtlehub.rollout_controller.errors import ExitCode, RolloutError
 
-    controller = _controller(plan)
-    results: list = []
+    controller = _make_controller(plan)
+    event_loop = get_event_loop()
 
-    def begin() -> None:
+    def begin() -> "Deferred[ExitCode]":
         try:
-            done = controller.run(resume, roll_back)
+            return controller.run(resume, roll_back)
         except RolloutError as error:
             click.echo(f"{plan}: {error}", err=True)
-            results.append(error.exit_code)
-            reactor.stop()
-            return
-        done.addBoth(results.append).addBoth(lambda ignored: reactor.stop())
+            return succeed(error.exit_code)
 
-    call_on_termination(reactor.stop, reactor)  # the journal has all: `resume` goes on
-    reactor.callWhenRunning(begin)
-    reactor.run(installSignalHandlers=False)
-    is_code = bool(results) and isinstance(results[0], int)
-    sys.exit(int(results[0] if is_code else ExitCode.INVALID))
+    # A signal may stop the controller at any point: `resume` continues from the journal.
+    call_on_termination(event_loop.stop, event_loop)
+    try:
+        result = run_until_fired(event_loop, begin, installs_signal_handlers=False)
+    except EventLoopStoppedError:
+        sys.exit(ExitCode.INVALID)
+    sys.exit(ExitCode.INVALID if isinstance(result, Failure) else result)
 
 
 @main.command()
 @PLAN
 def check(plan: Path) -> None:
-    """Check PLAN and all files that it names, and say what it would do. Exit 0: sound. 2: not."""
+    """Validate PLAN and all files that it names, and print its stages. Exit 0: valid. 2: invalid."""
     from myrtlehub.rollout_controller.plan_files import EACH_TRAFFIC_TYPE, PlanSide
 
-    files = _controller(plan).files
+    files = _make_controller(plan).files
     with _plan_errors():
         for node in range(len(files.names)):
             for side in PlanSide:
@@ -124,26 +125,26 @@
 @main.command()
 @PLAN
 def run(plan: Path) -> None:
-    """Begin the change of PLAN and see it through."""
+    """Run the rollout of PLAN from its beginning to its end."""
     _run_controller(plan, resume=False)
 
 
 @main.command()
 @PLAN
 def resume(plan: Path) -> None:
-    """Go on with a change whose controller ended, from its journal."""
+    """Continue a rollout whose controller has ended, from its journal."""
     _run_controller(plan, resume=True)
 
 
 @main.command()
 @PLAN
 def undo(plan: Path) -> None:
-    """Take back a change, whatever it has come to. Where a controller is at work, it is told."""
+    """Roll back the rollout of PLAN in any state. A running controller is notified and does it."""
     from filelock import Timeout
 
     from myrtlehub.rollout_controller.journal_store import journal_lock, rollback_request
 
-    path = _controller(plan).journal.path
+    path = _make_controller(plan).journal.path
     if not path.exists():
         fail(f"{path}: there is no such journal, so there is nothing to undo")
     try:
@@ -159,14 +160,16 @@
 @main.command()
 @PLAN
 def show(plan: Path) -> None:
-    """Where the change of PLAN stands, by its journal, and what led there. Asks no node."""
-    controller = _controller(plan)
+    """Print the state and the events of a rollout, from its journal. No node is polled."""
+    from myrtlehub.rollout.rollout_state import FLEET
+
+    controller = _make_controller(plan)
     journal = _read_journal(controller.journal.path)
     names = journal.header.nodes
     for entry in journal.entries:
         controller.record.replay(entry)
         if entry.reason:
-            subject = names[entry.node] if entry.node >= 0 else "change"
+            subject = "change" if entry.node == FLEET else names[entry.node]
             click.echo(f"{subject}: {entry.event}: {entry.reason}")
     state = controller.state
     click.echo(
--- a/myrtlehub/cli/scenario.py
+++ b/myrtlehub/cli/scenario.py
@@ -1,4 +1,4 @@
-"""hub-scenario: plays a scenario with real processes and gives a verdict on it."""
+"""hub-scenario: plays a scenario with real processes and prints the verdict on it."""
 
 import json
 import sys
@@ -10,22 +10,24 @@
 import click
 from twisted.python.failure import Failure
 
-from myrtlehub.cli.common import fail, load_or_exit
+from myrtlehub.cli.event_loop import EventLoopStoppedError, get_event_loop, run_until_fired
+from myrtlehub.cli.exits import INVALID, fail, load_or_exit
 from myrtlehub.lab.scenario_file import Scenario
 
 if TYPE_CHECKING:
     from myrtlehub.lab.scenario_runner import ScenarioRunner
+    from myrtlehub.lab.verdict import Verdict
 
 
 class ScenarioKind(NamedTuple):
-    """What plays a scenario, and how its verdict is printed."""
+    """The class that plays a kind of scenario, and the function that formats its verdict."""
 
     runner_class: type["ScenarioRunner"]
-    to_text: Callable[[dict], str]
+    to_text: "Callable[[Verdict], str]"
 
 
 def find_scenario(name: str) -> Path:
-    """Return a scenario by path, or by name among scenarios/."""
+    """Return the path of a scenario, which is given by path or by its name in scenarios/."""
     for path in (
         Path(name),
         Path("scenarios") / f"{name}.yaml",
@@ -38,23 +40,26 @@
 
 @click.command()
 @click.argument("scenario")
-@click.option("--sequences", type=click.IntRange(1), help="About how many sequences, over the same length.")
-@click.option("--seed", type=int, help="Instead of the scenario's.")
+@click.option(
+    "--sequences", type=click.IntRange(1), help="Approximate number of sequences; the length stays."
+)
+@click.option("--seed", type=int, help="Random seed, in place of the scenario's.")
 @click.option(
     "--keep",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Keep files, logs and records in this folder, which must be empty or not be there.",
+    help="Folder for files, logs and records; it must be empty or not exist.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The verdict as JSON, for programs.")
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--json", "as_json", is_flag=True, help="Print the verdict as JSON.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
 def main(
     scenario: str, sequences: int | None, seed: int | None, keep: Path | None, as_json: bool, quiet: bool
 ) -> None:
-    """Play SCENARIO: a YAML file, or the name of one under scenarios/ (try: hub-scenario bad-day).
+    """Play SCENARIO: a YAML file, or the name of one in scenarios/ (example: hub-scenario bad-day).
 
-    Starts nodes, emulated engines and clients on loopback, each node and engine a process of its own, plays
-    traffic and faults, and checks the five rules against what clients and engines recorded on their sockets.
-    Exit 0: all kept. 1: a rule was broken, or a process ended as it should not. 2: it could not be played.
+    It starts nodes, emulated engines and clients on loopback, each node and engine as a process of its own,
+    generates traffic and faults, and checks the five rules against what clients and engines recorded on their
+    sockets. Exit status 0: all rules were kept. 1: a rule was broken, or a process exited unexpectedly. 2:
+    the scenario could not be played.
     """
     plan = load_or_exit(find_scenario(scenario), Scenario)
     if keep is not None and keep.exists() and any(keep.iterdir()):
@@ -88,15 +93,13 @@
     sequences: int,
     seed: int | None,
     quiet: bool,
-) -> dict:
-    """Play in a reactor that runs until the end; return the verdict, and save it in the folder."""
+) -> "Verdict":
+    """Run the event loop until the scenario has ended; save its verdict in the folder, and return it."""
     from twisted.internet import reactor
 
     from myrtlehub.lab.scenario_runner import ScenarioFailedError
     from myrtlehub.lab.verdict import save
 
-    results: list[dict | Failure] = []
-
     def report(line: str) -> None:
         if not quiet:
             at = runner.clock.seconds() - runner.started if runner.started else 0.0
@@ -104,19 +107,15 @@
 
     runner = runner_class(scenario, folder.resolve(), reactor, sequences, seed, report)
 
-    def start() -> None:
-        runner.play().addBoth(results.append).addBoth(lambda ignored: reactor.stop())
-
-    reactor.callWhenRunning(start)
-    reactor.run()
-    if not results:
+    try:
+        verdict = run_until_fired(get_event_loop(), runner.play)
+    except EventLoopStoppedError:
         fail("interrupted")
-    verdict = results[0]
     if isinstance(verdict, Failure):
-        if verdict.check(ScenarioFailedError):
+        if isinstance(verdict.value, ScenarioFailedError):
             fail(f"the day could not be played: {verdict.getErrorMessage()}")
-        verdict.printTraceback(sys.stderr)
-        sys.exit(2)
+        verdict.printTraceback(sys.stderr)  # type: ignore[no-untyped-call] # Twisted has no annotation
+        sys.exit(INVALID)
     save(verdict, folder)
     return verdict
 
