--- a/examples/ask_sync.py
+++ b/examples/ask_sync.py
@@ -1,4 +1,4 @@
-"""Ask a question and print the tokens: `python examples/ask_sync.py 127.0.0.1:7100`."""
+"""Send one sequence and print its tokens: `python examples/ask_sync.py 127.0.0.1:7100`."""
 
 import sys
 
--- a/examples/ask_twisted.py
+++ b/examples/ask_twisted.py
@@ -1,4 +1,4 @@
-"""Ask from a Twisted program: `python examples/ask_twisted.py 127.0.0.1:7100`."""
+"""Send one sequence from a Twisted program: `python examples/ask_twisted.py 127.0.0.1:7100`."""
 
 import sys
 
@@ -14,7 +14,7 @@
 
 @inlineCallbacks
 def main(reactor: IReactorTCP, address: str) -> Deferred:
-    """Ask one question and print the answer."""
+    """Send one sequence and print its tokens."""
     host, port = address.rsplit(":", 1)
     channel = Channel(reactor, TCP4ClientEndpoint(reactor, host, int(port)).connect, address)
     client = Client(channel, reactor)
--- a/examples/embed_and_rank.py
+++ b/examples/embed_and_rank.py
@@ -1,4 +1,4 @@
-"""Embed three texts and sort them by a question: `python examples/embed_and_rank.py 127.0.0.1:7100`."""
+"""Embed three texts and rank them for a query: `python examples/embed_and_rank.py 127.0.0.1:7100`."""
 
 import sys
 
