--- a/myrtlehub/cli/endpoints.py
+++ b/myrtlehub/cli/endpoints.py
@@ -132,8 +132,8 @@
             f"  {engine.address} {engine.kind} zone {engine.zone} cell {engine.cell} "
             f"weight {engine.weight:g} {engine.state}"
         )
-    for refusal in state.refused:
-        click.echo(f"refused {refusal.age:.1f} s ago, {refusal.source}: {refusal.why}")
+    for rejected in state.refused:
+        click.echo(f"refused {rejected.age:.1f} s ago, {rejected.source}: {rejected.why}")
 
 
 def _request_state(node: str) -> bytes | Failure:
