--- a/myrtlehub/cli/fault_soak.py
+++ b/myrtlehub/cli/fault_soak.py
@@ -9,9 +9,12 @@
 import click
 import msgspec
 
+from myrtlehub.lab.fault_soak.faults import FaultKind
 from myrtlehub.lab.fault_soak.node_process import RELAY
-from myrtlehub.lab.fault_soak.runner import SoakResult, play
-from myrtlehub.lab.fault_soak.schedule import Schedule, TroubleKind, shrink
+from myrtlehub.lab.fault_soak.runner import play
+from myrtlehub.lab.fault_soak.schedule import Schedule
+from myrtlehub.lab.fault_soak.schedule_shrinker import shrink
+from myrtlehub.lab.fault_soak.soak_result import SoakResult
 
 MAX_SEEDS = 1000
 MAX_SHOWN_PER_RULE = 4
@@ -44,7 +47,7 @@
 @click.option("--engines", default=8, type=click.IntRange(2, 40))
 @click.option("--jobs", default=1, type=click.IntRange(1, 8), help="Runs at a time.")
 @click.option("--program", default=RELAY, help="Module that is run as a node.")
-@click.option("--kind", "kinds", multiple=True, type=click.Choice([kind.value for kind in TroubleKind]))
+@click.option("--kind", "kinds", multiple=True, type=click.Choice([kind.value for kind in FaultKind]))
 @click.option("--keep", type=click.Path(path_type=Path, file_okay=False), help="Schedules of failed runs.")
 def run(
     seeds: str,
@@ -57,7 +60,7 @@
     keep: Path | None,
 ) -> None:
     """Play a run for each seed, with troubles of the given kinds or of some that are drawn."""
-    chosen = tuple(TroubleKind(kind) for kind in kinds)
+    chosen = tuple(FaultKind(kind) for kind in kinds)
     schedules = [Schedule.draw(seed, seconds, nodes, engines, chosen) for seed in _parse_seeds(seeds)]
     failed = 0
     with ThreadPoolExecutor(jobs) as pool:
@@ -103,7 +106,7 @@
     smallest = shrink(Schedule.read(file), fails)
     target = file.with_suffix(".small.json")
     smallest.write(target)
-    click.echo(f"{target}: {len(smallest.troubles)} troubles")
+    click.echo(f"{target}: {len(smallest.faults)} troubles")
 
 
 @main.command("play", hidden=True)
@@ -121,7 +124,7 @@
         input=msgspec.json.encode(schedule),
         capture_output=True,
         check=False,
-        timeout=schedule.seconds + RUN_PATIENCE_S,
+        timeout=schedule.duration_s + RUN_PATIENCE_S,
     )
     if done.returncode != 0:
         click.echo(done.stderr.decode(errors="replace")[-2000:], err=True)
@@ -131,7 +134,7 @@
 
 def _report(schedule: Schedule, result: SoakResult | None) -> bool:
     """Print a run; returns whether it failed."""
-    kinds = ", ".join(sorted({trouble.kind.value for trouble in schedule.troubles}))
+    kinds = ", ".join(sorted({fault.kind.value for fault in schedule.faults}))
     if result is None:
         click.echo(f"seed {schedule.seed}: could not be played ({kinds})")
         return True
@@ -140,7 +143,7 @@
     click.echo(
         f"seed {schedule.seed}: {verdict}; {result.requests} requests, {result.attempts} attempts, "
         f"{result.ends}, withheld {result.withheld}, driver lag {result.driver_lag} s; "
-        f"{len(schedule.troubles)} troubles: {kinds}"
+        f"{len(schedule.faults)} troubles: {kinds}"
     )
     shown: Counter[str] = Counter()
     for finding in result.findings:
--- /dev/null
+++ b/myrtlehub/lab/fault_soak/answer_checks.py
@@ -0,0 +1,81 @@
+"""The rules of final answers: each request gets one in time, and an engine's stream reaches the client."""
+
+from collections.abc import Iterator
+from http import HTTPStatus
+
+from myrtlehub.lab.fault_soak.faults import FaultKind
+from myrtlehub.lab.fault_soak.findings import Finding, Rule
+from myrtlehub.lab.fault_soak.record_index import RecordIndex
+from myrtlehub.lab.fault_soak.records import AttemptEnd, AttemptRecord, RequestRecord, ResponseEnd
+
+MAX_LATE_ANSWER_S = 0.5  # by which a final answer may come after the deadline
+# Faults after which a client on the node's connections cannot be reached any more.
+DISCONNECTING_FAULTS = (FaultKind.NODE_KILL, FaultKind.BROKEN_SOCKETS)
+
+
+def check_answer(index: RecordIndex, request: RequestRecord) -> Iterator[Finding]:
+    """Yield breaches by the answer to a request, or by its absence."""
+    if request.end == ResponseEnd.CLIENT_DISCONNECTED or _was_disconnected(index, request):
+        return
+    if request.end == ResponseEnd.UNANSWERED:
+        was_forwarded = bool(index.attempts(request.request_id))
+        # A node may close an idle connection while the next request on it is under way, but not after it has
+        # forwarded that request.
+        if request.is_first_on_connection or was_forwarded:
+            detail = f"closed with no answer, forwarded: {was_forwarded}"
+            yield Finding(Rule.FINAL_ANSWER, request.request_id, detail)
+    elif request.end == ResponseEnd.OPEN and not request.event_count:
+        yield Finding(Rule.FINAL_ANSWER, request.request_id, "no answer at all")
+    elif not request.event_count:
+        yield from _check_lateness(index, request)
+    elif request.status == HTTPStatus.OK:
+        yield from _check_stream(index, request)
+
+
+def _was_disconnected(index: RecordIndex, request: RequestRecord) -> bool:
+    """Return whether a fault may have broken the client's connection."""
+    return any(
+        fault.begin <= request.open_until + index.tolerance and fault.end >= request.sent_at - index.tolerance
+        for fault in index.faults_of(request, *DISCONNECTING_FAULTS)
+    )
+
+
+def _check_lateness(index: RecordIndex, request: RequestRecord) -> Iterator[Finding]:
+    late = request.open_until - max(request.deadline, request.answerable_at)
+    delay = index.stopped_time(request) + index.fault_time(
+        request, request.sent_at, request.open_until, FaultKind.ACCEPT_FAILS
+    )
+    if late > MAX_LATE_ANSWER_S + delay + index.tolerance:
+        yield Finding(Rule.FINAL_ANSWER, request.request_id, f"answered {late:.3f} s late")
+
+
+def _check_stream(index: RecordIndex, request: RequestRecord) -> Iterator[Finding]:
+    attempts = index.attempts(request.request_id)
+    complete_counts = [a.event_count for a in attempts if a.end == AttemptEnd.COMPLETE]
+    if request.end == ResponseEnd.COMPLETE and request.event_count not in complete_counts:
+        detail = f"{request.event_count} events, whole, of no engine's stream"
+        yield Finding(Rule.UNCHANGED_STREAM, request.request_id, detail)
+    if request.end == ResponseEnd.OPEN:
+        yield Finding(Rule.FINAL_ANSWER, request.request_id, "its stream never ends")
+    if request.end == ResponseEnd.CUT and _has_complete_stream(index, request):
+        yield Finding(Rule.FINAL_ANSWER, request.request_id, "its stream was cut, its engine's is whole")
+
+
+def _has_complete_stream(index: RecordIndex, request: RequestRecord) -> bool:
+    """Return whether an engine sent a complete stream, and no write that was lost explains a cut answer."""
+    writes = [
+        attempt
+        for attempt in index.attempts(request.request_id)
+        if not attempt.is_read and not _may_have_lost_bytes(index, attempt)
+    ]
+    is_complete = any(write.end == AttemptEnd.COMPLETE for write in writes)
+    is_explained = any(
+        write.end == AttemptEnd.LOST and write.event_count >= request.event_count for write in writes
+    )
+    return is_complete and not is_explained
+
+
+def _may_have_lost_bytes(index: RecordIndex, attempt: AttemptRecord) -> bool:
+    """Return whether bytes of an attempt may have been lost between engine and node."""
+    end = attempt.running_until + index.tolerance
+    return any(cut.begin <= end and cut.end >= attempt.first_byte_at for cut in index.cuts_of(attempt))
--- a/myrtlehub/lab/fault_soak/blackhole.py
+++ b/myrtlehub/lab/fault_soak/blackhole.py
@@ -1,23 +1,27 @@
-"""An address to which no connection comes up, as to a machine that is cut off."""
+"""An address to which no connection is established, as if its machine were cut off from the network."""
 
 import socket
 
 from myrtlehub.lab.fault_proxy import HOST
 
-FILLERS = 4  # connections that fill the queue of the listener: the system drops what comes beyond
+QUEUE_FILLERS = 4  # connections that fill the listener's queue; the kernel drops all further ones
 
 
 class Blackhole:
-    """Listens, and never accepts."""
+    """Listens, and never accepts.
+
+    Attributes:
+        address: Host and port.
+    """
 
     def __init__(self) -> None:
         self._listener = socket.socket()
         self._listener.bind((HOST, 0))
         self._listener.listen(0)
         self.address: tuple[str, int] = self._listener.getsockname()
-        self._fillers = [self._fill() for _ in range(FILLERS)]
+        self._fillers = [self._connect() for _ in range(QUEUE_FILLERS)]
 
-    def _fill(self) -> socket.socket:
+    def _connect(self) -> socket.socket:
         filler = socket.socket()
         filler.setblocking(False)
         filler.connect_ex(self.address)
--- /dev/null
+++ b/myrtlehub/lab/fault_soak/client_connection.py
@@ -0,0 +1,196 @@
+"""One client's connection to a node, and how the client behaves on it."""
+
+import random
+import time
+from collections.abc import Callable
+from enum import StrEnum
+from typing import NamedTuple, Protocol
+
+import h11
+
+from myrtlehub.lab.fault_soak.chat_request import chat_request
+from myrtlehub.lab.fault_soak.fleet_settings import SHORT_PROMPT_TOKENS
+from myrtlehub.lab.fault_soak.records import (
+    IncompleteRequest,
+    RequestRecord,
+    ResponseEnd,
+    RunRecords,
+    TrafficType,
+)
+from myrtlehub.lab.fault_soak.tcp_peer import TcpPeer
+from myrtlehub.lab.interfaces import Reactor
+
+PATIENCE_S = 8.0  # from the deadline until a client closes the connection by itself
+MAX_DISCONNECT_DELAY_S = 0.6  # from the connection until a disconnecting client closes it
+IDLE_PERIOD_S = (0.0, 5.5)  # from a response to the next request; nodes close idle connections after 5 s
+INCOMPLETE_REQUEST_PATIENCE_S = 6.0  # until the client of an incomplete request closes the connection
+INCOMPLETE_REQUEST_TIME_LEFT_MS = 2000
+PIPELINED_REQUESTS = (2, 4)
+RESET_SHARE = 0.5  # of disconnects that reset the connection; the others close it gracefully
+EVENT_END = b"\n\n"
+
+
+class ClientBehavior(StrEnum):
+    """How a client behaves on its connection."""
+
+    PATIENT = "patient"  # waits for each answer, idles, and sends the next request
+    DISCONNECTING = "disconnecting"  # closes the connection before or within the answer
+    PIPELINING = "pipelining"  # sends several requests at once
+    INCOMPLETE = "incomplete"  # sends a part of a request, and waits
+    SILENT = "silent"  # sends nothing
+
+
+class SentRequest(NamedTuple):
+    """A request that is to be sent now."""
+
+    record: RequestRecord
+    data: bytes
+
+
+class Population(Protocol):
+    """What a connection needs of the population that its client belongs to."""
+
+    reactor: Reactor
+    records: RunRecords
+    random: random.Random
+
+    def new_request(self, node: int, previous: RequestRecord | None, is_first: bool) -> SentRequest:
+        """Make a request, and record it as sent now."""
+
+
+class ClientConnection(TcpPeer):
+    """A client's connection to a node.
+
+    Attributes:
+        open_requests: Requests without a complete answer, in the order in which they were sent.
+        has_closed: The client has closed the connection.
+        is_lost: The connection is closed.
+    """
+
+    def __init__(self, population: Population, node: int, behavior: ClientBehavior) -> None:
+        self.population = population
+        self.node = node
+        self.behavior = behavior
+        self.open_requests: list[RequestRecord] = []
+        self.has_closed = False
+        self.is_lost = False
+        self._http = h11.Connection(h11.CLIENT)
+        self._body = b""
+        self._is_first = True
+        self._incomplete_sent_at: float | None = None
+
+    def connectionMade(self) -> None:  # noqa: N802
+        """Send what the behavior says."""
+        super().connectionMade()
+        draw = self.population.random
+        match self.behavior:
+            case ClientBehavior.INCOMPLETE:
+                self._send_incomplete()
+            case ClientBehavior.PIPELINING:
+                for _ in range(draw.randint(*PIPELINED_REQUESTS)):
+                    self._send()
+            case ClientBehavior.DISCONNECTING:
+                self._send()
+                self._call_later(draw.uniform(0.0, MAX_DISCONNECT_DELAY_S), self._disconnect)
+            case ClientBehavior.PATIENT:
+                self._send()
+
+    def _send_incomplete(self) -> None:
+        data = chat_request(
+            f"half{id(self)}", TrafficType.IDEMPOTENT, SHORT_PROMPT_TOKENS, INCOMPLETE_REQUEST_TIME_LEFT_MS
+        )
+        self._incomplete_sent_at = time.monotonic()
+        self.transport.write(data[: self.population.random.randint(1, len(data) - 1)])
+        self._call_later(INCOMPLETE_REQUEST_PATIENCE_S, self._close)
+
+    def _send(self) -> None:
+        if self.is_lost or self.has_closed:
+            return
+        previous = self.open_requests[-1] if self.open_requests else None
+        request = self.population.new_request(self.node, previous, self._is_first)
+        self._is_first = False
+        self.open_requests.append(request.record)
+        self.transport.write(request.data)
+        self._call_later(request.record.time_left_s + PATIENCE_S, self._give_up, request.record)
+
+    def _call_later(self, delay: float, call: Callable[..., None], *arguments: object) -> None:
+        self.population.reactor.callLater(delay, call, *arguments)
+
+    def _disconnect(self) -> None:
+        if self.is_lost or not self.open_requests:
+            return
+        now = time.monotonic()
+        for record in self.open_requests:
+            record.disconnected_at = now
+        self._end_open_requests(now, ResponseEnd.CLIENT_DISCONNECTED)
+        self.has_closed = True
+        if self.population.random.random() < RESET_SHARE:
+            self.transport.abortConnection()
+        else:
+            self.transport.loseConnection()
+
+    def _give_up(self, record: RequestRecord) -> None:
+        if record in self.open_requests:
+            self._close()
+
+    def _close(self) -> None:
+        self.has_closed = True
+        if not self.is_lost:
+            self.transport.abortConnection()
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Read responses; each belongs to the oldest open request."""
+        if self.has_closed or not self.open_requests:
+            return
+        self._http.receive_data(data)
+        while self.open_requests:
+            if self._http.our_state is h11.IDLE:
+                # h11 has to know of a request, which was sent without it, before it reads the response.
+                self._http.send(h11.Request(method="POST", target="/", headers=[("Host", "s")]))
+                self._http.send(h11.EndOfMessage())
+            try:
+                event = self._http.next_event()
+            except h11.RemoteProtocolError:
+                self._close()
+                return
+            if not isinstance(event, h11.Event) or isinstance(event, h11.ConnectionClosed):
+                return
+            self._handle_event(event)
+
+    def _handle_event(self, event: h11.Event) -> None:
+        record = self.open_requests[0]
+        if isinstance(event, h11.Response):
+            record.status = event.status_code
+            self._body = b""
+        elif isinstance(event, h11.Data):
+            self._body += bytes(event.data)
+            record.event_count = self._body.count(EVENT_END)
+        elif isinstance(event, h11.EndOfMessage):
+            self._end_response(record)
+
+    def _end_response(self, record: RequestRecord) -> None:
+        record.ended_at = time.monotonic()
+        record.end = ResponseEnd.COMPLETE
+        del self.open_requests[0]
+        if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
+            self._http.start_next_cycle()
+        if not self.open_requests and self.behavior == ClientBehavior.PATIENT:
+            self._call_later(self.population.random.uniform(*IDLE_PERIOD_S), self._send)
+
+    def connectionLost(self, reason: object = None) -> None:  # noqa: N802
+        """Record how the open requests ended."""
+        self.is_lost = True
+        now = time.monotonic()
+        if self._incomplete_sent_at is not None:
+            incomplete = IncompleteRequest(self.node, self._incomplete_sent_at, now)
+            self.population.records.incomplete_requests.append(incomplete)
+        if not self.has_closed:
+            self._end_open_requests(now, None)
+
+    def _end_open_requests(self, now: float, end: ResponseEnd | None) -> None:
+        """Record the end of all open requests; without `end`, each by whether its response had begun."""
+        for record in self.open_requests:
+            has_begun = record.status is not None
+            record.ended_at = now
+            record.end = end or (ResponseEnd.CUT if has_begun else ResponseEnd.UNANSWERED)
+        self.open_requests = []
--- a/myrtlehub/lab/fault_soak/fleet_settings.py
+++ b/myrtlehub/lab/fault_soak/fleet_settings.py
@@ -1,30 +1,38 @@
-"""The settings of the fleet of a fault soak, as the platform writes them, and its terms in seconds."""
+"""The settings of the nodes in a soak, in the platform's format, and the terms of the rules."""
 
-from typing import Any
+from typing import TypeAlias
 
-from myrtlehub.lab.fault_soak.oracle import Terms
+from myrtlehub.lab.fault_soak.findings import RuleTerms
+from myrtlehub.lab.fault_soak.records import TrafficType
 
 HOST = "127.0.0.1"
 ZONE = "z"
-READER = "r"
+READER = "r"  # machine types, and the first letters of engines' names
 WRITER = "w"
-ASK = "ask"  # may be repeated
-POST = "post"  # at most once
-KEEP = "keep"  # deduplicated for a while
 DRAIN_GRACE_MS = 250.0
 STATE_TIMEOUT_MS = 600.0
 DEDUP_WINDOW_MS = 900.0
-SHORT_PROMPT = 100  # tokens; the writer reads it
-LONG_PROMPT = 2000  # likewise, a reader does
-TERMS = Terms(DRAIN_GRACE_MS / 1e3, STATE_TIMEOUT_MS / 1e3, DEDUP_WINDOW_MS / 1e3, POST, KEEP)
+SHORT_PROMPT_TOKENS = 100  # the writer reads it
+LONG_PROMPT_TOKENS = 2000  # a reader reads it
+TERMS = RuleTerms(DRAIN_GRACE_MS / 1e3, STATE_TIMEOUT_MS / 1e3, DEDUP_WINDOW_MS / 1e3)
 
+PlatformSettings: TypeAlias = dict[str, object]  # the platform's JSON object
 
-def _traffic_type(name: str, effect: str, **more: Any) -> dict[str, Any]:  # noqa: ANN401
+
+def _traffic_type(name: TrafficType, effect: str, **more: object) -> PlatformSettings:
     times = {"AimMs": 1500.0, "GiveUpMs": 3000.0}
-    return {"Name": name, "Effect": effect, **times, "Credit": 1.0, "LateWorth": 0.3, **more}
+    return {"Name": name.value, "Effect": effect, **times, "Credit": 1.0, "LateWorth": 0.3, **more}
+
+
+def _traffic_types() -> list[PlatformSettings]:
+    return [
+        _traffic_type(TrafficType.IDEMPOTENT, "idempotent"),
+        _traffic_type(TrafficType.AT_MOST_ONCE, "at_most_once"),
+        _traffic_type(TrafficType.DEDUPLICATED, "deduplicated", DedupScope="all", WindowMs=DEDUP_WINDOW_MS),
+    ]
 
 
-def platform_settings(node_count: int, ordinal: int) -> dict[str, Any]:
+def platform_settings(node_count: int, ordinal: int) -> PlatformSettings:
     """Return the settings of one node."""
     return {
         "Balancers": node_count,
@@ -35,11 +43,7 @@
         "OverShareWorth": 0.1,
         "MachineTypes": [READER, WRITER],
         "Orgs": [],
-        "Classes": [
-            _traffic_type(ASK, "idempotent"),
-            _traffic_type(POST, "at_most_once"),
-            _traffic_type(KEEP, "deduplicated", DedupScope="all", WindowMs=DEDUP_WINDOW_MS),
-        ],
+        "Classes": _traffic_types(),
         "Caps": {
             "Cancel": True,
             "MostTries": 5,
--- a/myrtlehub/lab/fault_soak/node_process.py
+++ b/myrtlehub/lab/fault_soak/node_process.py
@@ -1,30 +1,49 @@
-"""One relay node as a process, whose system calls and clock fail on demand."""
+"""One relay node as a process, with injected faults of system calls and clock."""
 
-import json
 import os
 import shlex
 import signal
 import subprocess
 import sys
 import time
+from collections.abc import Iterator
 from pathlib import Path
-from typing import Any
 
+import msgspec
+
+from myrtlehub.lab.fault_soak.fault_control import CallFaults, write_atomically
 from myrtlehub.lab.fault_soak.fleet_settings import HOST, platform_settings
 from myrtlehub.lab.fault_soak.records import NodeExit, RunRecords
 from myrtlehub.lab.interfaces import Reactor
-from myrtlehub.lab.processes import free_ports
+from myrtlehub.lab.processes import LogLine, free_ports
 
 LAUNCHER = "myrtlehub.lab.fault_soak.fault_launcher"
 RELAY = "myrtlehub.relay"
-IGNORE_HANGUP = "trap '' HUP; exec "  # as `run` of the deploy file does, until the program can hear it
+# As in the `run` command of the deploy file: SIGHUP is ignored until the program has installed its handler.
+IGNORE_HANGUP = "trap '' HUP; exec "
 POLL_INTERVAL_S = 0.03
-ACCEPTS_AFTER_TERM_S = 0.25  # for which clients still come after SIGTERM
-DESCRIPTORS = 256
+CLIENTS_AFTER_TERM_S = 0.25  # in which new clients still connect after SIGTERM
+DESCRIPTOR_LIMIT = 256
+RELOAD_COUNT = 3
 
 
 class NodeProcess:
-    """Starts a node, ends it, starts it again; `program` is the module that is run."""
+    """Starts a node, and starts it again whenever its process has exited.
+
+    Args:
+        reactor: Reactor of the driver.
+        number: Number of the node.
+        node_count: Number of nodes in the fleet.
+        folder: Folder for the files of the node, which is created.
+        discovery_addresses: The two addresses of its discovery agent.
+        records: Where exits are recorded.
+        program: Module that is run as the node.
+
+    Attributes:
+        number: Number of the node.
+        address: Where clients connect, HOST:PORT.
+        call_faults: The active faults of system calls and clock; see `set_call_faults`.
+    """
 
     def __init__(
         self,
@@ -32,7 +51,7 @@
         number: int,
         node_count: int,
         folder: Path,
-        discovery: list[str],
+        discovery_addresses: list[str],
         records: RunRecords,
         program: str = RELAY,
     ) -> None:
@@ -42,51 +61,46 @@
         self.records = records
         self.program = program
         self.address = f"{HOST}:{free_ports(1)[0]}"
-        self._discovery = discovery
+        self.call_faults = CallFaults()
+        self._discovery_addresses = discovery_addresses
         self._discovery_position = 0
         self._settings = platform_settings(node_count, number)
-        self._process: subprocess.Popen | None = None
-        self._starts = 0
-        self._faults: dict[str, Any] = {}
+        self._process: subprocess.Popen[bytes] | None = None
+        self._start_count = 0
         self._terminated_at: float | None = None
         self._was_killed = False
         self._restarts = True
         folder.mkdir(parents=True)
         self._write_config()
-        self.set_faults()
+        self.set_call_faults(self.call_faults)
 
     def _write_config(self) -> None:
         config = {
             "name": f"n{self.number}",
             "listen": self.address,
-            "discovery": self._discovery[self._discovery_position],
+            "discovery": self._discovery_addresses[self._discovery_position],
             "seed": "7",
-            "limits": {"sockets": DESCRIPTORS},
+            "limits": {"sockets": DESCRIPTOR_LIMIT},
             "settings": self._settings,
         }
-        self._replace("config.json", config)
-
-    def _replace(self, name: str, content: dict[str, Any]) -> None:
-        written = self.folder / f"{name}.new"
-        written.write_text(json.dumps(content))
-        written.replace(self.folder / name)
-
-    def set_faults(self, **faults: Any) -> None:  # noqa: ANN401
-        """Change the faults of its system calls; None ends one."""
-        self._faults.update(faults)
-        self._replace(
-            "faults.json", {name: value for name, value in self._faults.items() if value is not None}
+        write_atomically(self.folder / "config.json", config)
+
+    def set_call_faults(self, faults: CallFaults) -> None:
+        """Replace the active faults of system calls and clock."""
+        self.call_faults = faults
+        write_atomically(self.folder / "faults.json", faults)
+
+    def set_reachable(self, address: str, is_reachable: bool) -> None:
+        """Let the node connect to an address, or let no connection to it be established."""
+        unreachable = set(self.call_faults.unreachable)
+        unreachable = unreachable - {address} if is_reachable else unreachable | {address}
+        self.set_call_faults(
+            msgspec.structs.replace(self.call_faults, unreachable=tuple(sorted(unreachable)))
         )
 
-    def cut_off(self, address: str, is_cut_off: bool) -> None:
-        """Let no connection to an address come up, or let them again."""
-        unreachable = set(self._faults.get("unreachable", ()))
-        unreachable = unreachable | {address} if is_cut_off else unreachable - {address}
-        self.set_faults(unreachable=sorted(unreachable))
-
     def start(self) -> None:
-        """Start the process, and watch it from then on."""
-        self._starts += 1
+        """Start the process, and poll for its exit."""
+        self._start_count += 1
         self._terminated_at = None
         self._was_killed = False
         environment = {
@@ -96,68 +110,72 @@
         }
         command = [sys.executable, "-m", LAUNCHER, str(self.folder / "faults.json"), self.program]
         argv = ["/bin/sh", "-c", IGNORE_HANGUP + shlex.join(command)]
-        with (
-            (self.folder / f"log.{self._starts}").open("wb") as log,
-            (self.folder / f"errors.{self._starts}").open("wb") as errors,
-        ):
-            self._process = subprocess.Popen(argv, env=environment, stdout=log, stderr=errors)
-        self.reactor.callLater(POLL_INTERVAL_S, self._poll, self._process)
-
-    def _poll(self, process: subprocess.Popen) -> None:
+        with self._log_path.open("wb") as log, self._errors_path.open("wb") as errors:
+            process = subprocess.Popen(argv, env=environment, stdout=log, stderr=errors)
+        self._process = process
+        self.reactor.callLater(POLL_INTERVAL_S, self._poll, process)
+
+    @property
+    def _log_path(self) -> Path:
+        return self.folder / f"log.{self._start_count}"
+
+    @property
+    def _errors_path(self) -> Path:
+        return self.folder / f"errors.{self._start_count}"
+
+    def _poll(self, process: subprocess.Popen[bytes]) -> None:
         code = process.poll()
         if code is None:
             self.reactor.callLater(POLL_INTERVAL_S, self._poll, process)
             return
-        errors = (self.folder / f"errors.{self._starts}").read_text(errors="replace")
+        errors = self._errors_path.read_text(errors="replace")
         if not self._was_killed or errors:
-            was_asked = self._terminated_at is not None or self._was_killed
+            was_requested = self._terminated_at is not None or self._was_killed
             code = 0 if self._was_killed else code
-            self.records.exits.append(NodeExit(self.number, time.monotonic(), code, was_asked, errors))
+            self.records.exits.append(NodeExit(self.number, time.monotonic(), code, was_requested, errors))
         if self._restarts:
             self.start()
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
     def address_for_clients(self) -> str | None:
-        """Return where clients go; None while the front in front of it sends none."""
-        if not self.is_running or not self._is_ready():
-            return None
-        ended = self._terminated_at is not None
-        is_gone = ended and time.monotonic() > self._terminated_at + ACCEPTS_AFTER_TERM_S
-        return None if is_gone else self.address
-
-    def _is_ready(self) -> bool:
-        return (self.folder / f"log.{self._starts}").stat().st_size > 0
+        """Return the node's address; None while the load balancer in front of it would send it no clients."""
+        has_started = self.is_running and self._log_path.stat().st_size > 0
+        is_removed = (
+            self._terminated_at is not None and time.monotonic() > self._terminated_at + CLIENTS_AFTER_TERM_S
+        )
+        return self.address if has_started and not is_removed else None
 
-    def signal(self, name: str) -> None:
-        """Send a signal, by its name without SIG."""
-        if self.is_running:
-            self._process.send_signal(signal.Signals[f"SIG{name}"])
+    def signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal if the process runs."""
+        if self._process is not None and self.is_running:
+            self._process.send_signal(signal_number)
 
     def terminate(self, restarts: bool = True) -> None:
-        """Ask it to end; a new process follows unless this is the end of the run."""
+        """Send SIGTERM; `restarts`: a new process is started once this one has exited."""
         self._restarts = restarts
         if self._terminated_at is None:
             self._terminated_at = time.monotonic()
-        self.signal("TERM")
+        self.signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Send SIGKILL."""
         self._was_killed = True
-        self.signal("KILL")
+        self.signal(signal.SIGKILL)
 
-    def move_discovery(self) -> None:
-        """Have it follow discovery at the other address, and tell it three times."""
-        for _ in range(3):
+    def reload(self) -> None:
+        """Change the discovery address in the configuration and send SIGHUP, several times in a row."""
+        for _ in range(RELOAD_COUNT):
             self._discovery_position = 1 - self._discovery_position
             self._write_config()
-            self.signal("HUP")
-
-    def logged(self) -> list[dict[str, Any]]:
-        """Return what all its processes have logged."""
-        texts = (path.read_text(errors="replace") for path in sorted(self.folder.glob("log.*")))
-        lines = (line for text in texts for line in text.splitlines())
-        return [json.loads(line) for line in lines if line.startswith("{") and line.endswith("}")]
+            self.signal(signal.SIGHUP)
+
+    def log_lines(self) -> Iterator[LogLine]:
+        """Yield the log lines of all processes so far, in the order of their starts by file name."""
+        for path in sorted(self.folder.glob("log.*")):
+            for line in path.read_text(errors="replace").splitlines():
+                if line.startswith("{") and line.endswith("}"):
+                    yield msgspec.json.decode(line)
--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -1,18 +1,24 @@
-"""A relay with a defect that was put there: what a fault soak misses of these it would miss of others too.
+"""A relay with a planted defect, to check that the soak finds defects of that kind.
 
-`$PLANTED_FAULT` names one; run as `hub-soak run --program myrtlehub.lab.fault_soak.planted_faults`.
+`$PLANTED_FAULT` names the defect; run as
+`hub-soak run --program myrtlehub.lab.fault_soak.planted_faults`.
 """
 
 import os
+from collections import abc
 from collections.abc import Callable
-from typing import Any
+from types import ModuleType
 
+from myrtlehub.http1.client_request import ClientRequest
 from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.headers import Header
 from myrtlehub.http1.listener import ConnectionListener
 from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
+from myrtlehub.http1.server_interfaces import AdmittedConnection
+from myrtlehub.membership.endpoint import Endpoint, EndpointState
 from myrtlehub.node.action_executor import ActionExecutor
+from myrtlehub.node.sequences import Attempt
 from myrtlehub.relay.__main__ import main as run_relay
 from myrtlehub.relay.discovery.discovery_client import DiscoveryClient
 from myrtlehub.relay.engines import state_release
@@ -20,161 +26,197 @@
 from myrtlehub.relay.engines.engine_directory import EngineDirectory
 from myrtlehub.relay.engines.state_release import StateRelease, StateReleaser
 from myrtlehub.relay.monitoring.invariant_monitor import InvariantMonitor
-from myrtlehub.routing.policy import admission, retries, router
-from myrtlehub.state import invariants
+from myrtlehub.routing.contract import RetrySemantics, RouterConfig
+from myrtlehub.routing.policy import admission, retries
+from myrtlehub.routing.policy.router import Router
+from myrtlehub.routing.records import Engine, Sequence
+from myrtlehub.state.invariants import SendFacts
 
 VARIABLE = "PLANTED_FAULT"
+SHARE_UNIT = 64  # of object addresses, by which some streams are selected
+OMITTED_UP_TO = 16  # of SHARE_UNIT
+CONNECTIONS_PER_DROP = 5
 
 
-def _always(*_: Any, **__: Any) -> bool:  # noqa: ANN401
+def _replace(owner: type | ModuleType, name: str, replacement: object) -> None:
+    """Replace a function of a class or module.
+
+    Raises:
+        AttributeError: The owner has no such function, because it was renamed.
+    """
+    getattr(owner, name)
+    setattr(owner, name, replacement)
+
+
+def _return_true(*_: object, **__: object) -> bool:
     return True
 
 
-def _nothing(*_: Any, **__: Any) -> None:  # noqa: ANN401
+def _do_nothing(*_: object, **__: object) -> None:
     """Do nothing."""
 
 
-def _without_guard() -> None:
-    """Send whatever has changed since the decision."""
-    EngineClient._send_facts = lambda self, attempt, time_left: invariants.SendFacts(
-        client_is_present=True,
-        time_left=1.0,
-        engine_is_serving=True,
-        is_in_slow_start_share=True,
-        may_run=True,
-    )
+def _skip_check_before_first_byte() -> None:
+    """Send attempts even if a send is no longer allowed at its first byte."""
+
+    def send_facts(self: EngineClient, attempt: Attempt, time_left: float) -> SendFacts:
+        return SendFacts(
+            client_is_present=True,
+            time_left=1.0,
+            engine_is_serving=True,
+            is_in_slow_start_share=True,
+            may_run=True,
+        )
+
+    _replace(EngineClient, "_send_facts", send_facts)
+
+
+def _replace_retry_rule(may_run_at: Callable[..., bool]) -> None:
+    for module in (retries, admission):
+        _replace(module, "may_run_at", may_run_at)
+
 
+def do_not_retry_releases() -> None:
+    """Send one request for each release, even if it fails."""
 
-def release_once() -> None:
-    """Try a release once, whatever comes of it."""
-    StateRelease._on_end = lambda self, succeeded, body: self._finish()
+    def on_end(self: StateRelease, succeeded: bool, body: bytes) -> None:
+        self._finish()
+
+    _replace(StateRelease, "_on_end", on_end)
     state_release.RELEASE_TIMEOUT_S = 0.0
 
 
-def never_release_again() -> None:
-    """Send no second release where an attempt may have ended after the first."""
-    StateReleaser._release_again = _nothing
+def omit_second_releases() -> None:
+    """Send no second release if an attempt may have ended at its engine after the first one."""
+    _replace(StateReleaser, "_release_again", _do_nothing)
 
 
-def told_at_decision() -> None:
-    """Tell engines the time that was left when the attempt was decided, and some more."""
+def state_initial_time() -> None:
+    """Send engines the full time that the client allowed, not what remains of it."""
     original = EngineClient._at_first_byte
 
-    def at_first_byte(self: EngineClient, attempt: Any, request: Any) -> Any:  # noqa: ANN401
-        request = original(self, attempt, request)
-        if request is None:
+    def at_first_byte(self: EngineClient, attempt: Attempt, request: ClientRequest) -> ClientRequest | None:
+        changed = original(self, attempt, request)
+        if changed is None:
             return None
-        told_ms = int((attempt.times_out_at - attempt.sequence.accepted_at) * 1000)
-        headers = [*request.headers[:-1], Header(b"x-remaining-ms", b"%d" % told_ms)]
-        return request._replace(headers=headers)
-
-    EngineClient._at_first_byte = at_first_byte
-
-
-def retry_after_window() -> None:
-    """Retry deduplicated work whenever."""
-    _without_guard()
-    for module in (retries, admission, router.retries):
-        module.may_run_at = lambda sequence, engine, now, config: (
-            not (
-                sequence.traffic.retry_semantics == retries.RetrySemantics.AT_MOST_ONCE
-                and sequence.possible_run
-            )
-        )
+        initial_ms = int((attempt.times_out_at - attempt.sequence.accepted_at) * 1000)
+        headers = [*changed.headers[:-1], Header(b"x-remaining-ms", b"%d" % initial_ms)]
+        return changed._replace(headers=headers)
+
+    _replace(EngineClient, "_at_first_byte", at_first_byte)
+
+
+def ignore_dedup_window() -> None:
+    """Retry deduplicated requests even after the end of the dedup window."""
+    _skip_check_before_first_byte()
 
+    def may_run_at(sequence: Sequence, engine: Engine, now: float, config: RouterConfig) -> bool:
+        is_at_most_once = sequence.traffic.retry_semantics == RetrySemantics.AT_MOST_ONCE
+        return not (is_at_most_once and sequence.possible_run)
 
-def retry_at_most_once() -> None:
-    """Retry what may run at most once."""
-    _without_guard()
-    for module in (retries, admission, router.retries):
-        module.may_run_at = _always
+    _replace_retry_rule(may_run_at)
 
 
-def send_after_the_client() -> None:
-    """Go on for clients that have left."""
-    _without_guard()
-    ActionExecutor.client_left = _nothing
+def ignore_retry_semantics() -> None:
+    """Retry requests that may run at most once."""
+    _skip_check_before_first_byte()
+    _replace_retry_rule(_return_true)
 
 
-def ignore_drains() -> None:
-    """Send to engines that drain."""
-    _without_guard()
-    EngineDirectory.is_serving = _always
+def ignore_disconnects() -> None:
+    """Continue requests whose clients have disconnected."""
+    _skip_check_before_first_byte()
+    _replace(ActionExecutor, "client_left", _do_nothing)
+
+
+def ignore_draining() -> None:
+    """Send attempts to draining engines."""
+    _skip_check_before_first_byte()
+    _replace(EngineDirectory, "is_serving", _return_true)
     original = ActionExecutor.update_endpoints
 
-    def update_endpoints(self: ActionExecutor, rows: Any, *more: Any) -> None:  # noqa: ANN401
-        serving = [row._replace(state="serving") if row.state == "draining" else row for row in rows]
-        original(self, serving, *more)
+    def update_endpoints(
+        self: ActionExecutor,
+        rows: abc.Sequence[Endpoint],
+        is_complete: bool,
+        version: int | None = None,
+        digest: str | None = None,
+    ) -> None:
+        serving = [_as_serving(row) for row in rows]
+        original(self, serving, is_complete, version, digest)
+
+    _replace(ActionExecutor, "update_endpoints", update_endpoints)
+
 
-    ActionExecutor.update_endpoints = update_endpoints
+def _as_serving(row: Endpoint) -> Endpoint:
+    is_draining = row.state == EndpointState.DRAINING
+    return row.with_fields(state=EndpointState.SERVING.value) if is_draining else row
 
 
-def close_open_requests() -> None:
-    """Close connections with open requests as the process drains."""
+def close_while_draining() -> None:
+    """Close connections with open requests when the process starts draining."""
 
     def drain(self: ServerConnection) -> None:
         self.linger(CloseReason.DRAINING)
 
-    ServerConnection.drain = drain
+    _replace(ServerConnection, "drain", drain)
 
 
-def stop_watching() -> None:
-    """Follow discovery no more once it has failed."""
-    DiscoveryClient._on_failure = _nothing
+def stop_discovery_after_failure() -> None:
+    """Do not poll discovery any more after its first failure."""
+    _replace(DiscoveryClient, "_on_failure", _do_nothing)
 
 
-def swallow_ends() -> None:
-    """Pass some streams' ends on to nobody."""
+def omit_stream_ends() -> None:
+    """Do not send the end of some streams."""
     original = ServerExchange.finish
 
     def finish(self: ServerExchange) -> None:
-        if id(self) % 64 > 16:
+        if id(self) % SHARE_UNIT > OMITTED_UP_TO:
             original(self)
 
-    ServerExchange.finish = finish
+    _replace(ServerExchange, "finish", finish)
 
 
-def close_for_room() -> None:
-    """Close clients' connections at random moments, whatever is open on them."""
+def drop_used_connections() -> None:
+    """Close clients' connections now and then, even with open requests."""
     original = ConnectionListener.connection_opened
 
-    def connection_opened(self: ConnectionListener, connection: ServerConnection) -> None:
+    def connection_opened(self: ConnectionListener, connection: AdmittedConnection) -> None:
         original(self, connection)
-        first = next(iter(self.connections))
-        if len(self.connections) % 5 == 0 and first is not connection:
-            first.drop()
-
-    ConnectionListener.connection_opened = connection_opened
-
-
-def never_answer_late() -> None:
-    """Wake nobody whose deadline has passed."""
-    router.Router._place_waiting = _nothing
-    InvariantMonitor._check = _nothing
-
-
-FAULTS: dict[str, Callable[[], None]] = {
-    fault.__name__: fault
-    for fault in (
-        release_once,
-        never_release_again,
-        told_at_decision,
-        retry_after_window,
-        retry_at_most_once,
-        send_after_the_client,
-        ignore_drains,
-        close_open_requests,
-        stop_watching,
-        swallow_ends,
-        close_for_room,
-        never_answer_late,
-    )
+        oldest = next(iter(self.connections))
+        if len(self.connections) % CONNECTIONS_PER_DROP == 0 and oldest is not connection:
+            oldest.drop()
+
+    _replace(ConnectionListener, "connection_opened", connection_opened)
+
+
+def ignore_deadlines() -> None:
+    """Do not wake up waiting requests, not even to reject them at their deadline."""
+    _replace(Router, "_place_waiting", _do_nothing)
+    _replace(InvariantMonitor, "_check", _do_nothing)
+
+
+# By the value of $PLANTED_FAULT; operators type these names.
+PLANT_BY_NAME: dict[str, Callable[[], None]] = {
+    "release_once": do_not_retry_releases,
+    "never_release_again": omit_second_releases,
+    "told_at_decision": state_initial_time,
+    "retry_after_window": ignore_dedup_window,
+    "retry_at_most_once": ignore_retry_semantics,
+    "send_after_the_client": ignore_disconnects,
+    "ignore_drains": ignore_draining,
+    "close_open_requests": close_while_draining,
+    "stop_watching": stop_discovery_after_failure,
+    "swallow_ends": omit_stream_ends,
+    "close_for_room": drop_used_connections,
+    "never_answer_late": ignore_deadlines,
 }
 
 
 def main() -> None:
-    """Plant the fault, then run the relay."""
-    FAULTS[os.environ[VARIABLE]]()
+    """Plant the defect, then run the relay."""
+    PLANT_BY_NAME[os.environ[VARIABLE]]()
     run_relay()
 
 
--- a/myrtlehub/lab/fault_soak/records.py
+++ b/myrtlehub/lab/fault_soak/records.py
@@ -1,107 +1,177 @@
-"""What clients, engines, agents and the driver recorded of one run; all times in seconds of one clock."""
+"""What clients, engines, discovery agents and the driver recorded of one run.
 
+All times are seconds of the monotonic clock of the driver's process, which also runs clients and engines.
+"""
+
+import math
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+from myrtlehub.lab.fault_soak.faults import FaultKind
+
+
+class TrafficType(StrEnum):
+    """Traffic types of the fleet's settings, one for each retry semantics."""
+
+    IDEMPOTENT = "ask"
+    AT_MOST_ONCE = "post"
+    DEDUPLICATED = "keep"  # by its idempotency key, within the dedup window
+
+
+class EngineHealth(StrEnum):
+    """States of an engine in the endpoint list, by their names on the wire."""
+
+    SERVING = "active"
+    DRAINING = "leaving"
+    GONE = "left"
+
 
 class ResponseEnd(StrEnum):
-    """How a client's request ended, as its client saw it."""
+    """How a client's request ended, as the client saw it. The values are printed."""
 
-    OPEN = "open"  # not yet
+    OPEN = "open"  # it has not ended
     COMPLETE = "complete"  # by its own framing
-    CUT = "cut"  # the connection ended within the response
-    UNANSWERED = "unanswered"  # the connection ended before any response
-    CLIENT_LEFT = "client left"  # the client closed first
+    CUT = "cut"  # the connection was lost within the response
+    UNANSWERED = "unanswered"  # the connection was lost before the response
+    CLIENT_DISCONNECTED = "client left"  # the client closed the connection first
 
 
 class AttemptEnd(StrEnum):
-    """How an attempt ended, as its engine saw it."""
+    """How an attempt ended, as the engine saw it."""
 
     RUNNING = "running"
-    TURNED_AWAY = "turned away"  # with the promise that nothing ran
-    FINISHED = "finished"
-    FAILED = "failed"  # an error was answered, or the answer was spoilt
-    LOST = "lost"  # the node closed, or the engine ended
+    REJECTED = "rejected"  # with the statement that it did not run
+    COMPLETE = "complete"
+    FAILED = "failed"  # the response was an error
+    LOST = "lost"  # the connection was lost
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """A client's request."""
-
-    id: str
+    """A client's request.
+
+    Attributes:
+        request_id: Id of the request, unique within a run.
+        node: Number of the node that it was sent to.
+        traffic: Its traffic type.
+        sent_at: Time at which its last byte was written.
+        time_left_s: Time to the first event that the client allowed, in seconds.
+        is_first_on_connection: No request was sent before it on its connection.
+        previous: The request before it on its connection, if that was open when this one was sent.
+        disconnected_at: Time at which the client closed the connection, if it did so before the answer.
+        ended_at: Time at which it ended; None while it is open.
+        status: HTTP status of the response; None before the response.
+        event_count: Events of the response that were received.
+        end: How it ended.
+    """
+
+    request_id: str
     node: int
-    traffic: str
-    sent_at: float  # when its last byte was written
-    time_left: float  # that the client stated
+    traffic: TrafficType
+    sent_at: float
+    time_left_s: float
     is_first_on_connection: bool
-    before: "RequestRecord | None" = None  # sent before it on its connection, and open then
-    left_at: float | None = None  # when the client closed
+    previous: "RequestRecord | None" = None
+    disconnected_at: float | None = None
     ended_at: float | None = None
-    status: int = 0
-    events: int = 0
+    status: int | None = None
+    event_count: int = 0
     end: ResponseEnd = ResponseEnd.OPEN
 
     @property
     def deadline(self) -> float:
-        """When the client stops to wait for the first event."""
-        return self.sent_at + self.time_left
+        """Time at which the client stops waiting for the first event."""
+        return self.sent_at + self.time_left_s
 
     @property
     def answerable_at(self) -> float:
-        """From when it can be answered: responses come in the order of their requests."""
-        if self.before is None:
-            return self.sent_at
-        return self.before.ended_at or float("inf")
+        """Time from which it can be answered: responses are sent in the order of their requests."""
+        return self.sent_at if self.previous is None else self.previous.open_until
+
+    @property
+    def open_until(self) -> float:
+        """Time at which it ended; infinite while it is open."""
+        return math.inf if self.ended_at is None else self.ended_at
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """A call of an engine for a request."""
-
-    id: str
+    """A request of a node to an engine.
+
+    Attributes:
+        request_id: Id of the client's request.
+        engine: Name of the engine.
+        is_read: The engine reads the prompt; otherwise it writes the answer.
+        first_byte_at: Time at which the first byte arrived.
+        arrived_at: Time at which the last byte arrived.
+        remaining_ms: Remaining time that the node stated, in milliseconds.
+        event_count: Events that the engine sent.
+        ended_at: Time at which it ended; None while it runs.
+        end: How it ended.
+    """
+
+    request_id: str
     engine: str
-    reads: bool
-    began_at: float  # its first byte
-    arrived_at: float  # its last byte
-    told_ms: int
-    events: int = 0
+    is_read: bool
+    first_byte_at: float
+    arrived_at: float
+    remaining_ms: int
+    event_count: int = 0
     ended_at: float | None = None
     end: AttemptEnd = AttemptEnd.RUNNING
 
+    @property
+    def running_until(self) -> float:
+        """Time at which it ended; infinite while it runs."""
+        return math.inf if self.ended_at is None else self.ended_at
+
 
 @dataclass(slots=True)
-class HeldState:
-    """A read state at a reader."""
+class ReadStateRecord:
+    """A read state that a reader holds."""
 
-    id: str
+    request_id: str
     engine: str
-    since: float
-    until: float | None = None
+    stored_at: float
+    freed_at: float | None = None
+
+    @property
+    def held_until(self) -> float:
+        """Time at which it was freed; infinite while it is held."""
+        return math.inf if self.freed_at is None else self.freed_at
 
 
 @dataclass(slots=True)
 class EngineChange:
-    """A change of an engine in the endpoint list, and by when each node counts as told (by its number)."""
+    """A change of an engine in the endpoint list.
+
+    Attributes:
+        engine: Name of the engine.
+        health: Its new state.
+        at: Time of the change.
+        known_at: By node, the time from which the node has to know of the change; infinite while its agent
+            cannot be reached.
+    """
 
     engine: str
-    health: str
+    health: EngineHealth
     at: float
-    told_at: dict[int, float]
+    known_at: dict[int, float]
 
 
 @dataclass(slots=True)
-class Span:
-    """A time in which something was done to a node."""
+class NodeFault:
+    """A period in which a fault of this kind was injected into a node."""
 
     node: int
-    what: str
+    kind: FaultKind
     begin: float
-    end: float = float("inf")
+    end: float = math.inf
 
 
 @dataclass(slots=True)
 class EngineCut:
-    """A time in which bytes between an engine and the nodes were lost."""
+    """A period in which bytes between an engine and the nodes were lost."""
 
     engine: str
     begin: float
@@ -110,33 +180,66 @@
 
 @dataclass(slots=True)
 class NodeExit:
-    """The end of a node's process that nobody killed."""
+    """The exit of a node's process.
+
+    Attributes:
+        node: Number of the node.
+        at: Time at which the exit was noticed.
+        code: Exit code; 0 if the process was killed by the soak.
+        was_requested: The soak had sent SIGTERM or SIGKILL.
+        errors: What the process wrote to its standard error.
+    """
 
     node: int
     at: float
     code: int
-    was_asked: bool
+    was_requested: bool
     errors: str
 
 
+@dataclass(slots=True)
+class IncompleteRequest:
+    """A request of which the client sent only the beginning; the node has to close its connection."""
+
+    node: int
+    sent_at: float
+    closed_at: float
+
+
 @dataclass(slots=True)
 class RunRecords:
-    """All that was recorded."""
+    """All records of a run.
+
+    Attributes:
+        requests: Clients' requests by their id.
+        attempts: Attempts in the order of their arrival at the engines.
+        states: Read states that readers held.
+        changes: Changes of the endpoint list.
+        node_faults: Faults that were injected into nodes and excuse them from some rules.
+        cuts: Losses of bytes between engines and nodes.
+        exits: Exits of nodes' processes, except for those that were killed and wrote nothing.
+        incomplete_requests: Requests whose clients sent only the beginning.
+        node_violations: Invariant violations by the nodes' own logs, one entry for each.
+        withheld: Withheld sends by the nodes' own counters, by invariant.
+        unrecovered: Nodes that did not answer or exit after all faults, with what was wrong.
+        driver_lag: Largest event loop lag of the driver in seconds, by which recorded times may be late.
+    """
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
-    states: list[HeldState] = field(default_factory=list)
+    states: list[ReadStateRecord] = field(default_factory=list)
     changes: list[EngineChange] = field(default_factory=list)
-    spans: list[Span] = field(default_factory=list)
+    node_faults: list[NodeFault] = field(default_factory=list)
     cuts: list[EngineCut] = field(default_factory=list)
     exits: list[NodeExit] = field(default_factory=list)
-    node_violations: list[str] = field(default_factory=list)  # from the nodes' own logs
-    withheld: dict[str, int] = field(default_factory=dict)  # likewise
-    failed_probes: list[str] = field(default_factory=list)  # of nodes after all troubles were over
-    driver_lag: float = 0.0  # by which the clock of these records may be late
-
-    def begin(self, node: int, what: str, at: float) -> Span:
-        """Begin a span."""
-        span = Span(node, what, at)
-        self.spans.append(span)
-        return span
+    incomplete_requests: list[IncompleteRequest] = field(default_factory=list)
+    node_violations: list[str] = field(default_factory=list)
+    withheld: dict[str, int] = field(default_factory=dict)
+    unrecovered: list[str] = field(default_factory=list)
+    driver_lag: float = 0.0
+
+    def begin_node_fault(self, node: int, kind: FaultKind, at: float) -> NodeFault:
+        """Record the start of a fault; the caller sets its end."""
+        fault = NodeFault(node, kind, at)
+        self.node_faults.append(fault)
+        return fault
--- a/myrtlehub/lab/fault_soak/schedule.py
+++ b/myrtlehub/lab/fault_soak/schedule.py
@@ -1,146 +1,113 @@
-"""Schedules of overlapping troubles, drawn from a seed, kept as files and shrunk."""
+"""Schedules of overlapping faults: drawn from a seed, stored as JSON files."""
 
 import random
-from collections.abc import Callable
-from enum import StrEnum
 from pathlib import Path
+from typing import Self
 
 import msgspec
 
-QUIET_BEGIN_S = 2.0  # without troubles, for all nodes to be ready and have traffic
-QUIET_END_S = 8.0  # likewise, for all to recover
-MAX_OVERLAP = 3
+from myrtlehub.lab.fault_soak.faults import Fault, FaultKind, FaultTarget
+
+QUIET_BEGIN_S = 2.0  # no faults at first, so that all nodes are ready and have traffic
+QUIET_END_S = 8.0  # no faults at last, so that all nodes recover
+MAX_OVERLAP = 3  # faults at a time
+# Each run has only some kinds, so that the same kinds overlap often: that is where defects are found.
 KINDS_PER_RUN = 7
-MEAN_PAUSE_S = 0.9  # from the begin of one trouble to the next
-
-
-class TroubleKind(StrEnum):
-    """What happens to a node, an engine or a node's discovery agent."""
-
-    NODE_TERM = "node term"  # SIGTERM, and a new process once it has ended
-    NODE_KILL = "node kill"
-    NODE_STOP = "node stop"  # SIGSTOP, and SIGCONT after up to 0.15 s, again and again
-    NODE_HANGUPS = "node hangups"  # discovery moves, SIGHUP in a row
-    CLOCK_STEP = "clock step"
-    CONNECT_FAILS = "connect fails"
-    SOCKET_FAILS = "socket fails"
-    ACCEPT_FAILS = "accept fails"
-    SHORT_CALLS = "short calls"  # reads and writes of one byte
-    BROKEN_SOCKETS = "broken sockets"  # reads fail as broken connections do
-    LOG_FAILS = "log fails"
-    ENGINE_DRAIN = "engine drain"  # leaves, and comes back cold
-    ENGINE_RESTART = "engine restart"
-    ENGINE_CUT = "engine cut"  # silent, then its connections are reset
-    ENGINE_RESETS = "engine resets"  # connections break within responses
-    ENGINE_FULL = "engine full"  # turns away
-    ENGINE_ERRORS = "engine errors"
-    ENGINE_HANGS = "engine hangs"  # takes requests, and responds to none
-    ENGINE_SPOILS = "engine spoils"  # half events, a second response, no end
-    DISCOVERY_SILENT = "discovery silent"
-    DISCOVERY_SLOW = "discovery slow"
-    DISCOVERY_TORN = "discovery torn"
-    WATCH_SILENT = "watch silent"  # open watches are never answered, new ones are
-
-
-NODE_KINDS = tuple(kind for kind in TroubleKind if not kind.startswith(("engine", "discovery", "watch")))
-AGENT_KINDS = tuple(kind for kind in TroubleKind if kind.startswith(("discovery", "watch")))
-LOCAL_ERRORS = ("EADDRNOTAVAIL", "ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "ENETUNREACH")
+MEAN_FAULT_INTERVAL_S = 0.9  # from the start of one fault to the start of the next
+FAULT_DURATIONS_S = (0.3, 0.7, 1.5, 3.0)
+AGENT_FAULT_DURATIONS_S = (1.0, 2.5, 5.0)  # longer: a node notices a silent agent only after seconds
+FAILURE_SHARES = (0.3, 1.0)  # of the system calls
+CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
 ERRORS = {
-    TroubleKind.CONNECT_FAILS: LOCAL_ERRORS,
-    TroubleKind.SOCKET_FAILS: ("ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"),
-    TroubleKind.ACCEPT_FAILS: ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
-    TroubleKind.BROKEN_SOCKETS: ("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"),
-    TroubleKind.LOG_FAILS: ("ENOSPC", "EIO", "EPIPE"),
+    FaultKind.CONNECT_FAILS: ("EADDRNOTAVAIL", "ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "ENETUNREACH"),
+    FaultKind.SOCKET_FAILS: ("ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"),
+    FaultKind.ACCEPT_FAILS: ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
+    FaultKind.BROKEN_SOCKETS: ("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"),
+    FaultKind.LOG_FAILS: ("ENOSPC", "EIO", "EPIPE"),
 }
-CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
-
-
-class Trouble(msgspec.Struct, frozen=True):
-    """One trouble; times in seconds from the begin of the run."""
-
-    kind: TroubleKind
-    target: int  # number of the node or engine
-    begin: float
-    length: float
-    error: str = ""  # of system calls
-    share: float = 1.0  # of calls that fail
-    step: float = 0.0  # of the wall clock
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A whole run."""
+    """The plan of one run; the field names of the stored form are fixed.
+
+    Attributes:
+        seed: Seed of the schedule, and of the behavior of clients and engines.
+        duration_s: Length of the run in seconds.
+        node_count: Number of nodes.
+        engine_count: Number of engines.
+        faults: The faults, in the order of their start.
+    """
 
     seed: int
-    seconds: float
-    nodes: int
-    engines: int
-    troubles: tuple[Trouble, ...]
+    duration_s: float = msgspec.field(name="seconds")
+    node_count: int = msgspec.field(name="nodes")
+    engine_count: int = msgspec.field(name="engines")
+    faults: tuple[Fault, ...] = msgspec.field(name="troubles")
 
     @classmethod
     def draw(
-        cls, seed: int, seconds: float, nodes: int, engines: int, kinds: tuple[TroubleKind, ...] = ()
-    ) -> "Schedule":
-        """Draw troubles of which up to MAX_OVERLAP overlap; of all kinds unless some are named."""
+        cls,
+        seed: int,
+        duration_s: float,
+        node_count: int,
+        engine_count: int,
+        kinds: tuple[FaultKind, ...] = (),
+    ) -> Self:
+        """Draw a schedule; the same arguments always give the same one.
+
+        Args:
+            seed: Seed of the random numbers.
+            duration_s: Length of the run in seconds.
+            node_count: Number of nodes.
+            engine_count: Number of engines.
+            kinds: Kinds of the faults; KINDS_PER_RUN kinds are drawn if it is empty.
+        """
         draw = random.Random(seed)
-        # Each run has some kinds only: these meet one another often, which is where defects are.
-        kinds = kinds or tuple(draw.sample(list(TroubleKind), KINDS_PER_RUN))
-        troubles: list[Trouble] = []
-        at = QUIET_BEGIN_S
-        while at < seconds - QUIET_END_S:
-            trouble = _draw_trouble(draw, draw.choice(kinds), at, nodes, engines)
-            active = [other for other in troubles if other.begin + other.length > at]
-            if len(active) < MAX_OVERLAP and not any(_collide(trouble, other) for other in active):
-                troubles.append(trouble)
-            at += draw.expovariate(1.0 / MEAN_PAUSE_S)
-        return cls(seed, seconds, nodes, engines, tuple(troubles))
+        kinds = kinds or tuple(draw.sample(list(FaultKind), KINDS_PER_RUN))
+        faults: list[Fault] = []
+        begin_s = QUIET_BEGIN_S
+        while begin_s < duration_s - QUIET_END_S:
+            kind = draw.choice(kinds)
+            is_engine_fault = kind.target == FaultTarget.ENGINE
+            target = draw.randrange(engine_count if is_engine_fault else node_count)
+            fault = _draw_fault(draw, kind, target, begin_s)
+            active = [other for other in faults if other.end_s > begin_s]
+            if len(active) < MAX_OVERLAP and not any(_conflict(fault, other) for other in active):
+                faults.append(fault)
+            begin_s += draw.expovariate(1.0 / MEAN_FAULT_INTERVAL_S)
+        return cls(seed, duration_s, node_count, engine_count, tuple(faults))
 
     @classmethod
-    def read(cls, path: Path) -> "Schedule":
-        """Read one that was written down."""
+    def read(cls, path: Path) -> Self:
+        """Read a stored schedule."""
         return msgspec.json.decode(path.read_bytes(), type=cls)
 
     def write(self, path: Path) -> None:
-        """Write it down."""
+        """Store the schedule."""
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self)) + b"\n")
 
 
-def _draw_trouble(draw: random.Random, kind: TroubleKind, at: float, nodes: int, engines: int) -> Trouble:
-    target = draw.randrange(engines if kind.startswith("engine") else nodes)
-    length = draw.choice((0.3, 0.7, 1.5, 3.0))
-    if kind in AGENT_KINDS:
-        length = draw.choice((1.0, 2.5, 5.0))
-    return Trouble(
+def _draw_fault(draw: random.Random, kind: FaultKind, target: int, begin_s: float) -> Fault:
+    duration_s = draw.choice(
+        FAULT_DURATIONS_S
+    )  # drawn for each kind: stored seeds depend on the order of draws
+    if kind.target == FaultTarget.AGENT:
+        duration_s = draw.choice(AGENT_FAULT_DURATIONS_S)
+    return Fault(
         kind,
         target,
-        round(at, 3),
-        length,
+        round(begin_s, 3),
+        duration_s,
         error=draw.choice(ERRORS[kind]) if kind in ERRORS else "",
-        share=draw.choice((0.3, 1.0)),
-        step=draw.choice(CLOCK_STEPS_S) if kind == TroubleKind.CLOCK_STEP else 0.0,
+        share=draw.choice(FAILURE_SHARES),
+        clock_step_s=draw.choice(CLOCK_STEPS_S) if kind == FaultKind.CLOCK_STEP else 0.0,
     )
 
 
-def _collide(one: Trouble, other: Trouble) -> bool:
-    """Tell whether two troubles at once would undo one another."""
-    both_engine = one.kind.startswith("engine") and other.kind.startswith("engine")
-    both_agent = one.kind in AGENT_KINDS and other.kind in AGENT_KINDS
-    both_end = {one.kind, other.kind} <= {TroubleKind.NODE_TERM, TroubleKind.NODE_KILL}
-    same_kind = one.kind == other.kind
-    return one.target == other.target and (both_engine or both_agent or both_end or same_kind)
-
-
-def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """Drop troubles for as long as the run still fails: first halves, then one at a time."""
-    size = max(1, len(schedule.troubles) // 2)
-    while True:
-        position = 0
-        while position < len(schedule.troubles):
-            rest = schedule.troubles[:position] + schedule.troubles[position + size :]
-            smaller = msgspec.structs.replace(schedule, troubles=rest)
-            if fails(smaller):
-                schedule = smaller
-            else:
-                position += size
-        if size == 1:
-            return schedule
-        size = max(1, size // 2)
+def _conflict(one: Fault, other: Fault) -> bool:
+    """Return whether one of two faults at the same time would undo the other."""
+    targets = {one.kind.target, other.kind.target}
+    both_same_target_type = targets in ({FaultTarget.ENGINE}, {FaultTarget.AGENT})
+    both_end_node = {one.kind, other.kind} <= {FaultKind.NODE_TERM, FaultKind.NODE_KILL}
+    is_same_kind = one.kind == other.kind
+    return one.target == other.target and (both_same_target_type or both_end_node or is_same_kind)
--- /dev/null
+++ b/myrtlehub/lab/fault_soak/soak_result.py
@@ -0,0 +1,28 @@
+"""The result of a run."""
+
+import msgspec
+
+from myrtlehub.lab.fault_soak.findings import Finding
+from myrtlehub.lab.fault_soak.schedule import Schedule
+
+
+class SoakResult(msgspec.Struct, frozen=True):
+    """What a run has shown, as the process that played it writes it to its standard output.
+
+    Attributes:
+        schedule: The schedule that was played.
+        findings: Breaches of the rules.
+        requests: Number of clients' requests.
+        attempts: Number of attempts that reached engines.
+        ends: Number of requests by how they ended.
+        withheld: Number of sends that the nodes withheld, by invariant.
+        driver_lag: Largest event loop lag of the driver in seconds.
+    """
+
+    schedule: Schedule
+    findings: tuple[Finding, ...]
+    requests: int
+    attempts: int
+    ends: dict[str, int]
+    withheld: dict[str, int]
+    driver_lag: float
--- /dev/null
+++ b/tests/lab/test_fault_soak_rules.py
@@ -0,0 +1,165 @@
+"""The rules of the fault soak: sound records break none, and a planted breach breaks its rule."""
+
+import pytest
+
+from myrtlehub.lab.fault_soak.findings import Rule
+from myrtlehub.lab.fault_soak.fleet_settings import TERMS
+from myrtlehub.lab.fault_soak.oracle import judge_run
+from myrtlehub.lab.fault_soak.records import (
+    AttemptEnd,
+    AttemptRecord,
+    EngineChange,
+    EngineHealth,
+    NodeExit,
+    ReadStateRecord,
+    RequestRecord,
+    ResponseEnd,
+    RunRecords,
+    TrafficType,
+)
+
+STREAM_EVENTS = 5
+
+
+def sound_records(traffic: TrafficType = TrafficType.IDEMPOTENT) -> RunRecords:
+    """Return records of one request that was read, written and answered without a breach."""
+    records = RunRecords()
+    records.requests["a"] = RequestRecord(
+        "a",
+        0,
+        traffic,
+        10.0,
+        2.0,
+        True,
+        ended_at=11.0,
+        status=200,
+        event_count=STREAM_EVENTS,
+        end=ResponseEnd.COMPLETE,
+    )
+    records.attempts = [
+        AttemptRecord("a", "r0", True, 10.01, 10.01, 1900, 0, 10.2, AttemptEnd.COMPLETE),
+        AttemptRecord("a", "w1", False, 10.21, 10.21, 1700, STREAM_EVENTS, 11.0, AttemptEnd.COMPLETE),
+    ]
+    records.states = [ReadStateRecord("a", "r0", 10.2, 10.3)]
+    return records
+
+
+def broken_rules(records: RunRecords) -> list[Rule]:
+    return [finding.rule for finding in judge_run(records, TERMS)]
+
+
+@pytest.mark.parametrize(
+    "traffic", [TrafficType.IDEMPOTENT, TrafficType.AT_MOST_ONCE, TrafficType.DEDUPLICATED]
+)
+def test_sound_records_break_no_rule(traffic: TrafficType) -> None:
+    assert broken_rules(sound_records(traffic)) == []
+
+
+def test_a_request_without_an_answer_is_a_breach() -> None:
+    records = sound_records()
+    request = records.requests["a"]
+    request.status, request.event_count = None, 0
+    request.end = ResponseEnd.UNANSWERED
+    assert broken_rules(records) == [Rule.FINAL_ANSWER]
+    request.is_first_on_connection = False  # the node closed an idle connection while a request was under way
+    assert broken_rules(records) == [Rule.FINAL_ANSWER]  # it had been forwarded
+    records.attempts = []
+    assert broken_rules(records) == []
+    request.end = ResponseEnd.OPEN
+    assert broken_rules(records) == [Rule.FINAL_ANSWER]
+
+
+def test_a_rejection_may_be_half_a_second_late() -> None:
+    records = sound_records()
+    request = records.requests["a"]
+    request.status, request.event_count = 503, 0
+    records.attempts = []
+    records.states = []
+    request.ended_at = request.deadline + 0.45
+    assert broken_rules(records) == []
+    request.ended_at = request.deadline + 0.6
+    assert broken_rules(records) == [Rule.FINAL_ANSWER]
+
+
+def test_an_answer_that_differs_from_all_streams_and_one_that_is_cut_are_breaches() -> None:
+    records = sound_records()
+    records.requests["a"].event_count = STREAM_EVENTS - 1
+    assert broken_rules(records) == [Rule.UNCHANGED_STREAM]
+    records.requests["a"].end = ResponseEnd.CUT
+    assert broken_rules(records) == [Rule.FINAL_ANSWER]
+
+
+@pytest.mark.parametrize(
+    ("traffic", "first_end", "gap", "broken"),
+    [
+        (TrafficType.IDEMPOTENT, AttemptEnd.LOST, 0.1, []),
+        (TrafficType.AT_MOST_ONCE, AttemptEnd.LOST, 0.1, [Rule.SINGLE_EXECUTION]),
+        (TrafficType.AT_MOST_ONCE, AttemptEnd.FAILED, 0.1, [Rule.SINGLE_EXECUTION]),
+        (TrafficType.AT_MOST_ONCE, AttemptEnd.REJECTED, 0.1, []),
+        (TrafficType.DEDUPLICATED, AttemptEnd.LOST, 0.5, []),
+        (TrafficType.DEDUPLICATED, AttemptEnd.LOST, 1.2, [Rule.SINGLE_EXECUTION]),
+    ],
+)
+def test_a_retry_after_a_possible_run_respects_the_retry_semantics(
+    traffic: TrafficType, first_end: AttemptEnd, gap: float, broken: list[Rule]
+) -> None:
+    records = sound_records(traffic)
+    records.states = []
+    write = records.attempts[1]
+    write.arrived_at = write.first_byte_at = 10.05 + gap
+    write.remaining_ms = 500
+    records.attempts[0] = AttemptRecord("a", "w2", False, 10.05, 10.05, 1900, 0, 10.06, first_end)
+    assert broken_rules(records) == broken
+
+
+def test_an_attempt_after_a_disconnect_and_too_much_remaining_time_are_breaches() -> None:
+    records = sound_records()
+    request = records.requests["a"]
+    request.end, request.disconnected_at = ResponseEnd.CLIENT_DISCONNECTED, 10.05
+    assert broken_rules(records) == [Rule.CLIENT_PRESENT]
+    request.disconnected_at = 10.15
+    assert broken_rules(records) == []
+    records.attempts[1].remaining_ms = 2500
+    assert broken_rules(records) == [Rule.REMAINING_TIME]
+
+
+def test_an_attempt_to_a_draining_engine_after_the_grace_time_is_a_breach() -> None:
+    records = sound_records()
+    records.changes = [EngineChange("w1", EngineHealth.DRAINING, 9.95, {0: 9.95})]
+    assert broken_rules(records) == []
+    records.changes = [EngineChange("w1", EngineHealth.DRAINING, 9.5, {0: 9.5})]
+    assert broken_rules(records) == [Rule.DRAINING]
+    records.changes.append(EngineChange("w1", EngineHealth.SERVING, 9.9, {0: 9.9}))
+    assert broken_rules(records) == []
+
+
+def test_a_state_held_for_long_with_no_attempt_in_flight_is_a_breach() -> None:
+    records = sound_records()
+    records.states = [ReadStateRecord("a", "r0", 10.2, 11.9)]
+    assert broken_rules(records) == []  # 0.9 s after the write ended
+    records.states = [ReadStateRecord("a", "r0", 10.2, 12.2)]
+    assert broken_rules(records) == [Rule.STATE_RELEASED]
+
+
+def test_an_unrequested_exit_and_a_traceback_are_crashes() -> None:
+    records = sound_records()
+    records.exits = [NodeExit(0, 12.0, 0, True, ""), NodeExit(1, 12.0, 1, False, "")]
+    assert broken_rules(records) == [Rule.NO_CRASH]
+    records.exits = [NodeExit(0, 12.0, 0, True, "Traceback")]
+    assert broken_rules(records) == [Rule.NO_CRASH]
+
+
+def test_rules_are_printed_by_the_names_that_operators_type() -> None:
+    assert [rule.value for rule in Rule] == [
+        "lost",
+        "spoilt",
+        "twice",
+        "after the client",
+        "time told",
+        "drain",
+        "pinned",
+        "half request",
+        "crash",
+        "invariant",
+        "not recovered",
+    ]
