--- a/benchmarks/list_update_cost.py
+++ b/benchmarks/list_update_cost.py
@@ -7,71 +7,111 @@
 import time
 import tracemalloc
 from pathlib import Path
+from typing import NamedTuple
 
 import click
+from twisted.internet.defer import Deferred
+from twisted.internet.protocol import Factory
 from twisted.internet.task import Clock
 
-from myrtlehub.config.engines import EngineKindConfig
 from myrtlehub.config.loader import load_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.membership.list_version import content_digest
 from myrtlehub.membership.snapshot import read_snapshot
 from myrtlehub.membership.validation import Accepted, ListValidator, ValidationConfig
-from myrtlehub.node.node import Node
+from myrtlehub.node.node import Node, NodeEnvironment
+from myrtlehub.rpc.client_protocol import ClientProtocol
+
+LIST_FILE = "a.yaml"
+OTHER_KINDS = ("embedder", "ranker")  # of examples/node.yaml
+MAX_REMOVED = 1.0  # share of the endpoints that one update may remove without confirmation
+
+
+class Durations(NamedTuple):
+    """Seconds of one update."""
+
+    read: float
+    validated: float
+    applied: float
+
+    def __str__(self) -> str:
+        """Return them in milliseconds."""
+        return (
+            f"{self.read * 1e3:.1f} ms read, {self.validated * 1e3:.1f} ms validated, "
+            f"{self.applied * 1e3:.1f} ms applied"
+        )
+
+
+class ListUpdates:
+    """A node, and the file and validator of its endpoint list."""
+
+    def __init__(self, config: NodeConfig, folder: Path) -> None:
+        self.folder = folder
+        self.node = Node(config, NodeEnvironment(Clock(), lambda address: _never_connect))
+        kinds = {kind.name: kind for kind in config.kinds}
+        self.validator = ListValidator(ValidationConfig(MAX_REMOVED), kinds, config.zones)
+
+    def update(self, now: float, text: str) -> Durations:
+        """Write a list file and take it over."""
+        (self.folder / LIST_FILE).write_text(text)
+        started_at = time.perf_counter()
+        snapshot = read_snapshot((LIST_FILE,), self.folder)
+        read_at = time.perf_counter()
+        digest = content_digest(snapshot.endpoints)  # as the reading process hands it over
+        validation_started_at = time.perf_counter()
+        verdict = self.validator.validate(now, snapshot.endpoints, "files", digest=digest)
+        validated_at = time.perf_counter()
+        if not isinstance(verdict, Accepted):
+            raise click.ClickException(f"the list was not accepted: {verdict}")
+        difference = verdict.difference
+        rows = difference.updates() if difference else list(verdict.version.endpoints.values())
+        applied_from = time.perf_counter()
+        self.node.executor.update_endpoints(rows, not difference, verdict.version.number)
+        applied_at = time.perf_counter()
+        return Durations(
+            read_at - started_at, validated_at - validation_started_at, applied_at - applied_from
+        )
+
+    def version_bytes(self, now: float) -> int:
+        """Return the memory that a version with one engine less takes."""
+        tracemalloc.start()
+        self.validator.validate(now, read_snapshot((LIST_FILE,), self.folder).endpoints[:-1], "files")
+        size = tracemalloc.get_traced_memory()[0]
+        tracemalloc.stop()
+        return size
+
+
+def _never_connect(factory: Factory) -> "Deferred[ClientProtocol]":
+    """Connect to an engine; no answer ever comes, and none is needed."""
+    return Deferred()
 
 
 def list_text(count: int, first_cell: int) -> str:
-    """Return a list file; another `first_cell` changes every engine."""
+    """Return a list file; another `first_cell` changes every engine.
+
+    Readers and writers take turns after one engine of each other kind, which the settings require.
+    """
+    kinds = [*OTHER_KINDS, *("writer" if i % 2 else "reader" for i in range(count - len(OTHER_KINDS)))]
     return "engines:\n" + "".join(
-        f"  - {{address: '10.{i >> 8}.{i & 255}.1:7200', kind: {'writer' if i % 2 else 'reader'}, "
-        f"zone: north, cell: {i // 8 + first_cell}}}\n"
-        for i in range(count)
+        f"  - {{address: '10.{i >> 8}.{i & 255}.1:7200', kind: {kind}, zone: north, "
+        f"cell: {i // 8 + first_cell}}}\n"
+        for i, kind in enumerate(kinds)
     )
 
 
 @click.command()
 def main() -> None:
     """Print milliseconds by number of engines."""
-    sheet = load_config(Path(__file__).parents[1] / "examples" / "node.yaml", NodeConfig)
+    config = load_config(Path(__file__).parents[1] / "examples" / "node.yaml", NodeConfig)
     for count in (10, 200, 2000):
         with tempfile.TemporaryDirectory() as folder:
-            base, clock = Path(folder), Clock()
-            node = Node(sheet, clock, lambda address: None)
-            kinds = {
-                k.name: EngineKindConfig(name=k.name, reads=k.reads, writes=k.writes) for k in sheet.kinds
-            }
-            validator = ListValidator(ValidationConfig(1.0), kinds, sheet.zones)
-            out = []
-            for first_cell in (0, 1):  # the second time every engine changes
-                (base / "a.yaml").write_text(list_text(count, first_cell))
-                at = time.perf_counter()
-                snapshot = read_snapshot(("a.yaml",), base)
-                read = time.perf_counter() - at
-                digest = content_digest(snapshot.endpoints)  # as the reading process hands it over
-                at = time.perf_counter()
-                verdict = validator.validate(float(first_cell), snapshot.endpoints, "files", digest=digest)
-                validated = time.perf_counter() - at
-                if not isinstance(verdict, Accepted):
-                    raise click.ClickException(f"the list was not accepted: {verdict}")
-                rows = (
-                    verdict.difference.updates()
-                    if verdict.difference
-                    else list(verdict.version.endpoints.values())
-                )
-                at = time.perf_counter()
-                node.executor.update_endpoints(rows, not verdict.difference, verdict.version.number)
-                out.append((read, validated, time.perf_counter() - at))
-            tracemalloc.start()
-            validator.validate(9.0, read_snapshot(("a.yaml",), base).endpoints[:-1], "files")
-            grown = tracemalloc.get_traced_memory()[0]
-            tracemalloc.stop()
+            updates = ListUpdates(config, Path(folder))
+            first = updates.update(0.0, list_text(count, 0))
+            changed = updates.update(1.0, list_text(count, 1))
+            size = updates.version_bytes(9.0)
         click.echo(
-            f"{count:>5} engines: "
-            + "; ".join(
-                f"{name} {r * 1e3:.1f} ms read, {j * 1e3:.1f} ms validated, {t * 1e3:.1f} ms applied"
-                for name, (r, j, t) in zip(("first", "all changed"), out, strict=True)
-            )
-            + f"; {grown / 1024:.0f} KiB for a version with one engine less"
+            f"{count:>5} engines: first {first}; all changed {changed}; "
+            f"{size / 1024:.0f} KiB for a version with one engine less"
         )
 
 
