--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -91,16 +91,24 @@
 
 
 def start_sequence(
-    channel: Channel, straight: bool, watcher: ReplyWatcher, prompt: int, output: int, name: str
+    channel: Channel,
+    straight: bool,
+    watcher: ReplyWatcher,
+    prompt: int,
+    output: int,
+    name: str,
+    idempotency_key: str = "",
 ) -> ClientCall:
-    """Start a sequence, straight at an engine or through a node."""
+    """Start a sequence, straight at an engine under a name or through a node with an idempotency key."""
     if straight:
         request = engine_pb2.WriteRequest(
             work=engine_pb2.Work(sequence=name, traffic_type="ask", prompt_tokens=prompt, most_output=output)
         )
         call = channel.call("/myrtlehub.v1.Engine/Write", watcher)
     else:
-        request = chat_pb2.GenerateRequest(traffic_type="ask", prompt_tokens=prompt, most_output=output)
+        request = chat_pb2.GenerateRequest(
+            traffic_type="ask", prompt_tokens=prompt, most_output=output, mark=idempotency_key
+        )
         call = channel.call("/myrtlehub.v1.Chat/Generate", watcher)
     call.send(request.SerializeToString())
     call.half_close()
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -97,7 +97,8 @@
             before, done = fleet.cpu(), []
             for number in range(each):
                 watcher = ReplyWatcher(first[name] if round_index else None, {})
-                start_sequence(channels[name][number % NODES], False, watcher, 200, 20, "")
+                key = f"{round_index}-{number}" if fleets[name].repeats == "tokened" else ""
+                start_sequence(channels[name][number % NODES], False, watcher, 200, 20, "", key)
                 done.append(watcher.done)
                 yield deferLater(reactor, 0.008, lambda: None)
             yield DeferredList(done)
