--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,59 +1,101 @@
-"""KNOWN-RED.txt: tests that fail for a real fault not mended yet, a line each: test id | cause | issue.
+"""KNOWN-RED.txt: tests that fail for a fault that is not fixed yet, one a line: test id | cause | issue.
 
-They run; just these may fail, and each is printed with its outcome. Whatever the file says beyond three such
-lines, or names that is no test, ends the run: the list is short, and does not outlive its tests.
+They run; only these may fail, and each is printed with its outcome. A malformed line, more than three lines
+or a line that names no test end the run, so that the list stays short and does not outlive its tests. A file
+that the run does not collect is only checked to exist.
 """
 
+from collections.abc import Generator
+from itertools import pairwise
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
-MOST = 3
+MAX_LINES = 3  # tests; each is a fault that the test run no longer guards against
+MadeItems = pytest.Item | pytest.Collector | list[pytest.Item | pytest.Collector] | None
 
 
-def read_known_red(text: str) -> dict[str, tuple[str, str]]:
-    """Cause and issue by test id; UsageError names the line that is none."""
-    known: dict[str, tuple[str, str]] = {}
+class KnownRedLine(NamedTuple):
+    """Why a listed test fails."""
+
+    cause: str
+    issue: str
+
+
+def read_known_red(text: str) -> dict[str, KnownRedLine]:
+    """Return the lines of the list by test id.
+
+    Raises:
+        pytest.UsageError: a line is malformed or repeated, or there are too many.
+    """
+    known: dict[str, KnownRedLine] = {}
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0] or parts[0] in known:
             raise pytest.UsageError(
                 f"KNOWN-RED.txt:{number}: {line!r} is not 'test id | cause | issue', each test once"
             )
-        known[parts[0]] = (parts[1], parts[2])
-    if len(known) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(known)} lines; {MOST} at most")
+        known[parts[0]] = KnownRedLine(parts[1], parts[2])
+    if len(known) > MAX_LINES:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(known)} lines; {MAX_LINES} at most")
     return known
 
 
 class KnownRed:
-    """Lets these tests fail, and says at the end how each did."""
+    """Lets these tests fail, and prints the outcome of each at the end of the run."""
 
-    def __init__(self, known: dict[str, tuple[str, str]]) -> None:
+    def __init__(self, known: dict[str, KnownRedLine]) -> None:
         self.known, self.outcomes = known, dict.fromkeys(known, "not run")
+        self.children: dict[str, set[str]] = {}  # ids of all that a module or class defines, by its own id
+
+    @pytest.hookimpl(wrapper=True)
+    def pytest_pycollect_makeitem(
+        self, collector: pytest.Module | pytest.Class
+    ) -> Generator[None, MadeItems, MadeItems]:
+        """Record what a file defines before `-k`, a test id among the arguments or `--lf` select from it."""
+        made = yield
+        nodes = made if isinstance(made, list) else [made] if made else []
+        self.children.setdefault(collector.nodeid, set()).update(node.nodeid for node in nodes)
+        return made
 
     @pytest.hookimpl(trylast=True)
     def pytest_collection_modifyitems(self, session: pytest.Session, items: list[pytest.Item]) -> None:
-        there = {item.nodeid: item for item in items}
-        files = {item.nodeid.partition("::")[0] for item in items}
-        for name, (cause, issue) in self.known.items():
-            file = name.partition("::")[0]
-            if name in there:
-                there[name].add_marker(pytest.mark.xfail(reason=f"{cause} ({issue})", strict=False))
-            elif file in files or not (session.config.rootpath / file).exists():
+        """Mark the listed tests as expected failures.
+
+        Raises:
+            pytest.UsageError: a line names no test, as far as its file was collected.
+        """
+        for name in self.known:
+            if not self._may_exist(name, session.config.rootpath):
                 raise pytest.UsageError(f"KNOWN-RED.txt: {name} is no test")
+        for item in items:
+            if line := self.known.get(item.nodeid):
+                item.add_marker(pytest.mark.xfail(reason=f"{line.cause} ({line.issue})", strict=False))
+
+    def _may_exist(self, name: str, root: Path) -> bool:
+        """Return False if the file is missing, or a collected file or class does not define the test."""
+        path, bracket, parameters = name.partition("[")
+        parts = path.split("::")
+        ids = ["::".join(parts[:length]) for length in range(1, len(parts))] + [path + bracket + parameters]
+        return (root / parts[0]).exists() and all(
+            child in self.children.get(parent, {child}) for parent, child in pairwise(ids)
+        )
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
+        """Record the outcome of a listed test; an expected failure is reported as skipped."""
         if report.nodeid in self.known and (report.when == "call" or report.outcome != "passed"):
             self.outcomes[report.nodeid] = "failed" if report.outcome == "skipped" else report.outcome
 
-    def pytest_terminal_summary(self, terminalreporter: object) -> None:
+    def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
+        """Print the outcomes."""
         for name, outcome in self.outcomes.items():
-            cause, issue = self.known[name]
-            terminalreporter.write_line(f"KNOWN-RED {outcome}: {name} | {cause} | {issue}")
+            line = self.known[name]
+            terminalreporter.write_line(f"KNOWN-RED {outcome}: {name} | {line.cause} | {line.issue}")
 
 
 def pytest_configure(config: pytest.Config) -> None:
+    """Read the list and register the plugin."""
     path: Path = config.rootpath / "KNOWN-RED.txt"
     known = read_known_red(path.read_text()) if path.exists() else {}
     config.pluginmanager.register(KnownRed(known), "known red")
