--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -87,7 +87,7 @@
     ask("nope", 3000, 40)
     f.run(0.1)
     assert ends[1].check(InvalidRequestError) and "traffic_type" in ends[1].getErrorMessage()
-    f.misbehave("W0b", "hang", seconds=3.0)
+    f.inject_fault("W0b", "hang", seconds=3.0)
     f.run(0.05)
     ask("post", 100, 40, first_token_timeout=1.0)
     ask(
@@ -107,7 +107,7 @@
     f.run(0.5)
     stopped.done.cancel()
     f.run(0.5)
-    assert not f.stands["W0b"].model.decode.running and not f.nodes["n0"].executor.in_flight
+    assert not f.engines["W0b"].model.decode.running and not f.nodes["n0"].executor.in_flight
 
 
 @pytest.fixture
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -115,19 +115,19 @@
     Half of the requests are of the type `post`, which has three times the utility of `ask`.
     """
     fleet = Fleet(
-        "R0 R0 W0 W0", slots=10, step="20ms", read_rate=12000.0, more=f"limits: {{admit: {admits}}}"
+        "R0 R0 W0 W0", slots=10, step="20ms", read_rate=12000.0, more_settings=f"limits: {{admit: {admits}}}"
     )
     random = Random(5)
     in_time = {"ask": 0, "post": 0}
     calls = []
     for _ in range(600):
-        call = fleet.ask(random.choice(["ask", "post"]), prompt=random.choice([300, 1500]), output=60)
+        call = fleet.generate(random.choice(["ask", "post"]), prompt=random.choice([300, 1500]), output=60)
         call.since = fleet.clock.seconds()
         calls.append(call)
         fleet.run(0.004)
     fleet.run(6.0)
-    first_token_at = {record.more["call"]: record.at for record in fleet.what("token")}
-    traffic_types = {record.more["call"]: record.more["traffic"] for record in reversed(fleet.what("ask"))}
+    first_token_at = {record.more["call"]: record.at for record in fleet.records("token")}
+    traffic_types = {record.more["call"]: record.more["traffic"] for record in reversed(fleet.records("ask"))}
     for call in calls:
         assert call.answer in ("generated", "rejected", "aborted")
         is_in_time = call.answer == "generated" and first_token_at[call.name] - call.since <= 1.0
@@ -144,23 +144,23 @@
     assert utility[1] > 1.2 * utility[0], (without, with_admission)
     controller = fleet.nodes["n0"].front.admission.controller
     assert controller.in_flight == 0 and not controller._queue
-    call = fleet.ask(prompt=300, output=20)
+    call = fleet.generate(prompt=300, output=20)
     fleet.run(2.0)
     assert call.answer == "generated"  # after the overload
 
 
 def test_clients_that_disconnect_from_the_queue_leave_no_state() -> None:
-    fleet = Fleet("W0", slots=2, step="50ms", more="limits: {admit: yes}")
+    fleet = Fleet("W0", slots=2, step="50ms", more_settings="limits: {admit: yes}")
     controller = fleet.nodes["n0"].front.admission.controller
     controller.limiter.limit = 4.0
-    fleet.misbehave("W0a", "hang", seconds=3.0)
+    fleet.inject_fault("W0a", "hang", seconds=3.0)
     fleet.run(0.05)
-    calls = [fleet.ask("post", prompt=100, output=200) for _ in range(9)]
+    calls = [fleet.generate("post", prompt=100, output=200) for _ in range(9)]
     fleet.run(0.05)
     assert controller.in_flight == 4 and controller._queue
     for call in calls:
         if not call.answer:
-            fleet.leave(call)
+            fleet.cancel(call)
     fleet.run(4.0)
     assert controller.in_flight == 0 and not controller._queue
     assert_rules_kept(fleet)
--- a/tests/limits/test_event_loop_lag.py
+++ b/tests/limits/test_event_loop_lag.py
@@ -85,10 +85,10 @@
     """Return how late a node answers that stalls for 0.3 s in each turn, while no engine answers."""
     fleet = Fleet("R0 W0 W0")
     node = fleet.nodes["n0"]
-    fleet.ask(prompt=100, output=10)
+    fleet.generate(prompt=100, output=10)
     fleet.run(1.0)
-    for name in fleet.stands:
-        fleet.misbehave(name, "hang")
+    for name in fleet.engines:
+        fleet.inject_fault(name, "hang")
     fleet.run(0.1)
     if is_measured:
         node.measure_lag()
@@ -98,13 +98,13 @@
         fleet.net.run(0.0)
 
     stall()
-    call = fleet.ask(prompt=1500, left=1.0)
+    call = fleet.generate(prompt=1500, time_left=1.0)
     began = fleet.clock.seconds()
     while not call.answer and fleet.clock.seconds() < began + 3.0:
         fleet.net.run(0.01)
         stall()
     assert call.answer in ("rejected", "aborted")
-    return fleet.what("final")[-1].at - began - 1.0
+    return fleet.records("final")[-1].at - began - 1.0
 
 
 def test_a_node_that_stalls_answers_before_the_deadline() -> None:
--- a/tests/limits/test_retry_budget.py
+++ b/tests/limits/test_retry_budget.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from random import Random
 
-from fleet import Caller, Fleet
+from fleet import ChatCallWatcher, Fleet
 from fleet_checks import assert_nothing_left, assert_rules_kept
 from hypothesis import given
 from hypothesis import strategies as st
@@ -51,21 +51,21 @@
 
 def run_retry_storm(ratio: str) -> tuple[float, Fleet]:
     """Return the attempts at engines for each first attempt, with two writers down for 3 s and retries."""
-    fleet = Fleet("W0 W0", slots=20, step="5ms", more=f"limits: {{retries: {ratio}}}")
-    for name in fleet.stands:
-        fleet.misbehave(name, "refuse", factor=1.0, seconds=3.0)
+    fleet = Fleet("W0 W0", slots=20, step="5ms", more_settings=f"limits: {{retries: {ratio}}}")
+    for name in fleet.engines:
+        fleet.inject_fault(name, "refuse", factor=1.0, seconds=3.0)
     fleet.run(0.05)
-    in_flight: list[tuple[Caller, int]] = []  # calls, and the retries before each
+    in_flight: list[tuple[ChatCallWatcher, int]] = []  # calls, and the retries before each
     retries: list[tuple[float, int]] = []  # when to retry, and the retries before
     first_attempts = 0
     while fleet.clock.seconds() < 1010.0:
         now = fleet.clock.seconds()
         if now < 1006.0:
-            in_flight.append((fleet.ask(prompt=100, output=20, left=1.2), 0))
+            in_flight.append((fleet.generate(prompt=100, output=20, time_left=1.2), 0))
             first_attempts += 1
         for retry_at, count in [retry for retry in retries if retry[0] <= now]:
             retries.remove((retry_at, count))
-            in_flight.append((fleet.ask(prompt=100, output=20, left=1.2, repeated=True), count))
+            in_flight.append((fleet.generate(prompt=100, output=20, time_left=1.2, repeated=True), count))
         for call, count in [entry for entry in in_flight if entry[0].answer]:
             in_flight = [entry for entry in in_flight if entry[0] is not call]
             if call.answer != "generated" and count < 8:
@@ -74,7 +74,7 @@
     fleet.run(6.0)
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
-    return len(fleet.what("got")) / first_attempts, fleet
+    return len(fleet.records("got")) / first_attempts, fleet
 
 
 def test_a_retry_storm_after_an_outage_is_bounded() -> None:
@@ -82,6 +82,6 @@
     with_budget, fleet = run_retry_storm("0.2")
     assert with_budget < 0.5 * without, (without, with_budget)
     assert fleet.nodes["n0"].client_limits.counts["repeats turned away"] > 100
-    call = fleet.ask(prompt=100, output=20)
+    call = fleet.generate(prompt=100, output=20)
     fleet.run(1.0)
     assert call.answer == "generated"
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -37,41 +37,43 @@
     for number in range(more.get("nodes", 1)):
         (base / f"list-n{number}").mkdir()
         (base / f"list-n{number}" / "engines.yaml").write_text(list_text(endpoints))
-    return Fleet(engines, base=base, lists=lists, **more)
+    return Fleet(engines, list_folder=base, list_options=lists, **more)
 
 
 def write_list(fleet: Fleet, node: str = "n0", **changed: dict) -> None:
     """Write a node's list with some engines changed, or left out if the change is None."""
     endpoints = [
         {**row, **(changed.get(engine) or {})}
-        for engine, row in fleet.rows.items()
+        for engine, row in fleet.endpoints.items()
         if engine not in changed or changed[engine] is not None
     ]
-    path = fleet.base / f"list-{node}" / "engines.yaml"
+    path = fleet.list_folder / f"list-{node}" / "engines.yaml"
     path.with_name(".new").write_text(list_text(endpoints))
     path.with_name(".new").rename(path)
 
 
 def test_every_attempt_goes_by_a_version_that_was_complete_on_disk(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path, read_rate=30000.0, slots=40, step="4ms")
-    endpoints = [{**row, "state": "serving", "age": "0s"} for row in fleet.rows.values()]
+    endpoints = [{**row, "state": "serving", "age": "0s"} for row in fleet.endpoints.values()]
     config = ListFilesConfig(every="200ms", burst=8)
     writer = EndpointListWriter(
-        "n0", tmp_path / "list-n0", config, fleet.clock, Random(3), fleet.day, lambda: endpoints
+        "n0", tmp_path / "list-n0", config, fleet.clock, Random(3), fleet.scenario_recorder, lambda: endpoints
     )
     version = fleet.nodes["n0"].endpoint_source.validator.version
-    fleet.day.note("wrote", node="n0", digest=version.digest[:16], serving=sorted(version.endpoints))
+    fleet.scenario_recorder.note(
+        "wrote", node="n0", digest=version.digest[:16], serving=sorted(version.endpoints)
+    )
     writer.start()
     random = Random(4)
     request_count = 0
     while writer.versions < VERSIONS:
-        fleet.ask(random.choice(["ask", "post", "note"]), prompt=random.choice([200, 1500]), output=20)
+        fleet.generate(random.choice(["ask", "post", "note"]), prompt=random.choice([200, 1500]), output=20)
         request_count += 1
         fleet.run(0.04)
     writer.stop()
     fleet.run(1.0)
     for _ in range(5):
-        fleet.ask("ask", prompt=100, output=10)
+        fleet.generate("ask", prompt=100, output=10)
     fleet.run(5.0)
     checker = EndpointListChecker(0.25)
     changes = []
@@ -122,19 +124,19 @@
 
 def test_an_endpoint_changes_its_kind_with_attempts_in_flight(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path, "R0 R0 W0 W0", read_rate=30000.0)
-    stream = fleet.ask("post", prompt=2000, output=200)
+    stream = fleet.generate("post", prompt=2000, output=200)
     fleet.run(0.5)
     assert stream.tokens and not stream.answer
-    writer = fleet.what("ran")[-1].who[:-2]
-    fleet.stands[writer].config = fleet.stands[writer].config.model_copy(update={"reads": True})
+    writer = fleet.records("ran")[-1].who[:-2]
+    fleet.engines[writer].config = fleet.engines[writer].config.model_copy(update={"reads": True})
     write_list(fleet, **{writer: {"kind": "reader"}})
     fleet.run(1.0)
     engines = fleet.nodes["n0"].executor.decoder.engines
     assert engines.rows[engines.index_of[f"{writer}:1"]].kind == "reader"
-    after = [fleet.ask("post", prompt=2000, output=20) for _ in range(6)]
+    after = [fleet.generate("post", prompt=2000, output=20) for _ in range(6)]
     fleet.run(4.0)
     assert stream.answer == "generated" and [call.answer for call in after] == ["generated"] * 6
-    late = [record for record in fleet.what("got", writer) if record.at > fleet.what("ran")[0].at + 1.0]
+    late = [record for record in fleet.records("got", writer) if record.at > fleet.records("ran")[0].at + 1.0]
     # The engine gets reads from now on, and no new writes.
     assert all(record.more["reads"] for record in late) and late
     assert_rules_kept(fleet)
@@ -146,13 +148,13 @@
 ) -> None:
     fleet = start_fleet(tmp_path, "R0 R0 W0 W0 R1 R1 W1 W1", nodes=3, read_rate=20000.0, slots=40)
     random = Random(9)
-    removed = {engine: None for engine in fleet.rows if engine[1] == "1"}
+    removed = {engine: None for engine in fleet.endpoints if engine[1] == "1"}
     calls = []
     written_at = {}
     began = fleet.clock.seconds()
     for i in range(150):
         calls.append(
-            fleet.ask(
+            fleet.generate(
                 random.choice(["post", "post", "note"]),
                 prompt=random.choice([300, 3000]),
                 output=40,
@@ -170,7 +172,7 @@
     for node, written in written_at.items():
         sends = [
             record.at
-            for record in fleet.what("got")
+            for record in fleet.records("got")
             if record.more["node"] == node and record.who[:-2] in removed
         ]
         # Within this time the node reads two snapshots, with the quiet time between them.
@@ -260,22 +262,22 @@
         }
         for number in range(1997)
     }
-    fleet.rows.update(more)
+    fleet.endpoints.update(more)
     write_list(fleet)
     fleet.run(0.5)
     node = fleet.nodes["n0"]
     assert len(node.executor.decoder.engines.index_of) == 2000
     write_list(
-        fleet, **{engine: {"cell": row["cell"] + 100, "weight": 2} for engine, row in fleet.rows.items()}
+        fleet, **{engine: {"cell": row["cell"] + 100, "weight": 2} for engine, row in fleet.endpoints.items()}
     )
     fleet.run(0.5)
     rows = node.executor.decoder.engines.rows
     assert len(rows) == 2000 and all(row.cell >= 100 and row.weight == 2 for row in rows)
-    fleet.rows = {engine: {**fleet.rows[engine], "cell": 100} for engine in ("R0a", "W0b", "W0c")}
+    fleet.endpoints = {engine: {**fleet.endpoints[engine], "cell": 100} for engine in ("R0a", "W0b", "W0c")}
     write_list(fleet)
     fleet.run(0.5)
     assert sorted(node.executor.decoder.engines.index_of) == ["R0a:1", "W0b:1", "W0c:1"]
-    call = fleet.ask(prompt=2000, output=10)
+    call = fleet.generate(prompt=2000, output=10)
     fleet.run(2.0)
     assert call.answer == "generated"
     assert (
--- a/tests/node/test_action_executor.py
+++ b/tests/node/test_action_executor.py
@@ -211,36 +211,36 @@
 
 def run_with_faults() -> Fleet:
     """Run a small fleet through rejections, a disconnect, a killed engine, a restart and a drain."""
-    f = Fleet("R0 R1 W0 W0 W1", executor_class=RecordingExecutor, slots=3)
+    fleet = Fleet("R0 R1 W0 W0 W1", executor_class=RecordingExecutor, slots=3)
     for i in range(60):
-        f.ask(
+        fleet.generate(
             ("ask", "post", "note")[i % 3],
             prompt=100 + 997 * (i % 5),
             output=60,
             session=f"s{i % 9}",
             shared_prefix=f"p{i % 4}",
             shared_tokens=90,
-            left=1.0 + (i % 4),
+            time_left=1.0 + (i % 4),
         )
-        f.run(0.04)
+        fleet.run(0.04)
         if i == 15:
-            f.misbehave("W0c", "refuse", 0.7, seconds=0.6)
+            fleet.inject_fault("W0c", "refuse", 0.7, seconds=0.6)
         if i == 20:
-            leaver = f.ask(prompt=3000)
-            f.run(0.02)
-            f.leave(leaver)
-            f.kill("W0d")
+            leaver = fleet.generate(prompt=3000)
+            fleet.run(0.02)
+            fleet.cancel(leaver)
+            fleet.kill("W0d")
         if i == 30:
-            f.tell("W0d", "gone")
-            f.misbehave("W1e", "error", 0.4)
+            fleet.push_list_event("W0d", "gone")
+            fleet.inject_fault("W1e", "error", 0.4)
         if i == 35:
-            f.engine("W0d", cold=True)
-            f.tell("W0d", "serving", age=0.01)
+            fleet.start_engine("W0d", cold=True)
+            fleet.push_list_event("W0d", "serving", age=0.01)
         if i == 45:
-            f.misbehave("R1b", "hang", seconds=2.0)
-            f.tell("R0a", "draining")
-    f.run(8.0)
-    return f
+            fleet.inject_fault("R1b", "hang", seconds=2.0)
+            fleet.push_list_event("R0a", "draining")
+    fleet.run(8.0)
+    return fleet
 
 
 def use_hash_seeds_of(calls: list[RecordedCall], router: Router) -> None:
@@ -266,9 +266,9 @@
 
 
 def test_executor_and_simulator_get_the_same_actions() -> None:
-    f = run_with_faults()
-    calls = f.nodes["n0"].executor.router.calls
-    config = router_config_of(f.nodes["n0"].sheet)
+    fleet = run_with_faults()
+    calls = fleet.nodes["n0"].executor.router.calls
+    config = router_config_of(fleet.nodes["n0"].sheet)
     settings = wire_settings_of(config)
     assert platform_settings.router_config_from_settings(settings, config.seed) == config
     adapter = simulator.Node("n0", {"Settings": settings, "Entropy": config.seed}, calls[0].now)
@@ -343,14 +343,14 @@
 
 
 def test_observers_are_notified_in_the_order_in_which_they_were_added_until_they_are_removed() -> None:
-    f = Fleet("R0 W0")
-    executor = f.nodes["n0"].executor
+    fleet = Fleet("R0 W0")
+    executor = fleet.nodes["n0"].executor
     notifications: list[tuple[str, str]] = []
     first, second = (RecordingObserver(name, notifications) for name in ("first", "second"))
     executor.add_observer(first)
     executor.add_observer(second)
-    assert f.ask(prompt=3000) is not None
-    f.run(3.0)
+    assert fleet.generate(prompt=3000) is not None
+    fleet.run(3.0)
     assert {name for name, _ in notifications[0::2]} == {"first"}
     assert {name for name, _ in notifications[1::2]} == {"second"}
     events = [event for name, event in notifications if name == "second"]
@@ -361,8 +361,8 @@
     assert events[-2:] == ["executor_idle", "attempt_ended"]  # the router is called before the observers
     executor.remove_observer(first)
     del notifications[:]
-    f.ask(prompt=100)
-    f.run(3.0)
+    fleet.generate(prompt=100)
+    fleet.run(3.0)
     assert {name for name, _ in notifications} == {"second"}
 
 
--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -3,7 +3,15 @@
 import struct
 
 import pytest
-from batch_calls import BatchCallWatcher, assert_nothing_in_flight, assert_vectors, embed, rank, texts
+from batch_calls import (
+    BatchCallWatcher,
+    assert_nothing_in_flight,
+    assert_vectors,
+    embed,
+    rank,
+    read_embed_reply,
+    texts,
+)
 from fleet import Fleet
 from fleet_checks import assert_rules_kept
 
@@ -19,7 +27,7 @@
     one = embed(fleet, texts(300), normalise=True, dimensions=8)
     stream = embed(fleet, texts(300, 1), is_stream=True)
     ranked, best = rank(fleet, b"q", texts(200)), rank(fleet, b"q", texts(200), top=5)
-    chat = fleet.ask(prompt=2000, output=20)
+    chat = fleet.generate(prompt=2000, output=20)
     fleet.run(3.0)
     assert [c.final for c in (one, stream, ranked, best)] == ["generated"] * 4 and chat.answer == "generated"
     assert_vectors(one)
@@ -29,7 +37,7 @@
     scores = [score_of(b"q", t, "m1") for t in texts(200)]
     assert [ranked.items[i].score for i in range(200)] == scores
     assert best.order == sorted(range(200), key=lambda i: -scores[i])[:5]
-    parts = [r for r in fleet.what("got") if r.more["traffic"] == "vec"]
+    parts = [r for r in fleet.records("got") if r.more["traffic"] == "vec"]
     assert len({r.who for r in parts}) == 3 and max(r.more["items"] for r in parts) <= 64
     assert_rules_kept(fleet)
     assert_nothing_in_flight(fleet)
@@ -41,12 +49,12 @@
         terms=pb.Terms(traffic_type="vec"),
         inputs=[pb.Input(text=b"a" * (n % 3 + 1), tokens=500 if n == 7 else 50) for n in range(12)],
     )
-    call = BatchCallWatcher(fleet, "/myrtlehub.v1.Embeddings/Embed", request, pb.EmbedReply, False, None)
+    call = BatchCallWatcher(fleet, "/myrtlehub.v1.Embeddings/Embed", request, read_embed_reply, False, None)
     fleet.run(1.0)
     assert call.final == "generated" and call.done.errors == 1
     assert "500 tokens are more than the 400" in call.items[7].error and not call.items[7].packed
     assert_vectors(call)
-    sent = sum(r.more["items"] for r in fleet.what("got") if r.more["traffic"] == "vec")
+    sent = sum(r.more["items"] for r in fleet.records("got") if r.more["traffic"] == "vec")
     assert sent == 4  # a, aa, aaa, and aa at 500 tokens
     assert_nothing_in_flight(fleet)
 
@@ -55,13 +63,13 @@
     fleet = Fleet("R0 W0 E0 E0 E0", batch_rate=20000.0)
     call, stream = embed(fleet, texts(400)), embed(fleet, texts(400, 3), is_stream=True)
     fleet.run(0.25)
-    assert len(fleet.what("ended")) >= 2 and not call.final
+    assert len(fleet.records("ended")) >= 2 and not call.final
     fleet.kill("E0d")
     fleet.run(3.7)
     assert call.final == "generated" and stream.final == "generated"
     assert_vectors(call)
     assert_vectors(stream)
-    sent = [(r.more["seq"], r.who) for r in fleet.what("got") if r.more["traffic"] == "vec"]
+    sent = [(r.more["seq"], r.who) for r in fleet.records("got") if r.more["traffic"] == "vec"]
     assert len(sent) > len({s for s, _ in sent})  # some went again,
     assert len([s for s, _ in sent]) < 2 * len({s for s, _ in sent})  # and only some
     assert_rules_kept(fleet)
@@ -90,12 +98,12 @@
     fleet.run(0.5)
     assert stream.items and not whole.final
     for name in ("E0c", "E0d", "E0e"):  # all are rolled over at once, with parts out
-        fleet.stands[name].model_name = "m2"
+        fleet.engines[name].model_name = "m2"
     fleet.run(0.3)
     for name in ("E0c", "E0d", "E0e"):
-        fleet.rows[name]["model"] = "m2"
+        fleet.endpoints[name]["model"] = "m2"
     source = fleet.nodes["n0"].endpoint_source
-    source.push([EndpointConfig(**fleet.rows[n]) for n in fleet.rows], True)
+    source.push([EndpointConfig(**fleet.endpoints[n]) for n in fleet.endpoints], True)
     fleet.run(4.0)
     for call in (whole, stream):
         if call.final == "generated":
@@ -119,13 +127,13 @@
     fleet = Fleet("R0 W0 E0")
     first = embed(fleet, texts(40))
     fleet.run(1.0)
-    before = len(fleet.what("got"))
+    before = len(fleet.records("got"))
     second, part = embed(fleet, texts(40)), embed(fleet, texts(40)[:5] + texts(5, 9), is_stream=True)
     fleet.run(1.0)
     assert first.done.kept == 0 and second.done.kept == 40 and part.done.kept == 5
     assert_vectors(second)
     assert_vectors(part)
-    assert len(fleet.what("got")) == before + 1
+    assert len(fleet.records("got")) == before + 1
     other = embed(fleet, texts(40), dimensions=4)  # another question
     fleet.run(1.0)
     assert other.done.kept == 0
@@ -143,13 +151,13 @@
     assert all(c.final == "generated" for c in calls)
     for call in calls:
         assert_vectors(call)
-    got = [r for r in fleet.what("got") if r.more["traffic"] == "vec"]
+    got = [r for r in fleet.records("got") if r.more["traffic"] == "vec"]
     assert len(got) < 35 and sum(r.more["items"] for r in got) == 120
     assert_nothing_in_flight(fleet)
 
 
 def test_a_client_that_leaves_a_shared_engine_batch_does_not_affect_the_others() -> None:
-    fleet = Fleet("R0 W0 E0", batch_rate=500.0, more="batches: {gather: 20ms}")
+    fleet = Fleet("R0 W0 E0", batch_rate=500.0, more_settings="batches: {gather: 20ms}")
     for i in range(8):
         embed(fleet, texts(1, 50 + i), tokens=1)
         fleet.run(0.002)
@@ -165,11 +173,11 @@
     assert_vectors(calls[3])
     all_gone = [embed(fleet, texts(5, 100 + i), tokens=40) for i in range(2)]
     fleet.run(0.3)
-    stops = len(fleet.what("stopped"))
+    stops = len(fleet.records("stopped"))
     for call in all_gone:
         call.call.cancel()
     fleet.run(0.5)
-    assert len(fleet.what("stopped")) > stops  # nobody waits: the engine is told to stop
+    assert len(fleet.records("stopped")) > stops  # nobody waits: the engine is told to stop
     fleet.run(3.0)
     assert_nothing_in_flight(fleet)
 
@@ -178,10 +186,10 @@
     fleet = Fleet("R0 W0 E0 E0", batch_rate=1000.0)
     lost, fine = embed(fleet, texts(30), "vec1", mark="a"), embed(fleet, texts(20, 1), "vec1", mark="b")
     fleet.run(0.2)
-    fleet.kill(next(r.who[:-2] for r in fleet.what("ran") if r.more["mark"] == "a"))
+    fleet.kill(next(r.who[:-2] for r in fleet.records("ran") if r.more["mark"] == "a"))
     fleet.run(5.0)
     assert lost.final == "aborted" and fine.final == "generated"
-    assert len([r for r in fleet.what("got") if r.more["mark"] == "a"]) == 1
+    assert len([r for r in fleet.records("got") if r.more["mark"] == "a"]) == 1
     big = embed(fleet, texts(65), "vec1")
     fleet.run(0.1)
     assert big.status.code == Code.INVALID_ARGUMENT and "at most 64 items" in big.status.message
@@ -220,7 +228,7 @@
     slow = rank(fleet, b"q", texts(1000), is_stream=True)
     slow.call.pauseProducing()
     fleet.run(2.0)
-    assert not any(s.model.batches.running or s.model.batches.queue for s in fleet.stands.values())
+    assert not any(s.model.batches.running or s.model.batches.queue for s in fleet.engines.values())
     assert not fleet.nodes["n0"].executor.in_flight
     slow.call.resumeProducing()
     fleet.run(1.0)
@@ -234,7 +242,7 @@
     fleet.run(0.05)
     chats = []
     for _ in range(20):
-        chats.append(fleet.ask(prompt=300, output=20))
+        chats.append(fleet.generate(prompt=300, output=20))
         fleet.run(0.05)
     batches = fleet.nodes["n0"].batches
     assert (
@@ -260,13 +268,13 @@
     assert alone.final == "generated"
     chats, flood, most = [], [], 0.0
     for i in range(30):
-        chats.append(fleet.ask(prompt=300, output=20))
+        chats.append(fleet.generate(prompt=300, output=20))
         flood.append(embed(fleet, texts(150, i), is_stream=True))
         fleet.run(0.04)
         if i > 5:
             most = max(most, batches.shares.common_tokens["embed"])
     assert most <= 0.5 * batches.shares.common_capacity + 4000.0
-    seen = {r.who for r in fleet.what("got") if r.more["traffic"] == "vec"}
+    seen = {r.who for r in fleet.records("got") if r.more["traffic"] == "vec"}
     assert "E0d:1" in seen and any(batches.shares.is_excluded.values())
     fleet.run(6.0)
     assert all(c.answer == "generated" for c in chats)
--- a/tests/node/test_client_limits.py
+++ b/tests/node/test_client_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 from batch_calls import embed, rank, texts
-from fleet import Caller, Fleet
+from fleet import ChatCallWatcher, Fleet
 from fleet_checks import assert_nothing_left, assert_rules_kept, check_rules
 from hypothesis import given
 from hypothesis import strategies as st
@@ -125,25 +125,27 @@
 
 
 def slow_fleet(more: str = "", **machine: object) -> Fleet:
-    fleet = Fleet("W0", step="1ms", slots=8, more=f"limits: {{rate_window: 5s, linger: 2s{more}}}", **machine)
+    fleet = Fleet(
+        "W0", step="1ms", slots=8, more_settings=f"limits: {{rate_window: 5s, linger: 2s{more}}}", **machine
+    )
     fleet.channels["n0"].limits = TransportLimits(stream_window=4096)
     return fleet
 
 
-def ask_without_reading(fleet: Fleet, output: int = 60000) -> Caller:
+def ask_without_reading(fleet: Fleet, output: int = 60000) -> ChatCallWatcher:
     """Ask as a client whose window takes 4 KiB, and who then reads nothing."""
-    caller = fleet.ask("post", prompt=100, output=output)
+    caller = fleet.generate("post", prompt=100, output=output)
     caller.call.pauseProducing()
     return caller
 
 
 def test_a_client_that_reads_nothing_is_aborted_and_its_writer_is_free_again() -> None:
     fleet = slow_fleet()
-    stuck, others = ask_without_reading(fleet), [fleet.ask(prompt=100, output=200) for _ in range(3)]
+    stuck, others = ask_without_reading(fleet), [fleet.generate(prompt=100, output=200) for _ in range(3)]
     run_with_balanced_ledger(fleet, 5.0)
-    assert fleet.stands["W0a"].model.decode.running and not fleet.nodes["n0"].client_limits.cuts
+    assert fleet.engines["W0a"].model.decode.running and not fleet.nodes["n0"].client_limits.cuts
     run_with_balanced_ledger(fleet, 3.0)
-    assert not fleet.stands["W0a"].model.decode.running  # the engine was told to stop
+    assert not fleet.engines["W0a"].model.decode.running  # the engine was told to stop
     stuck.call.resumeProducing()
     run_with_balanced_ledger(fleet, 1.0)
     assert stuck.answer == "aborted" and stuck.status.code == Code.OK  # it is told, once it reads
@@ -170,7 +172,7 @@
 
 def test_a_client_that_stalls_for_three_seconds_gets_all() -> None:
     fleet = slow_fleet(step_crowd=0.0)
-    caller = fleet.ask(prompt=100, output=20000)
+    caller = fleet.generate(prompt=100, output=20000)
     for _ in range(4):
         fleet.run(1.0)
         caller.call.pauseProducing()
@@ -183,7 +185,10 @@
 
 def test_a_peer_over_its_budget_loses_the_streams_of_least_utility() -> None:
     fleet = slow_fleet(", held_bytes: 40kB, peer_share: 0.5, least_rate: 0")
-    worth, less = ask_without_reading(fleet), [fleet.ask("ask", prompt=100, output=60000) for _ in range(2)]
+    worth, less = (
+        ask_without_reading(fleet),
+        [fleet.generate("ask", prompt=100, output=60000) for _ in range(2)],
+    )
     for c in less:
         c.call.pauseProducing()
     run_with_balanced_ledger(fleet, 3.0)
@@ -196,16 +201,16 @@
     assert "the peer holds more than its 20000 bytes here" in {c[3] for c in limits.cuts}
     for c in (worth, *less):
         if not c.answer:
-            fleet.leave(c)
+            fleet.cancel(c)
     run_with_balanced_ledger(fleet, 2.0)
     assert_nothing_left(fleet)
 
 
 def test_a_hundred_long_prompts_are_rejected_at_the_bound_and_nothing_runs() -> None:
-    fleet = Fleet("R0 W0", more="limits: {held_bytes: 1MB, peer_share: 1.0}")
-    fleet.misbehave("R0a", "hang", seconds=3.0)
+    fleet = Fleet("R0 W0", more_settings="limits: {held_bytes: 1MB, peer_share: 1.0}")
+    fleet.inject_fault("R0a", "hang", seconds=3.0)
     fleet.run(0.05)
-    calls = [fleet.ask(prompt=3000, output=10, text=b"x" * 50_000) for _ in range(100)]
+    calls = [fleet.generate(prompt=3000, output=10, text=b"x" * 50_000) for _ in range(100)]
     run_with_balanced_ledger(fleet, 0.5)
     limits = fleet.nodes["n0"].client_limits
     assert limits.counts["turned away"] == 81 and len(fleet.nodes["n0"].executor.in_flight) == 19
@@ -214,13 +219,13 @@
     )
     run_with_balanced_ledger(fleet, 8.0)
     assert all(c.answer for c in calls) and limits.ledger.node.in_use == 0
-    assert len({r.more["mark"] for r in fleet.what("got")}) == 19
+    assert len({r.more["mark"] for r in fleet.records("got")}) == 19
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
 
 
 def test_batches_are_limited_too_and_admin_reports_who_was_cut_off() -> None:
-    fleet = Fleet("R0 W0 E0 K0", more="limits: {rate_window: 2s}")
+    fleet = Fleet("R0 W0 E0 K0", more_settings="limits: {rate_window: 2s}")
     fleet.channels["n0"].limits = TransportLimits(stream_window=1024)
     stuck, fine = rank(fleet, b"q", texts(1500), is_stream=True), embed(fleet, texts(20))
     stuck.call.pauseProducing()
@@ -240,13 +245,13 @@
 
 @pytest.mark.parametrize("most", ["connections: 3", "peer_connections: 3"])
 def test_connections_past_the_bound_are_closed_and_others_continue(most: str) -> None:
-    fleet = Fleet("W0", more=f"limits: {{{most}}}")
+    fleet = Fleet("W0", more_settings=f"limits: {{{most}}}")
     node = fleet.nodes["n0"]
     callers = []
     for i in range(6):
         dialer = fleet.net.dialer("n0:1", f"c{i}" if most[0] == "c" else "same")
         fleet.channels["n0"] = Channel(fleet.clock, dialer, "n0")
-        callers.append(fleet.ask(prompt=100, output=40, left=2.0, timeout=2.0))
+        callers.append(fleet.generate(prompt=100, output=40, time_left=2.0, timeout=2.0))
         fleet.run(0.02)
     fleet.run(3.0)
     assert len(node.server.connections) <= 3
--- a/tests/node/test_message_boundaries.py
+++ b/tests/node/test_message_boundaries.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from fleet import Caller, Fleet
+from fleet import ChatCallWatcher, Fleet
 from fleet_checks import check_rules
 from memnet import Pipe
 
@@ -13,20 +13,20 @@
 READER_STATE_TIMEOUT = 3.0  # seconds after which a reader frees an unreleased state
 
 
-def start_sequence(traffic: str) -> tuple[Fleet, Caller]:
+def start_sequence(traffic: str) -> tuple[Fleet, ChatCallWatcher]:
     """Send a sequence that needs reader and writer, over connections that are established already.
 
     So only its own messages are counted as boundaries.
     """
     fleet = Fleet("R0 W0 W0", read_rate=30000.0)
-    first = fleet.ask("ask", prompt=3000, output=10)
+    first = fleet.generate("ask", prompt=3000, output=10)
     fleet.run(1.5)
     assert first.answer == "generated"
-    fleet.net.crossed = 0
-    return fleet, fleet.ask(traffic, prompt=3000, output=24, left=2.0, timeout=6.0)
+    fleet.net.delivery_count = 0
+    return fleet, fleet.generate(traffic, prompt=3000, output=24, time_left=2.0, timeout=6.0)
 
 
-def inject(fleet: Fleet, caller: Caller, fault: str, pipe: Pipe) -> str:
+def inject(fleet: Fleet, caller: ChatCallWatcher, fault: str, pipe: Pipe) -> str:
     """Apply the fault to the connection that the message uses, or to the message's receiver."""
     hosts = {pipe.host, pipe.other.host}
     if fault == "crash" and pipe.other.host != "client":
@@ -37,16 +37,16 @@
         fleet.net.cut(pipe)
     if ("client" in hosts and fault != "crash") or pipe.other.host == "client":
         # A node can no longer reach this client, so the rules require no answer.
-        fleet.client.note("left", call=caller.name)
+        fleet.client_recorder.note("left", call=caller.name)
     return f"{pipe.host} to {pipe.other.host}"
 
 
-def run_with_fault(traffic: str, fault: str, boundary: int) -> tuple[Fleet, Caller, list[str]]:
+def run_with_fault(traffic: str, fault: str, boundary: int) -> tuple[Fleet, ChatCallWatcher, list[str]]:
     """Run a sequence with a fault at one boundary; return also the links to which it was applied."""
     fleet, caller = start_sequence(traffic)
     links: list[str] = []
-    fleet.net.fault_at = boundary
-    fleet.net.fault = lambda pipe: links.append(inject(fleet, caller, fault, pipe))
+    fleet.net.fault_at_delivery = boundary
+    fleet.net.inject_fault = lambda pipe: links.append(inject(fleet, caller, fault, pipe))
     fleet.run(9.0 if fault != "stall" else 45.0)
     return fleet, caller, links
 
@@ -55,15 +55,15 @@
     """Return the number of messages of a sequence without a fault."""
     fleet, caller = start_sequence(traffic)
     fleet.run(8.0)
-    assert caller.answer == "generated" and len(fleet.what("held")) == 2
-    return fleet.net.crossed
+    assert caller.answer == "generated" and len(fleet.records("held")) == 2
+    return fleet.net.delivery_count
 
 
 def assert_nothing_is_left(fleet: Fleet, place: str) -> None:
     """Assert that no node has a sequence in flight, and that no engine has work or read state."""
     for node in fleet.nodes.values():
         assert not node.executor.in_flight and not node.executor.outstanding_attempt_count(), place
-    for name, engine in fleet.stands.items():
+    for name, engine in fleet.engines.items():
         model = engine.model
         assert model.has_crashed or not (
             model.prefill.read_states or model.decode.running or model.prefill.running or model.decode.queue
@@ -91,13 +91,13 @@
         ]
         assert not breaches, (place, [breach.text for breach in breaches])
         # A release cannot cross a stalled link; then the reader's own timeout frees the state.
-        held_at = {record.more["seq"]: record.at for record in fleet.what("held")}
+        held_at = {record.more["seq"]: record.at for record in fleet.records("held")}
         assert all(
             record.at - held_at[record.more["seq"]] < READER_STATE_TIMEOUT + 0.1
-            for record in fleet.what("freed")
+            for record in fleet.records("freed")
         ), place
         if traffic == "post":
-            runs = [record for record in fleet.what("ran") if record.more["mark"] == caller.mark]
+            runs = [record for record in fleet.records("ran") if record.more["mark"] == caller.mark]
             assert len(runs) <= 1, place
         assert_nothing_is_left(fleet, place)
     assert sum(places.values()) >= count - 2 and len(places) >= 6, places
@@ -109,17 +109,17 @@
     assert limits.keepalive_interval + limits.keepalive_timeout <= 30.0
 
 
-def run_with_writer_crash(crash_at: int) -> tuple[Fleet, Caller, int]:
+def run_with_writer_crash(crash_at: int) -> tuple[Fleet, ChatCallWatcher, int]:
     """Run an at-most-once sequence whose writer crashes after `crash_at` bytes of its stream.
 
     Returns:
         The fleet, the caller and the number of bytes that the writer sent.
     """
     fleet = Fleet("W0", step="10ms")
-    first = fleet.ask("ask", prompt=10, output=10)
+    first = fleet.generate("ask", prompt=10, output=10)
     fleet.run(0.5)
     assert first.answer == "generated"
-    caller = fleet.ask("post", prompt=10, output=10, left=1.0, timeout=3.0)
+    caller = fleet.generate("post", prompt=10, output=10, time_left=1.0, timeout=3.0)
     link = next(pipe for pipe in fleet.net.pipes if pipe.host == "W0a:1")
     sent, deliver = 0, link.other.protocol.dataReceived
 
@@ -130,7 +130,7 @@
         if remaining < len(data):
             if remaining > 0:
                 deliver(data[:remaining])
-            if not fleet.stands["W0a"].model.has_crashed:
+            if not fleet.engines["W0a"].model.has_crashed:
                 fleet.kill("W0a")
             return
         deliver(data)
@@ -151,6 +151,6 @@
             [breach.text for breach in check_rules(fleet).breaches],
         )
         answers[caller.answer] += 1
-        assert sum(record.more["mark"] == caller.mark for record in fleet.what("ran")) <= 1
+        assert sum(record.more["mark"] == caller.mark for record in fleet.records("ran")) <= 1
         assert not fleet.nodes["n0"].executor.in_flight
     assert set(answers) == {"aborted", "generated"} and answers["aborted"] > 80, answers
--- a/tests/node/test_request_path.py
+++ b/tests/node/test_request_path.py
@@ -15,13 +15,13 @@
 def test_prompt_is_read_its_state_fetched_and_tokens_streamed() -> None:
     fleet = Fleet()
     split, short = (
-        fleet.ask(prompt=3000, session="s", shared_prefix="p", shared_tokens=900),
-        fleet.ask("post", prompt=200),
+        fleet.generate(prompt=3000, session="s", shared_prefix="p", shared_tokens=900),
+        fleet.generate("post", prompt=200),
     )
     fleet.run(4.0)
     assert (split.answer, short.answer) == ("generated", "generated") and split.tokens > 5
-    assert [record.who for record in fleet.what("got")][:1] == ["R0a:1"] and len(fleet.what("ran")) == 2
-    assert [record.more["why"] for record in fleet.what("freed")] == ["fetched"]
+    assert [record.who for record in fleet.records("got")][:1] == ["R0a:1"] and len(fleet.records("ran")) == 2
+    assert [record.more["why"] for record in fleet.records("freed")] == ["fetched"]
     checker = assert_rules_kept(fleet)
     assert checker.counts[1] == 2 and checker.counts[2] == 2 and checker.counts[5] == 1
     assert_nothing_left(fleet)
@@ -36,7 +36,7 @@
         ({"shared_tokens": 5000}, "shared_tokens"),
         ({"traffic": "note", "mark": "x" * 201}, "longer than 200"),
     ]:
-        caller = fleet.ask(**more)
+        caller = fleet.generate(**more)
         fleet.run(0.1)
         assert caller.status.code.name == "INVALID_ARGUMENT" and said in caller.status.message
     assert fleet.nodes["n0"].executor.accepted_count == 0
@@ -45,77 +45,77 @@
 
 def test_writer_lost_mid_stream_aborts_an_at_most_once_sequence_without_retry() -> None:
     fleet = Fleet()
-    post, ask = fleet.ask("post", prompt=200, output=400), fleet.ask(prompt=200, output=400)
+    post, ask = fleet.generate("post", prompt=200, output=400), fleet.generate(prompt=200, output=400)
     fleet.run(0.3)
-    writers = {record.who for record in fleet.what("ran")}
+    writers = {record.who for record in fleet.records("ran")}
     assert post.tokens and ask.tokens
     for writer in writers:
         fleet.kill(writer[:-2])
     fleet.run(5.0)
-    assert (post.answer, ask.answer) == ("aborted", "aborted") and len(fleet.what("ran")) == 2
+    assert (post.answer, ask.answer) == ("aborted", "aborted") and len(fleet.records("ran")) == 2
     assert_rules_kept(fleet)
     assert not fleet.nodes["n0"].executor.in_flight
 
 
 def test_reader_lost_between_read_and_fetch_leads_to_a_retry() -> None:
     fleet = Fleet("R0 R0 W0", slots=1)
-    fleet.ask(prompt=300, output=100)  # keeps the writer's only slot
+    fleet.generate(prompt=300, output=100)  # keeps the writer's only slot
     fleet.run(0.1)
-    late_call = fleet.ask("post", prompt=3000, output=20, left=4.0)
+    late_call = fleet.generate("post", prompt=3000, output=20, time_left=4.0)
     fleet.run(0.35)
-    held_states = fleet.what("held")
+    held_states = fleet.records("held")
     assert held_states and late_call.answer == ""
     fleet.kill(held_states[0].who[:-2])
     fleet.run(8.0)
-    assert [record.more["no_state"] for record in fleet.what("refused")] == [True]
+    assert [record.more["no_state"] for record in fleet.records("refused")] == [True]
     assert late_call.answer == "generated"  # known not to have run: read again elsewhere
     assert_rules_kept(fleet)
 
 
 def test_hung_writer_leads_to_a_final_answer_at_the_deadline() -> None:
     fleet = Fleet("R0 W0")
-    fleet.misbehave("W0b", "hang")
+    fleet.inject_fault("W0b", "hang")
     fleet.run(0.05)
-    post, ask = fleet.ask("post", prompt=200, left=2.0), fleet.ask(prompt=3000, left=2.0)
+    post, ask = fleet.generate("post", prompt=200, time_left=2.0), fleet.generate(prompt=3000, time_left=2.0)
     fleet.run(1.9)
     assert not post.answer
     fleet.run(0.2)
     assert (post.answer, ask.answer) == ("aborted", "rejected")
-    fleet.misbehave("W0b", "well")
+    fleet.inject_fault("W0b", "well")
     fleet.run(3.0)
-    assert not fleet.what("ran")
+    assert not fleet.records("ran")
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
 
 
 def test_rejecting_writers_lead_to_retries_elsewhere() -> None:
     fleet = Fleet("R0 W0 W0")
-    fleet.misbehave("W0b", "refuse", 1.0)
+    fleet.inject_fault("W0b", "refuse", 1.0)
     fleet.run(0.05)
-    calls = [fleet.ask("post" if i % 2 else "ask", prompt=200, output=40) for i in range(12)]
+    calls = [fleet.generate("post" if i % 2 else "ask", prompt=200, output=40) for i in range(12)]
     fleet.run(8.0)
-    assert [call.answer for call in calls] == ["generated"] * 12 and fleet.what("refused")
+    assert [call.answer for call in calls] == ["generated"] * 12 and fleet.records("refused")
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
 
 
 def test_draining_engine_ends_its_streams_and_gets_no_new_ones() -> None:
     fleet = Fleet("R0 W0 W0")
-    calls = [fleet.ask(prompt=200, output=200) for _ in range(6)]
+    calls = [fleet.generate(prompt=200, output=200) for _ in range(6)]
     fleet.run(0.2)
-    assert {record.who for record in fleet.what("ran")} == {"W0b:1", "W0c:1"}
-    fleet.tell("W0b", "draining")
+    assert {record.who for record in fleet.records("ran")} == {"W0b:1", "W0c:1"}
+    fleet.push_list_event("W0b", "draining")
     fleet.run(0.3)
     drained_from = fleet.clock.seconds()
-    calls += [fleet.ask(prompt=200, output=20) for _ in range(6)]
+    calls += [fleet.generate(prompt=200, output=20) for _ in range(6)]
     fleet.run(8.0)
     assert all(call.answer == "generated" for call in calls)
-    assert not [record for record in fleet.what("got", "W0b") if record.at > drained_from]
+    assert not [record for record in fleet.records("got", "W0b") if record.at > drained_from]
     assert_rules_kept(fleet)
-    fleet.tell("W0b", "gone")
+    fleet.push_list_event("W0b", "gone")
     fleet.run(0.5)
     assert "W0b:1" not in fleet.nodes["n0"].transport.channels
-    fleet.tell("W0b", "serving")
+    fleet.push_list_event("W0b", "serving")
     fleet.run(0.1)
     assert fleet.nodes["n0"].executor.list_version == 4
 
@@ -123,34 +123,34 @@
 @pytest.mark.parametrize("after", [0.0, 0.05, 0.2, 0.25, 0.6])
 def test_client_that_disconnects_at_each_stage_frees_everything(after: float) -> None:
     fleet = Fleet(read_rate=15000.0)
-    caller = fleet.ask("post", prompt=3000, output=300)  # read until 0.2, fetched by 0.22, then streams
+    caller = fleet.generate("post", prompt=3000, output=300)  # read until 0.2, fetched by 0.22, then streams
     fleet.run(after)
-    fleet.leave(caller)
+    fleet.cancel(caller)
     fleet.run(3.0)
     assert caller.answer == "" and fleet.nodes["n0"].executor.answer_counts == (
-        {"left": 1} if fleet.what("got") else {}
+        {"left": 1} if fleet.records("got") else {}
     )
-    assert not fleet.what("ended")
+    assert not fleet.records("ended")
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
 
 
 def test_back_pressure_of_a_client_pauses_its_own_stream_only() -> None:
     # Without a minimum rate: otherwise the stalled client would be disconnected.
-    fleet = Fleet("W0", step="2ms", slots=8, more="limits: {least_rate: 0}")
+    fleet = Fleet("W0", step="2ms", slots=8, more_settings="limits: {least_rate: 0}")
     link = fleet.nodes["n0"].transport.transport_limits = TransportLimits(stream_window=16384)
     fleet.channels["n0"].limits = TransportLimits(stream_window=4096)
-    stuck = fleet.ask(prompt=100, output=190000, left=4.0)
+    stuck = fleet.generate(prompt=100, output=190000, time_left=4.0)
     stuck.call.pauseProducing()
-    others = [fleet.ask(prompt=100, output=200) for _ in range(3)]
+    others = [fleet.generate(prompt=100, output=200) for _ in range(3)]
     fleet.run(60.0)
     assert all(call.answer == "generated" for call in others) and stuck.answer == ""
     (waiting,) = fleet.nodes["n0"].server.calls
     pulled = next(iter(fleet.nodes["n0"].executor.in_flight.values())).streaming_attempt.call.stream
     here = waiting.buffered + sum(map(len, pulled._received))
-    poured = sum(job.call.buffered for job in fleet.stands["W0a"].jobs)
+    poured = sum(job.call.buffered for job in fleet.engines["W0a"].jobs)
     assert 65536 < here <= 65536 + 2 * link.stream_window and poured > 20000  # it stays at the writer
-    fleet.leave(stuck)
+    fleet.cancel(stuck)
     fleet.run(1.0)
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
@@ -158,56 +158,56 @@
 
 def test_final_answer_that_races_with_a_cancel_is_sent_once() -> None:
     fleet = Fleet("R0 W0")
-    fleet.misbehave("W0b", "hang", seconds=1.95)
+    fleet.inject_fault("W0b", "hang", seconds=1.95)
     fleet.run(0.02)
-    calls = [fleet.ask("post", prompt=200, left=1.9 + 0.005 * i, output=3) for i in range(16)]
+    calls = [fleet.generate("post", prompt=200, time_left=1.9 + 0.005 * i, output=3) for i in range(16)]
     fleet.run(6.0)
     answers = [call.answer for call in calls]
     assert set(answers) == {"aborted", "generated"} or set(answers) == {"aborted"}
-    assert len(fleet.what("final")) == 16
+    assert len(fleet.records("final")) == 16
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
 
 
 def test_restarted_node_never_repeats_an_at_most_once_sequence() -> None:
     fleet = Fleet("R0 W0 W0", nodes=2)
-    calls = [fleet.ask("post", prompt=200 + 2000 * (i % 2), output=300, node="n0") for i in range(6)]
+    calls = [fleet.generate("post", prompt=200 + 2000 * (i % 2), output=300, node="n0") for i in range(6)]
     fleet.run(0.3)
     fleet.kill("n0")
     fleet.run(0.2)
     assert all(call.status is not None and not call.answer for call in calls)
-    fleet.nodes["n0"] = fleet.node(0, run="2")
-    restarted_call = fleet.ask("ask", prompt=200, node="n0")
-    other = fleet.ask("ask", prompt=200, node="n1")
+    fleet.nodes["n0"] = fleet.start_node(0, run="2")
+    restarted_call = fleet.generate("ask", prompt=200, node="n0")
+    other = fleet.generate("ask", prompt=200, node="n1")
     fleet.run(6.0)
     assert (restarted_call.answer, other.answer) == ("generated", "generated")
     checker = assert_rules_kept(fleet)
     assert checker.counts[2] >= 6
     # The engines released the reservations of the crashed node as its connections were lost.
-    for stand in fleet.stands.values():
+    for stand in fleet.engines.values():
         assert not stand.model.decode.running and not stand.model.prefill.read_states
 
 
 def test_restarted_engine_gets_load_again_during_its_slow_start() -> None:
     fleet = Fleet("R0 R0 W0 W0", nodes=3, slots=4)
     for i in range(200):
-        fleet.ask(prompt=200 + 1500 * (i % 2), output=60, node=f"n{i % 3}")
+        fleet.generate(prompt=200 + 1500 * (i % 2), output=60, node=f"n{i % 3}")
         fleet.run(0.03)
         if i == 60:
             fleet.kill("W0c")
         if i == 70:
-            fleet.engine("W0c", cold=True)
-            fleet.tell("W0c", "serving", age=0.001)
+            fleet.start_engine("W0c", cold=True)
+            fleet.push_list_event("W0c", "serving", age=0.001)
     fleet.run(6.0)
-    assert len(fleet.what("up", "W0c")) == 2 and [
-        record for record in fleet.what("got", "W0c") if record.at > fleet.what("up", "W0c")[1].at
+    assert len(fleet.records("up", "W0c")) == 2 and [
+        record for record in fleet.records("got", "W0c") if record.at > fleet.records("up", "W0c")[1].at
     ]
     assert_rules_kept(fleet)
 
 
 def test_call_deadline_aborts_a_stream_that_has_begun() -> None:
     fleet = Fleet("W0", step="100ms")
-    caller = fleet.ask("post", prompt=100, output=5000, timeout=2.0)
+    caller = fleet.generate("post", prompt=100, output=5000, timeout=2.0)
     fleet.run(1.9)
     assert caller.tokens > 10 and not caller.answer
     fleet.run(0.3)
@@ -219,13 +219,13 @@
 
 def test_drain_ends_streams_within_drain_within() -> None:
     fleet = Fleet("W0")
-    short, long = fleet.ask(prompt=100, output=40), fleet.ask("post", prompt=100, output=4000)
+    short, long = fleet.generate(prompt=100, output=40), fleet.generate("post", prompt=100, output=4000)
     fleet.run(0.2)
     gone = []
     fleet.nodes["n0"].drain().addCallback(gone.append)
     fleet.net.hosts.pop("n0:1")
     fleet.run(2.5)
-    late_call = fleet.ask(prompt=100)
+    late_call = fleet.generate(prompt=100)
     fleet.run(0.1)
     assert late_call.status.unprocessed and short.answer == "generated" and not long.answer and not gone
     fleet.run(1.0)
@@ -235,19 +235,19 @@
 
 def test_pushed_endpoint_list_is_accepted_completely_or_not_at_all() -> None:
     fleet = Fleet()
-    fleet.rows["X0z"] = {"address": "X0z:1", "kind": "mixer", "zone": "north", "cell": 0}
-    fleet.tell("X0z", "serving")
+    fleet.endpoints["X0z"] = {"address": "X0z:1", "kind": "mixer", "zone": "north", "cell": 0}
+    fleet.push_list_event("X0z", "serving")
     fleet.run(0.1)
-    assert fleet.nodes["n0"].executor.list_version == 1 and not fleet.what("told")
+    assert fleet.nodes["n0"].executor.list_version == 1 and not fleet.records("told")
 
 
 def test_writer_that_rejects_after_its_fetch_leads_to_a_new_read() -> None:
     fleet = Fleet("R0 W0 W0", mishaps={"full_after_fetch": 0.5})
-    calls = [fleet.ask("post", prompt=2500, output=10) for _ in range(12)]
+    calls = [fleet.generate("post", prompt=2500, output=10) for _ in range(12)]
     fleet.run(6.0)
-    refused = [record for record in fleet.what("refused") if not record.more["no_state"]]
+    refused = [record for record in fleet.records("refused") if not record.more["no_state"]]
     assert refused and [
-        record for record in fleet.what("refused") if record.more["no_state"]
+        record for record in fleet.records("refused") if record.more["no_state"]
     ]  # then its state is not there
     assert sum(call.answer == "generated" for call in calls) > 6 and all(call.answer for call in calls)
     assert_rules_kept(fleet)
@@ -256,9 +256,9 @@
 
 def test_broken_fetch_counts_as_not_run() -> None:
     fleet = Fleet("R0 W0", mishaps={"lose_fetch": 0.5})
-    calls = [fleet.ask("post", prompt=2500, output=10) for _ in range(8)]
+    calls = [fleet.generate("post", prompt=2500, output=10) for _ in range(8)]
     fleet.run(8.0)
-    assert fleet.what("fetch lost") and all(call.answer for call in calls)
+    assert fleet.records("fetch lost") and all(call.answer for call in calls)
     assert sum(call.answer == "generated" for call in calls) >= 4
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
@@ -267,9 +267,9 @@
 @pytest.mark.parametrize("answer_first", [True, False])
 def test_answer_and_timeout_in_one_turn_give_one_final_answer(answer_first: bool) -> None:
     fleet = Fleet("W0")
-    fleet.misbehave("W0a", "hang")
+    fleet.inject_fault("W0a", "hang")
     fleet.run(0.02)
-    caller = fleet.ask("post", prompt=100)
+    caller = fleet.generate("post", prompt=100)
     fleet.run(0.1)
     executor = fleet.nodes["n0"].executor
     attempt = executor.in_flight[0].attempts[0]
@@ -280,34 +280,40 @@
     for step in steps if answer_first else reversed(steps):
         step()
     fleet.run(5.0)
-    assert caller.answer == ("generated" if answer_first else "aborted") and len(fleet.what("final")) == 1
+    assert caller.answer == ("generated" if answer_first else "aborted") and len(fleet.records("final")) == 1
     assert executor.answer_counts.total() == 1 and not executor.in_flight
 
 
 def test_engine_does_not_start_what_is_past_its_deadline() -> None:
     fleet = Fleet("W0", slots=1)
-    fleet.ask(prompt=100, output=200)
+    fleet.generate(prompt=100, output=200)
     fleet.run(0.1)
-    late_call = fleet.ask(prompt=100, output=10, left=0.5)  # behind the first there is no time for it
+    late_call = fleet.generate(
+        prompt=100, output=10, time_left=0.5
+    )  # behind the first there is no time for it
     fleet.run(0.05)
     fleet.net.silent.add("n0:1")  # not even the node's reset arrives
     fleet.run(6.0)
-    assert late_call.answer != "generated" and len(fleet.what("expired")) == 1 and len(fleet.what("ran")) == 1
+    assert (
+        late_call.answer != "generated"
+        and len(fleet.records("expired")) == 1
+        and len(fleet.records("ran")) == 1
+    )
 
 
 def test_client_retry_at_another_node_runs_once() -> None:
     fleet = Fleet("R0 W0 W0", nodes=2)
-    fleet.misbehave("W0b", "hang", seconds=3.0)
-    fleet.misbehave("W0c", "hang", seconds=3.0)
+    fleet.inject_fault("W0b", "hang", seconds=3.0)
+    fleet.inject_fault("W0c", "hang", seconds=3.0)
     fleet.run(0.05)
-    first = fleet.ask("post", prompt=200, left=1.0, mark="inv-1", node="n0")
-    read = fleet.ask("ask", prompt=200, left=1.0, mark="q-1", node="n0")
+    first = fleet.generate("post", prompt=200, time_left=1.0, mark="inv-1", node="n0")
+    read = fleet.generate("ask", prompt=200, time_left=1.0, mark="q-1", node="n0")
     fleet.run(3.2)
     assert (first.answer, read.answer) == ("aborted", "rejected")
-    retry = fleet.ask("ask", prompt=200, mark="q-1", node="n1", repeated=True)
+    retry = fleet.generate("ask", prompt=200, mark="q-1", node="n1", repeated=True)
     fleet.run(4.0)
     assert retry.answer == "generated" and not [
-        record for record in fleet.what("ran") if record.more["mark"] == "inv-1"
+        record for record in fleet.records("ran") if record.more["mark"] == "inv-1"
     ]
     assert_rules_kept(fleet)
 
@@ -370,57 +376,57 @@
 
 
 def no_capacity(fleet: Fleet) -> None:
-    fleet.misbehave("W0b", "hang")
+    fleet.inject_fault("W0b", "hang")
     fleet.run(0.05)
     for _ in range(3):
-        fleet.ask(prompt=100, left=1.0)
+        fleet.generate(prompt=100, time_left=1.0)
     fleet.run(2.0)
 
 
 def reset_streams(fleet: Fleet) -> None:
-    fleet.misbehave("W0b", "hang")
-    fleet.misbehave("W0c", "hang")
+    fleet.inject_fault("W0b", "hang")
+    fleet.inject_fault("W0c", "hang")
     fleet.run(0.05)
-    fleet.ask("post", prompt=200)
+    fleet.generate("post", prompt=200)
     fleet.run(0.3)
-    fleet.kill(fleet.what("got")[0].who[:-2])
+    fleet.kill(fleet.records("got")[0].who[:-2])
     fleet.run(5.0)
 
 
 def hung_writers(fleet: Fleet) -> None:
-    fleet.misbehave("W0b", "hang")
-    fleet.misbehave("W0c", "hang")
+    fleet.inject_fault("W0b", "hang")
+    fleet.inject_fault("W0c", "hang")
     fleet.run(0.05)
-    fleet.ask("post", prompt=200, left=1.0)
+    fleet.generate("post", prompt=200, time_left=1.0)
     fleet.run(2.0)
 
 
 def draining_writer(fleet: Fleet) -> None:
-    fleet.tell("W0b", "draining")
+    fleet.push_list_event("W0b", "draining")
     fleet.run(0.5)
     for _ in range(12):
-        fleet.ask(prompt=200, output=20)
+        fleet.generate(prompt=200, output=20)
     fleet.run(4.0)
 
 
 def load_on_a_restarted_writer(fleet: Fleet) -> None:
     fleet.kill("W0c")
     fleet.run(0.1)
-    fleet.engine("W0c", cold=True)
-    fleet.tell("W0c", "serving", age=0.001)
+    fleet.start_engine("W0c", cold=True)
+    fleet.push_list_event("W0c", "serving", age=0.001)
     fleet.run(0.1)
     for _ in range(240):
-        fleet.ask(prompt=200, output=60)
+        fleet.generate(prompt=200, output=60)
         fleet.run(0.005)
     fleet.run(4.0)
 
 
 def client_disconnects_after_read(fleet: Fleet) -> None:
-    caller = fleet.ask(prompt=4000)
-    fleet.misbehave("W0b", "hang")
-    fleet.misbehave("W0c", "hang")
+    caller = fleet.generate(prompt=4000)
+    fleet.inject_fault("W0b", "hang")
+    fleet.inject_fault("W0c", "hang")
     fleet.run(0.4)
-    fleet.leave(caller)
+    fleet.cancel(caller)
     fleet.run(6.0)
 
 
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -44,57 +44,57 @@
         return pb.NodeState.FromString(self.say("Show"))
 
 
-def new_text(f: Fleet, was: str = "max_wait: 2s", now: str = "max_wait: 1s") -> str:
-    text = f.text(0)
+def new_text(fleet: Fleet, was: str = "max_wait: 2s", now: str = "max_wait: 1s") -> str:
+    text = fleet.settings_text(0)
     assert was in text
     return text.replace(was, now)
 
 
 def test_sequences_in_hand_end_by_the_settings_that_they_began_with() -> None:
-    f = Fleet()
-    admin, node = Admin(f), f.nodes["n0"]
+    fleet = Fleet()
+    admin, node = Admin(fleet), fleet.nodes["n0"]
     before = admin.show()
-    early = f.ask("ask", output=200)
-    f.run(0.5)
+    early = fleet.generate("ask", output=200)
+    fleet.run(0.5)
     assert early.tokens and not early.answer
     old = node.executor
     # the new settings know the traffic type no more, and another in its place
-    text = f.text(0).replace("name: ask", "name: query")
+    text = fleet.settings_text(0).replace("name: ask", "name: query")
     taken = admin.change(text)
     assert taken.changed and node.executor is not old and old.in_flight
     state = admin.show()
     assert (state.program, state.settings) == (before.program, taken.settings)
     assert state.settings != before.settings
     assert state.by_old == 1 and not state.proven
-    late, strange = f.ask("query"), f.ask("ask")
-    f.run(6.0)
+    late, strange = fleet.generate("query"), fleet.generate("ask")
+    fleet.run(6.0)
     assert early.answer == late.answer == "generated"
     assert strange.status.code == Code.INVALID_ARGUMENT and "'ask' is not one of" in strange.status.message
-    labels = {r.more["seq"] for r in f.what("seq")}
+    labels = {r.more["seq"] for r in fleet.records("seq")}
     assert len(labels) == 2 and not node.replaced_runtimes and admin.show().proven
     again = admin.say("Apply", admin.order(settings=taken.settings))  # the same order once more
     assert not pb.OrderTaken.FromString(again).changed
 
 
 def test_a_change_in_place_makes_no_new_connections_and_news_reach_both() -> None:
-    f = Fleet("R0 W0 W0")
-    admin, node = Admin(f), f.nodes["n0"]
+    fleet = Fleet("R0 W0 W0")
+    admin, node = Admin(fleet), fleet.nodes["n0"]
     for _ in range(4):
-        f.ask("ask", output=300)
-    f.run(0.6)
+        fleet.generate("ask", output=300)
+    fleet.run(0.6)
     channels = dict(node.transport.channels)
-    admin.change(new_text(f))
+    admin.change(new_text(fleet))
     old = node.replaced_runtimes[0]
-    f.ask("ask")
-    f.run(0.5)
+    fleet.generate("ask")
+    fleet.run(0.5)
     assert node.transport.channels == channels
-    f.tell("W0b", "draining")
-    f.run(0.1)
+    fleet.push_list_event("W0b", "draining")
+    fleet.run(0.1)
     for host in (old.executor, node.executor):
         index = host.decoder.engines.index_of["W0b:1"]
         assert host.decoder.engines.rows[index].state == "draining"
-    f.run(8.0)
-    assert {c.answer for c in f.calls} == {"generated"} and not node.replaced_runtimes
+    fleet.run(8.0)
+    assert {c.answer for c in fleet.calls} == {"generated"} and not node.replaced_runtimes
 
 
 @pytest.mark.parametrize(
@@ -108,74 +108,74 @@
     ],
 )
 def test_what_cannot_be_routed_by_is_refused_where_it_is_staged(was: str, now: str, said: str) -> None:
-    f = Fleet()
-    admin = Admin(f)
+    fleet = Fleet()
+    admin = Admin(fleet)
     before = admin.show().settings
-    code, text = admin.stage(new_text(f, was, now))
+    code, text = admin.stage(new_text(fleet, was, now))
     assert said in text and code in (Code.INVALID_ARGUMENT, Code.FAILED_PRECONDITION)
     assert (admin.show().settings, admin.show().staged) == (before, "")
-    caller = f.ask("ask")
-    f.run(4.0)
+    caller = fleet.generate("ask")
+    fleet.run(4.0)
     assert caller.answer == "generated"
 
 
 def test_settings_staged_while_a_writer_served_are_refused_once_the_list_has_none_of_their_kind() -> None:
-    f = Fleet()
-    admin = Admin(f)
-    digest = pb.OrderTaken.FromString(admin.stage(new_text(f))).settings
+    fleet = Fleet()
+    admin = Admin(fleet)
+    digest = pb.OrderTaken.FromString(admin.stage(new_text(fleet))).settings
     for name in ("W0b", "W0c"):
-        f.tell(name, "gone")
-    f.run(0.2)
+        fleet.push_list_event(name, "gone")
+    fleet.run(0.2)
     code, text = admin.say("Apply", admin.order(settings=digest))
     assert code == Code.FAILED_PRECONDITION and "could end a sequence" in text
 
 
 def test_an_older_controller_is_refused_and_a_newer_one_obeyed() -> None:
-    f = Fleet()
-    old, new = Admin(f), Admin(f, controller="c2")
-    assert isinstance(old.stage(new_text(f), 1), bytes)
-    assert isinstance(new.stage(new_text(f), 2), bytes)
+    fleet = Fleet()
+    old, new = Admin(fleet), Admin(fleet, controller="c2")
+    assert isinstance(old.stage(new_text(fleet), 1), bytes)
+    assert isinstance(new.stage(new_text(fleet), 2), bytes)
     for generation in (1, 2):
-        code, text = old.stage(new_text(f), generation)
+        code, text = old.stage(new_text(fleet), generation)
         assert code == Code.PERMISSION_DENIED and ("obeys 2" in text or "controller c2's" in text)
     code, text = new.say("Leave", new.order(3, run="another"))
-    assert "for process another" in text and not f.nodes["n0"].is_draining
+    assert "for process another" in text and not fleet.nodes["n0"].is_draining
     code, text = new.say("Apply", pb.Order(format=FORMAT_VERSION + 1, generation=9, controller="c9"))
     assert f"knows formats up to {FORMAT_VERSION}" in text
     assert (new.show().generation, new.show().controller) == (2, "c2")
 
 
 def test_an_order_to_leave_and_sigterm_at_once_drain_once_with_old_settings_in_hand() -> None:
-    f = Fleet()
-    admin, node = Admin(f), f.nodes["n0"]
-    early = f.ask("ask", output=60)
-    f.run(0.4)
-    admin.change(new_text(f))
-    late = f.ask("post", output=60)
-    f.run(0.3)
+    fleet = Fleet()
+    admin, node = Admin(fleet), fleet.nodes["n0"]
+    early = fleet.generate("ask", output=60)
+    fleet.run(0.4)
+    admin.change(new_text(fleet))
+    late = fleet.generate("post", output=60)
+    fleet.run(0.3)
     ends: list[float] = []
 
     def drain() -> None:
-        node.drain().addCallback(lambda none: ends.append(f.clock.seconds()))
+        node.drain().addCallback(lambda none: ends.append(fleet.clock.seconds()))
 
     node.on_drain_requested = drain
     admin.say("Leave", admin.order(run=node.incarnation))
     drain()  # SIGTERM comes as well
     assert admin.show().leaving and not ends
-    f.run(5.0)
+    fleet.run(5.0)
     assert early.answer == late.answer == "generated"
     assert len(ends) == 2 and ends[0] == ends[1]
 
 
 def test_what_a_node_counts_of_itself() -> None:
-    f = Fleet()
-    admin = Admin(f)
+    fleet = Fleet()
+    admin = Admin(fleet)
     for i in range(6):
-        f.ask("post" if i % 3 == 0 else "ask")
-    gone = f.ask("ask", output=400)
-    f.run(0.5)
-    f.leave(gone)
-    f.run(5.0)
+        fleet.generate("post" if i % 3 == 0 else "ask")
+    gone = fleet.generate("ask", output=400)
+    fleet.run(0.5)
+    fleet.cancel(gone)
+    fleet.run(5.0)
     figures = pb.NodeFigures.FromString(admin.say("Figures"))
     sums = {t.name: t for t in figures.traffic}
     assert (sums["ask"].asked, sums["post"].asked) == (5, 2)
@@ -184,19 +184,19 @@
     assert (sums["post"].utility, sums["post"].served) == (6.0, 6.0)  # of utility 3 each
     assert sums["ask"].begun == sum(sums["ask"].first.values()) == 4 and sums["ask"].attempts >= 5
     assert dict(figures.engines) == {"north": 3} and figures.memory > 10**6 and figures.run == "1"
-    f.nodes["n0"].front.is_closed = True
-    f.ask("ask")
-    f.run(0.2)
+    fleet.nodes["n0"].front.is_closed = True
+    fleet.generate("ask")
+    fleet.run(0.2)
     figures = pb.NodeFigures.FromString(admin.say("Figures"))
     assert {t.name: t.answers["rejected"] for t in figures.traffic}["ask"] == 1
 
 
 def test_a_revision_is_the_same_for_all_nodes_of_a_fleet_and_not_for_other_settings() -> None:
-    f = Fleet(nodes=2)
-    sheets = [parse_settings(f.text(i)) for i in range(2)]
+    fleet = Fleet(nodes=2)
+    sheets = [parse_settings(fleet.settings_text(i)) for i in range(2)]
     assert settings_digest(sheets[0]) == settings_digest(sheets[1])
-    assert settings_digest(sheets[0]) != settings_digest(parse_settings(new_text(f)))
-    f.tell("W0b", "draining")
-    f.run(0.1)
-    assert isinstance(f.nodes["n0"], Node) and f.nodes["n0"].program == program_digest()
+    assert settings_digest(sheets[0]) != settings_digest(parse_settings(new_text(fleet)))
+    fleet.push_list_event("W0b", "draining")
+    fleet.run(0.1)
+    assert isinstance(fleet.nodes["n0"], Node) and fleet.nodes["n0"].program == program_digest()
     assert len(program_digest()) == 16
--- a/tests/recovery/test_takeover.py
+++ b/tests/recovery/test_takeover.py
@@ -33,23 +33,23 @@
     """A fleet whose nodes replicate their sequence records to each other."""
 
     def __init__(
-        self, engines: str = "R0 W0 W0", nodes: int = 4, claims: bool = True, **machine: object
+        self, engines: str = "R0 W0 W0", nodes: int = 4, claims: bool = True, **engine_options: object
     ) -> None:
         self.claims = claims
-        machine.setdefault("read_rate", 30000.0)
-        machine.setdefault("stream_bound", "6s" if claims else "0s")
-        super().__init__(engines, nodes, **machine)
+        engine_options.setdefault("read_rate", 30000.0)
+        engine_options.setdefault("stream_bound", "6s" if claims else "0s")
+        super().__init__(engines, nodes, **engine_options)
         self.draws = iter(range(10**9))
 
-    def text(self, index: int) -> str:
-        peers = ", ".join(f'{{name: n{i}, address: "n{i}:3", zone: north}}' for i in range(self.nodes_count))
-        return super().text(index) + (
+    def settings_text(self, index: int) -> str:
+        peers = ", ".join(f'{{name: n{i}, address: "n{i}:3", zone: north}}' for i in range(self.node_count))
+        return super().settings_text(index) + (
             f"engines_may: {{claims: {'yes' if self.claims else 'no'}}}\n"
             f'takeover: {{listen: "n{index}:3", peers: [{peers}], comes_back: 1500ms}}\n'
         )
 
-    def node(self, index: int, run: str = "1", text: str = "", **more: object) -> Node:
-        node = super().node(index, run, text, **more)
+    def start_node(self, index: int, run: str = "1", text: str = "", **more: object) -> Node:
+        node = super().start_node(index, run, text, **more)
         self.net.listen(f"n{index}:3", node.replication.server)
         return node
 
@@ -112,7 +112,7 @@
     def check(self) -> str:
         """Check that it ran as often as allowed and got the tokens of one attempt; return its outcome."""
         fleet = self.fleet
-        ran = [r for r in fleet.what("ran") if r.more["mark"] == self.mark]
+        ran = [r for r in fleet.records("ran") if r.more["mark"] == self.mark]
         if RETRY_SEMANTICS[self.mark.rstrip("0123456789")] == "once-only":
             assert len(ran) <= 1, [(r.who, r.more) for r in ran]
         if self.token_ids:
@@ -124,7 +124,7 @@
         if isinstance(self.result, Generated):
             ended = [
                 r.more["tokens"]
-                for r in fleet.what("ended")
+                for r in fleet.records("ended")
                 if any(r.more["seq"] == x.more["seq"] for x in ran)
             ]
             assert len(self.token_ids) in ended
@@ -152,7 +152,7 @@
         assert not node.executor.in_flight and not node.executor.outstanding_attempt_count()
         assert not node.replication.publisher.sequences and not node.replication.publisher.send_gate.waiting
         assert not node.replication.store.records, node.replication.store.records
-    for name, engine in fleet.stands.items():
+    for name, engine in fleet.engines.items():
         model = engine.model
         assert model.has_crashed or not (
             model.prefill.read_states or model.decode.running or model.prefill.running or model.decode.queue
@@ -169,8 +169,8 @@
     lost_at = fleet.clock.seconds()
     fleet.run(8.0)
     assert sequence.check() == "generated" and len(sequence.token_ids) > 5
-    assert len([r for r in fleet.what("ran") if r.more["mark"] == sequence.mark]) == 1
-    assert len(fleet.what("attached")) == 1 and max(b - a for a, b in pairwise(sequence.token_times)) < 0.5
+    assert len([r for r in fleet.records("ran") if r.more["mark"] == sequence.mark]) == 1
+    assert len(fleet.records("attached")) == 1 and max(b - a for a, b in pairwise(sequence.token_times)) < 0.5
     assert next(t for t in sequence.token_times if t > lost_at) - lost_at < 0.5
     check_nothing_is_left(fleet)
 
@@ -201,15 +201,15 @@
 def test_a_read_state_is_used_and_its_prompt_not_read_again(traffic: str) -> None:
     fleet = make_fleet()
     sequence = ClientSequence(fleet, traffic)
-    while not [r for r in fleet.what("held") if r.more["seq"] == sequence.stream.retries.sequence != ""]:
+    while not [r for r in fleet.records("held") if r.more["seq"] == sequence.stream.retries.sequence != ""]:
         fleet.run(0.0)
         fleet.net.run(0.002)
     fleet.kill("n0")
     fleet.run(8.0)
     seq = sequence.stream.retries.sequence
     assert sequence.check() == "generated" and seq.startswith("n0."), seq
-    got = [r.more["reads"] for r in fleet.what("got") if r.more["seq"] == seq]
-    fetched = [r.more["whole"] for r in fleet.what("fetched") if r.more["seq"] == seq]
+    got = [r.more["reads"] for r in fleet.records("got") if r.more["seq"] == seq]
+    fetched = [r.more["whole"] for r in fleet.records("fetched") if r.more["seq"] == seq]
     assert got.count(True) == 1 and any(fetched)
     check_nothing_is_left(fleet)
 
@@ -228,12 +228,12 @@
 def count_messages(traffic: str) -> int:
     """Return how many messages cross the network for one sequence."""
     fleet = make_fleet()
-    fleet.net.crossed = 0
+    fleet.net.delivery_count = 0
     sequence = ClientSequence(fleet, traffic)
     while sequence.result is None:
         fleet.run(0.1)
     assert sequence.check() == "generated"
-    return fleet.net.crossed
+    return fleet.net.delivery_count
 
 
 @pytest.mark.parametrize("traffic", RETRY_SEMANTICS)
@@ -249,7 +249,7 @@
     step = 3 if also_killed else 1 if traffic == "post" else 2  # at-most-once: at every message
     for message in range(1, count + 1, step):
         fleet = make_fleet()
-        fleet.net.crossed = 0
+        fleet.net.delivery_count = 0
         sequence = ClientSequence(fleet, traffic)
         killed_at: list[str] = []
 
@@ -259,7 +259,7 @@
             if also_killed == "a replica":
                 fleet.kill(replicas_of("n0", fleet.nodes["n1"].replication.zones, 2)[0])
 
-        fleet.net.fault_at, fleet.net.fault = message, kill_owner
+        fleet.net.fault_at_delivery, fleet.net.inject_fault = message, kill_owner
         if also_killed == "the successor":
             while not killed_at and sequence.result is None:
                 fleet.run(0.05)
@@ -315,11 +315,11 @@
         fleet.run(0.02)
     resume = pause(fleet, "n0")
     fleet.run(1.2)
-    assert len(fleet.what("attached")) == 1
+    assert len(fleet.records("attached")) == 1
     resume()
     fleet.run(9.0)
     assert sequence.check() == "generated"
-    assert not [r for r in fleet.what("stopped") if r.more["seq"] == sequence.stream.retries.sequence]
+    assert not [r for r in fleet.records("stopped") if r.more["seq"] == sequence.stream.retries.sequence]
     check_nothing_is_left(fleet)
 
 
@@ -342,7 +342,7 @@
     fleet.run(9.0)
     outcomes = sorted([sequence.check(), other.check()])
     assert outcomes in (["aborted", "generated"], ["aborted", "aborted"]), outcomes
-    assert len([r for r in fleet.what("ran") if r.more["mark"] == sequence.mark]) == 1
+    assert len([r for r in fleet.records("ran") if r.more["mark"] == sequence.mark]) == 1
     check_nothing_is_left(fleet)
 
 
@@ -355,7 +355,7 @@
     sequence.stream.retries.deadline = 0.0
     fleet.run(5.0)
     check_nothing_is_left(fleet)
-    assert any(r.more["why"] == "closed" for r in fleet.what("stopped")) or fleet.what("ended")
+    assert any(r.more["why"] == "closed" for r in fleet.records("stopped")) or fleet.records("ended")
 
 
 def test_a_draining_node_hands_over_its_streams_at_once() -> None:
@@ -380,7 +380,7 @@
         fleet.run(0.02)
     fleet.kill("n0")
     fleet.kill("W0b")
-    fleet.engine("W0b")
+    fleet.start_engine("W0b")
     fleet.run(10.0)
     assert isinstance(once.result, AbortedError) and isinstance(
         free.result, AbortedError
@@ -392,13 +392,13 @@
     fleet = make_fleet(stream_bound="300ms", step="5ms")
     sequence = ClientSequence(fleet, "post")
     # The warm-up and this sequence: its writer fetches the read state and has not run it yet.
-    while len(fleet.what("fetching")) < 2:
+    while len(fleet.records("fetching")) < 2:
         fleet.net.run(0.002)
     fleet.kill("n0")
     sequence.stream.retries.resumes = 10  # the client resumes after the engine has forgotten the answer
     fleet.run(9.0)
     assert not sequence.token_ids and sequence.check() == "aborted"
-    assert len([r for r in fleet.what("ran") if r.more["mark"] == sequence.mark]) == 1
+    assert len([r for r in fleet.records("ran") if r.more["mark"] == sequence.mark]) == 1
 
 
 def test_an_unread_stream_continues_until_its_timeout_and_no_longer() -> None:
@@ -409,5 +409,5 @@
     fleet.kill("n0")
     sequence.stream.retries.resumes = 5  # the client resumes late
     fleet.run(8.0)
-    assert sequence.check() == "aborted" and any(r.more["why"] == "bound" for r in fleet.what("stopped"))
+    assert sequence.check() == "aborted" and any(r.more["why"] == "bound" for r in fleet.records("stopped"))
     check_nothing_is_left(fleet)
--- a/tests/rollout/test_rollout_controller.py
+++ b/tests/rollout/test_rollout_controller.py
@@ -98,9 +98,9 @@
         self.events: list[dict] = []
         for i, node in enumerate(self.fleet.nodes.values()):
             self._attach(i, node, "old")
-            (folder / f"n{i}.yaml").write_text(self.fleet.text(i))
+            (folder / f"n{i}.yaml").write_text(self.fleet.settings_text(i))
             then = "max_wait: 2s" if "program" in change else "max_wait: 1s"
-            (folder / f"n{i}.new.yaml").write_text(self.fleet.text(i).replace("max_wait: 2s", then))
+            (folder / f"n{i}.new.yaml").write_text(self.fleet.settings_text(i).replace("max_wait: 2s", then))
         rows = ", ".join(f'{{name: n{i}, admin: "n{i}:2", zone: z}}' for i in range(nodes))
         self.text = PLAN.format(change=change, nodes=rows) + more_plan
         self.controller: RolloutController | None = None
@@ -126,7 +126,7 @@
         if fault == "exits":
             return
         self.start_count += 1
-        node = self.fleet.node(index, run=f"b{self.start_count}")
+        node = self.fleet.start_node(index, run=f"b{self.start_count}")
         self.fleet.nodes[f"n{index}"] = node
         self._attach(index, node, program)
         number, _, controller = generation.partition(" ")
@@ -177,7 +177,7 @@
         name = f"n{self.request_count % len(self.fleet.channels)}"
         self.request_count += 1
         if name in self.fleet.nodes:
-            self.fleet.ask("ask", prompt=300, node=name, output=4)
+            self.fleet.generate("ask", prompt=300, node=name, output=4)
         self.fleet.run(0.2)
 
     def run(self, seconds: float = 150.0) -> int:
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -49,62 +49,64 @@
 
 
 def probing_fleet(engines: str = "R0 W0 W0", **more: object) -> Fleet:
-    return Fleet(engines, executor_class=ProbeRecordingExecutor, more=PROBED, reports="probe", **more)
+    return Fleet(
+        engines, executor_class=ProbeRecordingExecutor, more_settings=PROBED, reports="probe", **more
+    )
 
 
 def test_load_reports_of_probes_steer_later_sequences() -> None:
-    f = probing_fleet()
-    executor = f.nodes["n0"].executor
-    f.ask(prompt=3000)
-    f.run(2.0)
+    fleet = probing_fleet()
+    executor = fleet.nodes["n0"].executor
+    fleet.generate(prompt=3000)
+    fleet.run(2.0)
     results = executor.probe_results
     assert {result.address for result in results} >= {"R0a:1", "W0b:1", "W0c:1"}
     assert all(result.is_answered for result in results)
     assert all(result.load.memory_share is not None and result.load.unread is not None for result in results)
-    assert not f.what("load") and [c.answer for c in f.calls] == ["generated"]
-    f.stands["W0b"].model.resources.used_memory = 199000.0  # full of sequences of other nodes
+    assert not fleet.records("load") and [c.answer for c in fleet.calls] == ["generated"]
+    fleet.engines["W0b"].model.resources.used_memory = 199000.0  # full of sequences of other nodes
     for _ in range(8):
-        f.ask(prompt=400)
-        f.run(0.4)
-    wrote = [r.who for r in f.what("got") if not r.more["reads"]][1:]
+        fleet.generate(prompt=400)
+        fleet.run(0.4)
+    wrote = [r.who for r in fleet.records("got") if not r.more["reads"]][1:]
     assert wrote and set(wrote) == {"W0c:1"}
-    f.stands["W0b"].model.resources.used_memory = 0.0
-    f.run(4.0)
-    assert_rules_kept(f)
+    fleet.engines["W0b"].model.resources.used_memory = 0.0
+    fleet.run(4.0)
+    assert_rules_kept(fleet)
 
 
 def test_unanswered_probe_delays_no_sequence() -> None:
-    f = probing_fleet()
-    f.misbehave("W0b", "hang", seconds=30.0)
-    f.run(0.1)
-    caller = f.ask(prompt=3000)
-    f.run(4.0)
+    fleet = probing_fleet()
+    fleet.inject_fault("W0b", "hang", seconds=30.0)
+    fleet.run(0.1)
+    caller = fleet.generate(prompt=3000)
+    fleet.run(4.0)
     assert caller.answer == "generated"
-    results = [result for result in f.nodes["n0"].executor.probe_results if result.address == "W0b:1"]
+    results = [result for result in fleet.nodes["n0"].executor.probe_results if result.address == "W0b:1"]
     # The timeout is recorded as the only result.
     assert results and not any(result.is_answered for result in results)
-    assert_rules_kept(f)
-    assert_nothing_left(f)
+    assert_rules_kept(fleet)
+    assert_nothing_left(fleet)
 
 
 def test_outstanding_probe_reserves_the_index_of_a_removed_engine() -> None:
-    f = probing_fleet()
-    f.misbehave("W0b", "hang", seconds=30.0)
-    f.run(0.1)
-    f.ask(prompt=300)
-    f.run(0.01)
-    f.tell("W0b", "gone")
-    f.run(3.0)  # the probe times out after the engine has left the list
-    assert any(result.address == "W0b:1" for result in f.nodes["n0"].executor.probe_results)
-    assert len(f.nodes["n0"].executor.decoder.engines.index_of) == 2
+    fleet = probing_fleet()
+    fleet.inject_fault("W0b", "hang", seconds=30.0)
+    fleet.run(0.1)
+    fleet.generate(prompt=300)
+    fleet.run(0.01)
+    fleet.push_list_event("W0b", "gone")
+    fleet.run(3.0)  # the probe times out after the engine has left the list
+    assert any(result.address == "W0b:1" for result in fleet.nodes["n0"].executor.probe_results)
+    assert len(fleet.nodes["n0"].executor.decoder.engines.index_of) == 2
 
 
 def test_without_probes_load_comes_from_replies() -> None:
-    f = Fleet("R0 W0 W0", executor_class=ProbeRecordingExecutor)
-    f.ask(prompt=3000)
-    f.run(2.0)
-    assert not f.nodes["n0"].executor.probe_results and f.calls[0].answer == "generated"
-    assert 0 in f.nodes["n0"].executor.router.estimates.usual_memory
+    fleet = Fleet("R0 W0 W0", executor_class=ProbeRecordingExecutor)
+    fleet.generate(prompt=3000)
+    fleet.run(2.0)
+    assert not fleet.nodes["n0"].executor.probe_results and fleet.calls[0].answer == "generated"
+    assert 0 in fleet.nodes["n0"].executor.router.estimates.usual_memory
 
 
 def test_probe_settings_reach_the_router_config_and_default_to_off() -> None:
@@ -135,12 +137,12 @@
 
 
 def test_rejection_asks_for_no_wait_where_max_wait_is_zero() -> None:
-    f = Fleet("R0 W0", more="", tell="max_wait: 0s")
+    fleet = Fleet("R0 W0", more_settings="", node_options="max_wait: 0s")
     for name in ("R0a", "W0b"):
-        f.tell(name, "draining")
-    f.run(0.1)
-    caller = f.ask(prompt=300, left=1.0)
-    f.run(2.0)
+        fleet.push_list_event(name, "draining")
+    fleet.run(0.1)
+    caller = fleet.generate(prompt=300, time_left=1.0)
+    fleet.run(2.0)
     assert caller.answer == "rejected" and caller.wait == 0
 
 
--- a/tests/support/batch_calls.py
+++ b/tests/support/batch_calls.py
@@ -1,5 +1,8 @@
 """Calls of the batch fronts on a fleet, for tests."""
 
+from collections.abc import Callable, Sequence
+from typing import Generic, NamedTuple, TypeAlias, TypeVar
+
 from fleet import Fleet
 from fleet_checks import assert_nothing_left
 
@@ -8,26 +11,38 @@
 from myrtlehub.rpc.client_call import CallWatcher
 from myrtlehub.rpc.status import Status
 
+EmbedCall: TypeAlias = "BatchCallWatcher[pb.EmbedRequest, pb.Vector]"
+RankCall: TypeAlias = "BatchCallWatcher[pb.RankRequest, pb.Score]"
+Item = TypeVar("Item", bound=pb.Vector | pb.Score)
+Request = TypeVar("Request", bound=pb.EmbedRequest | pb.RankRequest)
+
+
+class Reply(NamedTuple, Generic[Item]):
+    """A reply of a batch front."""
+
+    items: Sequence[Item]
+    final: pb.Final | None
+
 
-class BatchCallWatcher(CallWatcher):
+class BatchCallWatcher(CallWatcher, Generic[Request, Item]):
     """One call of a batch front."""
 
     def __init__(
         self,
         fleet: Fleet,
         path: str,
-        request: pb.EmbedRequest | pb.RankRequest,
-        reply_type: type[pb.EmbedReply | pb.RankReply],
+        request: Request,
+        read_reply: Callable[[bytes], Reply[Item]],
         is_stream: bool,
         timeout: float | None,
     ) -> None:
         self.fleet = fleet
         self.request = request
         self.is_stream = is_stream
-        self._reply_type = reply_type
-        self.items: dict[int, pb.Vector | pb.Score] = {}
+        self._read_reply = read_reply
+        self.items: dict[int, Item] = {}
         self.order: list[int] = []
-        self.final = ""
+        self.final: str | None = ""
         self.status: Status | None = None
         self.retry_after = 0.0
         self.done_at = 0.0
@@ -38,13 +53,13 @@
 
     def message(self, data: bytes) -> None:
         """Take a reply."""
-        reply = self._reply_type.FromString(data)
+        reply = self._read_reply(data)
         assert not self.final, "nothing comes after the final answer"
-        for item in getattr(reply, "vectors", None) or getattr(reply, "scores", ()):
+        for item in reply.items:
             assert item.index not in self.items
             self.items[item.index] = item
             self.order.append(item.index)
-        if reply.HasField("final"):
+        if reply.final is not None:
             self.final = reply.final.WhichOneof("answer")
             self.done_at = self.fleet.clock.seconds()
             self.done = reply.final.generated
@@ -55,6 +70,18 @@
         self.status = status
 
 
+def read_embed_reply(data: bytes) -> Reply[pb.Vector]:
+    """Decode a reply of Embed or EmbedStream."""
+    reply = pb.EmbedReply.FromString(data)
+    return Reply(reply.vectors, reply.final if reply.HasField("final") else None)
+
+
+def read_rank_reply(data: bytes) -> Reply[pb.Score]:
+    """Decode a reply of Rank or RankStream."""
+    reply = pb.RankReply.FromString(data)
+    return Reply(reply.scores, reply.final if reply.HasField("final") else None)
+
+
 def embed(
     fleet: Fleet,
     texts: list[bytes],
@@ -64,16 +91,18 @@
     time_left: float = 4.0,
     timeout: float | None = None,
     mark: str = "",
-    **more: object,
-) -> BatchCallWatcher:
-    """Ask for embeddings."""
+    dimensions: int = 0,
+    normalise: bool = False,
+) -> EmbedCall:
+    """Call Embed or EmbedStream at node n0."""
     request = pb.EmbedRequest(
         terms=pb.Terms(traffic_type=traffic_type, time_left_ms=int(time_left * 1000), mark=mark),
         inputs=[pb.Input(text=t, tokens=tokens) for t in texts],
-        **more,
+        dimensions=dimensions,
+        normalise=normalise,
     )
     return BatchCallWatcher(
-        fleet, "/myrtlehub.v1.Embeddings/Embed", request, pb.EmbedReply, is_stream, timeout
+        fleet, "/myrtlehub.v1.Embeddings/Embed", request, read_embed_reply, is_stream, timeout
     )
 
 
@@ -84,15 +113,15 @@
     is_stream: bool = False,
     top: int = 0,
     tokens: int = 50,
-) -> BatchCallWatcher:
-    """Ask for scores of documents."""
+) -> RankCall:
+    """Call Rank or RankStream at node n0."""
     request = pb.RankRequest(
         terms=pb.Terms(traffic_type="sort"),
         top=top,
         query=pb.Input(text=query, tokens=10),
         documents=[pb.Input(text=d, tokens=tokens) for d in documents],
     )
-    return BatchCallWatcher(fleet, "/myrtlehub.v1.Rerank/Rank", request, pb.RankReply, is_stream, None)
+    return BatchCallWatcher(fleet, "/myrtlehub.v1.Rerank/Rank", request, read_rank_reply, is_stream, None)
 
 
 def texts(count: int, seed: int = 0) -> list[bytes]:
@@ -100,7 +129,7 @@
     return [f"{seed}/{i}".encode() for i in range(count)]
 
 
-def assert_vectors(call: BatchCallWatcher, model: str = "m1", only: set[int] | None = None) -> None:
+def assert_vectors(call: EmbedCall, model: str = "m1", only: set[int] | None = None) -> None:
     """Check that every vector has its value, at its place; with `only`, that just these came."""
     inputs = call.request.inputs
     assert set(call.items) == (set(range(len(inputs))) if only is None else only)
@@ -117,5 +146,5 @@
         batches = node.batches
         assert not batches.in_flight and batches.batcher.is_empty and not any(batches.shares._queues.values())
         assert all(abs(out) < 1e-6 for out in batches.shares.tokens_in_flight.values())
-    for engine in fleet.stands.values():
+    for engine in fleet.engines.values():
         assert engine.model.has_crashed or not (engine.model.batches.running or engine.model.batches.queue)
--- a/tests/support/endpointlists.py
+++ b/tests/support/endpointlists.py
@@ -9,21 +9,30 @@
     "writer": EngineKindConfig(name="writer", writes=True),
 }
 
+DEFAULTS = ValidationConfig()
+
 
 def make_endpoint(name: str, **fields: object) -> EndpointConfig:
     """Make an endpoint: a reader if its name begins with "r", else a writer."""
     kind = "reader" if name[0] == "r" else "writer"
-    return EndpointConfig(**{"address": f"{name}:1", "kind": kind, "zone": "z", **fields})
+    return EndpointConfig.model_validate({"address": f"{name}:1", "kind": kind, "zone": "z", **fields})
 
 
 def make_endpoints(names: str, **fields: object) -> list[EndpointConfig]:
-    """Make endpoints of names that blanks divide."""
+    """Make endpoints of space-separated names."""
     return [make_endpoint(name, **fields) for name in names.split()]
 
 
-def make_validator(**config: float) -> ListValidator:
+def make_validator(
+    max_removed: float = DEFAULTS.max_removed,
+    confirm_after: float = DEFAULTS.confirm_after,
+    max_flaps: int | None = DEFAULTS.max_flaps,
+    flap_window: float = DEFAULTS.flap_window,
+    flap_quiet_time: float = DEFAULTS.flap_quiet_time,
+) -> ListValidator:
     """Make a validator that knows KINDS."""
-    return ListValidator(ValidationConfig(**config), KINDS, ["z"])
+    config = ValidationConfig(max_removed, confirm_after, max_flaps, flap_window, flap_quiet_time)
+    return ListValidator(config, KINDS, ["z"])
 
 
 def list_text(names: str, **fields: object) -> str:
--- a/tests/support/fleet_checks.py
+++ b/tests/support/fleet_checks.py
@@ -14,12 +14,14 @@
 
 def check_rules(fleet: Fleet) -> RuleChecker:
     """Run the rule checker over all records of a fleet."""
-    fleet.day.note("ends")
+    fleet.scenario_recorder.note("ends")
     terms = {
         "traffic": TRAFFIC_TYPES,
         "let_go": 0.5,
         "slack": 0.05,
-        "engines": [(record["address"], record["cell"], record["zone"]) for record in fleet.rows.values()],
+        "engines": [
+            (record["address"], record["cell"], record["zone"]) for record in fleet.endpoints.values()
+        ],
     }
     return check_records([Record(0.0, "day", "terms", terms), *fleet.log])
 
@@ -37,8 +39,8 @@
         not node.executor.in_flight and not node.executor.outstanding_attempt_count()
         for node in fleet.nodes.values()
     )
-    for stand in fleet.stands.values():
-        model = stand.model
+    for engine in fleet.engines.values():
+        model = engine.model
         if not model.has_crashed:
             assert not model.prefill.read_states and not model.decode.running
             assert not model.decode.queue and not model.prefill.running
--- a/tests/support/program_groups.py
+++ b/tests/support/program_groups.py
@@ -34,9 +34,9 @@
     @pytest.hookimpl
     def pytest_xdist_make_scheduler(self, config: pytest.Config, log: object) -> object:
         """Make the scheduler of a run with workers."""
-        from xdist.scheduler import LoadScopeScheduling
+        from xdist.scheduler import LoadScopeScheduling  # type: ignore[import-untyped] # it has no annotations
 
-        class GroupScheduling(LoadScopeScheduling):
+        class GroupScheduling(LoadScopeScheduling):  # type: ignore[misc] # as above
             def _split_scope(self, nodeid: str) -> str:
                 return group_of(nodeid)
 
--- a/tests/support/router_bench.py
+++ b/tests/support/router_bench.py
@@ -1,10 +1,11 @@
 """A test bench: calls a router for a fictitious fleet, and compares traces of its decisions."""
 
 import difflib
+from typing import TypedDict, Unpack
 
 from paths import TESTS
+from router_settings import ROUTER_SETTINGS
 
-from benchmarks.router_settings import ROUTER_SETTINGS
 from myrtlehub.routing import contract
 from myrtlehub.routing.contract import Outcome
 from myrtlehub.routing.policy.router import Router
@@ -27,7 +28,6 @@
     memory=(200000.0, 100000.0, 150000.0),
     may_hedge=True,
 )
-PROBING = {"load_by_probe_only": True, "may_probe": True, "probe_price": 0.002}  # load by probes only
 TRACE_VERBS = {  # names of the actions in the files under tests/traces
     contract.Send: "send",
     contract.Release: "release",
@@ -43,6 +43,73 @@
 ACTION_MARK = "         -> "
 
 
+class TakeoverFields(TypedDict, total=False):
+    """Fields of an arrival that is taken over from another node."""
+
+    is_resumed: bool
+    is_retry: bool
+    state_held_by: int | None
+    may_have_run_at: int | None
+    may_have_run_ago: float
+
+
+class ArrivalFields(TakeoverFields, total=False):
+    """The optional arguments of `arrival`, but for the first two."""
+
+    time_left: float
+    session: int
+    prefix: int
+    shared: float
+    tenant: int | None
+
+
+class SequenceFields(ArrivalFields, total=False):
+    """All optional arguments of `arrival`."""
+
+    traffic: int
+    prompt: float
+
+
+class EndpointChanges(TypedDict, total=False):
+    """Fields of the endpoint list that change while an engine is listed."""
+
+    state: contract.EngineState
+    started_at: float
+    zone: int
+    cell: int
+    weight: float
+
+
+class ConfigChanges(TypedDict, total=False):
+    """Settings of the router that tests change."""
+
+    seed: int
+    node: int
+    node_count: int
+    quotas: tuple[float, ...]
+    writers_can_read: bool
+    may_reserve: bool
+    may_cancel: bool
+    may_migrate: bool
+    may_probe: bool
+    may_gossip: bool
+    may_hedge: bool
+    max_attempts: int
+    cold_share: float
+    cold_time: float
+    overload_multiple: float
+    overload_window: float
+    polls_endpoints: bool
+    load_by_probe_only: bool
+    connect_timeout: float
+    probe_price: float
+    tick: float
+    traffic: tuple[contract.TrafficType, ...]
+
+
+PROBING = ConfigChanges(load_by_probe_only=True, may_probe=True, probe_price=0.002)
+
+
 def arrival(
     traffic: int = IDEMPOTENT,
     prompt: float = 3000.0,
@@ -51,10 +118,10 @@
     prefix: int = 0,
     shared: float = 0.0,
     tenant: int | None = None,
-    **more: float,
+    **fields: Unpack[TakeoverFields],
 ) -> contract.Arrival:
     """Return an arriving sequence with at most 400 output tokens."""
-    return contract.Arrival(traffic, tenant, prompt, time_left, session, prefix, shared, 400.0, 0.0, **more)
+    return contract.Arrival(traffic, tenant, prompt, time_left, session, prefix, shared, 400.0, 0.0, **fields)
 
 
 def endpoint(index: int, kind: int, place: int = 0, started_at: float = 0.0) -> contract.EndpointUpdate:
@@ -67,7 +134,7 @@
 class RouterBench:
     """Calls a router, and records each call and each action on a line."""
 
-    def __init__(self, engines: str = "R0 R0 W0 R1 W1", **changes: object) -> None:
+    def __init__(self, engines: str = "R0 R0 W0 R1 W1", **changes: Unpack[ConfigChanges]) -> None:
         self.router = Router(CONFIG._replace(**changes))
         self.lines: list[str] = []
         self.now = 100.0
@@ -87,7 +154,9 @@
             values = [f"{value:g}" if isinstance(value, float) else str(value) for value in action]
             self.lines.append(ACTION_MARK + " ".join([TRACE_VERBS[type(action)], *values]))
 
-    def arrive(self, traffic: int = IDEMPOTENT, prompt: float = 3000.0, **fields: float) -> int:
+    def arrive(
+        self, traffic: int = IDEMPOTENT, prompt: float = 3000.0, **fields: Unpack[ArrivalFields]
+    ) -> int:
         """Have a sequence arrive, and return its number."""
         sequence_id = self.count
         self.count += 1
@@ -138,7 +207,7 @@
         actions = self.router.began(self.now, sequence_id, attempt, 0.05)
         self.record(f"seq {sequence_id} attempt {attempt} began", actions)
 
-    def update_endpoint(self, engine: int, **changes: object) -> None:
+    def update_endpoint(self, engine: int, **changes: Unpack[EndpointChanges]) -> None:
         """Change one engine of the endpoint list."""
         update = self.listed[engine]._replace(is_new=False, **changes)
         named = {
@@ -151,7 +220,7 @@
         """Disconnect a client."""
         self.record(f"seq {sequence_id} client left", self.router.client_left(self.now, sequence_id))
 
-    def send_and_answer(self, **fields: float) -> int | None:
+    def send_and_answer(self, **fields: Unpack[SequenceFields]) -> int | None:
         """Have a sequence arrive and answer it, and return its engine; None if it was not sent."""
         sequence_id = self.arrive(**fields)
         attempts = self.sequence(sequence_id).attempts
@@ -179,6 +248,6 @@
         assert not diff, "\n".join(diff)
 
 
-def benches(nodes: int, engines: str, **changes: object) -> list[RouterBench]:
+def benches(nodes: int, engines: str) -> list[RouterBench]:
     """Return a bench for each of several nodes, with different seeds."""
-    return [RouterBench(engines, node_count=nodes, seed=seed, **changes) for seed in range(nodes)]
+    return [RouterBench(engines, node_count=nodes, seed=seed) for seed in range(nodes)]
