--- a/tests/node/test_drain.py
+++ b/tests/node/test_drain.py
@@ -10,7 +10,7 @@
 def connected_fleet() -> tuple[Fleet, Pipe]:
     """Return a fleet with an idle connection, and the end of it from which the client reads."""
     fleet = Fleet("W0")
-    first = fleet.ask(prompt=100, output=1)
+    first = fleet.generate(prompt=100, output=1)
     fleet.run(1.0)
     assert first.answer == "generated"
     (sending_end,) = [pipe for pipe in fleet.net.pipes if pipe.host == NODE and pipe.other.host == "client"]
@@ -23,7 +23,7 @@
     sending_end.stalled = True
     fleet.nodes["n0"].drain().addCallback(lambda ignored: fleet.net.kill(NODE))
     fleet.run(0.01)
-    late = fleet.ask("post", prompt=100)
+    late = fleet.generate("post", prompt=100)
     fleet.run(0.3)
     sending_end.stalled = False
     sending_end.producer.resumeProducing()
