--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -16,7 +16,8 @@
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.emulator.machine import Machine
-from myrtlehub.lab.in_process_fleet import InProcessClient, InProcessFleet
+from myrtlehub.lab.in_process_client import InProcessClient
+from myrtlehub.lab.in_process_fleet import InProcessFleet
 from myrtlehub.limits.admission import MAX_LIMIT, MIN_LIMIT, NEVER, AdmissionController, VegasLimiter
 from myrtlehub.node.request_decoder import DecodedRequest
 
@@ -192,21 +193,21 @@
 
         def started(client: InProcessClient) -> None:
             now = self.fleet.clock.seconds()
-            self.controllers[node].record_first_token(now, waited + client.first_token, SLO[name])
+            self.controllers[node].record_first_token(now, waited + client.first_token_latency, SLO[name])
             self._admit(node)
 
         def ended(client: InProcessClient) -> None:
             self._ended(node, waited, client)
 
         time_left = max(0.05, ABANDON_TIME[name] - waited)
-        self.fleet.ask(node, request._replace(time_left=time_left), ended, started)
+        self.fleet.send_request(node, request._replace(time_left=time_left), ended, started)
 
     def _ended(self, node: int, waited: float, client: InProcessClient) -> None:
         """Count an answer."""
         name = client.request.traffic_type
-        if client.answer == "generated" and waited + client.first_token <= SLO[name]:
+        if client.answer == "generated" and waited + (client.first_token_latency or 0.0) <= SLO[name]:
             self.utility_in_time += UTILITY[name]
-        if not client.first_token:
+        if client.first_token_latency is None:
             self.controllers[node].record_failure(self.fleet.clock.seconds(), True)
             self._admit(node)
 
--- a/benchmarks/canary_methods.py
+++ b/benchmarks/canary_methods.py
@@ -160,7 +160,7 @@
     r = np.random.default_rng(seed + 10**6)
     return (
         Disturbance(int(r.integers(30, 90)), int(r.integers(4, 12)), int(r.integers(zones)), 0.2, 0.35),
-        Disturbance(int(r.integers(30, 120)), int(r.integers(2, 6)), -1, 0.1, 0.0),
+        Disturbance(int(r.integers(30, 120)), int(r.integers(2, 6)), None, 0.1, 0.0),
     )
 
 
@@ -172,7 +172,7 @@
     judge = METHODS[name](fleet.zones)
     for _ in range(MEASURE):
         judge.add(fleet.advance(roles_of(nodes, 0), True))
-    asked = fleet.asked / MEASURE
+    asked = fleet.offered / MEASURE
     step, done = max(1, round(nodes * AWAY_SHARE)), 0
     for stage, until in enumerate(stages(nodes)):
         judge.start_stage()
--- a/benchmarks/router_restart.py
+++ b/benchmarks/router_restart.py
@@ -16,7 +16,8 @@
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.emulator.machine import Machine
-from myrtlehub.lab.in_process_fleet import InProcessClient, InProcessFleet
+from myrtlehub.lab.in_process_client import InProcessClient
+from myrtlehub.lab.in_process_fleet import InProcessFleet
 from myrtlehub.node.request_decoder import DecodedRequest
 from myrtlehub.node.router_config import router_config_of
 from myrtlehub.routing.contract import EndpointUpdate, EngineState
@@ -65,9 +66,10 @@
 
         def over(client: InProcessClient) -> None:
             if at >= AT:
-                out.append((at - AT, client.first_token, float(0.0 < client.first_token <= 1.0)))
+                latency = client.first_token_latency or 0.0
+                out.append((at - AT, latency, float(0.0 < latency <= 1.0)))
 
-        fleet.ask(random.randrange(NODES), asked, over)
+        fleet.send_request(random.randrange(NODES), asked, over)
 
     at = 0.0
     while at < AT + SPANS[-1][1]:
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -81,7 +81,9 @@
 
 
 def test_a_burst_in_the_whole_fleet_is_a_named_disturbance() -> None:
-    verdict, analysis, _ = observe(24, 3, 1, max_windows=6, disturbances=(Disturbance(26, 99, -1, 0.2, 0.0),))
+    verdict, analysis, _ = observe(
+        24, 3, 1, max_windows=6, disturbances=(Disturbance(26, 99, None, 0.2, 0.0),)
+    )
     assert (
         verdict.outcome == Outcome.DISTURBANCE
         and "the fleet serves" in verdict.reason
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    "disturbance", [Disturbance(26, 12, -1, 0.1, 0.0), Disturbance(26, 99, 0, 0.1, 0.35)]
+    "disturbance", [Disturbance(26, 12, None, 0.1, 0.0), Disturbance(26, 99, 0, 0.1, 0.35)]
 )
 def test_a_short_burst_or_lost_engines_are_not_attributed_to_the_change(
     disturbance: Disturbance,
