--- a/myrtlehub/lab/case_coverage.py
+++ b/myrtlehub/lab/case_coverage.py
@@ -3,27 +3,27 @@
 from collections import Counter
 from collections.abc import Callable
 from enum import StrEnum
+from typing import NamedTuple
 
-from hdrh.histogram import HdrHistogram
-
+from myrtlehub.lab.latency_histogram import LatencyHistogram
 from myrtlehub.records import Record
 
 SIMULTANEOUS = 0.02  # seconds within which two events count as simultaneous
-DEDUP_EDGE = 0.25  # share of the dedup window that counts as its edge
-MICROSECONDS = 1e6  # in a second; histograms count whole microseconds
-MAX_MICROSECONDS = 60_000_000
-HISTOGRAM_DIGITS = 3
-PERCENTILES = (50, 99)
+DEDUP_EDGE = 0.25  # fraction of the dedup window, before and after its end, that counts as its edge
+MAX_CANCEL_SECONDS = 60.0  # that the histograms of cancellations can hold
+NEVER = float("-inf")  # seconds; earlier than any record
+AT_MOST_ONCE = "once-only"  # retry semantics, as settings name them
+IDEMPOTENCY_KEY = "tokened"
 
 
 class HardCase(StrEnum):
-    """The cases, by their words in a verdict."""
+    """A hard case; the values are the names in a verdict."""
 
     WRITER_LOST = "writer lost mid-stream, once-only"
     LEFT_BEFORE_FETCH = "client left after the read, before the fetch"
-    LEFT_DURING_FETCH = "client left amid the fetch"
+    LEFT_DURING_FETCH = "client left during the fetch"
     LEFT_BEFORE_FIRST_TOKEN = "client left after the last piece, before the first token"
-    READER_LOST = "reader lost amid a fetch"
+    READER_LOST = "reader lost during a fetch"
     FULL_AFTER_FETCH = "full after the fetch"
     ANSWER_AND_TIMEOUT = "answer and time-out at once"
     LEFT_AT_END = "client left as the answer ended"
@@ -31,14 +31,21 @@
     MOVED_TO_OTHER_NODE = "client came back at another node"
 
 
-class Attempted:
+class _RetryTerms(NamedTuple):
+    """What the settings of a traffic type say about retries."""
+
+    semantics: str
+    dedup_window: float  # seconds
+
+
+class AttemptHistory:
     """The last attempt of one idempotency key: when each kind of record was last seen, and where."""
 
     def __init__(self, traffic: str) -> None:
         self.traffic = traffic
-        self.engine = ""  # that got it last
-        self.reader = ""  # that has its read state
-        self.unanswered_at = 0.0  # when the client got another answer than a generated one
+        self.engine: str | None = None  # the engine that received the last attempt
+        self.reader: str | None = None  # the reader that holds the read state
+        self.unanswered_at = NEVER  # when the client got a final answer other than a generated one
         self._seen_at: dict[str, float] = {}
 
     def see(self, what: str, at: float) -> None:
@@ -50,8 +57,8 @@
         return what in self._seen_at
 
     def seen_at(self, what: str) -> float:
-        """Return when a kind of record was last seen; 0 for never."""
-        return self._seen_at.get(what, 0.0)
+        """Return when a kind of record was last seen, or NEVER."""
+        return self._seen_at.get(what, NEVER)
 
     @property
     def is_fetching(self) -> bool:
@@ -65,18 +72,19 @@
 
 
 class CaseCounter:
-    """Sees records in order of time; `counts` has each case."""
+    """Counts hard cases in records that it is given in order of time; `counts` has each case."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter({case.value: 0 for case in HardCase})
-        # From a client's leaving: until an engine stopped for it, until a read state of then was freed.
-        self.until_stopped = _new_histogram()
-        self.until_released = _new_histogram()
-        self._traffic: dict[str, dict] = {}
-        self._attempts: dict[str, Attempted] = {}  # by idempotency key
-        self._key_of: dict[str, str] = {}  # by call and by sequence id
-        self._node_of: dict[str, str] = {}  # by key: the node of its last attempt
-        self._first_write: dict[str, float] = {}  # by key
+        # Seconds from a client's disconnect until an engine stopped its attempt, and until a reader freed the
+        # read state that it held at the disconnect.
+        self.until_stopped = LatencyHistogram(MAX_CANCEL_SECONDS)
+        self.until_released = LatencyHistogram(MAX_CANCEL_SECONDS)
+        self._retry_terms: dict[str, _RetryTerms] = {}  # by traffic type
+        self._attempts: dict[str, AttemptHistory] = {}  # by idempotency key
+        self._key_of: dict[str, str] = {}  # idempotency key, by call and by sequence id
+        self._node_of: dict[str, str] = {}  # node of the last call, by idempotency key
+        self._first_write_at: dict[str, float] = {}  # by idempotency key
         self._on_record: dict[str, Callable[[Record], None]] = {
             "terms": self._on_terms,
             "ask": self._on_ask,
@@ -84,7 +92,7 @@
             "got": self._on_got,
             "fetch lost": self._on_fetch_lost,
         }
-        self._on_attempt_record: dict[str, Callable[[Record, Attempted], None]] = {
+        self._on_attempt_record: dict[str, Callable[[Record, AttemptHistory], None]] = {
             "left": self._on_left,
             "refused": self._on_refused,
             "broken": self._on_broken,
@@ -104,9 +112,9 @@
             self._see_of_attempt(record, attempt)
 
     def cancels(self) -> dict[str, dict[str, float]]:
-        """Return how soon leaving reached the engines: counts, and seconds at percentiles."""
+        """Return how soon disconnects took effect at engines: counts, and seconds at percentiles."""
         histograms = {"stopped": self.until_stopped, "released": self.until_released}
-        return {name: _summary(found) for name, found in histograms.items() if found.total_count}
+        return {name: histogram.figures() for name, histogram in histograms.items() if histogram.count}
 
     def _count(self, case: HardCase) -> None:
         self.counts[case.value] += 1
@@ -114,7 +122,10 @@
     # -- records of the whole scenario ------------------------------------------------------------
 
     def _on_terms(self, record: Record) -> None:
-        self._traffic = {traffic["name"]: traffic for traffic in record.more["traffic"]}
+        self._retry_terms = {
+            traffic["name"]: _RetryTerms(traffic["repeats"], traffic["dedup_window"])
+            for traffic in record.more["traffic"]
+        }
 
     def _on_ask(self, record: Record) -> None:
         key = record.more["mark"]
@@ -123,7 +134,7 @@
             self._count(HardCase.MOVED_TO_OTHER_NODE)
         self._node_of[key] = node
         self._key_of[record.more["call"]] = key
-        self._attempts[key] = Attempted(record.more["traffic"])
+        self._attempts[key] = AttemptHistory(record.more["traffic"])
 
     def _on_killed(self, record: Record) -> None:
         killed = record.more["who"]
@@ -144,7 +155,7 @@
 
     # -- records of one attempt -------------------------------------------------------------------
 
-    def _see_of_attempt(self, record: Record, attempt: Attempted) -> None:
+    def _see_of_attempt(self, record: Record, attempt: AttemptHistory) -> None:
         what = record.what
         if what in self._on_attempt_record:
             self._on_attempt_record[what](record, attempt)
@@ -158,7 +169,7 @@
         elif what == "held":
             attempt.reader = record.who
 
-    def _on_left(self, record: Record, attempt: Attempted) -> None:
+    def _on_left(self, record: Record, attempt: AttemptHistory) -> None:
         if record.at - attempt.seen_at("ended") < SIMULTANEOUS:
             self._count(HardCase.LEFT_AT_END)
         elif attempt.has_seen("token") or attempt.has_seen("final"):
@@ -170,60 +181,45 @@
         elif attempt.has_seen("held"):
             self._count(HardCase.LEFT_BEFORE_FETCH)
 
-    def _on_refused(self, record: Record, attempt: Attempted) -> None:
+    def _on_refused(self, record: Record, attempt: AttemptHistory) -> None:
         if attempt.seen_at("fetched") >= record.at - SIMULTANEOUS:
             self._count(HardCase.FULL_AFTER_FETCH)
 
-    def _on_broken(self, record: Record, attempt: Attempted) -> None:
+    def _on_broken(self, record: Record, attempt: AttemptHistory) -> None:
         self._count_lost_writer(attempt)
 
-    def _on_failed(self, record: Record, attempt: Attempted) -> None:
+    def _on_failed(self, record: Record, attempt: AttemptHistory) -> None:
         self._count_dedup_edge(record.at, self._key_of[record.more["seq"]], attempt.traffic)
 
-    def _on_ran_or_ended(self, record: Record, attempt: Attempted) -> None:
+    def _on_ran_or_ended(self, record: Record, attempt: AttemptHistory) -> None:
         if record.at - attempt.unanswered_at < SIMULTANEOUS:
             self._count(HardCase.ANSWER_AND_TIMEOUT)
 
-    def _on_final(self, record: Record, attempt: Attempted) -> None:
+    def _on_final(self, record: Record, attempt: AttemptHistory) -> None:
         if record.more["answer"] == "generated":
             return
         attempt.unanswered_at = record.at
         if record.at - max(attempt.seen_at("ran"), attempt.seen_at("ended")) < SIMULTANEOUS:
             self._count(HardCase.ANSWER_AND_TIMEOUT)
 
-    def _measure_cancel(self, record: Record, attempt: Attempted) -> None:
+    def _measure_cancel(self, record: Record, attempt: AttemptHistory) -> None:
         left_at = attempt.seen_at("left")
-        microseconds = max(1, int((record.at - left_at) * MICROSECONDS))
         if record.what == "stopped":
-            self.until_stopped.record_value(microseconds)
+            self.until_stopped.record(record.at - left_at)
         elif record.what == "freed" and attempt.seen_at("held") < left_at:
-            self.until_released.record_value(microseconds)
+            self.until_released.record(record.at - left_at)
 
-    # -- cases of several kinds of records --------------------------------------------------------
+    # -- cases that several kinds of records show -------------------------------------------------
 
     def _count_dedup_edge(self, now: float, key: str, traffic: str) -> None:
-        terms = self._traffic.get(traffic, {})
-        if terms.get("repeats") != "tokened":
+        terms = self._retry_terms.get(traffic)
+        if terms is None or terms.semantics != IDEMPOTENCY_KEY:
             return
-        window = terms["dedup_window"]
-        first = self._first_write.setdefault(key, now)
-        if first != now and abs(now - first - window) < DEDUP_EDGE * window:
+        first = self._first_write_at.setdefault(key, now)
+        if first != now and abs(now - first - terms.dedup_window) < DEDUP_EDGE * terms.dedup_window:
             self._count(HardCase.DEDUP_WINDOW_EDGE)
 
-    def _count_lost_writer(self, attempt: Attempted) -> None:
-        terms = self._traffic.get(attempt.traffic, {})
-        if attempt.seen_at("ran") and terms.get("repeats") == "once-only":
+    def _count_lost_writer(self, attempt: AttemptHistory) -> None:
+        terms = self._retry_terms.get(attempt.traffic)
+        if attempt.has_seen("ran") and terms is not None and terms.semantics == AT_MOST_ONCE:
             self._count(HardCase.WRITER_LOST)
-
-
-def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, MAX_MICROSECONDS, HISTOGRAM_DIGITS)
-
-
-def _summary(histogram: HdrHistogram) -> dict[str, float]:
-    """Return the count, and seconds at percentiles."""
-    figures: dict[str, float] = {"count": histogram.total_count}
-    for percentile in PERCENTILES:
-        seconds = histogram.get_value_at_percentile(percentile) / MICROSECONDS
-        figures[f"p{percentile}"] = round(seconds, 4)
-    return figures
