--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -19,7 +19,7 @@
 from myrtlehub.config.loader import load_config
 from myrtlehub.lab.scenario_file import Scenario
 from myrtlehub.lab.scenario_runner import ScenarioRunner
-from myrtlehub.lab.verdict import verdict_text
+from myrtlehub.lab.verdict_text import verdict_text
 
 
 @inlineCallbacks
@@ -31,10 +31,10 @@
             runner = ScenarioRunner(
                 load_config(find_scenario(scenario), Scenario), Path(folder), reactor, seed=seed
             )
-            runner.checkouts = dict.fromkeys(sorted(runner.layout.admin_addresses)[::2], earlier)
+            runner.fleet.checkouts = dict.fromkeys(sorted(runner.fleet.layout.admin_addresses)[::2], earlier)
             verdict = yield runner.play()
-        node_count = len(runner.layout.admin_addresses)
-        click.echo(f"seed {seed}, {len(runner.checkouts)} of {node_count} nodes of {earlier}")
+        node_count = len(runner.fleet.layout.admin_addresses)
+        click.echo(f"seed {seed}, {len(runner.fleet.checkouts)} of {node_count} nodes of {earlier}")
         click.echo(verdict_text(verdict))
         all_obeyed = all_obeyed and verdict["kept"]
     returnValue(all_obeyed)
--- a/myrtlehub/cli/faulty_node.py
+++ b/myrtlehub/cli/faulty_node.py
@@ -15,7 +15,7 @@
 
 from twisted.internet.defer import Deferred
 
-from myrtlehub.lab.rollout_scenario import FOLDER_VARIABLE, NODE_COUNT_VARIABLE
+from myrtlehub.lab.rollout_fleet import FOLDER_VARIABLE, NODE_COUNT_VARIABLE
 from myrtlehub.node import node, node_runtime, revision
 from myrtlehub.node.clock import SteadyClock
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
--- a/myrtlehub/cli/scenario.py
+++ b/myrtlehub/cli/scenario.py
@@ -72,7 +72,7 @@
     from myrtlehub.lab.rollout_scenario import RolloutRunner, rollout_text
     from myrtlehub.lab.scenario_runner import ScenarioRunner
     from myrtlehub.lab.takeover_scenario import TakeoverRunner, takeover_text
-    from myrtlehub.lab.verdict import verdict_text
+    from myrtlehub.lab.verdict_text import verdict_text
 
     if scenario.roll:
         return ScenarioKind(RolloutRunner, rollout_text)
--- a/myrtlehub/lab/endpoint_list_writer.py
+++ b/myrtlehub/lab/endpoint_list_writer.py
@@ -1,7 +1,7 @@
-"""Endpoint list files as careless operators write them, for nodes that read the list from files.
+"""Writes endpoint list files as careless operators do, for nodes that read the list from files.
 
-There are bursts of versions, torn writes that lie for a while, lists that parse and are invalid, and files
-that are deleted and written anew.
+It writes bursts of versions, incomplete files that stay until the next write and lists that parse but are
+invalid, and it deletes files that it writes again later.
 """
 
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 
 from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
+from myrtlehub.lab.endpoint_row import EndpointRow, EngineState
 from myrtlehub.lab.scenario_file import ListFilesConfig
 from myrtlehub.membership.list_version import make_version
 from myrtlehub.records import Recorder
 
-DIGEST_LETTERS = 16  # of a digest that go with an attempt
+DIGEST_LETTERS = 16  # of a version's digest; as many as attempts carry
 END_MARK = "end: yes\n"
-BURST_PAUSE = 0.02  # seconds between writes of a burst, at most
-RENAME_SHARE = 0.5  # of versions, that are renamed into place; the others are written in place
+MAX_BURST_DELAY = 0.02  # seconds between writes of a burst
+RENAME_SHARE = 0.5  # fraction of versions that are renamed into place; the others are written in place
 MAX_WEIGHT = 9
-SERVING = "serving"
 
 
 class InvalidList(IntEnum):
-    """Ways in which a list parses and cannot be routed by."""
+    """A reason for which nodes reject a list that parses."""
 
     NO_WRITERS = 0
     DUPLICATE_ENGINE = 1
@@ -35,14 +35,14 @@
     UNKNOWN_FIELD = 3
 
 
-def list_text(rows: list[dict]) -> str:
+def list_text(rows: list[EndpointRow]) -> str:
     """Return the text of a list file."""
     text = StringIO()
     YAML(typ="safe").dump({"engines": rows}, text)
     return text.getvalue() + END_MARK
 
 
-def invalid_list_text(rows: list[dict], fault: InvalidList) -> str:
+def invalid_list_text(rows: list[EndpointRow], fault: InvalidList) -> str:
     """Return the text of the same list with a fault."""
     if fault == InvalidList.NO_WRITERS:
         return list_text([row for row in rows if row["kind"] != "writer"])
@@ -55,7 +55,7 @@
 
 
 class EndpointListWriter:
-    """Writes one node's file; `rows()` returns the list as it stands."""
+    """Writes one node's file; `rows()` returns the present list."""
 
     def __init__(
         self,
@@ -65,11 +65,11 @@
         clock: Clock,
         random: Random,
         recorder: Recorder,
-        rows: Callable[[], list[dict]],
+        rows: Callable[[], list[EndpointRow]],
     ) -> None:
         self.versions = 0
-        self.torn = 0
-        self.wrong = 0
+        self.torn = 0  # incomplete files
+        self.invalid = 0
         self.deleted = 0
         self._node = node
         self._path = folder / "engines.yaml"
@@ -82,16 +82,16 @@
         folder.mkdir(exist_ok=True)
 
     def start(self) -> None:
-        """Write the first version at once, the others at random times."""
+        """Write the first version at once, and schedule the others at random times."""
         self._write_version(by_rename=True)
-        self._clock.callLater(self._pause(), self._start_burst)
+        self._clock.callLater(self._draw_interval(), self._start_burst)
 
     def stop(self) -> None:
         """Write one more version, and then no more."""
         self._is_stopped = True
         self._write_version(by_rename=False)
 
-    def _pause(self) -> float:
+    def _draw_interval(self) -> float:
         return self._random.expovariate(1.0 / self._config.every)
 
     def _start_burst(self) -> None:
@@ -100,12 +100,12 @@
         count = self._random.randint(1, self._config.burst)
         delay = 0.0
         for _ in range(count):
-            self._clock.callLater(delay, self._write_something)
-            delay += self._random.random() * BURST_PAUSE
-        self._clock.callLater(delay + self._pause(), self._start_burst)
+            self._clock.callLater(delay, self._write_or_damage)
+            delay += self._random.random() * MAX_BURST_DELAY
+        self._clock.callLater(delay + self._draw_interval(), self._start_burst)
 
-    def _write_something(self) -> None:
-        """Write a version or something bad, which lies until the next write."""
+    def _write_or_damage(self) -> None:
+        """Write a version, or damage the file until the next write."""
         if self._is_stopped:
             return
         config = self._config
@@ -125,7 +125,7 @@
         self._write(data[: self._random.randrange(len(data) - 4)], "torn")
 
     def _write_invalid(self) -> None:
-        self.wrong += 1
+        self.invalid += 1
         rows = self._draw_rows()
         fault = InvalidList(self._random.randrange(len(InvalidList)))
         self._write(invalid_list_text(rows, fault).encode(), "wrong")
@@ -139,11 +139,13 @@
         self._recorder.note("unwrote", node=self._node, how=how)
         self._path.write_bytes(data)
 
-    def _draw_rows(self) -> list[dict]:
-        """Return the list with random weights; an engine with others beside it may get weight 0."""
-        rows = [{**row, "weight": self._random.randint(1, MAX_WEIGHT)} for row in self._rows()]
+    def _draw_rows(self) -> list[EndpointRow]:
+        """Return the list with random weights; weight 0 only if the kind has another engine in the cell."""
+        rows: list[EndpointRow] = [
+            {**row, "weight": self._random.randint(1, MAX_WEIGHT)} for row in self._rows()
+        ]
         if self._random.random() < self._config.drains:
-            serving = [row for row in rows if row["state"] == SERVING]
+            serving = [row for row in rows if row["state"] == EngineState.SERVING]
             groups = [(row["kind"], row["cell"]) for row in serving]
             spare = [row for row in serving if groups.count((row["kind"], row["cell"])) > 1]
             if spare:
@@ -153,12 +155,16 @@
     def _write_version(self, by_rename: bool) -> None:
         self.versions += 1
         rows = self._draw_rows()
-        version = make_version(0, [EndpointConfig(**row) for row in rows], "", 0.0)
+        version = make_version(0, [EndpointConfig.model_validate(row) for row in rows], "", 0.0)
         self._recorder.note(
             "wrote",
             node=self._node,
             digest=version.digest[:DIGEST_LETTERS],
-            serving=[address for address, entry in version.endpoints.items() if entry.state == SERVING],
+            serving=[
+                address
+                for address, entry in version.endpoints.items()
+                if entry.state == EngineState.SERVING.value
+            ],
         )
         data = list_text(rows).encode()
         if by_rename:
--- a/myrtlehub/lab/fault_proxy.py
+++ b/myrtlehub/lab/fault_proxy.py
@@ -2,55 +2,72 @@
 
 from collections.abc import Callable
 from enum import StrEnum
+from typing import Protocol
 
-from twisted.internet.address import IPv4Address
-from twisted.internet.defer import Deferred
-from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint
-from twisted.internet.interfaces import IListeningPort
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.defer import Deferred, succeed
+from twisted.internet.endpoints import TCP4ClientEndpoint
+from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
-from myrtlehub.lab.interfaces import Reactor
+from myrtlehub.http1.tcp_transport import TcpProtocol, Transport
+from myrtlehub.lab.interfaces import ListeningPort, Reactor
 
 HOST = "127.0.0.1"
+LISTEN_BACKLOG = 50  # connections that wait to be accepted
+
+
+class NotListeningError(Exception):
+    """The address of a proxy was used before it listened."""
+
+    def __init__(self, target: str) -> None:
+        super().__init__(f"the proxy of {target} has no address before it listens")
 
 
 class Direction(StrEnum):
-    """A direction of a proxy's connections."""
+    """A direction of a proxy's connections; the values stand in progress lines."""
 
-    FORWARD = "there"  # from who dials to who listens
+    FORWARD = "there"  # from the process that connects to the target
     BACKWARD = "back"
 
 
 class DirectionState:
-    """What happens to bytes in one direction."""
+    """The faults of one direction."""
 
     def __init__(self) -> None:
         self.delay = 0.0  # seconds
         self.is_stalled = False  # bytes wait until the proxy is restored
 
 
-class _ProxiedConnection(Protocol):
+class _ClosableTransport(Transport, Protocol):
+    """TCP transport that can also be closed gracefully."""
+
+    def loseConnection(self) -> None:  # noqa: N802
+        """Close the connection once all queued data has been sent."""
+
+
+class _ProxiedConnection(TcpProtocol):
     """One of the two connections of a proxied one; `peer` is the other."""
 
+    transport: _ClosableTransport
+
     def __init__(self, proxy: "FaultProxy", direction: DirectionState) -> None:
         self.proxy = proxy
-        self.direction = direction  # of what is received here
+        self.direction = direction  # of the bytes that are received here
         self.peer: _ProxiedConnection | None = None
         self.buffered: list[bytes] = []
         self.is_lost = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Connect onwards, or begin to forward where this is the onward connection."""
-        self.transport.setTcpNoDelay(True)
+        """Connect to the target, or begin to forward if this is the connection to the target."""
+        super().connectionMade()
         self.proxy.connections.append(self)
         if self.peer is None:
-            self.proxy.connect_onwards(self)
+            self.proxy.connect_to_target(self)
         else:
             self.peer.join(self)
 
     def join(self, peer: "_ProxiedConnection") -> None:
-        """Take the onward connection that was made."""
+        """Forward to the connection to the target, which was made."""
         self.peer = peer
         self.flush()
 
@@ -62,16 +79,15 @@
         else:
             self.flush()
 
-    def flush(self, max_pieces: int = 0) -> None:
-        """Forward what is buffered: all of it, or so many pieces."""
+    def flush(self, max_pieces: int | None = None) -> None:
+        """Forward what is buffered: all of it, or at most so many of the pieces that were received."""
         if self.direction.is_stalled or self.peer is None or self.peer.is_lost:
             return
-        pieces = max_pieces or len(self.buffered)
-        self.peer.transport.write(b"".join(self.buffered[:pieces]))
-        del self.buffered[:pieces]
+        self.peer.transport.write(b"".join(self.buffered[:max_pieces]))
+        del self.buffered[:max_pieces]
 
-    def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Close the other connection too, unless this direction is stalled, as if a machine were cut off."""
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+        """Close the other connection too, unless this direction is stalled, as after a network failure."""
         self.is_lost = True
         if self in self.proxy.connections:
             self.proxy.connections.remove(self)
@@ -80,7 +96,7 @@
 
 
 class FaultProxy(Factory):
-    """Listens at `address` and forwards to `target`, host:port."""
+    """Listens at `address` and forwards connections to `target`, host:port."""
 
     noisy = False
 
@@ -91,55 +107,65 @@
         self.target = target
         self.connections: list[_ProxiedConnection] = []
         self.is_cut = False
-        self.address = ""
         self._report = report
         self._directions = {direction: DirectionState() for direction in Direction}
-        self._port: IListeningPort | None = None
+        self._port: ListeningPort | None = None
+
+    @property
+    def address(self) -> str:
+        """The address at which it listens, host:port.
+
+        Raises:
+            NotListeningError: it does not listen yet.
+        """
+        if self._port is None:
+            raise NotListeningError(self.target)
+        return f"{HOST}:{self._port.getHost().port}"
 
     def listen(self) -> "FaultProxy":
-        """Begin; `address` is known from then on."""
-        ports: list[IListeningPort] = []
-        TCP4ServerEndpoint(self.reactor, 0, interface=HOST).listen(self).addCallback(ports.append)
-        self._port = ports[0]
-        self.address = f"{HOST}:{self._port.getHost().port}"
+        """Listen on a free port; return the proxy."""
+        self._port = self.reactor.listenTCP(0, self, LISTEN_BACKLOG, HOST)
         return self
 
-    def buildProtocol(self, addr: IPv4Address) -> _ProxiedConnection | None:  # noqa: N802
+    def buildProtocol(self, addr: object) -> _ProxiedConnection | None:  # noqa: N802
         """Accept a connection, unless the proxy is cut."""
         return None if self.is_cut else _ProxiedConnection(self, self._directions[Direction.FORWARD])
 
-    def connect_onwards(self, accepted: _ProxiedConnection) -> None:
+    def connect_to_target(self, accepted: _ProxiedConnection) -> None:
         """Connect an accepted connection to the target."""
         host, port = self.target.rsplit(":", 1)
-        onward = _ProxiedConnection(self, self._directions[Direction.BACKWARD])
-        onward.peer = accepted
-        factory = Factory.forProtocol(lambda: onward)
+        connection = _ProxiedConnection(self, self._directions[Direction.BACKWARD])
+        connection.peer = accepted
+        factory = Factory.forProtocol(lambda: connection)
         factory.noisy = False
-        TCP4ClientEndpoint(self.reactor, host, int(port)).connect(factory).addErrback(
-            lambda failure: accepted.transport.abortConnection()
-        )
+
+        def abort(failure: Failure) -> None:
+            accepted.transport.abortConnection()
+
+        endpoint = TCP4ClientEndpoint(self.reactor, host, int(port))
+        endpoint.connect(factory).addErrback(abort)  # type: ignore[arg-type] # zope interfaces are unknown to mypy
 
     def cut(self) -> None:
-        """Reset all connections, and close new ones as they come, until `restore`."""
+        """Reset all connections, and close new ones at once, until `restore`."""
         self.is_cut = True
         for connection in list(self.connections):
             connection.transport.abortConnection()
         self._report(f"cut to {self.target}")
 
     def stall(self, *directions: Direction) -> None:
-        """Have bytes wait in these directions (both where none is named); neither end is told."""
+        """Hold back bytes in these directions, or in both if none is named; connections stay open."""
         stalled = directions or tuple(Direction)
         for direction in stalled:
             self._directions[direction].is_stalled = True
         self._report(f"stalled {' and '.join(stalled)} to {self.target}")
 
     def delay(self, seconds: float, *directions: Direction) -> None:
-        """Delay bytes in these directions."""
+        """Delay bytes in these directions, or in both if none is named."""
         for direction in directions or tuple(Direction):
             self._directions[direction].delay = seconds
 
     def restore(self) -> None:
-        """End all faults; what waited is forwarded."""
+        """End all faults, and forward the bytes that were held back."""
         self.is_cut = False
         for direction in self._directions.values():
             direction.is_stalled = False
@@ -148,7 +174,8 @@
             connection.flush()
         self._report(f"mended to {self.target}")
 
-    def close(self) -> Deferred:
-        """Stop listening and drop all connections."""
+    def close(self) -> Deferred[None]:
+        """Stop listening and reset all connections."""
         self.cut()
-        return self._port.stopListening()
+        closed = None if self._port is None else self._port.stopListening()
+        return succeed(None) if closed is None else closed
--- a/myrtlehub/lab/fleet_layout.py
+++ b/myrtlehub/lab/fleet_layout.py
@@ -10,13 +10,13 @@
 
 
 def kind_of(name: str) -> str:
-    """Return the kind of a process by its name, as reader of reader-1."""
+    """Return the kind of a process by its name, for example `reader` for `reader-1`."""
     return name.split("-")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLayout:
-    """Where each process is; nodes and engines by name."""
+    """Addresses and cells of all processes, by name."""
 
     addresses: dict[str, str]
     admin_addresses: dict[str, str]  # of nodes
@@ -33,12 +33,12 @@
         return name in self.admin_addresses
 
     def recorded_name(self, name: str) -> str:
-        """Return by what records name a process: a node by its name, an engine by its address."""
+        """Return the name of a process in records: the name of a node, the address of an engine."""
         return name if self.is_node(name) else self.addresses[name]
 
 
 def make_layout(scenario: Scenario) -> FleetLayout:
-    """Give each process free ports, and spread the engines of each kind over the cells."""
+    """Choose free ports for all processes, and assign the engines of each kind to the cells in turn."""
     names = scenario.names()
     ports = free_ports(2 * len(names))
     addresses = {name: f"{HOST}:{port}" for name, port in zip(names, ports, strict=False)}
--- a/myrtlehub/lab/interfaces.py
+++ b/myrtlehub/lab/interfaces.py
@@ -3,19 +3,58 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
-from twisted.internet.interfaces import IListeningPort
+from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Factory, ProcessProtocol
 
 from myrtlehub.clock import Timer
 
 
+class PortAddress(Protocol):
+    """The address of a listening port."""
+
+    @property
+    def port(self) -> int:
+        """The port's number."""
+
+
+class ListeningPort(Protocol):
+    """A port that accepts connections; `IListeningPort` of Twisted."""
+
+    def getHost(self) -> PortAddress:  # noqa: N802
+        """Return the address at which it listens."""
+
+    def stopListening(self) -> Deferred[None] | None:  # noqa: N802
+        """Stop accepting connections; fires once the port is closed."""
+
+
+class ProcessTransport(Protocol):
+    """A child process; `IProcessTransport` of Twisted."""
+
+    @property
+    def pid(self) -> int | None:
+        """The process id, None once the process has ended."""
+
+    def signalProcess(self, signal: int, /) -> None:  # noqa: N802
+        """Send a signal.
+
+        Raises:
+            ProcessExitedAlready: the process has ended.
+        """
+
+
 class Reactor(Protocol):
     """Timers, TCP and child processes."""
 
-    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> Timer:  # noqa: N802
-        """Make a call after so many seconds."""
+    seconds: Callable[[], float]
+
+    def callLater(  # noqa: N802
+        self, delay: float, call: Callable[..., object], *args: object, **more: object
+    ) -> Timer:
+        """Schedule a call `delay` seconds from now."""
 
-    def listenTCP(self, port: int, factory: Factory, backlog: int, interface: str) -> IListeningPort:  # noqa: N802
+    def listenTCP(  # noqa: N802
+        self, port: int, factory: Factory, backlog: int = 50, interface: str = ""
+    ) -> ListeningPort:
         """Listen on a port."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory) -> object:  # noqa: N802
--- a/myrtlehub/lab/process_calls.py
+++ b/myrtlehub/lab/process_calls.py
@@ -1,33 +1,39 @@
 """Unary calls to the processes of a scenario."""
 
 from collections.abc import Callable
+from typing import TypeAlias
 
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
+from twisted.internet.protocol import Factory
 
 from myrtlehub.clock import Clock
 from myrtlehub.lab.interfaces import Reactor
 from myrtlehub.rpc.channel import Channel
+from myrtlehub.rpc.client_protocol import ClientProtocol
 
-DIAL_TIMEOUT = 2  # seconds
-CALL_TIMEOUT = 2.0
-CONNECT_TIMEOUT = 1.0
+TCP_TIMEOUT = 2  # seconds for a TCP connection
+CALL_TIMEOUT = 2.0  # seconds
+CONNECT_TIMEOUT = 1.0  # seconds in which a channel has to be connected
+
+Connect: TypeAlias = Callable[[Factory], Deferred[ClientProtocol]]
 
 
 class ProcessCalls:
-    """A channel to each process that was called."""
+    """Calls processes, each over a channel that is made at its first call."""
 
     def __init__(self, reactor: Reactor, clock: Clock) -> None:
         self._reactor = reactor
         self._clock = clock
         self._channels: dict[str, Channel] = {}
 
-    def dial(self, address: str) -> Callable:
-        """Return a channel's way to an address."""
+    def dial(self, address: str) -> Connect:
+        """Return a function that connects a factory to an address."""
         host, port = address.rsplit(":", 1)
-        return TCP4ClientEndpoint(self._reactor, host, int(port), timeout=DIAL_TIMEOUT).connect
+        endpoint = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=TCP_TIMEOUT)
+        return endpoint.connect  # type: ignore[return-value] # zope interfaces are unknown to mypy
 
-    def call(self, address: str, method: str, request: bytes) -> Deferred:
+    def call(self, address: str, method: str, request: bytes) -> Deferred[bytes]:
         """Make a unary call to a process."""
         if address not in self._channels:
             dial = self.dial(address)
--- a/myrtlehub/lab/process_files.py
+++ b/myrtlehub/lab/process_files.py
@@ -1,6 +1,7 @@
-"""The files of a scenario's nodes and emulated engines."""
+"""The settings files of a scenario's nodes and emulated engines."""
 
 from pathlib import Path
+from typing import Any, TypeAlias
 
 from ruamel.yaml import YAML
 
@@ -10,29 +11,31 @@
 from myrtlehub.lab.scenario_file import ENGINE_KINDS, MachineConfig, Scenario
 
 NODE_PROGRAM = "myrtlehub.cli.node"
-WHOLE_NUMBERS_FROM = 1e6  # tokens, that are written without an exponent
-SCENARIO_FIELDS = {"share", "prompt", "output", "prefixes", "shared", "turns"}  # of traffic; not a node's
+EXPONENTS_FROM = 1e6  # tokens; from here on :g would write an exponent
+SCENARIO_FIELDS = {"share", "prompt", "output", "prefixes", "shared", "turns"}  # of traffic; nodes have none
 TRAFFIC_DURATIONS = ("latency_slo", "slo_per_1000_tokens", "abandon_time", "pace", "dedup_window")
 RULE_DURATIONS = ("answer_slack", "drain_grace", "let_go", "cold_time", "fall_time")
 MACHINE_DURATIONS = ("step", "begin", "batch_base")
 MACHINE_TOKENS = ("memory", "kept")
 
+SettingsTree: TypeAlias = dict[str, Any]  # a settings file, or a group of it, before it is written as YAML
+
 
 def with_units(
     group: MachineConfig | RulesConfig, durations: tuple[str, ...], tokens: tuple[str, ...] = ()
-) -> dict:
-    """Return a group's fields as a file has them, with units."""
+) -> SettingsTree:
+    """Return the fields of a group with the units that settings files require."""
     fields = group.model_dump()
     for name in durations:
         fields[name] = f"{fields[name]:.9f}s"
     for name in tokens:
         value = fields[name]
-        fields[name] = f"{value:g} tokens" if value < WHOLE_NUMBERS_FROM else f"{value:.0f} tokens"
+        fields[name] = f"{value:g} tokens" if value < EXPONENTS_FROM else f"{value:.0f} tokens"
     return fields
 
 
 class ProcessFiles:
-    """Makes and writes the files."""
+    """Makes the settings of each process, and writes them to files."""
 
     def __init__(
         self,
@@ -49,15 +52,15 @@
         self._publisher = publisher
         self._seed = seed
 
-    def write(self, name: str, tree: dict) -> Path:
+    def write(self, name: str, tree: SettingsTree) -> Path:
         """Write a file; return its path."""
         path = self._folder / f"{name}.yaml"
         with path.open("w") as file:
             YAML(typ="safe").dump(tree, file)
         return path
 
-    def engine_file(self, name: str, incarnation: int, is_cold: bool) -> dict:
-        """Return the file of an emulated engine."""
+    def engine_file(self, name: str, incarnation: int, is_cold: bool) -> SettingsTree:
+        """Return the settings of an emulated engine."""
         kind = kind_of(name)
         rules = self._scenario.rules
         return {
@@ -75,8 +78,8 @@
             **with_units(self._scenario.machine(kind), MACHINE_DURATIONS, MACHINE_TOKENS),
         }
 
-    def node_file(self, name: str) -> dict:
-        """Return the file of a node."""
+    def node_file(self, name: str) -> SettingsTree:
+        """Return the settings of a node."""
         index = int(name.split("-")[1]) - 1
         return {
             "node": {
@@ -91,12 +94,12 @@
             "traffic": [_traffic_row(traffic) for traffic in self.traffic],
             "zones": [ZONE],
             "tenants": [tenant.model_dump() for tenant in self._scenario.tenants],
-            "kinds": self._kinds(),
+            "kinds": self._engine_kinds(),
             "rules": with_units(self._scenario.rules, RULE_DURATIONS),
             "list": self._list_group(name),
         }
 
-    def _kinds(self) -> list[dict]:
+    def _engine_kinds(self) -> list[SettingsTree]:
         present = {kind_of(engine) for engine in self._layout.engines}
         return [
             {"name": kind, **does, "memory": f"{self._scenario.machine(kind).memory:.0f} tokens"}
@@ -104,7 +107,7 @@
             if kind in present
         ]
 
-    def _list_group(self, node: str) -> dict:
+    def _list_group(self, node: str) -> SettingsTree:
         files = self._scenario.list_files
         if files is None:
             return {"pushed": True, "engines": self._publisher.rows()}
@@ -119,6 +122,6 @@
         }
 
 
-def _traffic_row(traffic: dict) -> dict:
+def _traffic_row(traffic: SettingsTree) -> SettingsTree:
     durations = {name: f"{traffic[name]:.9f}s" for name in TRAFFIC_DURATIONS}
     return {**traffic, **durations}
--- a/myrtlehub/lab/processes.py
+++ b/myrtlehub/lab/processes.py
@@ -1,4 +1,4 @@
-"""Many processes on loopback: started, waited for by their events and not for time, signalled, ended."""
+"""Starts, signals and ends child processes on loopback, and waits for the events that they log."""
 
 import contextlib
 import itertools
@@ -6,37 +6,37 @@
 import signal
 import socket
 import sys
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
 from typing import Any, NamedTuple, TypeAlias
 
 import msgspec
 from twisted.internet.defer import Deferred, DeferredList
-from twisted.internet.error import ProcessExitedAlready
+from twisted.internet.error import ProcessExitedAlready, ProcessTerminated
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
 from myrtlehub.clock import Timer
-from myrtlehub.lab.interfaces import Reactor
+from myrtlehub.lab.interfaces import ProcessTransport, Reactor
 from myrtlehub.log_events import LogEvent
 
 HOST = "127.0.0.1"
 FIRST_PORT = 10_000
-LAST_PORT = 30_000  # the system gives ports from 32,768 on to outgoing connections
-PORTS_BETWEEN_PROCESSES = 199  # so that runs side by side begin at other places
-OUTPUT_TAIL = 2000  # bytes of a process's last output, for whoever asks why it ended
-END_WITHIN = 15.0  # seconds after SIGTERM until a process counts as one that does not end
+LAST_PORT = 30_000  # the system uses ports from 32,768 on for outgoing connections
+PORTS_BETWEEN_PROCESSES = 199  # so that concurrent runs begin the search at different ports
+OUTPUT_TAIL = 2000  # bytes of a process's last output, for the message of ProcessFailedError
+END_WITHIN = 15.0  # seconds after SIGTERM until a process is killed
 
-LogLine: TypeAlias = dict[str, Any]  # a JSON line of a program, with its `event`
+LogLine: TypeAlias = dict[str, Any]  # a JSON line that a program logged; its `event` names the other fields
 
 
 class ProcessFailedError(Exception):
-    """A process ended before the event that was waited for.
+    """A process ended before it logged an event that was waited for.
 
     Attributes:
-        name: of the process.
-        event: that was waited for.
-        output: the last of what it wrote.
+        name: The name of the process.
+        event: The event that was waited for.
+        output: The end of the process's output.
     """
 
     def __init__(self, name: str, event: str, output: str) -> None:
@@ -48,21 +48,32 @@
 
 
 class _Waiter(NamedTuple):
+    """A Deferred that fires with the first line of an event that has these fields."""
+
     event: str
-    fields: LogLine
-    done: Deferred
+    fields: Mapping[str, object]
+    done: Deferred[LogLine]
 
     def matches(self, event: str, line: LogLine) -> bool:
         return self.event == event and _has_fields(line, self.fields)
 
 
 class Process(ProcessProtocol):
-    """One process. Its standard output is JSON lines with an `event`, as all our programs write."""
+    """A child process, one of our programs: its standard output has JSON lines with an `event`.
+
+    Attributes:
+        ended: Fires with the exit code, which is the negative signal number if a signal ended the process.
+        ready: Fires with the line of the event `ready`.
+        exit_code: As above; None while the process runs.
+        on_line: Called with each JSON line.
+    """
+
+    transport: ProcessTransport  # type: ignore[assignment]  # zope's interface has methods without `self`
 
     def __init__(self, name: str, log: Path) -> None:
         self.name = name
-        self.ended: Deferred = Deferred()  # fires with the exit code, less than 0 for a signal
-        self.ready: Deferred = Deferred()
+        self.ended: Deferred[int] = Deferred()
+        self.ready: Deferred[LogLine] = Deferred()
         self.exit_code: int | None = None
         self.on_line: Callable[[LogLine], None] = lambda line: None
         self._log = log.open("ab")
@@ -77,12 +88,13 @@
         """Whether it has not ended."""
         return self.exit_code is None
 
-    def wait_for(self, event: str, **fields: object) -> Deferred:
-        """Fire with the first line of an event that has these fields, the last such line included.
+    def wait_for(self, event: str, **fields: object) -> Deferred[LogLine]:
+        """Return a Deferred that fires with a line of an event that has these fields.
 
-        Fails with ProcessFailedError where the process ends before.
+        If the last line of the event has them, it fires at once; otherwise with the next line that has them.
+        It fails with ProcessFailedError if the process ends before.
         """
-        done = Deferred()
+        done: Deferred[LogLine] = Deferred()
         last = self._last_lines.get(event)
         if last is not None and _has_fields(last, fields):
             done.callback(last)
@@ -93,30 +105,30 @@
         return done
 
     def outReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take standard output."""
+        """Store standard output, and process its complete lines."""
         self._write_log(data)
         *lines, self._unfinished_line = (self._unfinished_line + data).split(b"\n")
         for line in lines:
             self._line_received(line)
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take standard error."""
+        """Store standard error."""
         self._write_log(data)
         self._tail = (self._tail + data)[-OUTPUT_TAIL:]
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
-        """Take the end of the process."""
-        status = reason.value
-        self.exit_code = status.exitCode if status.exitCode is not None else -(status.signal or 0)
+        """Record the exit code, and fail what still waits for an event."""
+        exit_code = _exit_code(reason)
+        self.exit_code = exit_code
         self._log.close()
         waiters = self._waiters
         self._waiters = []
         for waiter in waiters:
             waiter.done.errback(self._failure(waiter.event))
-        self.ended.callback(self.exit_code)
+        self.ended.callback(exit_code)
 
     def signal(self, name: str) -> None:
-        """Send a signal, as KILL, if it still runs."""
+        """Send a signal, for example KILL, if the process still runs."""
         with contextlib.suppress(ProcessExitedAlready):
             self.transport.signalProcess(int(signal.Signals[f"SIG{name}"]))
 
@@ -133,9 +145,9 @@
         event = fields.get("event", "") if isinstance(fields, dict) else ""
         self._last_lines[event] = fields
         self.on_line(fields)
-        due = [waiter for waiter in self._waiters if waiter.matches(event, fields)]
-        self._waiters = [waiter for waiter in self._waiters if waiter not in due]
-        for waiter in due:
+        matching = [waiter for waiter in self._waiters if waiter.matches(event, fields)]
+        self._waiters = [waiter for waiter in self._waiters if waiter not in matching]
+        for waiter in matching:
             waiter.done.callback(fields)
 
     def _failure(self, event: str) -> ProcessFailedError:
@@ -143,12 +155,21 @@
         return ProcessFailedError(self.name, event, output)
 
 
-def _has_fields(line: LogLine, fields: LogLine) -> bool:
+def _exit_code(reason: Failure) -> int:
+    """Return the exit code, or the negative number of the signal that ended the process."""
+    status = reason.value
+    if not isinstance(status, ProcessTerminated):
+        return 0
+    exit_code: int | None = status.exitCode
+    return -(status.signal or 0) if exit_code is None else exit_code
+
+
+def _has_fields(line: LogLine, fields: Mapping[str, object]) -> bool:
     return all(line.get(name) == value for name, value in fields.items())
 
 
 class Processes:
-    """All processes of one scenario; `on_end(process)` is called at each end."""
+    """All processes of one scenario; `on_end(process)` is called when a process has ended."""
 
     def __init__(
         self, reactor: Reactor, folder: Path, on_end: Callable[[Process], None] = lambda process: None
@@ -165,10 +186,7 @@
         env: dict[str, str] | None = None,
         checkout: str | None = None,
     ) -> Process:
-        """Start one of our programs; its `ready` fires once it logs that event.
-
-        `checkout`: a folder with another version of the program, which is run instead.
-        """
+        """Start one of our programs; if `checkout` is given, the version in that folder."""
         process = Process(name, self._folder / f"{name}.log")
         self._all.append(process)
         process.ended.addCallback(self._ended, process)
@@ -183,13 +201,15 @@
         return process
 
     def running(self) -> list[Process]:
-        """Return those that have not ended."""
+        """Return the processes that have not ended."""
         return [process for process in self._all if process.is_running]
 
-    def end(self, processes: list[Process], on_overdue: Callable[[Process], None]) -> Deferred:
-        """Send SIGTERM; fires when all have ended.
+    def end(
+        self, processes: list[Process], on_overdue: Callable[[Process], None]
+    ) -> Deferred[list[tuple[bool, int]]]:
+        """Send SIGTERM; the Deferred fires when all processes have ended.
 
-        Whatever has not ended within END_WITHIN is passed to `on_overdue` and killed.
+        A process that has not ended within END_WITHIN is passed to `on_overdue` and killed.
         """
         for process in processes:
             process.signal("TERM")
@@ -214,7 +234,7 @@
 
 
 def _port_candidates() -> Iterator[int]:
-    """Yield all ports of the range in turn, from a place that depends on this process."""
+    """Yield all ports of the range in turn, from a port that depends on this process's id."""
     first = os.getpid() * PORTS_BETWEEN_PROCESSES % (LAST_PORT - FIRST_PORT)
     for offset in itertools.count(first):
         yield FIRST_PORT + offset % (LAST_PORT - FIRST_PORT)
@@ -226,13 +246,13 @@
 def free_ports(count: int) -> list[int]:
     """Return loopback ports that were free a moment ago.
 
-    They are below those that the system gives to outgoing connections, and no port is returned twice in a
-    process until all were: so neither a connection nor another run takes one before its program listens.
+    They are below the ports of outgoing connections, and a process returns each port of the range once before
+    it returns one again. So neither a connection nor another run uses a port before its program listens.
     """
     ports: list[int] = []
     while len(ports) < count:
         port = next(_CANDIDATES)
-        with socket.socket() as probe, contextlib.suppress(OSError):
-            probe.bind((HOST, port))
+        with socket.socket() as candidate, contextlib.suppress(OSError):
+            candidate.bind((HOST, port))
             ports.append(port)
     return ports
--- a/myrtlehub/lab/scenario_file.py
+++ b/myrtlehub/lab/scenario_file.py
@@ -1,6 +1,6 @@
-"""The scenario file: fleet, traffic, timed faults, seed."""
+"""The schema of scenario files: fleet, traffic, clients, timed faults and seed."""
 
-from typing import Annotated, Literal, Self
+from typing import Annotated, Any, Literal, Self
 
 from pydantic import Field, model_validator
 
@@ -13,7 +13,7 @@
 Count = Annotated[int, Field(ge=1)]
 Span = Annotated[list[int], Field(min_length=2, max_length=2)]
 
-# What engines of each name do, as their files and the nodes' say it.
+# The work of each kind of engine, in the fields of engines' and nodes' settings files.
 ENGINE_KINDS = {
     "reader": {"reads": True},
     "writer": {"writes": True},
@@ -24,19 +24,19 @@
 
 
 class FleetConfig(ConfigModel):
-    """How many processes of each kind; engines are dealt to cells and zones in turn."""
+    """The number of processes of each kind; engines of a kind are assigned to the cells in turn."""
 
     nodes: Count = 1
     readers: Annotated[int, Field(ge=0)] = 1
     writers: Count = 1
-    mixed: Annotated[int, Field(ge=0)] = 0  # that write and embed
+    mixed: Annotated[int, Field(ge=0)] = 0  # engines that write and embed
     embedders: Annotated[int, Field(ge=0)] = 0
     rankers: Annotated[int, Field(ge=0)] = 0
     cells: Count = 1
 
 
 class MachineConfig(ConfigModel):
-    """Figures of a made-up machine; the emulated engine's own are used where none is given."""
+    """The machine that an engine emulates: rates in tokens a second, memory in tokens, times in seconds."""
 
     slots: Count = 8
     queue: Annotated[int, Field(ge=0)] = 32
@@ -56,7 +56,7 @@
 
 
 class TrafficMix(TrafficTypeConfig):
-    """A traffic type and what its sequences look like."""
+    """A traffic type, its share of the sequences, and the ranges from which their sizes are drawn."""
 
     share: Annotated[float, Field(gt=0)]
     prompt: Span
@@ -67,54 +67,63 @@
 
 
 class ClientsConfig(ConfigModel):
-    """How clients behave."""
+    """The behaviour of clients; a share is a fraction of the sequences."""
 
     retries: Annotated[int, Field(ge=0)] = 1
-    leave: Share = 0.0  # of sequences, whose client goes away at a moment drawn by chance
-    leave_within: Duration = 3.0  # that moment comes within this, sooner rather than later
-    leave_on_token: Share = 0.0  # of sequences, that lose their client just after one of four first tokens
-    hurried: Share = 0.0  # of sequences, whose client waits 0.1 to 0.6 s for the first token
-    silent: Share = 0.0  # of sequences, whose client reads nothing and then goes away
-    whole: Duration = 20.0  # deadline of the whole call
+    leave: Share = 0.0  # whose client disconnects at a random time
+    leave_within: Duration = 3.0  # the latest such time after the request; early times are more probable
+    leave_on_token: Share = 0.0  # whose client disconnects just after one of the first four tokens
+    hurried: Share = 0.0  # whose client waits only 0.1 to 0.6 s for the first token
+    silent: Share = 0.0  # whose client reads nothing and then disconnects
+    whole: Duration = 20.0  # deadline of the complete call
 
 
 class ListFilesConfig(ConfigModel):
-    """Nodes read the endpoint list from files that are written carelessly; each node has its own copy."""
+    """Nodes read the endpoint list from files, each node its own, which are written with mistakes."""
 
     quiet: Duration = 0.03
     poll: Duration = 0.5
-    every: Duration = 0.4  # from one burst of writes to the next, on the average
-    burst: Count = 8  # writes in a burst, at most
-    torn: Share = 0.3  # of writes, that leave a file cut at some byte
-    wrong: Share = 0.15  # of writes, that leave a list which parses and cannot be routed by
-    deleted: Share = 0.05  # of writes, that delete the file
-    drains: Share = 0.4  # of versions, in which one more engine has weight 0
+    every: Duration = 0.4  # mean time from one burst of writes to the next
+    burst: Count = 8  # the most writes in a burst
+    torn: Share = 0.3  # fraction of writes that leave an incomplete file
+    wrong: Share = 0.15  # fraction of writes that leave a list which parses but is invalid
+    deleted: Share = 0.05  # fraction of writes that delete the file
+    drains: Share = 0.4  # fraction of versions in which one engine more has weight 0
     most_removed: Share = 0.5
     store: bool = True
 
 
-PAUSE = "pause"  # of a node: its process is stopped and continued
-CUT_OFF = "cut off"  # cut off from other nodes, in both directions
-CUT_OUT = "cut out"  # in one direction: others do not hear it
-LEAVE = "leave"  # told to leave by SIGTERM
-NODE_FAULTS = ("kill", PAUSE, CUT_OFF, CUT_OUT, LEAVE)  # clients and engines reach it meanwhile
-PEER_FAULTS = (CUT_OFF, CUT_OUT)
+KILL = "kill"  # SIGKILL to a node
+PAUSE = "pause"  # SIGSTOP to a node, and SIGCONT later
+CUT_OFF = "cut off"  # a node's connections to other nodes stall in both directions
+CUT_OUT = "cut out"  # they stall in the direction from the node to the others
+SHUT_DOWN = "leave"  # SIGTERM to a node, which drains and ends
+NODE_FAULTS = (KILL, PAUSE, CUT_OFF, CUT_OUT, SHUT_DOWN)
+PEER_FAULTS = (CUT_OFF, CUT_OUT)  # clients and engines still reach the node
 TIMED_NODE_FAULTS = (PAUSE, CUT_OFF, CUT_OUT)
+CRASH = "crash"  # SIGKILL to an engine
+DRAIN = "drain"  # of an engine, by the endpoint list
+CHANGE_MODEL = "model"  # an engine gets another model version
+
+KILL_CONTROLLER = "kill controller"
+STALL = "stall"  # the connection from the controller to a node
+MEND = "mend"  # the end of a stall
+SET_CLOCK_BACK = "set clock back"
 
 
 class TakeoverScenarioConfig(ConfigModel):
-    """Nodes hold replicas of one another's sequence records, and clients resume."""
+    """Nodes hold replicas of each other's sequence records, and clients resume sequences of lost nodes."""
 
-    copies: Count = 2
-    stream_bound: Duration = 6.0  # of engines
-    comes_back: Duration = 2.0
-    keepalive: Duration = 0.5  # from ping to ping of clients, and until an answer
-    claims: bool = True  # whether engines answer claims
-    on: bool = True  # no: the same scenario without takeover, for comparison
+    copies: Count = 2  # replicas of each record
+    stream_bound: Duration = 6.0  # how long engines continue a stream whose node was lost
+    comes_back: Duration = 2.0  # how long after the loss of a node its clients may resume
+    keepalive: Duration = 0.5  # between the pings of a client, and until one counts as unanswered
+    claims: bool = True  # whether engines answer claims of new owners
+    on: bool = True  # false: the same scenario without takeover, for comparison
 
 
 class FaultConfig(ConfigModel):
-    """One thing that goes wrong, at a moment from the start of the traffic."""
+    """A fault of processes, at a time from the start of the traffic."""
 
     at: Duration
     do: Literal[
@@ -150,39 +159,38 @@
 
 
 class RolloutFaultConfig(ConfigModel):
-    """One thing that goes wrong with the controller, or between it and a node."""
+    """A fault of the controller, or of its connection to a node."""
 
-    at: Duration = 0.0  # from the start of the traffic, or from `after`
-    after: str = ""  # from when the controller first says that the change is in this state
+    at: Duration = 0.0  # from the start of the traffic, or from the phase in `after`
+    after: str = ""  # phase of the rollout; the time counts from when the controller first logs it
     do: Literal["kill controller", "stall", "mend", "set clock back"]
-    whom: list[str] = Field(default_factory=list)  # nodes; a clock is also "controller"'s
+    whom: list[str] = Field(default_factory=list)  # nodes; for a clock also "controller"
     lasts: Duration = 0.5  # until a killed controller is resumed
 
 
 class RolloutScenarioConfig(ConfigModel):
-    """A rollout during the scenario, and how it has to end."""
+    """A rollout during the scenario, and its expected end."""
 
     at: Duration = 1.0
-    was: str = ""  # kind of faulty node that nodes run at first; empty: the program itself
-    now: str = "equal"  # kind that they are changed to; empty: only settings change
-    # what the new settings say, by field: node.max_wait
+    was: str = ""  # kind of faulty node that runs before the rollout; empty: the real program
+    now: str = "equal"  # kind that is rolled out; empty: only settings change
+    # new settings by their field, for example node.max_wait
     settings: dict[str, str | int | float | bool] = Field(default_factory=dict)
     stages: Annotated[list[int | float], Field(min_length=1)]
-    plan: dict[str, str | int | float | list] = Field(
-        default_factory=dict
-    )  # more of the plan, as in its file
+    # further fields of the rollout plan
+    plan: dict[str, str | int | float | list[Any]] = Field(default_factory=dict)
     ends: Literal["kept", "undone", "stuck"]
-    undo_at: Duration = 0.0  # the operator undoes then; 0: never
+    undo_at: Duration = 0.0  # when an operator rolls back; 0: never
     faults: list[RolloutFaultConfig] = Field(default_factory=list)
 
     @property
     def sets_clocks(self) -> bool:
-        """Whether the wall clock of a process is set meanwhile."""
-        return any(fault.do == "set clock back" for fault in self.faults)
+        """Whether a fault sets the wall clock of a process."""
+        return any(fault.do == SET_CLOCK_BACK for fault in self.faults)
 
 
 class Scenario(ConfigModel):
-    """A whole scenario."""
+    """A scenario."""
 
     about: str = ""
     seed: int = 1
@@ -192,14 +200,14 @@
     reader: MachineConfig = MachineConfig()
     writer: MachineConfig = MachineConfig()
     batcher: MachineConfig = MachineConfig()  # embedders and rankers
-    batch_rate: Annotated[float, Field(ge=0)] = 0.0  # batches a second, beside `rate`
+    batch_rate: Annotated[float, Field(ge=0)] = 0.0  # batches a second, in addition to `rate`
     traffic: Annotated[list[TrafficMix], Field(min_length=1)]
     tenants: list[TenantConfig] = Field(default_factory=list)
     clients: ClientsConfig = ClientsConfig()
     rules: RulesConfig
-    list_delay: Duration = 0.0  # until the first node hears news of the list
-    list_spread: Duration = 0.0  # more, at most, until the last does
-    list_files: ListFilesConfig | None = None  # instead of pushed news
+    list_delay: Duration = 0.0  # the shortest delay from a change of the endpoint list to its push to a node
+    list_spread: Duration = 0.0  # the longest random delay in addition
+    list_files: ListFilesConfig | None = None  # nodes read files, and nothing is pushed to them
     faults: list[FaultConfig] = Field(default_factory=list)
     roll: RolloutScenarioConfig | None = None
     takeover: TakeoverScenarioConfig | None = None
@@ -226,7 +234,7 @@
             raise ValueError(f"fault at {fault.at:g}s comes after the day, which lasts {self.length:g}s")
 
     def machine(self, kind: str) -> MachineConfig:
-        """Return figures of the engines of a kind; `mixed` are writers that also embed."""
+        """Return the machine of a kind of engine; `mixed` engines have the writers'."""
         if kind in ("embedder", "ranker"):
             return self.batcher
         return self.reader if kind == "reader" else self.writer
--- a/myrtlehub/lab/scenario_runner.py
+++ b/myrtlehub/lab/scenario_runner.py
@@ -1,37 +1,28 @@
 """Plays a scenario with real processes on loopback, and judges it by what was recorded on the sockets."""
 
-from collections import Counter
-from collections.abc import Callable, Generator
+from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import ClassVar
 
-from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
-from twisted.internet.task import LoopingCall, deferLater
+from twisted.internet.defer import Deferred, DeferredList
+from twisted.internet.task import LoopingCall
 
-from myrtlehub.lab.endpoint_list_writer import EndpointListWriter
-from myrtlehub.lab.endpoint_publisher import GONE, SERVING, EndpointPublisher
+from myrtlehub.lab.client_load import ClientLoad
 from myrtlehub.lab.fault_scheduler import FaultScheduler
-from myrtlehub.lab.fleet_layout import ZONE, make_layout
+from myrtlehub.lab.fleet_layout import ZONE
 from myrtlehub.lab.interfaces import Reactor
-from myrtlehub.lab.process_calls import ProcessCalls
-from myrtlehub.lab.process_files import NODE_PROGRAM, ProcessFiles
-from myrtlehub.lab.processes import Process, Processes
 from myrtlehub.lab.rule_checker.scenario_facts import SLACK
+from myrtlehub.lab.scenario_context import ScenarioContext
 from myrtlehub.lab.scenario_file import Scenario
-from myrtlehub.lab.simulated_clients.batch_clients import BatchClients
-from myrtlehub.lab.simulated_clients.chat_clients import ChatClients
-from myrtlehub.lab.verdict import Verdict, judge_records
+from myrtlehub.lab.scenario_fleet import ScenarioFleet
+from myrtlehub.lab.verdict import judge_records
+from myrtlehub.lab.verdict_format import Verdict
 from myrtlehub.node.clock import SteadyClock
 from myrtlehub.records import Recorder
 
-ENGINE_PROGRAM = "myrtlehub.cli.emulator"
-LAST_LIST_WRITE = (
-    1.5  # seconds before the end of the traffic at which list files are written for the last time
-)
+LAST_LIST_WRITE = 1.5  # seconds before the end of the traffic at which list files are written a last time
 REPORT_INTERVAL = 5.0  # seconds
-OPEN_CALL_GRACE = 5.0  # seconds past their deadline in which open calls are waited for
-RELEASE_GRACE = 0.3  # seconds past the release time after which a read state that is left shows
+RELEASE_GRACE = 0.3  # seconds after the release time; a read state that exists then was not released
 
 
 class ScenarioFailedError(Exception):
@@ -39,257 +30,126 @@
 
 
 class ScenarioRunner:
-    """Plays one scenario; `report` gets a line of progress at a time."""
+    """Plays one scenario; `report` gets a line of progress at a time.
 
-    files_class: ClassVar[type[ProcessFiles]] = ProcessFiles
-    faults_class: ClassVar[type[FaultScheduler]] = FaultScheduler
+    Attributes:
+        clock: The clock of the run.
+        started: When the traffic started, in seconds of the clock; None before.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
         folder: Path,
         reactor: Reactor,
-        sequences: int = 0,
+        sequences: int | None = None,
         seed: int | None = None,
         report: Callable[[str], None] = lambda line: None,
     ) -> None:
-        """Make one; `sequences` and `seed` replace what the scenario says."""
-        self.scenario = scenario
-        self.folder = folder
-        self.reactor = reactor
-        self.report = report
+        """Make a runner; `sequences` and `seed` replace the rate and the seed of the scenario."""
         self.clock = SteadyClock(reactor)
-        self.seed = scenario.seed if seed is None else seed
-        self.random = Random(self.seed)
-        self.rate = sequences / scenario.length if sequences else scenario.rate
-        self.layout = make_layout(scenario)
-        self.node_program = [NODE_PROGRAM]
-        self.environment: dict[str, str] = {}
-        self.checkouts: dict[str, str] = {}  # processes that another version of the program runs, by name
-        self.processes = Processes(reactor, folder, self.on_process_end)
-        self.running: dict[str, Process] = {}
-        self.expected_ends: set[Process] = set()
-        self.unclean: list[str] = []  # what went wrong beside the rules
-        self.recorder = Recorder("day", self.clock, folder / "day.rec")
-        self.clients: ChatClients | None = None
-        self.batches: BatchClients | None = None
-        self.started = 0.0
-        self._incarnations: Counter[str] = Counter()
-        self._calls = ProcessCalls(reactor, self.clock)
-        self.publisher = EndpointPublisher(
+        seed = scenario.seed if seed is None else seed
+        self.context = ScenarioContext(
             scenario,
-            self.layout,
+            folder,
+            reactor,
             self.clock,
-            self.random,
-            self.recorder,
-            self._call_admin,
-            self.is_node_running,
+            seed,
+            Random(seed),
+            Recorder("day", self.clock, folder / "day.rec"),
+            report,
         )
-        self.files = self.files_class(scenario, folder, self.layout, self.publisher, self.seed)
-        self.faults = self.faults_class(self)
-        self._list_writers = self._make_list_writers()
+        self.started: float | None = None
+        self._rate = sequences / scenario.length if sequences else scenario.rate
+        self.fleet = self.make_fleet()
 
-    def _make_list_writers(self) -> list[EndpointListWriter]:
-        group = self.scenario.list_files
-        if group is None:
-            return []
-        return [
-            EndpointListWriter(
-                node,
-                self.folder / f"list-{node}",
-                group,
-                self.clock,
-                Random(self.random.random()),
-                self.recorder,
-                self.publisher.rows_present,
-            )
-            for node in self.layout.nodes
-        ]
-
-    # -- processes --------------------------------------------------------------------------------
-
-    def call(self, address: str, method: str, request: bytes) -> Deferred:
-        """Make a unary call to a process."""
-        return self._calls.call(address, method, request)
-
-    def _call_admin(self, node: str, method: str, request: bytes) -> Deferred:
-        return self.call(self.layout.admin_addresses[node], method, request)
-
-    def is_node_running(self, node: str) -> bool:
-        """Return whether a node can be called."""
-        return node in self.running and self.running[node].is_running
-
-    def on_process_end(self, process: Process) -> None:
-        """Note an end that was not expected."""
-        if process not in self.expected_ends and process.exit_code != 0:
-            self.unclean.append(f"{process.name} ended with {process.exit_code}")
-
-    def _start_process(self, name: str, is_cold: bool = False) -> Deferred:
-        """Start a process; fires once it is ready."""
-        self._incarnations[name] += 1
-        if self.layout.is_node(name):
-            path = self.files.write(name, self.files.node_file(name))
-            program = [*self.node_program, str(path)]
-        else:
-            tree = self.files.engine_file(name, self._incarnations[name], is_cold)
-            program = [ENGINE_PROGRAM, str(self.files.write(name, tree))]
-        process = self.processes.start(name, program, self.environment, self.checkouts.get(name))
-        self.running[name] = process
-        return process.ready
-
-    def kill(self, name: str, lasts: float) -> None:
-        """Kill a process, and start it again after so many seconds (0: never)."""
-        process = self.running[name]
-        self.expected_ends.add(process)
-        self.recorder.note("killed", who=self.layout.recorded_name(name))
-        process.signal("KILL")
-        if not self.layout.is_node(name):
-            self.publish(name, GONE)
-        if lasts:
-            self.clock.callLater(lasts, self.restart, name)
-
-    def restart(self, name: str) -> None:
-        """Start a process again, cold."""
-        self._start_process(name, is_cold=True).addCallbacks(
-            lambda line: self._restarted(name),
-            lambda failure: self.unclean.append(failure.getErrorMessage()),
-        )
+    def make_fleet(self) -> ScenarioFleet:
+        """Return the fleet, whose processes do not run yet."""
+        return ScenarioFleet(self.context)
 
-    def _restarted(self, name: str) -> None:
-        self.report(f"{name} is back")
-        if self.layout.is_node(name):
-            self.publisher.record_list_at_start(name)
-        else:
-            self.publish(name, SERVING, self.clock.seconds())
+    def make_faults(self) -> FaultScheduler:
+        """Return what begins and ends the faults of the scenario."""
+        return FaultScheduler(self.context, self.fleet)
 
-    def publish(self, engine: str, state: str, started_at: float = 0.0) -> None:
-        """Change the endpoint list."""
-        self.publisher.publish(engine, state, started_at)
+    def play(self) -> Deferred[Verdict]:
+        """Play the scenario; the Deferred fires with the verdict, or fails with ScenarioFailedError."""
+        return Deferred.fromCoroutine(self._play())
 
-    # -- the course of the scenario ---------------------------------------------------------------
-
-    @inlineCallbacks
-    def play(self) -> Generator[Deferred, object, Verdict]:
-        """Play it all; fires with the verdict."""
+    async def _play(self) -> Verdict:
         self._record_terms()
-        for writer in self._list_writers:
+        for writer in self.fleet.list_writers:
             writer.start()
-        self.report(f"starting {len(self.layout.nodes)} nodes and {len(self.layout.engines)} engines")
+        layout = self.fleet.layout
+        self.context.report(f"starting {len(layout.nodes)} nodes and {len(layout.engines)} engines")
         try:
-            yield self._start_all()
-            yield self._run_clients()
+            await self._start_all()
+            load = await self._run_clients()
         finally:
-            yield self.end_processes()
-        self.recorder.note("ends")
-        self.recorder.close()
-        return self.verdict()
+            await self.end_processes()
+        self.context.recorder.note("ends")
+        self.context.recorder.close()
+        return self.verdict(load)
 
     def _record_terms(self) -> None:
-        rules = self.scenario.rules
-        engines = self.layout.engines
-        self.recorder.note(
+        rules = self.context.scenario.rules
+        layout = self.fleet.layout
+        self.context.recorder.note(
             "terms",
-            traffic=self.files.traffic,
+            traffic=self.fleet.files.traffic,
             let_go=rules.let_go,
             slack=SLACK,
             answer_slack=rules.answer_slack,
-            engines=[(self.layout.addresses[name], self.layout.cells[name], ZONE) for name in engines],
+            engines=[(layout.addresses[name], layout.cells[name], ZONE) for name in layout.engines],
         )
 
-    @inlineCallbacks
-    def _start_all(self) -> Generator[Deferred, list, None]:
-        starts = [self._start_process(name) for name in self.scenario.names()]
-        results = yield DeferredList(starts, consumeErrors=True)
-        failures = [failure.getErrorMessage() for is_ready, failure in results if not is_ready]
-        if failures:
-            raise ScenarioFailedError(failures[0])
+    async def _start_all(self) -> None:
+        starts = [
+            self.fleet.start(name).addErrback(lambda failure: failure.getErrorMessage())
+            for name in self.context.scenario.names()
+        ]
+        for _, line_or_error in await DeferredList(starts):
+            if isinstance(line_or_error, str):
+                raise ScenarioFailedError(line_or_error)
 
-    @inlineCallbacks
-    def _run_clients(self) -> Generator[Deferred, object, None]:
-        recorder = Recorder("client", self.clock, self.folder / "client.rec")
-        self._make_clients(recorder)
+    async def _run_clients(self) -> ClientLoad:
+        load = ClientLoad(self.context, self.fleet.dial_by_node(), self._rate)
         self.started = self.clock.seconds()
-        self.clients.start()
-        self.batches.start()
-        self.on_traffic_started()
-        progress = LoopingCall(self._report_progress)
+        load.start()
+        self.traffic_started()
+        progress = LoopingCall(load.report_progress)
         progress.start(REPORT_INTERVAL, now=False)
-        yield self.until_traffic_ends()
-        for writer in self._list_writers:
+        await self.until_traffic_ends()
+        for writer in self.fleet.list_writers:
             writer.stop()
-        yield deferLater(self.reactor, LAST_LIST_WRITE, lambda: None)
-        self.clients.stop()
-        self.report(f"no more is asked; {self.clients.open} open")
-        for fleet in (self.clients, self.batches):
-            yield self._until_quiet(fleet)
+        await self.context.wait(LAST_LIST_WRITE)
+        load.chat.stop()
+        self.context.report(f"no more requests; {load.chat.open} open")
+        await load.until_all_ended()
         progress.stop()
-        yield deferLater(self.reactor, self.scenario.rules.let_go + RELEASE_GRACE, lambda: None)
-        self.clients.close()
-        self.batches.close()
-        recorder.close()
-
-    def _make_clients(self, recorder: Recorder) -> None:
-        self.clients = ChatClients(
-            self.scenario, self.clock, self._dial_nodes(), recorder, self.random, self.rate
-        )
-        self.batches = BatchClients(
-            self.scenario,
-            self.clock,
-            self._dial_nodes(),
-            recorder,
-            self.random,
-            self.scenario.batch_rate,
-            self.clients.behind,
-        )
-
-    def _dial_nodes(self) -> dict[str, Callable]:
-        return {node: self._calls.dial(self.layout.addresses[node]) for node in self.layout.admin_addresses}
-
-    def on_traffic_started(self) -> None:
-        """Begin what is timed from the start of the traffic."""
-        self.faults.start()
-
-    def until_traffic_ends(self) -> Deferred:
-        """Fire when the traffic is nearly over."""
-        return deferLater(self.reactor, self.scenario.length - LAST_LIST_WRITE, lambda: None)
-
-    def _until_quiet(self, fleet: ChatClients | BatchClients) -> Deferred:
-        """Fire once its last call is over, or is long past its time."""
-        quiet = Deferred()
-        fleet.on_quiet = lambda: None if quiet.called else quiet.callback(None)
-        timeout = self.scenario.clients.whole + OPEN_CALL_GRACE
-        limit = self.clock.callLater(timeout, fleet.on_quiet)
-        quiet.addCallback(lambda ignored: limit.active() and limit.cancel())
-        if not fleet.open:
-            fleet.on_quiet()
-        return quiet
+        await self.context.wait(self.context.scenario.rules.let_go + RELEASE_GRACE)
+        load.close()
+        return load
 
-    @inlineCallbacks
-    def end_processes(self) -> Generator[Deferred, object, None]:
-        """End the nodes, then the engines."""
-        self._calls.close()
-        for names in (self.layout.admin_addresses, self.layout.engines):
-            running = [self.running[name] for name in names if name in self.running]
-            yield self.processes.end([process for process in running if process.is_running], self._overdue)
+    def traffic_started(self) -> None:
+        """Schedule what is timed from the start of the traffic."""
+        self.make_faults().start()
 
-    def _overdue(self, process: Process) -> None:
-        self.unclean.append(f"{process.name} did not end in time")
+    async def until_traffic_ends(self) -> None:
+        """Wait until LAST_LIST_WRITE before the end of the traffic."""
+        await self.context.wait(self.context.scenario.length - LAST_LIST_WRITE)
 
-    def _report_progress(self) -> None:
-        answers: Counter[str] = Counter()
-        for tally in self.clients.tallies.values():
-            answers.update(tally.answers)
-        counts = ", ".join(f"{count} {answer}" for answer, count in sorted(answers.items()))
-        self.report(f"{self.clients.asked} asked, {self.clients.open} open, {counts}")
+    async def end_processes(self) -> None:
+        """End all processes of the scenario."""
+        await self.fleet.end()
 
-    def verdict(self) -> Verdict:
-        """Return rules and figures, from the records alone."""
+    def verdict(self, load: ClientLoad) -> Verdict:
+        """Return violations of rules, and figures, from the records alone."""
         return judge_records(
-            self.folder,
-            self.scenario,
-            self.seed,
-            self.unclean,
-            self.clients,
-            self.batches,
-            self._list_writers,
+            self.context.folder,
+            self.context.scenario,
+            self.context.seed,
+            self.context.failures,
+            load.chat,
+            load.batches,
+            self.fleet.list_writers,
         )
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -78,9 +78,13 @@
     for record in fleet.log:
         changes += checker.see(record)
     checker.finish(fleet.clock.seconds())
-    assert checker.breaches == []
-    assert checker.attempts >= request_count and checker.used > VERSIONS / 20 and len(changes) > VERSIONS / 20
-    assert writer.torn > VERSIONS / 5 and writer.wrong > VERSIONS / 10
+    assert checker.violations == []
+    assert (
+        checker.attempts >= request_count
+        and checker.versions_used > VERSIONS / 20
+        and len(changes) > VERSIONS / 20
+    )
+    assert writer.torn > VERSIONS / 5 and writer.invalid > VERSIONS / 10
     # The sort is stable, so a change precedes the attempts that go by it.
     fleet.log[:] = sorted([*changes, *fleet.log], key=lambda record: record.at)
     assert_rules_kept(fleet)
@@ -91,8 +95,8 @@
     unclear = [text for text in reasons if not (re.search(r"engines\.yaml:\d+: ", text) or "; " in text)]
     assert unclear == []
     print(
-        f"{writer.versions} versions, {writer.torn} torn, {writer.wrong} wrong, {writer.deleted} deleted; "
-        f"{checker.used} seen in use; {checker.attempts} attempts"
+        f"{writer.versions} versions, {writer.torn} torn, {writer.invalid} invalid, "
+        f"{writer.deleted} deleted; {checker.versions_used} seen in use; {checker.attempts} attempts"
     )
 
 
@@ -112,7 +116,7 @@
         checker = EndpointListChecker(0.25)
         changes = [change for record in [*sound, *extra] for change in checker.see(record)]
         checker.finish(9.0)
-        assert len(checker.breaches) == count
+        assert len(checker.violations) == count
     assert [(change.at, change.more["engine"], change.more["state"]) for change in changes[:3]] == [
         (1.0, "a", "serving"),
         (1.0, "b", "serving"),
