--- a/benchmarks/router_restart.py
+++ b/benchmarks/router_restart.py
@@ -19,7 +19,8 @@
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.emulator.machine import Machine
-from myrtlehub.lab.in_process_fleet import InProcessClient, InProcessFleet
+from myrtlehub.lab.in_process_client import InProcessClient
+from myrtlehub.lab.in_process_fleet import InProcessFleet
 from myrtlehub.node.request_decoder import DecodedRequest
 from myrtlehub.node.router_config import router_config_of
 from myrtlehub.routing.contract import Action, EndpointUpdate, EngineState
@@ -51,7 +52,7 @@
     """A sequence that was sent after the replacement."""
 
     sent_at: float  # seconds after it
-    first_token: float  # seconds; 0 if there was none
+    first_token: float  # seconds; 0.0 if there was none
 
     @property
     def is_in_time(self) -> bool:
@@ -104,9 +105,9 @@
 
         def ended(client: InProcessClient) -> None:
             if at >= REPLACED_AT:
-                self.answers.append(Answer(at - REPLACED_AT, client.first_token))
+                self.answers.append(Answer(at - REPLACED_AT, client.first_token_latency or 0.0))
 
-        self.fleet.ask(self.random.randrange(NODES), request, ended)
+        self.fleet.send_request(self.random.randrange(NODES), request, ended)
 
     def _replace_routers(self) -> None:
         for config, executor in zip(self.configs, self.fleet.executors, strict=True):
--- a/myrtlehub/lab/fault_soak/tcp_peer.py
+++ b/myrtlehub/lab/fault_soak/tcp_peer.py
@@ -39,5 +39,5 @@
 def listen_on_loopback(reactor: Reactor, factory: protocol.Factory) -> str:
     """Listen on a free port; return the address, HOST:PORT."""
     port = reactor.listenTCP(0, factory, LISTEN_BACKLOG, HOST)
-    host = port.getHost()  # type: ignore[misc]  # zope's IListeningPort declares methods without `self`
+    host = port.getHost()
     return f"{HOST}:{host.port}"
