--- a/myrtlehub/lab/scenario_fleet.py
+++ b/myrtlehub/lab/scenario_fleet.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from random import Random
 
-from twisted.internet.defer import Deferred
+from twisted.internet.defer import Deferred, DeferredList
 
 from myrtlehub.lab.endpoint_list_writer import EndpointListWriter
 from myrtlehub.lab.endpoint_publisher import EndpointPublisher
@@ -138,7 +138,9 @@
             self.context.failures.append(f"{process.name} ended with {process.exit_code}")
 
     async def end(self) -> None:
-        """End the nodes, then the engines."""
+        """End the nodes, then the engines, once those that are being started are ready or have failed."""
+        # Otherwise the end of a node that a late fault restarts is recorded as a failed start.
+        await DeferredList([process.ready for process in self.running.values() if process.is_running])
         self._calls.close()
         for names in (self.layout.admin_addresses, self.layout.engines):
             running = [self.running[name] for name in names if name in self.running]
