--- a/myrtlehub/emulator/server.py
+++ b/myrtlehub/emulator/server.py
@@ -3,9 +3,6 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory
-
 from myrtlehub.clock import Clock
 from myrtlehub.config.emulated_engine import EmulatedEngineConfig
 from myrtlehub.emulator.claims import ClaimableJobs
@@ -21,18 +18,14 @@
 from myrtlehub.emulator.timer import ModelTimer
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.records import Recorder
-from myrtlehub.rpc.channel import Channel
+from myrtlehub.rpc.channel import Channel, Dialer
 from myrtlehub.rpc.client_call import CallWatcher, ClientCall
-from myrtlehub.rpc.client_protocol import ClientProtocol
 from myrtlehub.rpc.method_handlers import server_stream, unary
 from myrtlehub.rpc.server import Server
 
 SERVICE = "/myrtlehub.v1.Engine/"
 FAULT_METHOD = "/myrtlehub.v1.Stand/Misbehave"
 
-Connect = Callable[[Factory], "Deferred[ClientProtocol]"]
-Dialer = Callable[[str], Connect]  # returns the connect function of an address
-
 
 def machine_of(config: EmulatedEngineConfig) -> Machine:
     """Return the machine that the settings of an emulated engine describe."""
--- a/myrtlehub/node/admin/limits_state.py
+++ b/myrtlehub/node/admin/limits_state.py
@@ -15,7 +15,7 @@
         held=account.in_use,
         most_held=limits.ledger.limit(BudgetScope.NODE),
         calls=len(limits.calls),
-        connections=len({id(limited.call.stream.protocol) for limited in limits.calls.values()}),
+        connections=len({id(limited.call.stream.connection) for limited in limits.calls.values()}),
         near=[
             pb.NearLimit(what=near.scope, name=near.name, held=near.in_use, most=near.limit)
             for near in limits.near_limits()
--- a/myrtlehub/node/batch_fronts/grpc_front.py
+++ b/myrtlehub/node/batch_fronts/grpc_front.py
@@ -81,7 +81,7 @@
             del self._unsent[:MAX_RESULTS_PER_MESSAGE]
         if self._unsent:
             # Results that are ready in the same turn of the event loop share one message.
-            self._call.server.clock.callLater(0, self._send_unsent)
+            self._call.clock.callLater(0, self._send_unsent)
 
     def _send_unsent(self) -> None:
         if self._unsent and not self._call.over:
--- a/myrtlehub/node/engine_transport/transport.py
+++ b/myrtlehub/node/engine_transport/transport.py
@@ -10,12 +10,11 @@
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.attempt_watcher import call_of, load_report_of
 from myrtlehub.node.engine_transport.engine_requests import request_of, work_of
-from myrtlehub.node.replication.peer_connections import Dialer
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
 from myrtlehub.routing import contract
-from myrtlehub.rpc.channel import Channel, ChannelState
+from myrtlehub.rpc.channel import Channel, ChannelState, Dialer
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 SERVICE = "/myrtlehub.v1.Engine/"
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -24,10 +24,10 @@
 from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.node_runtime import NodeRuntime, RuntimeContext
 from myrtlehub.node.replication.engine_claims import close_at_engines
-from myrtlehub.node.replication.peer_connections import Dialer
 from myrtlehub.node.replication.replication import Replication
 from myrtlehub.node.revision import program_digest
 from myrtlehub.node.traffic_counters import TrafficCounters
+from myrtlehub.rpc.channel import Dialer
 from myrtlehub.rpc.server import Server
 from myrtlehub.rpc.transport_limits import TransportLimits
 
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -26,7 +26,6 @@
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.executor_observer import ExecutorObserver
 from myrtlehub.node.protocols import EngineTransport
-from myrtlehub.node.replication.peer_connections import Dialer
 from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replicated_transport import ReplicatedTransport
 from myrtlehub.node.replication.replication import Replication
@@ -36,6 +35,7 @@
 from myrtlehub.node.traffic_counters import TrafficCounters
 from myrtlehub.routing import contract
 from myrtlehub.routing.policy.router import Router
+from myrtlehub.rpc.channel import Dialer
 from myrtlehub.rpc.server import Server
 
 # Added to the node's seed: each part has its own random numbers, which do not depend on how many others draw.
--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -1,10 +1,7 @@
 """Connections to other nodes, and the record updates that are queued for each of them."""
 
-from collections.abc import Callable
-from typing import NamedTuple, Protocol, TypeAlias
+from typing import NamedTuple, Protocol
 
-from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
 from myrtlehub.clock import Clock
@@ -12,14 +9,10 @@
 from myrtlehub.node.replication.wire import CALL_TIMEOUT, FORMAT_VERSION, PEERS_SERVICE, encode_record
 from myrtlehub.proto import peers_pb2 as pb
 from myrtlehub.recovery.sequence_records import SequenceRecord
-from myrtlehub.rpc.channel import Channel
-from myrtlehub.rpc.client_protocol import ClientProtocol
+from myrtlehub.rpc.channel import Channel, Dialer
 
 BATCHING_DELAY = 0.05  # seconds; updates that no send waits for are batched, as a message costs more
 
-# Returns the connect function of an address, for a channel.
-Dialer: TypeAlias = Callable[[str], Callable[[Factory], "Deferred[ClientProtocol]"]]
-
 
 class PendingUpdate(NamedTuple):
     """A version of a record that is to be sent to a peer."""
--- a/myrtlehub/node/replication/replication.py
+++ b/myrtlehub/node/replication/replication.py
@@ -5,7 +5,7 @@
 from myrtlehub.clock import Clock
 from myrtlehub.config.takeover import TakeoverConfig
 from myrtlehub.log_events import Log
-from myrtlehub.node.replication.peer_connections import Dialer, PeerConnections
+from myrtlehub.node.replication.peer_connections import PeerConnections
 from myrtlehub.node.replication.record_publisher import RecordPublisher
 from myrtlehub.node.replication.replica_service import ReplicaService
 from myrtlehub.node.replication.wire import CALL_TIMEOUT, PEERS_SERVICE
@@ -13,6 +13,7 @@
 from myrtlehub.recovery.failure_detector import HEARTBEAT_INTERVAL
 from myrtlehub.recovery.replica_placement import origin_node, replicas_of
 from myrtlehub.recovery.replica_store import ReplicaStore
+from myrtlehub.rpc.channel import Dialer
 from myrtlehub.rpc.server import Server
 
 
--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -26,7 +26,7 @@
     rollback_request,
 )
 from myrtlehub.rollout_controller.node_actions import NodeActions, Rejection
-from myrtlehub.rollout_controller.node_client import Dialer, NodeClient
+from myrtlehub.rollout_controller.node_client import NodeClient
 from myrtlehub.rollout_controller.node_tracker import NodeTracker, TrackedNode
 from myrtlehub.rollout_controller.plan_files import PlanFiles
 from myrtlehub.rollout_controller.process_supervisor import ProcessSupervisor
@@ -34,6 +34,7 @@
 from myrtlehub.rollout_controller.remote_supervisor import make_supervisor
 from myrtlehub.rollout_controller.rollout_record import RolloutRecord
 from myrtlehub.rollout_controller.stage_supervision import Decision, StageSupervision, node_timeouts
+from myrtlehub.rpc.channel import Dialer
 
 OPERATOR_REQUEST = "the operator asked for it"  # reason of a rollback that the operator requested
 CONTROLLER_ID_LENGTH = 12  # hexadecimal digits, which make identifiers of two controllers differ
--- a/myrtlehub/rollout_controller/node_client.py
+++ b/myrtlehub/rollout_controller/node_client.py
@@ -1,27 +1,21 @@
 """RPC client of one node's admin service: reads its status and counters, and sends orders."""
 
-from collections.abc import Callable
 from enum import StrEnum
 from typing import Protocol
 
 from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory
 
 from myrtlehub.clock import Clock
 from myrtlehub.node.admin.service import SERVICE
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_status import NodeStatus, Revision
 from myrtlehub.rollout.samples import NodeCounters, TrafficCounters
-from myrtlehub.rpc.channel import Channel
-from myrtlehub.rpc.client_protocol import ClientProtocol
+from myrtlehub.rpc.channel import Channel, Dialer
 
 POLL_TIMEOUT = 1.5  # seconds; a node that answers later counts as unreachable at this poll
 ORDER_TIMEOUT = 5.0  # seconds; applying settings takes longer than reading a status
 CONNECT_TIMEOUT = 1.0  # seconds; less than POLL_TIMEOUT, so that a poll fails by its connection first
 
-Connect = Callable[[Factory], Deferred[ClientProtocol]]
-Dialer = Callable[[str], Connect]  # returns the connect function of an address
-
 
 class OrderMethod(StrEnum):
     """RPC methods of the admin service that carry an order."""
--- a/myrtlehub/rpc/backoff.py
+++ b/myrtlehub/rpc/backoff.py
@@ -4,7 +4,7 @@
 
 
 class Backoff:
-    """Waits between tries to connect: each is longer than the last, until one succeeds."""
+    """Delays between attempts to connect, in seconds; each is longer than the last, up to a maximum."""
 
     def __init__(
         self,
@@ -19,14 +19,14 @@
         self._maximum = maximum
         self._multiplier = multiplier
         self._jitter = jitter
-        self._tries = 0
+        self._failed_attempts = 0
 
     def next(self) -> float:
-        """Return the seconds until the next try."""
-        wait = min(self._maximum, self._initial * self._multiplier**self._tries)
-        self._tries += 1
-        return wait * (1.0 + self._jitter * (2.0 * self._random() - 1.0))
+        """Return the seconds until the next attempt."""
+        delay = min(self._maximum, self._initial * self._multiplier**self._failed_attempts)
+        self._failed_attempts += 1
+        return delay * (1.0 + self._jitter * (2.0 * self._random() - 1.0))
 
     def reset(self) -> None:
-        """Begin anew, as a connection was established."""
-        self._tries = 0
+        """Start again with the initial delay, after a connection was established."""
+        self._failed_attempts = 0
--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -1,9 +1,10 @@
-"""A channel: calls to one address, over one connection that is made when needed, and again after backoff."""
+"""A channel: calls to one address, over a connection that is opened on demand, with backoff."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
 from enum import StrEnum
 from random import Random
+from typing import TypeAlias
 
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectError
@@ -15,11 +16,15 @@
 from myrtlehub.rpc.client_call import CallWatcher, ClientCall
 from myrtlehub.rpc.client_protocol import ClientProtocol, ClientProtocolFactory
 from myrtlehub.rpc.framing import IDENTITY
-from myrtlehub.rpc.status import Code, RpcError, Status
+from myrtlehub.rpc.reply_collector import ReplyCollector, single_reply
+from myrtlehub.rpc.status import Code, Status
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 USER_AGENT = "grpc-python-myrtlehub/0.2"
 
+Connect: TypeAlias = Callable[[Factory], Deferred[ClientProtocol]]  # connects a protocol of this factory
+Dialer: TypeAlias = Callable[[str], Connect]  # returns the connect function of an address
+
 
 class ChannelState(StrEnum):
     """The state of a channel's connection, in gRPC's terms."""
@@ -30,45 +35,18 @@
     TRANSIENT_FAILURE = "transient failure"  # in backoff
 
 
-class _ReplyCollector(CallWatcher):
-    """Collects the replies of a call for a Deferred."""
-
-    def __init__(self, deferred: Deferred, is_stream: bool) -> None:
-        self._deferred = deferred
-        self._is_stream = is_stream
-        self._replies: list[bytes] = []
-
-    def message(self, data: bytes) -> None:
-        """Take a reply."""
-        self._replies.append(data)
-
-    def ended(self, status: Status) -> None:
-        """Fire the Deferred, unless it was cancelled."""
-        if self._deferred.called:
-            return
-        count = len(self._replies)
-        if status.code != Code.OK:
-            self._deferred.errback(RpcError(status.code, status.message, status))
-        elif self._is_stream:
-            self._deferred.callback(self._replies)
-        elif count == 1:
-            self._deferred.callback(self._replies[0])
-        else:
-            self._deferred.errback(RpcError(Code.INTERNAL, f"{count} replies where one was due"))
-
-
 class Channel:
     """Calls to one address.
 
-    `dial(factory)` makes a connection and returns a Deferred of its protocol. During backoff, a call fails at
-    once with UNAVAILABLE, `unprocessed`; while a connection is being made, calls wait for it at most
-    `connect_timeout` seconds. Calls beyond the peer's MAX_CONCURRENT_STREAMS wait here.
+    During a backoff, calls fail at once with UNAVAILABLE, `unprocessed`. While a connection is being
+    established, they wait for it at most `connect_timeout` seconds. Calls beyond the peer's
+    MAX_CONCURRENT_STREAMS are queued here.
     """
 
     def __init__(
         self,
         clock: Clock,
-        dial: Callable[[Factory], Deferred],
+        dial: Connect,
         authority: str,
         limits: TransportLimits | None = None,
         random: Random | None = None,
@@ -88,8 +66,8 @@
         self.closed = False
         self._backoff = Backoff((random or Random()).random)
         self._queue: deque[ClientCall] = deque()
-        self._dialling: Deferred | None = None
-        self._timer: Timer | None = None  # of connecting, or of the backoff
+        self._dialling: Deferred[ClientProtocol] | None = None
+        self._timer: Timer | None = None  # of the connect timeout, or of the backoff
         self._failure_reason = "never connected"
 
     # -- calls ------------------------------------------------------------------------------------
@@ -101,7 +79,7 @@
         meta: Iterable[tuple[str, str | bytes]] = (),
         timeout: float | None = None,
     ) -> ClientCall:
-        """Start a call of any shape; the watcher is told that it `ended` only after this returns."""
+        """Start a call of any kind; the watcher's `ended` is not called before this returns."""
         call = ClientCall(self, path, meta, timeout, watcher)
         if self.closed or self.state == ChannelState.TRANSIENT_FAILURE:
             reason = "channel is closed" if self.closed else f"no connection: {self._failure_reason}"
@@ -111,7 +89,7 @@
         if self.state == ChannelState.IDLE:
             self.connect()
         elif self.state == ChannelState.READY:
-            self.start_calls(self.protocol)
+            self._start_queued_calls()
         return call
 
     def unary(
@@ -120,9 +98,9 @@
         request: bytes,
         meta: Iterable[tuple[str, str | bytes]] = (),
         timeout: float | None = None,
-    ) -> Deferred:
+    ) -> Deferred[bytes]:
         """Send one request for one reply; the Deferred fails with RpcError and may be cancelled."""
-        return self._collect_replies(path, [request], meta, timeout, False)
+        return self.collect(path, [request], meta, timeout).addCallback(single_reply)
 
     def collect(
         self,
@@ -130,28 +108,23 @@
         requests: Sequence[bytes],
         meta: Iterable[tuple[str, str | bytes]] = (),
         timeout: float | None = None,
-    ) -> Deferred:
-        """Send all requests and collect all replies; for short streams."""
-        return self._collect_replies(path, requests, meta, timeout, True)
-
-    def _collect_replies(
-        self,
-        path: str,
-        requests: Sequence[bytes],
-        meta: Iterable[tuple[str, str | bytes]],
-        timeout: float | None,
-        is_stream: bool,
-    ) -> Deferred:
-        deferred = Deferred(lambda ignored: call.cancel())
-        call = self.call(path, _ReplyCollector(deferred, is_stream), meta, timeout)
+    ) -> Deferred[list[bytes]]:
+        """Send all requests and collect all replies, for short streams; as `unary` otherwise."""
+        deferred: Deferred[list[bytes]] = Deferred(lambda ignored: call.cancel())
+        call = self.call(path, ReplyCollector(deferred), meta, timeout)
         for request in requests:
             call.send(request)
         call.half_close()
         return deferred
 
     def start_calls(self, protocol: ClientProtocol) -> None:
-        """Open streams for calls that wait, as far as the peer allows."""
-        if protocol is not self.protocol or self.state != ChannelState.READY or protocol.close_reason:
+        """Open streams for queued calls, as far as the peer allows, unless another connection is in use."""
+        if protocol is self.protocol:
+            self._start_queued_calls()
+
+    def _start_queued_calls(self) -> None:
+        protocol = self.protocol
+        if protocol is None or self.state != ChannelState.READY or protocol.close_reason:
             return
         max_streams = protocol.conn.remote_settings.max_concurrent_streams
         while self._queue and len(protocol.streams) < max_streams:
@@ -160,11 +133,11 @@
                 call.start(protocol)
 
     def call_ended(self, call: ClientCall) -> None:
-        """Take note that a call is over."""
+        """Remove a call from the queue after its end."""
         if call.stream is None and call in self._queue:
             self._queue.remove(call)
 
-    def _fail_waiting_calls(self, reason: str) -> None:
+    def _fail_queued_calls(self, reason: str) -> None:
         queue = self._queue
         self._queue = deque()
         for call in queue:
@@ -173,7 +146,7 @@
     # -- the connection ---------------------------------------------------------------------------
 
     def connect(self) -> None:
-        """Make a connection now, if there is none and none is being made."""
+        """Connect now, unless a connection is open or being established, or a backoff is running."""
         if self.state != ChannelState.IDLE or self.closed:
             return
         self.state = ChannelState.CONNECTING
@@ -209,10 +182,10 @@
         self._failure_reason = reason
         self._cancel_timer()
         self.state = ChannelState.TRANSIENT_FAILURE
-        self._timer = self.clock.callLater(self._backoff.next(), self._backoff_over)
-        self._fail_waiting_calls(f"no connection: {reason}")
+        self._timer = self.clock.callLater(self._backoff.next(), self._backoff_ended)
+        self._fail_queued_calls(f"no connection: {reason}")
 
-    def _backoff_over(self) -> None:
+    def _backoff_ended(self) -> None:
         self._timer = None
         self.state = ChannelState.IDLE
 
@@ -222,7 +195,7 @@
         self._timer = None
 
     def settings_received(self, protocol: ClientProtocol, is_first: bool) -> None:
-        """Take note of the peer's settings; with the first the connection is established."""
+        """Start queued calls; the first SETTINGS frame of the peer establishes the connection."""
         if is_first:
             if self.state != ChannelState.CONNECTING:
                 protocol.transport.abortConnection()
@@ -234,13 +207,13 @@
         self.start_calls(protocol)
 
     def connection_draining(self, protocol: ClientProtocol) -> None:
-        """Take note of a GOAWAY: new calls need another connection."""
+        """Use another connection for new calls, after a GOAWAY."""
         if protocol is self.protocol:
             self._failure_reason = protocol.goaway_reason or "peer is going away"
             self._replace_connection()
 
     def connection_lost(self, protocol: ClientProtocol) -> None:
-        """Take note that a connection is lost."""
+        """Replace a connection that was lost, or start a backoff if it was not established yet."""
         self._failure_reason = protocol.loss_reason
         if protocol is self.protocol:
             self._replace_connection()
@@ -254,7 +227,7 @@
             self.connect()
 
     def close_idle(self) -> None:
-        """Close the connection if no call uses it."""
+        """Close the connection if it has no stream."""
         protocol = self.protocol
         if protocol is not None and not protocol.streams:
             self.protocol = None
@@ -262,10 +235,10 @@
             protocol.transport.loseConnection()
 
     def close(self) -> None:
-        """Close for good; calls that run end with UNAVAILABLE."""
+        """Close for good; running and queued calls end with UNAVAILABLE."""
         self.closed = True
         self._cancel_timer()
         self._cancel_dialling()
-        self._fail_waiting_calls("channel is closed")
+        self._fail_queued_calls("channel is closed")
         if self.protocol is not None:
             self.protocol.transport.abortConnection()
--- a/myrtlehub/rpc/client_call.py
+++ b/myrtlehub/rpc/client_call.py
@@ -1,142 +1,150 @@
 """One call of a client, from its request to its status."""
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, NamedTuple
+from functools import partial
+from typing import NamedTuple, Protocol
 
 from h2.errors import ErrorCodes
 
-from myrtlehub.clock import Timer
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc import framing, metadata
+from myrtlehub.rpc.client_protocol import ClientProtocol
 from myrtlehub.rpc.metadata import Headers
+from myrtlehub.rpc.response_headers import read_header_fault, read_status
 from myrtlehub.rpc.status import (
     Code,
     Metadata,
     RpcError,
     Status,
-    decode_message,
     encode_timeout,
-    from_http,
     from_reset,
-    parse_code,
 )
 from myrtlehub.rpc.stream import Stream
 from myrtlehub.rpc.transport import Producer
-
-if TYPE_CHECKING:
-    from myrtlehub.rpc.channel import Channel
-    from myrtlehub.rpc.client_protocol import ClientProtocol
+from myrtlehub.rpc.transport_limits import TransportLimits
 
 
 class CallWatcher:
-    """What is told of a call's replies. `ended` is called once, always, and last."""
+    """Observer of a call's replies. `ended` is always called, exactly once and last."""
 
     def headers(self, meta: Metadata) -> None:
-        """Take the initial metadata."""
+        """Called with the initial metadata."""
 
     def message(self, data: bytes) -> None:
-        """Take one reply message."""
+        """Called with each reply message."""
 
     def ended(self, status: Status) -> None:
-        """Take the status: the call is over."""
+        """Called with the status once the call is over."""
+
+
+class ClientCallOwner(Protocol):
+    """The channel, as its calls use it."""
+
+    clock: Clock
+    limits: TransportLimits
+    authority: str
+    user_agent: str
+    encoding: str
+
+    def call_ended(self, call: "ClientCall", /) -> None:
+        """Called when a call is over, before its watcher's `ended`."""
 
 
 class ProducerRegistration(NamedTuple):
-    """A producer of request messages."""
+    """A producer of request messages, as it was registered."""
 
     producer: Producer
     is_push_producer: bool
 
 
 class ClientCall:
-    """One call. What is sent before the connection is established waits for it."""
+    """One call; messages that are sent before it has a stream are queued."""
 
     def __init__(
         self,
-        channel: "Channel",
+        owner: ClientCallOwner,
         path: str,
         meta: Iterable[tuple[str, str | bytes]],
         timeout: float | None,
         watcher: CallWatcher,
     ) -> None:
-        self.channel = channel
+        self._owner = owner
         self.path = path
         self.watcher = watcher
-        self.deadline = None if timeout is None else channel.clock.seconds() + timeout
+        self.deadline = None if timeout is None else owner.clock.seconds() + timeout
         self.stream: Stream | None = None
         self.over = False
         self._meta = metadata.encode(meta)
-        self._unsent: list[bytes] = []
+        self._unsent: list[bytes] = []  # framed messages that wait for the stream
         self._is_half_closed = False
         self._is_paused = False
         self._producer: ProducerRegistration | None = None
         self._reader: framing.MessageReader | None = None
         self._status: Status | None = None  # from the trailers
-        self._header_fault: Status | None = None  # of headers that are no gRPC response
+        self._header_fault: Status | None = None  # if the headers are not those of a gRPC response
         self._timer: Timer | None = None
         if timeout is not None:
-            self._timer = channel.clock.callLater(max(0.0, timeout), self._deadline_passed)
+            self._timer = owner.clock.callLater(max(0.0, timeout), self._deadline_passed)
 
-    # -- what the owner does ----------------------------------------------------------------------
+    # -- methods for the caller -------------------------------------------------------------------
 
     def send(self, message: bytes) -> None:
         """Send one request message."""
-        data = framing.frame(message, self.channel.encoding)
+        data = framing.frame(message, self._owner.encoding)
         if self.stream is not None:
             self.stream.write(data)
         elif not self.over:
             self._unsent.append(data)
 
     def half_close(self) -> None:
-        """End the request: nothing more will be sent."""
+        """End the request stream: no further message will be sent."""
         self._is_half_closed = True
         if self.stream is not None:
             self.stream.end()
 
     def cancel(self) -> None:
-        """Stop: the peer gets RST_STREAM, and the watcher CANCELLED."""
+        """Cancel the call: reset its stream, and end it with CANCELLED."""
         self._stop(Status(Code.CANCELLED, "cancelled here", unprocessed=self.stream is None))
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Take no more replies for now; flow control stops the peer."""
+        """Suspend the delivery of replies; flow control stops the peer."""
         self._is_paused = True
         if self.stream is not None:
             self.stream.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Take replies again."""
+        """Resume the delivery of replies."""
         self._is_paused = False
         if self.stream is not None:
             self.stream.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Cancel, as nobody wants the replies any more."""
+        """Cancel the call, as its consumer needs no more replies."""
         self.cancel()
 
     def registerProducer(self, producer: Producer, streaming: bool) -> None:  # noqa: N802
-        """Pause this producer of request messages while the peer does not take them."""
+        """Suspend this producer of request messages while the peer does not accept them."""
         self._producer = ProducerRegistration(producer, streaming)
         if self.stream is not None:
             self.stream.registerProducer(producer, streaming)
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Take note that all request messages were made."""
+        """Detach the producer: it has produced all request messages."""
         self._producer = None
         if self.stream is not None:
             self.stream.unregisterProducer()
 
-    # -- what the channel does --------------------------------------------------------------------
+    # -- methods for the channel ------------------------------------------------------------------
 
-    def start(self, protocol: "ClientProtocol") -> None:
-        """Open a stream on an established connection, and send what waits."""
-        stream = self.stream = Stream(protocol, protocol.conn.get_next_available_stream_id())
-        protocol.streams[stream.id] = stream
+    def start(self, protocol: ClientProtocol) -> None:
+        """Open a stream on an established connection, and send the queued messages."""
+        stream = self.stream = protocol.open_stream()
         stream.on_headers = self._headers_received
         stream.on_data = self._data_received
-        stream.on_end = self._end_received
-        stream.on_lost = self._stream_lost
-        stream.on_refused = self._refused
-        protocol.conn.send_headers(stream.id, self._request_headers())
-        protocol.writer.schedule_flush()
+        stream.on_end = partial(self._end_received, stream)
+        stream.on_lost = partial(self._stream_lost, protocol)
+        stream.on_unprocessed = self._not_processed
+        stream.connection.send_headers(stream, self._request_headers())
         if self._is_paused:
             stream.pauseProducing()
         for data in self._unsent:
@@ -152,27 +160,27 @@
             (":method", "POST"),
             (":scheme", "http"),
             (":path", self.path),
-            (":authority", self.channel.authority),
+            (":authority", self._owner.authority),
             ("te", "trailers"),
             ("content-type", "application/grpc+proto"),
-            ("user-agent", self.channel.user_agent),
+            ("user-agent", self._owner.user_agent),
         ]
         if self.deadline is not None:
-            headers.append(("grpc-timeout", encode_timeout(self.deadline - self.channel.clock.seconds())))
-        if self.channel.encoding != framing.IDENTITY:
-            headers.append(("grpc-encoding", self.channel.encoding))
+            headers.append(("grpc-timeout", encode_timeout(self.deadline - self._owner.clock.seconds())))
+        if self._owner.encoding != framing.IDENTITY:
+            headers.append(("grpc-encoding", self._owner.encoding))
         headers.append(("grpc-accept-encoding", framing.ACCEPTED_ENCODINGS))
         return headers + self._meta
 
     def conclude(self, status: Status) -> None:
-        """End the call with this status; nothing happens if it is over."""
+        """End the call with this status, unless it is over."""
         if self.over:
             return
         self.over = True
         self._unsent.clear()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self.channel.call_ended(self)
+        self._owner.call_ended(self)
         self.watcher.ended(status)
 
     def _stop(self, status: Status) -> None:
@@ -186,7 +194,7 @@
     def _deadline_passed(self) -> None:
         self._stop(Status(Code.DEADLINE_EXCEEDED, "deadline passed here", unprocessed=self.stream is None))
 
-    # -- what the stream receives -----------------------------------------------------------------
+    # -- callbacks of the stream ------------------------------------------------------------------
 
     def _headers_received(self, headers: Headers, is_end: bool) -> None:
         values = dict(headers)
@@ -196,12 +204,12 @@
             self._stop(error.status)
             return
         if "grpc-status" in values or is_end:
-            self._status = _read_status(values, meta)
+            self._status = read_status(values, meta)
             return
-        self._header_fault = _read_header_fault(values, meta)
+        self._header_fault = read_header_fault(values, meta)
         if self._header_fault is None:
             encoding = values.get("grpc-encoding", framing.IDENTITY)
-            self._reader = framing.MessageReader(self.channel.limits.max_message, encoding)
+            self._reader = framing.MessageReader(self._owner.limits.max_message, encoding)
             self.watcher.headers(meta)
 
     def _data_received(self, data: bytes) -> None:
@@ -211,14 +219,17 @@
             self._stop(Status(Code.INTERNAL, "data before headers"))
             return
         try:
-            for message in self._reader.feed(data):
-                self.watcher.message(message)
-                if self.over:
-                    return
+            self._deliver(self._reader.feed(data))
         except RpcError as error:
             self._stop(error.status)
 
-    def _end_received(self) -> None:
+    def _deliver(self, messages: list[bytes]) -> None:
+        for message in messages:
+            if self.over:  # the watcher may cancel the call at any message
+                return
+            self.watcher.message(message)
+
+    def _end_received(self, stream: Stream) -> None:
         status = self._status or self._header_fault
         if status is None:
             status = Status(Code.INTERNAL, "stream ended without trailers")
@@ -227,48 +238,21 @@
                 self._reader.finish()
             except RpcError as error:
                 status = error.status
-        stream = self.stream
         self.conclude(status)
         if not stream.sent_end and not stream.closed:
-            stream.reset(ErrorCodes.CANCEL)  # it answered before the request was complete
+            stream.reset(ErrorCodes.CANCEL)  # the peer has answered before the request was complete
 
-    def _stream_lost(self, error: int | None) -> None:
-        if self._status is not None:  # trailers came, then a reset: the answer is valid
+    def _stream_lost(self, protocol: ClientProtocol, error: int | None) -> None:
+        if self._status is not None:  # a reset after the trailers leaves their status valid
             self.conclude(self._status)
         elif error is None:
-            reason = self.stream.protocol.loss_reason
-            self.conclude(Status(Code.UNAVAILABLE, f"connection lost: {reason}", broken=True))
+            message = f"connection lost: {protocol.loss_reason}"
+            self.conclude(Status(Code.UNAVAILABLE, message, broken=True))
         else:
             is_refused = error == ErrorCodes.REFUSED_STREAM
             message = f"stream reset by peer, error {int(error)}"
             self.conclude(Status(from_reset(error), message, unprocessed=is_refused, broken=not is_refused))
 
-    def _refused(self) -> None:
-        """End the call: a GOAWAY says that the peer's application did not see it."""
+    def _not_processed(self) -> None:
+        """End the call: by a GOAWAY, the peer's application did not receive it."""
         self._stop(Status(Code.UNAVAILABLE, "peer is going away; call was not processed", unprocessed=True))
-
-
-def _http_code(text: str) -> Code:
-    return from_http(int(text) if text.isdigit() else 0)
-
-
-def _read_status(values: dict[str, str], meta: Metadata) -> Status:
-    """Return the status that trailers give."""
-    if "grpc-status" in values:
-        message = decode_message(values.get("grpc-message", ""))
-        return Status(parse_code(values["grpc-status"]), message, meta)
-    http = values.get(":status", "")
-    if http and http != "200":
-        return Status(_http_code(http), f"HTTP status {http}", meta)
-    return Status(Code.INTERNAL, "stream ended without grpc-status", meta)
-
-
-def _read_header_fault(values: dict[str, str], meta: Metadata) -> Status | None:
-    """Return why headers are no gRPC response, or None."""
-    http = values.get(":status", "")
-    if http != "200":
-        return Status(_http_code(http), f"HTTP status {http} instead of a gRPC answer", meta)
-    content_type = values.get("content-type", "")
-    if not content_type.startswith("application/grpc"):
-        return Status(Code.UNKNOWN, f"content-type {content_type!r} is not gRPC's", meta)
-    return None
--- a/myrtlehub/rpc/client_protocol.py
+++ b/myrtlehub/rpc/client_protocol.py
@@ -1,78 +1,97 @@
 """The client's side of a connection."""
 
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, ClassVar
+from typing import ClassVar, Protocol
 
 from h2.events import Event, ResponseReceived, TrailersReceived
-from twisted.internet.protocol import Factory
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Clock
+from myrtlehub.rpc.h2_connection import decode_headers
 from myrtlehub.rpc.http2_protocol import Http2Protocol
 from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.stream import Stream
-from myrtlehub.rpc.transport import PeerAddress
+from myrtlehub.rpc.transport_limits import TransportLimits
 
-if TYPE_CHECKING:
-    from myrtlehub.rpc.channel import Channel
+
+class ClientConnectionOwner(Protocol):
+    """The channel, as its connections use it."""
+
+    clock: Clock
+    limits: TransportLimits
+
+    def settings_received(self, protocol: "ClientProtocol", is_first: bool, /) -> None:
+        """Called after a SETTINGS frame of the peer; the first one establishes the connection."""
+
+    def connection_draining(self, protocol: "ClientProtocol", /) -> None:
+        """Called after a GOAWAY: new calls need another connection."""
+
+    def connection_lost(self, protocol: "ClientProtocol", /) -> None:
+        """Called after the connection was lost and all of its streams have ended."""
+
+    def start_calls(self, protocol: "ClientProtocol", /) -> None:
+        """Called after a stream has ended, which makes a slot for another call."""
 
 
 class ClientProtocol(Http2Protocol):
     """A connection of a channel."""
 
-    is_client = True
+    is_client: ClassVar[bool] = True
 
-    def __init__(self, channel: "Channel") -> None:
-        super().__init__(channel.clock, channel.limits)
-        self.goaway_reason = ""
-        self._channel = channel
+    def __init__(self, owner: ClientConnectionOwner) -> None:
+        super().__init__(owner.clock, owner.limits)
+        self.goaway_reason: str | None = None  # of a GOAWAY with an error code
+        self._owner = owner
 
     @property
     def loss_reason(self) -> str:
         """Why the connection was lost."""
         return self.goaway_reason or self.close_reason or "closed by peer"
 
+    def open_stream(self) -> Stream:
+        """Open a stream with the next id."""
+        return self.streams.open(self.conn.get_next_available_stream_id())
+
     def settings_changed(self, is_first: bool) -> None:
-        """Let the channel open streams."""
-        self._channel.settings_received(self, is_first)
+        """Notify the channel, which may open streams now."""
+        self._owner.settings_received(self, is_first)
 
-    def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """End all streams, and tell the channel."""
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+        """End all streams, and notify the channel."""
         super().connectionLost(reason)
-        self._channel.connection_lost(self)
+        self._owner.connection_lost(self)
 
     def goaway_received(self, error: int, last_stream_id: int, reason: str) -> None:
         """End the calls that the peer did not process; the others may finish."""
         self.is_draining = True
         if error:
             self.goaway_reason = f"GOAWAY {error} {reason}"
-        self._channel.connection_draining(self)
-        for stream in sorted(self.streams.values(), key=lambda stream: stream.id):
+        self._owner.connection_draining(self)
+        for stream in sorted(self.streams.by_id.values(), key=lambda stream: stream.id):
             if stream.id > last_stream_id:
-                stream.on_refused()
+                stream.on_unprocessed()
         self.stream_closed()
 
     def stream_closed(self) -> None:
-        """Open streams for calls that wait; close a draining connection after its last stream."""
-        if self.is_draining and not self.streams and not self.is_lost:
-            self.writer.flush()
-            self.transport.loseConnection()
-        self._channel.start_calls(self)
-
-    def _on_response(self, event: ResponseReceived | TrailersReceived) -> None:
-        stream = self.streams.get(event.stream_id)
-        if stream is None or stream.closed:
+        """Close a draining connection after its last stream; let the channel open streams."""
+        if self.is_draining:
+            self._close_if_drained()
+        self._owner.start_calls(self)
+
+    def headers_event(self, event: Event) -> None:
+        """Pass the headers or trailers of a response to their stream."""
+        if not isinstance(event, ResponseReceived | TrailersReceived):
             return
+        stream = self.streams.find_open(event.stream_id)
+        if stream is None:
+            return
+        headers = decode_headers(event.headers)
         is_end = event.stream_ended is not None
         if stream.has_delayed_data:
-            _delay_headers(stream, event.headers, is_end)
+            _delay_headers(stream, headers, is_end)
         else:
-            stream.on_headers(event.headers, is_end)
-
-    HANDLERS: ClassVar[dict[type[Event], Callable[[Any, Any], None]]] = {
-        **Http2Protocol.HANDLERS,
-        ResponseReceived: _on_response,
-        TrailersReceived: _on_response,
-    }
+            stream.on_headers(headers, is_end)
 
 
 def _delay_headers(stream: Stream, headers: Headers, is_end: bool) -> None:
@@ -91,9 +110,9 @@
 
     noisy = False
 
-    def __init__(self, channel: "Channel") -> None:
-        self._channel = channel
+    def __init__(self, owner: ClientConnectionOwner) -> None:
+        self._owner = owner
 
-    def buildProtocol(self, addr: PeerAddress) -> ClientProtocol:  # noqa: N802
+    def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: N802
         """Return the protocol of a new connection."""
-        return ClientProtocol(self._channel)
+        return ClientProtocol(self._owner)
--- a/myrtlehub/rpc/frame_rate_limiter.py
+++ b/myrtlehub/rpc/frame_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Limits how many frames without data a peer may send, by a token bucket for each kind."""
+"""Limits the rate of frames that a peer may send, with a token bucket for each kind."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -19,7 +19,7 @@
         self._buckets: dict[FrameKind, _Bucket] = {}
 
     def allow(self, kind: FrameKind, now: float) -> bool:
-        """Count one frame; return False once the peer has sent too many too fast."""
+        """Count one frame; return False if the peer has exceeded the rate and the burst of this kind."""
         burst, per_second = self._rates[kind]
         tokens, updated_at = self._buckets.get(kind, (burst, now))
         tokens = min(burst, tokens + (now - updated_at) * per_second) - 1.0
--- a/myrtlehub/rpc/frame_writer.py
+++ b/myrtlehub/rpc/frame_writer.py
@@ -1,48 +1,55 @@
-"""Sends what streams have queued, as flow control and the transport allow.
+"""Sends the queued data of streams, as far as flow control and the transport allow.
 
-Writes are collected and sent once a turn of the reactor, so messages that were read together are sent
-together. Streams take turns by frames.
+Writes are collected and sent once per turn of the reactor: messages that were read together are sent
+together. Each round sends one frame per stream, so that streams share the connection evenly.
 """
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from myrtlehub.clock import Clock, Timer
+from myrtlehub.rpc.h2_connection import GracefulH2Connection
 from myrtlehub.rpc.stream import Stream
+from myrtlehub.rpc.transport import Transport
 
-if TYPE_CHECKING:
-    from myrtlehub.rpc.http2_protocol import Http2Protocol
+
+class WrittenConnection(Protocol):
+    """The connection, as its writer uses it."""
+
+    is_lost: bool
+    close_reason: str | None
+    transport: Transport
 
 
 class FrameWriter:
     """The sending side of one connection."""
 
-    def __init__(self, protocol: "Http2Protocol", clock: Clock) -> None:
-        self.is_reading = False  # a flush follows once all that was received is processed
+    def __init__(self, connection: WrittenConnection, conn: GracefulH2Connection, clock: Clock) -> None:
+        self.is_reading = False  # no flush is scheduled: one follows once the received bytes are processed
         self.is_transport_full = False
-        self._protocol = protocol
-        self._conn = protocol.conn
+        self._connection = connection
+        self._conn = conn
         self._clock = clock
-        self._pending: dict[Stream, None] = {}  # streams that have something to send, in their order
+        self._pending: dict[Stream, None] = {}  # streams with something to send, in the order of sending
         self._flush_call: Timer | None = None
 
     def mark(self, stream: Stream) -> None:
-        """Send what this stream has queued, with the rest of this turn."""
+        """Send the queued data of this stream at the end of this turn."""
         self._pending[stream] = None
         if self._flush_call is None:
             self.schedule_flush()
 
     def mark_without_flush(self, stream: Stream) -> None:
-        """Send what this stream has queued with the next flush."""
+        """Send the queued data of this stream with the next flush, without scheduling one."""
         if stream.buffered or stream.is_ending:
             self._pending[stream] = None
 
     def forget(self, stream: Stream) -> None:
-        """Send nothing more of this stream."""
+        """Send nothing more for this stream."""
         self._pending.pop(stream, None)
 
     def schedule_flush(self) -> None:
-        """Flush once this turn is over."""
-        if self._flush_call is None and not self.is_reading and not self._protocol.is_lost:
+        """Flush at the end of this turn of the reactor."""
+        if self._flush_call is None and not self.is_reading and not self._connection.is_lost:
             self._flush_call = self._clock.callLater(0, self._flush_scheduled)
 
     def _flush_scheduled(self) -> None:
@@ -50,9 +57,9 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send what windows and the transport allow."""
-        protocol = self._protocol
-        if protocol.is_lost or protocol.close_reason:
+        """Send queued data, as far as the flow-control windows and the transport allow."""
+        connection = self._connection
+        if connection.is_lost or connection.close_reason:
             return
         conn = self._conn
         pending = self._pending
@@ -63,19 +70,19 @@
                     self._pending[stream] = None
             pending = self._pending
             if conn._data_to_send:
-                protocol.transport.write(conn.data_to_send())
+                connection.transport.write(conn.data_to_send())
         data = conn.data_to_send()
         if data:
-            protocol.transport.write(data)
+            connection.transport.write(data)
 
     def stop(self) -> None:
-        """Send nothing more, as the connection is lost."""
+        """Send nothing more, after the connection was lost."""
         if self._flush_call is not None and self._flush_call.active():
             self._flush_call.cancel()
         self._pending.clear()
 
     def _send_frame(self, stream: Stream) -> bool:
-        """Send one frame of a stream; return whether more could be sent now."""
+        """Send one frame of a stream; return whether the stream has more to send now."""
         if stream.buffered:
             conn = self._conn
             max_size = conn.sendable_bytes(stream.id)
@@ -86,9 +93,9 @@
             if is_last or not conn.send_plain_data(stream.id, chunk):
                 conn.send_data(stream.id, chunk, end_stream=is_last)
             if is_last:
-                self._end_sent(stream)
+                stream.end_sent()
                 return False
-            stream.drained()
+            stream.resume_producer()
             if stream.buffered:
                 return True
         if stream.is_ending and not stream.sent_end:
@@ -100,8 +107,4 @@
             self._conn.send_data(stream.id, b"", end_stream=True)
         else:
             self._conn.send_headers(stream.id, stream.trailers, end_stream=True)
-        self._end_sent(stream)
-
-    def _end_sent(self, stream: Stream) -> None:
-        stream.sent_end = True
-        self._protocol.close_if_ended(stream)
+        stream.end_sent()
--- a/myrtlehub/rpc/framing.py
+++ b/myrtlehub/rpc/framing.py
@@ -1,4 +1,4 @@
-"""Length-prefixed messages of gRPC. Free of I/O: any split of the bytes gives the same messages."""
+"""Length-prefixed messages of gRPC, without I/O: the messages do not depend on how the bytes are split."""
 
 import gzip
 import zlib
@@ -12,7 +12,7 @@
 ENCODINGS = (IDENTITY, GZIP)
 ACCEPTED_ENCODINGS = ",".join(ENCODINGS)
 GZIP_LEVEL = 6
-GZIP_WINDOW_BITS = 31  # what zlib takes for the gzip format
+GZIP_WINDOW_BITS = 31  # zlib's code for the gzip format with the largest window
 
 
 def frame(message: bytes, encoding: str = IDENTITY) -> bytes:
@@ -24,7 +24,7 @@
 
 
 def _decompress(data: bytes, max_size: int) -> bytes:
-    """Decompress a message, but never to more than `max_size` bytes: a small one could fill the memory."""
+    """Decompress a message to at most `max_size` bytes, as a small one could otherwise exhaust the memory."""
     decompressor = zlib.decompressobj(wbits=GZIP_WINDOW_BITS)
     try:
         message = decompressor.decompress(data, max_size + 1)
@@ -38,11 +38,11 @@
 
 
 class MessageReader:
-    """Collects bytes and returns whole messages.
+    """Collects bytes and returns complete messages.
 
     `max_size` is the limit on the bytes of one message, before and after decompression. Errors are
-    `RpcError`: INTERNAL for malformed framing, RESOURCE_EXHAUSTED for size, UNIMPLEMENTED for an encoding
-    that is not known here.
+    `RpcError`: INTERNAL for malformed framing, RESOURCE_EXHAUSTED for size, UNIMPLEMENTED for an
+    unknown encoding.
     """
 
     def __init__(self, max_size: int, encoding: str = IDENTITY) -> None:
@@ -50,12 +50,12 @@
         self._encoding = encoding
         self._parts: list[bytes] = []
         self._size = 0
-        self._needed = MESSAGE_PREFIX.size  # bytes until a message may be complete
+        self._needed = MESSAGE_PREFIX.size  # collected bytes from which on a message may be complete
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the messages that these bytes complete, in order."""
         if self._parts:
-            # Parts are joined only once a message is complete: a long one costs one copy, not one a frame.
+            # Parts are joined only once a message is complete: a long one is copied once, not once per frame.
             self._parts.append(data)
             self._size += len(data)
             if self._size < self._needed:
@@ -66,16 +66,16 @@
         position = 0
         size = len(data)
         while size - position >= MESSAGE_PREFIX.size:
-            is_compressed, length = MESSAGE_PREFIX.unpack_from(data, position)
-            if is_compressed > 1 or length > self._max_size:
-                self._refuse(is_compressed, length)
+            compressed_flag, length = MESSAGE_PREFIX.unpack_from(data, position)
+            if compressed_flag > 1 or length > self._max_size:
+                self._reject(compressed_flag, length)
             begin = position + MESSAGE_PREFIX.size
             if size - begin < length:
                 self._needed = MESSAGE_PREFIX.size + length
                 break
             position = begin + length
             message = data[begin:position]
-            messages.append(self._decode(message) if is_compressed else message)
+            messages.append(self._decode(message) if compressed_flag else message)
         else:
             self._needed = MESSAGE_PREFIX.size
         rest = data[position:]
@@ -84,7 +84,7 @@
             self._parts.append(rest)
         return messages
 
-    def _refuse(self, compressed_flag: int, length: int) -> None:
+    def _reject(self, compressed_flag: int, length: int) -> None:
         if compressed_flag > 1:
             raise RpcError(Code.INTERNAL, f"compressed flag is {compressed_flag}, neither 0 nor 1")
         raise RpcError(
@@ -99,6 +99,6 @@
         raise RpcError(Code.UNIMPLEMENTED, f"grpc-encoding {self._encoding} is not supported")
 
     def finish(self) -> None:
-        """Take note that the stream ended; INTERNAL if it ended inside a message."""
+        """Check at the end of the stream that no message is incomplete; raise INTERNAL otherwise."""
         if self._size:
             raise RpcError(Code.INTERNAL, f"stream ended inside a message, {self._size} bytes in")
--- a/myrtlehub/rpc/h2_connection.py
+++ b/myrtlehub/rpc/h2_connection.py
@@ -1,28 +1,77 @@
-"""h2's connection with fast paths for DATA frames, and one that stays open after GOAWAY."""
+"""h2's connection with fast paths for DATA frames, and with a GOAWAY that leaves the connection open."""
 
+from collections.abc import Iterable
 from struct import Struct
 
+from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.events import ConnectionTerminated, Event
+from h2.settings import SettingCodes, Settings
 from h2.stream import StreamState
+from hpack.struct import Header
 from hyperframe.frame import Frame, GoAwayFrame
 
-FRAME_HEADER_SIZE = 9
-_FRAME_HEADER = Struct(">HBBBI")  # length in 24 bits, type, flags, stream
+from myrtlehub.rpc.header_encoder import StatelessHeaderEncoder
+from myrtlehub.rpc.metadata import Headers
+from myrtlehub.rpc.transport_limits import TransportLimits
+
+FRAME_HEADER_SIZE = 9  # bytes
+INITIAL_CONNECTION_WINDOW = 65535  # bytes, by RFC 9113
+HEADER_CHARSET = "latin-1"  # decodes any byte; values outside ASCII are judged by their readers
+_FRAME_HEADER = Struct(">HBBBI")  # length in 24 bits, type, flags, stream id
 _RECEIVING = (StreamState.OPEN, StreamState.HALF_CLOSED_LOCAL)
 _SENDING = (StreamState.OPEN, StreamState.HALF_CLOSED_REMOTE)
 
-# h2 formats each frame for a trace log even where nobody reads that; it came to a tenth of a node's work.
-Frame.__repr__ = object.__repr__
+# h2 formats every frame for its trace log, even when the log is off: a tenth of a node's processor time.
+Frame.__repr__ = object.__repr__  # type: ignore[method-assign]  # replaced on purpose
+
+
+def decode_headers(headers: Iterable[Header]) -> Headers:
+    """Return the text of received headers."""
+    return [(name.decode(HEADER_CHARSET), value.decode(HEADER_CHARSET)) for name, value in headers]
 
 
 class GracefulH2Connection(H2Connection):
-    """A connection that outlives GOAWAY, as graceful shutdown needs.
+    """A connection that stays usable after a GOAWAY, as a graceful shutdown requires.
 
-    h2 takes a GOAWAY for the end of the connection; by RFC 9113 section 6.8, streams below the named one
-    finish. Streams are counted by our protocol, so that one too many is refused and is no connection error.
+    h2 treats a GOAWAY as the end of the connection; by RFC 9113 section 6.8, streams up to the one that it
+    names are still processed. Open streams are counted by `StreamTable`, so that a stream above the limit is
+    refused instead of being a connection error.
     """
 
+    def __init__(self, is_client: bool) -> None:
+        super().__init__(
+            H2Configuration(
+                client_side=is_client,
+                header_encoding=None,
+                validate_outbound_headers=False,
+                # A client trusts the servers that its program chose; a server has to check every client.
+                validate_inbound_headers=not is_client,
+                normalize_outbound_headers=False,
+            )
+        )
+        self.encoder = StatelessHeaderEncoder()  # type: ignore[assignment]  # implements what h2 uses of it
+
+    def initiate(self, limits: TransportLimits) -> None:
+        """Queue the preface, our SETTINGS and the window of the connection."""
+        # As initial values: h2 applies later changes only once the peer has acknowledged them.
+        self.local_settings = Settings(self.config.client_side, self._initial_settings(limits))
+        self.max_inbound_frame_size = limits.max_frame
+        self.initiate_connection()
+        self.decoder.max_header_list_size = limits.max_header_list
+        self.increment_flow_control_window(limits.connection_window - INITIAL_CONNECTION_WINDOW)
+
+    def _initial_settings(self, limits: TransportLimits) -> dict[SettingCodes, int]:
+        settings = {
+            SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window,
+            SettingCodes.MAX_FRAME_SIZE: limits.max_frame,
+            SettingCodes.MAX_HEADER_LIST_SIZE: limits.max_header_list,
+            SettingCodes.MAX_CONCURRENT_STREAMS: limits.max_streams,
+        }
+        if self.config.client_side:
+            settings[SettingCodes.ENABLE_PUSH] = 0
+        return settings
+
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[Event]]:
         event = ConnectionTerminated()
         event.error_code = frame.error_code
@@ -34,12 +83,12 @@
         return 0
 
     def go_away(self, last_stream_id: int, error: int = 0, reason: bytes = b"") -> None:
-        """Announce GOAWAY and leave the connection open."""
+        """Queue a GOAWAY, and leave the connection open."""
         frame = GoAwayFrame(0, last_stream_id=last_stream_id, error_code=error, additional_data=reason)
         self._prepare_for_sending([frame])
 
     def sendable_bytes(self, stream_id: int) -> int:
-        """Return the bytes that one DATA frame on this stream may carry now."""
+        """Return how many bytes one DATA frame on this stream may carry now."""
         stream = self.streams.get(stream_id)
         if stream is None:
             return 0
@@ -50,9 +99,9 @@
         )
 
     def receive_plain_data(self, stream_id: int, size: int) -> bool:
-        """Account for a plain DATA frame on an open stream; return False where h2 has to decide on it.
+        """Account for a DATA frame without flags on an open stream; return False if h2 has to process it.
 
-        h2's own way takes ten times as long, and nearly all frames of token streams are of this kind.
+        Nearly all frames of token streams are of this kind, and h2 takes ten times as long for them.
         """
         stream = self.streams.get(stream_id)
         if stream is None or stream._expected_content_length is not None:
@@ -69,7 +118,7 @@
         return True
 
     def send_plain_data(self, stream_id: int, data: bytes) -> bool:
-        """Send a plain DATA frame that the windows allow; return False where h2 has to decide on it."""
+        """Queue a DATA frame without flags that the windows allow; return False if h2 has to send it."""
         stream = self.streams.get(stream_id)
         if stream is None or stream.state_machine.state not in _SENDING:
             return False
@@ -80,7 +129,7 @@
         return True
 
     def forget_stream(self, stream_id: int) -> None:
-        """Drop a closed stream, except for how it was closed."""
+        """Remove a closed stream, and retain only how it was closed."""
         stream = self.streams.pop(stream_id, None)
         if stream is not None:
             self._closed_streams[stream_id] = stream.closed_by
--- a/myrtlehub/rpc/header_encoder.py
+++ b/myrtlehub/rpc/header_encoder.py
@@ -1,24 +1,26 @@
 """A stateless encoder of header blocks: each header is encoded once, and a block joins the cached bytes.
 
-gRPC sends the same few headers again and again. The dynamic table of HPACK would make them short at a high
-price: a search and an insertion for each, at both ends. Literals without indexing depend on no other header,
-so their bytes can be cached. They are made by hpack.
+gRPC sends the same few headers repeatedly. The dynamic table of HPACK would make them shorter, but costs a
+search and an insertion per header at both ends. A literal without indexing does not depend on other headers,
+so its encoding, which hpack makes, can be cached.
 """
 
 from collections.abc import Iterable
 
 from hpack import Encoder, NeverIndexedHeaderTuple
 
-MAX_CACHED_HEADERS = 4096  # of one connection
+MAX_CACHED_HEADERS = 4096  # per connection, to bound its memory; the cache is then cleared
 MAX_CACHED_VALUE = 64  # bytes; longer values are unlikely to recur
-EMPTY_DYNAMIC_TABLE = b"\x20"  # the size update by which the first block says that there is none
+EMPTY_DYNAMIC_TABLE = b"\x20"  # the size update with which the first block announces a table of size 0
 
 
 class StatelessHeaderEncoder:
-    """Takes the place of hpack's Encoder in h2."""
+    """Replaces hpack's Encoder in h2."""
 
     def __init__(self) -> None:
-        self.header_table_size = 0  # h2 sets it by the peer's SETTINGS; a table of size 0 is always allowed
+        self.header_table_size = (
+            0  # set by h2 from the peer's SETTINGS; not used, as a table of size 0 is always allowed
+        )
         self._encoder = Encoder()
         self._cache: dict[tuple[str, str], bytes] = {}
         self._block_prefix = EMPTY_DYNAMIC_TABLE
--- a/myrtlehub/rpc/keepalive.py
+++ b/myrtlehub/rpc/keepalive.py
@@ -1,16 +1,16 @@
-"""Finds peers that do not respond: no SETTINGS in time, or no answer to a keep-alive ping."""
+"""Detects peers that do not respond: no SETTINGS in time, or no answer to a keep-alive ping."""
 
 from collections.abc import Callable
 
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-TIMER_TOLERANCE = 0.001  # seconds that a timer may be early
-MIN_WAIT = 0.01  # seconds
+TIMER_TOLERANCE = 0.001  # seconds by which a timer may fire early
+MIN_DELAY = 0.01  # seconds between checks, so that rounding cannot make the timer spin
 
 
 class Keepalive:
-    """Watches one connection; whoever reads from it sets `received_at` and `is_ping_unanswered`."""
+    """Monitors one connection, which updates the public attributes whenever it receives bytes."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Begin to wait for the peer's SETTINGS."""
+        """Start the timeout of the peer's SETTINGS."""
         self.received_at = self._clock.seconds()
-        self._timer = self._clock.callLater(self._limits.settings_timeout, self._settings_missing)
+        self._timer = self._clock.callLater(self._limits.settings_timeout, self._settings_timed_out)
 
     def settings_received(self) -> None:
-        """Begin to ping, as the connection is established."""
+        """Start the checks for silence, once the connection is established."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -43,11 +43,11 @@
             self._timer = self._clock.callLater(self._limits.keepalive_interval, self._check)
 
     def stop(self) -> None:
-        """End, as the connection is lost."""
+        """Stop the timer, after the connection was lost."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _settings_missing(self) -> None:
+    def _settings_timed_out(self) -> None:
         self._timer = None
         self._on_settings_timeout()
 
@@ -62,5 +62,5 @@
             self.is_ping_unanswered = True
             self._send_ping()
         until_ping = limits.keepalive_interval - silence
-        wait = limits.keepalive_timeout if self.is_ping_unanswered else until_ping
-        self._timer = self._clock.callLater(max(MIN_WAIT, wait), self._check)
+        delay = limits.keepalive_timeout if self.is_ping_unanswered else until_ping
+        self._timer = self._clock.callLater(max(MIN_DELAY, delay), self._check)
--- a/myrtlehub/rpc/metadata.py
+++ b/myrtlehub/rpc/metadata.py
@@ -1,4 +1,4 @@
-"""Metadata as HTTP/2 headers: values of `-bin` keys are bytes here, and base64 on the wire."""
+"""Conversion between metadata and HTTP/2 headers; values of `-bin` keys are bytes, in base64 on the wire."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -18,7 +18,7 @@
     """Return headers for metadata.
 
     Raises:
-        ValueError: a key or value may not be sent; the text names it.
+        ValueError: a key or value may not be sent; the message names the key.
     """
     headers = []
     for key, value in metadata:
@@ -35,12 +35,12 @@
 
 
 def decode(headers: Iterable[tuple[str, str]]) -> Metadata:
-    """Return the application's metadata among received headers.
+    """Return the application's metadata in received headers.
 
     Raises:
         RpcError: INTERNAL, if the value of a `-bin` key is not base64.
     """
-    metadata = []
+    metadata: list[tuple[str, str | bytes]] = []
     for key, value in headers:
         if key[0] == ":" or key.startswith("grpc-") or key in RESERVED:
             continue
@@ -61,7 +61,7 @@
 
 
 def first(metadata: Metadata, key: str, default: str = "") -> str:
-    """Return the first text value of a key."""
+    """Return the first text value of a key, or the default."""
     for name, value in metadata:
         if name == key and isinstance(value, str):
             return value
--- a/myrtlehub/rpc/method_handlers.py
+++ b/myrtlehub/rpc/method_handlers.py
@@ -1,6 +1,7 @@
-"""Handlers of methods that take one request, or collect all requests."""
+"""Handlers of unary methods and of methods with a stream of replies or requests."""
 
 from collections.abc import Callable
+from functools import partial
 
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.python.failure import Failure
@@ -9,19 +10,21 @@
 from myrtlehub.rpc.status import Code, RpcError
 
 Handler = Callable[[ServerCall], Receiver]
-Reply = bytes | Deferred  # a Deferred of bytes
+Reply = bytes | Deferred[bytes]
 
 
 class _ReplySender:
-    """Sends one reply, which may come later, and ends the call."""
+    """Sends the only reply of a call, which may be a Deferred, and ends the call."""
 
     def __init__(self, call: ServerCall) -> None:
         self._call = call
-        self._reply: Deferred | None = None
+        self._reply: Deferred[bytes] | None = None
 
-    def run(self, method: Callable[..., Reply], *arguments: object) -> None:
-        """Run a method for its reply."""
-        self._reply = maybeDeferred(method, *arguments)
+    def run(self, method: Callable[[], Reply]) -> None:
+        """Run a method and send its reply."""
+        self._reply = maybeDeferred(  # type: ignore[call-overload]  # no overload for a union of results
+            method
+        )
         self._reply.addCallbacks(self._send, self._fail)
 
     def _send(self, reply: bytes) -> None:
@@ -31,27 +34,27 @@
     def _fail(self, failure: Failure) -> None:
         if self._call.over:
             return
-        if failure.check(RpcError):
+        if isinstance(failure.value, RpcError):
             self._call.fail(failure.value)
         else:
             self._call.crash(failure)
 
     def cancel(self) -> None:
-        """Cancel a reply that is still to come."""
+        """Cancel a reply that is still pending."""
         if self._reply is not None:
             self._reply.addErrback(lambda failure: None)
             self._reply.cancel()
 
 
 class _SingleRequest(Receiver):
-    """Takes exactly one request message."""
+    """Receives exactly one request message."""
 
     def __init__(self, call: ServerCall) -> None:
         self._call = call
         self._request: bytes | None = None
 
     def message(self, data: bytes) -> None:
-        """Take the request."""
+        """Store the request."""
         if self._request is not None:
             raise RpcError(Code.UNIMPLEMENTED, "more than one request message on a call that takes one")
         self._request = data
@@ -73,7 +76,7 @@
         self._sender = _ReplySender(call)
 
     def _run(self, request: bytes) -> None:
-        self._sender.run(self._method, self._call, request)
+        self._sender.run(partial(self._method, self._call, request))
 
     def lost(self, code: Code) -> None:
         """Cancel the reply."""
@@ -90,7 +93,7 @@
         self._receiver = self._method(self._call, request)
 
     def lost(self, code: Code) -> None:
-        """Tell what the method returned."""
+        """Notify the receiver that the method returned."""
         if isinstance(self._receiver, Receiver):
             self._receiver.lost(code)
 
@@ -108,7 +111,7 @@
 
     def finished(self) -> None:
         """Run the method."""
-        self._sender.run(self._method, self._call, self._requests)
+        self._sender.run(partial(self._method, self._call, self._requests))
 
     def lost(self, code: Code) -> None:
         """Cancel the reply."""
@@ -123,11 +126,12 @@
 def server_stream(method: Callable[[ServerCall, bytes], Receiver | None]) -> Handler:
     """Handle a method of one request and many replies.
 
-    The method sends them and finishes the call; the Receiver that it returns is told if the call is `lost`.
+    The method sends them and finishes the call; if it returns a Receiver, this is notified if the call is
+    `lost`.
     """
     return lambda call: _ServerStreamCall(call, method)
 
 
 def client_stream(method: Callable[[ServerCall, list[bytes]], Reply]) -> Handler:
-    """Handle a method of many requests, which are collected, and one reply."""
+    """Handle a method of many requests, which are collected first, and one reply."""
     return lambda call: _ClientStreamCall(call, method)
--- a/myrtlehub/rpc/server.py
+++ b/myrtlehub/rpc/server.py
@@ -4,8 +4,8 @@
 
 from h2.errors import ErrorCodes
 from twisted.internet.defer import Deferred
+from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import Factory
-from twisted.python.failure import Failure
 
 from myrtlehub.clock import Clock
 from myrtlehub.rpc import framing, metadata
@@ -15,15 +15,14 @@
 from myrtlehub.rpc.server_protocol import ServerProtocol
 from myrtlehub.rpc.status import Code, RpcError, decode_timeout
 from myrtlehub.rpc.stream import Stream
-from myrtlehub.rpc.transport import PeerAddress
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 CONTENT_TYPES = ("application/grpc", "application/grpc+proto")
-REFUSAL_GRACE = 0.2  # seconds until a client that still sends is stopped
+REJECTION_GRACE = 0.2  # seconds until the stream of a rejected client that still sends is reset
 
 
 class Server(Factory):
-    """Methods by path, over any number of connections."""
+    """Serves methods by path, over any number of connections."""
 
     noisy = False
 
@@ -35,7 +34,7 @@
         max_connections: int = 0,
         max_connections_per_host: int = 0,
     ) -> None:
-        """Make a server; limits on connections of 0 stand for any number."""
+        """Make a server; a maximum of 0 connections means that their number is not limited."""
         self.clock = clock
         self.limits = limits or TransportLimits()
         self.compress = compress
@@ -45,14 +44,14 @@
         self.calls: set[ServerCall] = set()
         self._max_connections = max_connections
         self._max_connections_per_host = max_connections_per_host
-        self._drained: Deferred | None = None
+        self._drained: Deferred[None] | None = None
 
     def add(self, path: str, handler: Handler) -> None:
         """Serve a method; the path is "/package.Service/Method"."""
         self.methods[path] = handler
 
-    def buildProtocol(self, addr: PeerAddress) -> ServerProtocol | None:  # noqa: N802
-        """Return the protocol of a new connection, or None to close it at once: the client backs off."""
+    def buildProtocol(self, addr: IAddress | None) -> ServerProtocol | None:  # noqa: N802
+        """Return the protocol of a new connection, or None to close it at once."""
         if self._max_connections and len(self.connections) >= self._max_connections:
             return None
         host_limit = self._max_connections_per_host
@@ -60,8 +59,8 @@
             return None
         return ServerProtocol(self)
 
-    def drain(self) -> Deferred:
-        """Announce the end on all connections; the Deferred fires once the last is closed."""
+    def drain(self) -> Deferred[None]:
+        """Shut all connections down gracefully; the Deferred fires once the last one is closed."""
         if self._drained is None:
             self._drained = Deferred()
             for connection in list(self.connections):
@@ -69,21 +68,33 @@
             self.connection_lost()
         return self._drained
 
+    def connection_made(self, connection: ServerProtocol) -> None:
+        """Count a connection."""
+        self.connections.add(connection)
+        self.connections_by_host[connection.host] += 1
+
+    def connection_closed(self, connection: ServerProtocol) -> None:
+        """Remove a connection from the counts."""
+        if connection in self.connections:
+            self.connections.discard(connection)
+            # Subtraction removes the host with its last connection.
+            self.connections_by_host -= Counter((connection.host,))
+
     def connection_lost(self) -> None:
-        """Take note that a connection is lost; a drain ends with the last."""
+        """End a drain after the last connection."""
         if self._drained is not None and not self.connections and not self._drained.called:
             self._drained.callback(None)
 
-    def open_call(self, stream: Stream, headers: Headers) -> None:
+    def open_call(self, stream: Stream, headers: Headers, peer: str) -> None:
         """Check the headers of a request, and start its handler."""
         values = dict(headers)
-        refusal = _refusal(values)
-        if refusal:
-            self._refuse(stream, refusal)
+        rejection = _rejection_headers(values)
+        if rejection:
+            self._reject(stream, rejection)
             return
         encoding = values.get("grpc-encoding", framing.IDENTITY)
         accepted = tuple(name.strip() for name in values.get("grpc-accept-encoding", "").split(","))
-        call = ServerCall(self, stream, values.get(":path", ""), (), encoding, accepted)
+        call = ServerCall(self, stream, peer, values.get(":path", ""), encoding, accepted)
         self.calls.add(call)
         try:
             self._start_handler(call, headers, values, encoding)
@@ -91,8 +102,8 @@
             if error.status.code == Code.UNIMPLEMENTED and encoding not in framing.ENCODINGS:
                 call.announce_encodings()
             call.fail(error)
-        except Exception:  # noqa: BLE001 - whatever a handler raises ends its call and no other
-            call.crash(Failure())
+        except Exception:  # noqa: BLE001 - an error of a handler ends its call and no other
+            call.crash()
 
     def _start_handler(
         self, call: ServerCall, headers: Headers, values: dict[str, str], encoding: str
@@ -109,16 +120,20 @@
             raise RpcError(Code.UNIMPLEMENTED, f"unknown method {call.path}")
         call.receiver = handler(call)
 
-    def _refuse(self, stream: Stream, headers: Headers) -> None:
+    def call_ended(self, call: ServerCall) -> None:
+        """Remove a call that is over."""
+        self.calls.discard(call)
+
+    def _reject(self, stream: Stream, headers: Headers) -> None:
         error = RpcError(Code.UNKNOWN, "not a gRPC request: POST and content-type application/grpc")
         status = [("grpc-status", str(int(error.status.code))), ("grpc-message", error.status.message)]
         stream.end([*headers, *status])
         if not stream.received_end:
-            self.clock.callLater(REFUSAL_GRACE, _reset_unless_closed, stream)
+            self.clock.callLater(REJECTION_GRACE, _reset_unless_closed, stream)
 
 
-def _refusal(values: dict[str, str]) -> Headers:
-    """Return the headers that refuse a request which is not gRPC; none if it is."""
+def _rejection_headers(values: dict[str, str]) -> Headers:
+    """Return the headers that reject a request which is not a gRPC request, none if it is one."""
     if values.get(":method") != "POST":
         return [(":status", "405"), ("allow", "POST")]
     content_type = values.get("content-type", "").split(";")[0].strip().lower()
--- a/myrtlehub/rpc/server_call.py
+++ b/myrtlehub/rpc/server_call.py
@@ -1,105 +1,114 @@
 """One call that a server processes, from its headers to its trailers."""
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from h2.errors import ErrorCodes
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from myrtlehub.clock import Timer
+from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc import framing, metadata
 from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.status import Code, Metadata, RpcError, encode_message
 from myrtlehub.rpc.stream import Stream
+from myrtlehub.rpc.transport_limits import TransportLimits
 
-if TYPE_CHECKING:
-    from myrtlehub.rpc.server import Server
-
-RESET_DELAY = 0.05  # seconds between looks whether the trailers are sent
-RESET_TRIES = 20
+RESET_DELAY = 0.05  # seconds between checks whether the trailers were sent
+MAX_RESET_CHECKS = 20  # after which the stream is reset although the client has not accepted the trailers
 
 log = Logger()
 
 
 class Receiver:
-    """What a method's handler returns: it is told of messages and of the end. All may be left out."""
+    """Observer of a call's requests, returned by the handler of its method; by default it ignores them."""
 
     def message(self, data: bytes) -> None:
-        """Take one request message."""
+        """Called with each request message."""
 
     def finished(self) -> None:
-        """Take note that the client has sent its last message."""
+        """Called when the client has sent its last message."""
 
     def lost(self, code: Code) -> None:
-        """Take note that the call is over: cancelled, past its deadline, or its connection broke."""
+        """Called when the call was cancelled, its deadline passed, it failed or its connection broke."""
+
+
+class ServerCallOwner(Protocol):
+    """The server, as its calls use it."""
+
+    clock: Clock
+    limits: TransportLimits
+    compress: bool
+
+    def call_ended(self, call: "ServerCall", /) -> None:
+        """Called when a call is over."""
 
 
 class ServerCall:
-    """One call. `deadline` is on the server's clock, None where the client set none."""
+    """One call.
+
+    `peer` is the client's address with its port, `deadline` a time of the server's clock, or None if the
+    client has not set one.
+    """
 
     def __init__(
         self,
-        server: "Server",
+        owner: ServerCallOwner,
         stream: Stream,
+        peer: str,
         path: str,
-        meta: Metadata,
         encoding: str,
         accepted_encodings: Iterable[str],
     ) -> None:
-        self.server = server
+        self.clock = owner.clock
         self.stream = stream
+        self.peer = peer
         self.path = path
-        self.metadata = meta
+        self.metadata: Metadata = ()
         self.deadline: float | None = None
         self.receiver = Receiver()
         self.over = False
+        self._owner = owner
         self._timer: Timer | None = None
-        self._reader = framing.MessageReader(server.limits.max_message, encoding)
-        self._is_begun = False  # the initial metadata is sent
+        self._reader = framing.MessageReader(owner.limits.max_message, encoding)
+        self._is_begun = False  # the initial metadata was sent
         self._encoding = framing.IDENTITY
-        if server.compress and framing.GZIP in accepted_encodings:
+        if owner.compress and framing.GZIP in accepted_encodings:
             self._encoding = framing.GZIP
         self._initial_metadata: Headers = []
         stream.on_data = self._data_received
         stream.on_end = self._end_received
         stream.on_lost = self._stream_lost
 
-    @property
-    def peer(self) -> str:
-        """Address of the client, with the port of its connection."""
-        return self.stream.protocol.peer
-
     @property
     def buffered(self) -> int:
-        """Bytes that wait here for the client."""
+        """Bytes that are queued for the client."""
         return self.stream.buffered
 
     def set_deadline(self, time_left: float) -> None:
-        """End the call with DEADLINE_EXCEEDED after so many seconds."""
-        clock = self.server.clock
-        self.deadline = clock.seconds() + time_left
-        self._timer = clock.callLater(time_left, self._deadline_passed)
+        """Set the deadline to `time_left` seconds from now; the call then ends with DEADLINE_EXCEEDED."""
+        self.deadline = self.clock.seconds() + time_left
+        self._timer = self.clock.callLater(time_left, self._deadline_passed)
 
     def time_left(self) -> float:
-        """Return the seconds until the deadline; infinite without one."""
-        return float("inf") if self.deadline is None else self.deadline - self.server.clock.seconds()
+        """Return the seconds until the deadline, infinity if there is none."""
+        return float("inf") if self.deadline is None else self.deadline - self.clock.seconds()
 
     def set_initial(self, meta: Iterable[tuple[str, str | bytes]]) -> None:
-        """Set metadata to be sent ahead of the first message."""
+        """Add metadata to be sent before the first message."""
         self._initial_metadata.extend(metadata.encode(meta))
 
     def announce_encodings(self) -> None:
-        """Tell the client which encodings are accepted, ahead of an error."""
+        """Add the accepted encodings to the headers of an error."""
         self._initial_metadata.append(("grpc-accept-encoding", framing.ACCEPTED_ENCODINGS))
 
     def begin(self) -> None:
-        """Send the initial metadata now, and not with the first message."""
+        """Send the initial metadata now instead of with the first message."""
         if not self.over and not self._is_begun:
             self._send_initial_metadata()
 
     def send(self, message: bytes) -> None:
-        """Send one message; after the end of the call it is dropped."""
+        """Send one message; it is dropped if the call is over."""
         if self.over:
             return
         if not self._is_begun:
@@ -112,14 +121,12 @@
         if self._encoding != framing.IDENTITY:
             headers.append(("grpc-encoding", self._encoding))
         headers.append(("grpc-accept-encoding", framing.ACCEPTED_ENCODINGS))
-        protocol = self.stream.protocol
-        protocol.conn.send_headers(self.stream.id, headers + self._initial_metadata)
-        protocol.writer.schedule_flush()
+        self.stream.connection.send_headers(self.stream, headers + self._initial_metadata)
 
     def finish(
         self, code: Code = Code.OK, message: str = "", trailers: Iterable[tuple[str, str | bytes]] = ()
     ) -> None:
-        """End the call, by trailers alone where nothing was sent."""
+        """End the call; the response has only trailers if nothing was sent before."""
         if self.over:
             return
         self._close()
@@ -134,18 +141,18 @@
             headers = [(":status", "200"), ("content-type", "application/grpc+proto")]
             stream.end([*headers, *self._initial_metadata, *status])
         if not stream.received_end:
-            # The client may still be sending: it is told to stop, once the trailers are sent.
+            # The client may still be sending: a reset stops it once the trailers were sent.
             stream.on_data = _ignore_data
             stream.on_end = _ignore_end
-            self.server.clock.callLater(0, self._stop_client, RESET_TRIES)
+            self.clock.callLater(0, self._stop_client, MAX_RESET_CHECKS)
 
-    def _stop_client(self, tries_left: int) -> None:
+    def _stop_client(self, checks_left: int) -> None:
         if self.stream.closed:
             return
         if self.stream.sent_end:
             self.stream.reset(ErrorCodes.NO_ERROR)
-        elif tries_left:
-            self.server.clock.callLater(RESET_DELAY, self._stop_client, tries_left - 1)
+        elif checks_left:
+            self.clock.callLater(RESET_DELAY, self._stop_client, checks_left - 1)
         else:
             self.stream.reset(ErrorCodes.CANCEL)
 
@@ -153,8 +160,8 @@
         """End the call with an error."""
         self.finish(error.status.code, error.status.message, error.status.trailers)
 
-    def crash(self, failure: Failure) -> None:
-        """End the call, as its handler failed by an error of its own."""
+    def crash(self, failure: Failure | None = None) -> None:
+        """Log an unexpected failure of the handler and end the call; None is the exception being handled."""
         log.failure("handler of {path} failed", failure, path=self.path)
         self._abort(RpcError(Code.INTERNAL, "the handler failed"))
 
@@ -169,7 +176,7 @@
             if self._timer.active():
                 self._timer.cancel()
             self._timer = None
-        self.server.calls.discard(self)
+        self._owner.call_ended(self)
 
     def _deadline_passed(self) -> None:
         if not self.over:
@@ -183,8 +190,8 @@
                 self.receiver.message(message)
         except RpcError as error:
             self._abort(error)
-        except Exception:  # noqa: BLE001 - whatever a handler raises ends its call and no other
-            self.crash(Failure())
+        except Exception:  # noqa: BLE001 - an error of a handler ends its call and no other
+            self.crash()
 
     def _end_received(self) -> None:
         if self.over:
@@ -194,8 +201,8 @@
             self.receiver.finished()
         except RpcError as error:
             self._abort(error)
-        except Exception:  # noqa: BLE001 - whatever a handler raises ends its call and no other
-            self.crash(Failure())
+        except Exception:  # noqa: BLE001 - an error of a handler ends its call and no other
+            self.crash()
 
     def _stream_lost(self, error: int | None) -> None:
         if not self.over:
@@ -204,7 +211,7 @@
 
 
 def _ignore_data(data: bytes) -> None:
-    """Drop what a client sends after its call is over."""
+    """Drop data that a client sends after its call is over."""
 
 
 def _ignore_end() -> None:
--- a/myrtlehub/rpc/server_protocol.py
+++ b/myrtlehub/rpc/server_protocol.py
@@ -1,58 +1,73 @@
 """The server's side of a connection."""
 
-from collections import Counter
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, ClassVar
+from typing import Protocol
 
-from h2.errors import ErrorCodes
 from h2.events import Event, RequestReceived
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
+from myrtlehub.clock import Clock
 from myrtlehub.rpc.frame_reader import MAX_STREAM_ID
+from myrtlehub.rpc.h2_connection import decode_headers
 from myrtlehub.rpc.http2_protocol import Http2Protocol
+from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.stream import Stream
+from myrtlehub.rpc.transport_limits import TransportLimits
 
-if TYPE_CHECKING:
-    from myrtlehub.rpc.server import Server
+DRAIN_PING = b"draining"  # eight bytes, as the format of PING requires
+DRAIN_PING_TIMEOUT = 2.0  # seconds; a client that has not answered by then gets the final GOAWAY all the same
 
-DRAIN_PING = b"draining"  # eight bytes, as any ping has
-DRAIN_PING_TIMEOUT = 2.0  # seconds
+
+class ServerConnectionOwner(Protocol):
+    """The server, as its connections use it."""
+
+    clock: Clock
+    limits: TransportLimits
+
+    def connection_made(self, connection: "ServerProtocol", /) -> None:
+        """Called when the connection is open, before any call."""
+
+    def connection_closed(self, connection: "ServerProtocol", /) -> None:
+        """Called when the connection was lost, before its calls end."""
+
+    def connection_lost(self) -> None:
+        """Called after the connection was lost and all of its calls have ended."""
+
+    def open_call(self, stream: Stream, headers: Headers, peer: str, /) -> None:
+        """Called with the headers of each request."""
 
 
 class ServerProtocol(Http2Protocol):
-    """One client's connection."""
+    """The connection of one client; `peer` is its address with the port, `host` without."""
+
+    host: str
+    peer: str
 
-    def __init__(self, server: "Server") -> None:
-        super().__init__(server.clock, server.limits)
-        self.host = ""  # address of the client,
-        self.peer = ""  # with the port
-        self._server = server
-        self._last_stream_id = 0
-        self._is_closing = False  # the last GOAWAY is sent
+    def __init__(self, owner: ServerConnectionOwner) -> None:
+        super().__init__(owner.clock, owner.limits)
+        self._owner = owner
+        self._last_stream_id = 0  # highest id of a stream that the client opened
+        self._is_closing = False  # the final GOAWAY is sent
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Count the connection, and announce our settings."""
-        peer = self.transport.getPeer()
-        self.host = getattr(peer, "host", str(peer))
-        self.peer = f"{self.host}:{getattr(peer, 'port', '')}"
-        self._server.connections.add(self)
-        self._server.connections_by_host[self.host] += 1
+        """Notify the server, and send our SETTINGS."""
+        address = self.transport.getPeer()
+        self.host = getattr(address, "host", str(address))  # Unix sockets have no host
+        self.peer = f"{self.host}:{getattr(address, 'port', '')}"
+        self._owner.connection_made(self)
         super().connectionMade()
 
-    def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Forget the connection, and end all streams."""
-        if self in self._server.connections:
-            self._server.connections.discard(self)
-            # Subtraction drops the host with its last connection.
-            self._server.connections_by_host -= Counter((self.host,))
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
+        """End all calls, and notify the server."""
+        self._owner.connection_closed(self)
         super().connectionLost(reason)
-        self._server.connection_lost()
+        self._owner.connection_lost()
 
     def drain(self) -> None:
-        """Take no new stream, and close once those that run are over.
+        """Accept no new streams, and close the connection after the last open one.
 
-        Two GOAWAYs with a ping between (RFC 9113 section 6.8): a stream that the client opened before it saw
-        the first one is served.
+        Two GOAWAYs are sent with a ping between them (RFC 9113 section 6.8): a stream that the client opened
+        before it received the first one is still processed.
         """
         if self.is_draining or self.is_lost:
             return
@@ -63,7 +78,7 @@
         self.writer.schedule_flush()
 
     def ping_answered(self, data: bytes) -> None:
-        """Send the second GOAWAY."""
+        """Send the final GOAWAY, if this was the ping of a drain."""
         if data == DRAIN_PING and self.is_draining and not self._is_closing and not self.is_lost:
             self._is_closing = True
             self.conn.go_away(self._last_stream_id)
@@ -72,21 +87,16 @@
 
     def stream_closed(self) -> None:
         """Close a drained connection after its last stream."""
-        if self._is_closing and not self.streams and not self.is_lost:
-            self.writer.flush()
-            self.transport.loseConnection()
+        if self._is_closing:
+            self._close_if_drained()
 
-    def _on_request(self, event: RequestReceived) -> None:
+    def headers_event(self, event: Event) -> None:
+        """Open a call for a request; refuse its stream while draining and above the limit on streams."""
+        if not isinstance(event, RequestReceived):
+            return
         stream_id = event.stream_id
         self._last_stream_id = max(self._last_stream_id, stream_id)
         if self._is_closing or len(self.streams) >= self.limits.max_streams:
-            self.conn.reset_stream(stream_id, ErrorCodes.REFUSED_STREAM)
-            self.conn.forget_stream(stream_id)
+            self.streams.reject(stream_id)
             return
-        stream = self.streams[stream_id] = Stream(self, stream_id)
-        self._server.open_call(stream, event.headers)
-
-    HANDLERS: ClassVar[dict[type[Event], Callable[[Any, Any], None]]] = {
-        **Http2Protocol.HANDLERS,
-        RequestReceived: _on_request,
-    }
+        self._owner.open_call(self.streams.open(stream_id), decode_headers(event.headers), self.peer)
--- a/myrtlehub/rpc/status.py
+++ b/myrtlehub/rpc/status.py
@@ -37,9 +37,9 @@
 class Status(NamedTuple):
     """How a call ended.
 
-    `unprocessed` is True only where it is certain that the peer's application never saw the call: it was
-    not sent, the peer refused the stream, or a GOAWAY named an earlier last stream. `broken` is True where
-    the connection or stream died under the call rather than being answered.
+    `unprocessed` is True only if it is certain that the peer's application did not receive the call: it was
+    not sent, the peer refused the stream, or a GOAWAY named a lower last stream. `broken` is True if the
+    connection or the stream failed before the peer had sent a status.
     """
 
     code: Code
@@ -50,14 +50,14 @@
 
 
 class RpcError(Exception):
-    """A call that did not end with OK; `status` says how."""
+    """A call that ended with another status than OK."""
 
     def __init__(self, code: Code, message: str = "", status: Status | None = None) -> None:
         self.status = status or Status(code, message)
         super().__init__(f"{self.status.code.name}: {self.status.message}")
 
 
-_CODES_OF_HTTP = {
+_CODES_OF_HTTP: dict[int, Code] = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -68,7 +68,7 @@
     504: Code.UNAVAILABLE,
 }
 
-_CODES_OF_RESET = {
+_CODES_OF_RESET: dict[int, Code] = {
     ErrorCodes.REFUSED_STREAM: Code.UNAVAILABLE,
     ErrorCodes.CANCEL: Code.CANCELLED,
     ErrorCodes.ENHANCE_YOUR_CALM: Code.RESOURCE_EXHAUSTED,
@@ -77,17 +77,17 @@
 
 
 def from_http(status: int) -> Code:
-    """Return the code of a response without grpc-status."""
+    """Return the code for a response without grpc-status, by its HTTP status."""
     return _CODES_OF_HTTP.get(status, Code.UNKNOWN)
 
 
 def from_reset(error: int) -> Code:
-    """Return the code of a stream that the peer reset."""
+    """Return the code for a stream that the peer has reset, by its HTTP/2 error code."""
     return _CODES_OF_RESET.get(error, Code.INTERNAL)
 
 
 def parse_code(text: str) -> Code:
-    """Return the code of a grpc-status header; UNKNOWN where it is none."""
+    """Return the code in a grpc-status header, UNKNOWN if it is not a valid code."""
     try:
         return Code(int(text))
     except ValueError:
@@ -95,12 +95,12 @@
 
 
 def encode_message(text: str) -> str:
-    """Percent-encode a grpc-message; printable ASCII except '%' stays."""
+    """Percent-encode a grpc-message, except for printable ASCII characters other than '%'."""
     return quote_from_bytes(text.encode(), safe=_PLAIN_CHARACTERS)
 
 
 def decode_message(text: str) -> str:
-    """Decode a grpc-message; bytes that are no UTF-8 are replaced, and are no error."""
+    """Decode a grpc-message; bytes that are not UTF-8 are replaced."""
     return unquote_to_bytes(text).decode(errors="replace")
 
 
@@ -111,7 +111,7 @@
 
 
 def encode_timeout(seconds: float) -> str:
-    """Return a grpc-timeout header: rounded down, so that no hop lengthens a deadline."""
+    """Return the value of a grpc-timeout header, rounded down so that no hop lengthens a deadline."""
     seconds = max(0.0, seconds)
     for unit in "numSMH":
         count = int(seconds / _UNITS[unit] + 1e-9)
@@ -121,7 +121,7 @@
 
 
 def decode_timeout(text: str) -> float:
-    """Return the seconds of a grpc-timeout header.
+    """Return the seconds in a grpc-timeout header.
 
     Raises:
         ValueError: the header is malformed.
--- a/myrtlehub/rpc/transport.py
+++ b/myrtlehub/rpc/transport.py
@@ -1,19 +1,19 @@
-"""What this package needs of a transport; Twisted's connections have it."""
+"""Interfaces of the transports and producers that this package uses; Twisted's connections implement them."""
 
 from typing import Protocol
 
 
 class Producer(Protocol):
-    """What makes bytes for a consumer, and is paused while that takes no more."""
+    """A source of bytes for a consumer, which suspends it while it cannot accept more."""
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Make no more for now."""
+        """Suspend production."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Make more; a pull producer makes one write each time."""
+        """Resume production; a pull producer makes one write per call."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Make no more at all."""
+        """Stop production for good."""
 
 
 class PeerAddress(Protocol):
@@ -23,19 +23,19 @@
 
 
 class Transport(Protocol):
-    """One connection."""
+    """A connection to a peer."""
 
-    def write(self, data: bytes) -> None:
-        """Send bytes."""
+    def write(self, data: bytes, /) -> None:
+        """Queue bytes to be sent."""
 
-    def registerProducer(self, producer: Producer, streaming: bool) -> None:  # noqa: N802
-        """Pause this producer while the peer does not read."""
+    def registerProducer(self, producer: Producer, streaming: bool, /) -> None:  # noqa: N802
+        """Suspend this producer while the peer does not read."""
 
     def getPeer(self) -> PeerAddress:  # noqa: N802
         """Return the address of the peer."""
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close once all is sent."""
+        """Close the connection once all queued bytes are sent."""
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Close now."""
+        """Close the connection at once and discard queued bytes."""
--- a/myrtlehub/rpc/transport_limits.py
+++ b/myrtlehub/rpc/transport_limits.py
@@ -1,4 +1,4 @@
-"""Limits of one HTTP/2 connection: sizes, windows, times, and frames that a peer may send."""
+"""Limits of one HTTP/2 connection: sizes, windows, timeouts and frame rates."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class FrameKind(StrEnum):
-    """Frames of which a peer may send a limited number, as each makes work and carries no data."""
+    """Kinds of frames whose rate is limited, as each costs processor time and carries no data."""
 
     RST_STREAM = "RST_STREAM"
     PING = "PING"
@@ -20,14 +20,14 @@
 
 
 class FrameRate(NamedTuple):
-    """How many frames of a kind a peer may send."""
+    """Token bucket of one kind of frame: its size, and its refill rate."""
 
     burst: float
     per_second: float
 
 
 def _default_frame_rates() -> dict[FrameKind, FrameRate]:
-    """Return limits against floods (CVE-2023-44487 and similar)."""
+    """Return limits against floods of frames (CVE-2023-44487 and similar)."""
     return {
         FrameKind.RST_STREAM: FrameRate(400.0, 200.0),
         FrameKind.PING: FrameRate(20.0, 2.0),
@@ -47,10 +47,10 @@
     max_frame: int = 16 * KIB
     stream_window: int = 256 * KIB
     connection_window: int = 16 * MIB
-    max_streams: int = 1000  # MAX_CONCURRENT_STREAMS that we announce
-    send_buffer: int = 64 * KIB  # by stream, beyond which its producer is paused
-    keepalive_interval: float = 20.0  # of our pings, on a connection that receives nothing; 0: none
-    keepalive_timeout: float = 10.0
+    max_streams: int = 1000  # MAX_CONCURRENT_STREAMS that is announced to the peer
+    send_buffer: int = 64 * KIB  # per stream; its producer is suspended above it
+    keepalive_interval: float = 20.0  # silence after which a ping is sent; 0: never
+    keepalive_timeout: float = 10.0  # for the answer to that ping
     settings_timeout: float = 10.0  # for the peer's preface and first SETTINGS
-    idle_timeout: float = 0.0  # after which a server closes a connection without streams; 0: never
+    idle_timeout: float = 0.0  # of a connection without streams; 0: none; no connection applies it yet
     frame_rates: dict[FrameKind, FrameRate] = field(default_factory=_default_frame_rates)
