--- a/myrtlehub/client/asyncio_client.py
+++ b/myrtlehub/client/asyncio_client.py
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator, Iterable
 from typing import Self
 
-import grpc
+import grpc  # type: ignore[import-untyped]  # grpcio publishes no types
 
 from myrtlehub.client.grpcio_calls import result_of_error, start_call
 from myrtlehub.client.requests import ChatRequest
@@ -15,7 +15,7 @@
 
 
 class ChatStream:
-    """An asynchronous iterator over token messages; `answer` is set once it is over."""
+    """An asynchronous iterator over tuples of token ids; `answer` is set once the iteration has ended."""
 
     def __init__(self, client: "Client", request: ChatRequest) -> None:
         self._client = client
@@ -35,7 +35,7 @@
             except grpc.RpcError as error:
                 attempt.fail(result_of_error(error))
             finally:
-                call.cancel()  # if the iteration is left early, the node and its engines stop as well
+                call.cancel()  # after an early end of the iteration, this stops the node and its engines
             delay = self._retries.next_delay(attempt.result, time.monotonic())
             if delay is None:
                 self.answer = self._retries.final_answer(attempt.result)
@@ -44,14 +44,14 @@
 
 
 class Client:
-    """Chat requests at one node, and at others if that one is lost; use it with `async with`."""
+    """Sends chat requests to one node, and to others if that one is lost; used with `async with`."""
 
     def __init__(self, address: str, others: Iterable[str] = ()) -> None:
-        """Connect; `others` are addresses of nodes at which lost sequences are resumed."""
+        """Make channels; `others` are addresses of nodes at which lost sequences are resumed."""
         self.channels = [grpc.aio.insecure_channel(node) for node in (address, *others)]
 
     def generate(self, request: ChatRequest) -> ChatStream:
-        """Return the stream of the tokens; iterating it raises an `AnswerError` if no whole answer comes."""
+        """Return the stream of tokens; iterating raises an `AnswerError` unless the answer is complete."""
         return ChatStream(self, request)
 
     async def __aenter__(self) -> Self:
--- a/myrtlehub/client/batch_client.py
+++ b/myrtlehub/client/batch_client.py
@@ -5,9 +5,9 @@
 from array import array
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import Generic, NamedTuple, TypeAlias, TypeVar
 
-import grpc
+import grpc  # type: ignore[import-untyped]  # grpcio publishes no types
 
 from myrtlehub.client.grpcio_calls import result_of_error
 from myrtlehub.client.requests import RetrySemantics
@@ -18,13 +18,14 @@
 
 BatchMessage = pb.EmbedRequest | pb.RankRequest
 BatchReply = pb.EmbedReply | pb.RankReply
+ReplyT = TypeVar("ReplyT", pb.EmbedReply, pb.RankReply)
 
 
-class BatchMethod(NamedTuple):
+class BatchMethod(NamedTuple, Generic[ReplyT]):
     """A method of the batch services."""
 
     path: str
-    reply_type: type[BatchReply]
+    reply_type: type[ReplyT]
     is_stream: bool = False
 
 
@@ -35,30 +36,35 @@
 
 
 class InputError(NamedTuple):
-    """Stands in place of a vector or score whose input alone cannot be processed."""
+    """Replaces the vector or score of an input that cannot be processed; others are not affected."""
 
     reason: str
 
 
+# A string, as Python 3.11 cannot subscript `array` at run time.
+VectorOrError: TypeAlias = "array[float] | InputError"
+
+
 class IndexedVector(NamedTuple):
-    """The vector of one input, by its index among those given."""
+    """The vector of one input, with the index of the input in the request."""
 
-    index: int
-    vector: array | InputError
+    index: int  # type: ignore[assignment]  # hides tuple.index; clients' programs use this name
+    vector: VectorOrError
 
 
 class RankedDocument(NamedTuple):
-    """The score of one document, by its index among those given."""
+    """The score of one document, with the index of the document in the request."""
 
-    index: int
+    index: int  # type: ignore[assignment]  # hides tuple.index; clients' programs use this name
     score: float | InputError
 
 
 @dataclass(frozen=True)
 class BatchOptions:
-    """What all batches have in common.
+    """Options that all kinds of batches have in common.
 
-    `attempt_timeout` bounds one attempt, `timeout` all of them, both in seconds.
+    `attempt_timeout` limits one attempt (0: the traffic type's limit), `timeout` all attempts together,
+    both in seconds.
     """
 
     traffic_type: str
@@ -70,7 +76,7 @@
     max_attempts: int = 3
 
     def terms(self, attempt: int) -> pb.Terms:
-        """Make the terms of an attempt, counted from 0."""
+        """Return the terms of an attempt, counted from 0."""
         return pb.Terms(
             traffic_type=self.traffic_type,
             tenant=self.tenant,
@@ -81,53 +87,53 @@
 
 
 def _make_inputs(texts: Sequence[bytes], tokens: Sequence[int] | None) -> list[pb.Input]:
-    """Make the inputs of a request; the node estimates tokens that are not given."""
+    """Return the inputs of a request; the node estimates token counts that are not given."""
     counts = tokens or [0] * len(texts)
     return [pb.Input(text=text, tokens=counts[index]) for index, text in enumerate(texts)]
 
 
 def _result_of(final: pb.Final) -> AttemptResult:
-    """Return the result that a final answer states."""
+    """Return the result in a final answer."""
     field = final.WhichOneof("answer")
     if field == "generated":
-        return AttemptResult(Outcome.GENERATED, count=final.generated.items)
+        return AttemptResult(Outcome.GENERATED, item_count=final.generated.items)
     if field == "rejected":
-        return AttemptResult(Outcome.REJECTED, final.rejected.wait_ms / 1000.0, "rejected")
+        return AttemptResult(Outcome.REJECTED, final.rejected.wait_ms / 1000.0 or None, "rejected")
     return AttemptResult(Outcome.ABORTED, message=final.aborted.reason or "aborted")
 
 
-def _decode_vector(vector: pb.Vector) -> array | InputError:
-    """Return the numbers of a vector, or why there are none."""
+def _decode_vector(vector: pb.Vector) -> VectorOrError:
+    """Return the numbers of a vector, or the error of its input."""
     if vector.error:
         return InputError(vector.error)
     numbers = array("f", vector.packed)
-    if array("H", b"\x01\x00")[0] != 1:  # this machine is big-endian, the wire is not
+    if array("H", b"\x01\x00")[0] != 1:  # this machine is big-endian, the wire format little-endian
         numbers.byteswap()
     return numbers
 
 
 def _decode_score(score: pb.Score) -> RankedDocument:
-    """Return a document's score, or why there is none."""
+    """Return the score of a document, or the error of its input."""
     return RankedDocument(score.index, InputError(score.error) if score.error else score.score)
 
 
 def _item_count(reply: BatchReply) -> int:
-    """Number of items in a reply."""
+    """Return the number of items in a reply."""
     return len(reply.vectors if isinstance(reply, pb.EmbedReply) else reply.scores)
 
 
 class BatchClient(ChannelOwner):
-    """Batches at one node; methods raise an `AnswerError` if no whole answer comes."""
+    """Sends batches to one node; methods raise an `AnswerError` unless the answer is complete."""
 
     def __init__(self, address: str = "", channel: grpc.Channel | None = None) -> None:
         super().__init__(address, channel)
-        self.model = ""  # of the last answer that was generated
+        self.model = ""  # version of the model that made the last generated answer
         self.answer: Generated | None = None
 
     def _replies(
-        self, method: BatchMethod, message: BatchMessage, options: BatchOptions
-    ) -> Iterator[BatchReply]:
-        """Yield the replies of the request, with as many attempts as its retry semantics allow."""
+        self, method: BatchMethod[ReplyT], message: BatchMessage, options: BatchOptions
+    ) -> Iterator[ReplyT]:
+        """Yield the replies of a request, with as many attempts as its retry semantics allow."""
         retries = RetryState(options, time.monotonic(), random.random)
         while True:
             message.terms.CopyFrom(options.terms(retries.attempts))
@@ -149,7 +155,7 @@
                 return
             time.sleep(delay)
 
-    def _call(self, method: BatchMethod, message: BatchMessage, timeout: float) -> Iterator[BatchReply]:
+    def _call(self, method: BatchMethod[ReplyT], message: BatchMessage, timeout: float) -> Iterator[ReplyT]:
         """Yield the replies of one call."""
         make_method = self._channel.unary_stream if method.is_stream else self._channel.unary_unary
         call = make_method(
@@ -169,12 +175,15 @@
         tokens: Sequence[int] | None = None,
         dimensions: int = 0,
         normalise: bool = False,
-    ) -> list[array | InputError]:
-        """Return one vector per input, in their order, all of one version of the model (`self.model`)."""
+    ) -> list["VectorOrError | None"]:
+        """Return one vector per input, in the order of the inputs, all of one model version (`self.model`).
+
+        An element is None only if the node has violated the protocol and left an input out of its answer.
+        """
         message = pb.EmbedRequest(
             inputs=_make_inputs(texts, tokens), dimensions=dimensions, normalise=normalise
         )
-        vectors: list[array | InputError | None] = [None] * len(texts)
+        vectors: list[VectorOrError | None] = [None] * len(texts)
         for reply in self._replies(EMBED, message, options):
             for vector in reply.vectors:
                 vectors[vector.index] = _decode_vector(vector)
@@ -190,8 +199,8 @@
     ) -> Iterator[IndexedVector]:
         """Yield vectors as they are ready.
 
-        Vectors that came stay valid, whatever is raised at the end; after the first one the request is not
-        retried, as another attempt may find another version of the model.
+        Yielded vectors stay valid if an error is raised later. After the first one the request is not
+        retried, as another attempt may be processed by another version of the model.
         """
         message = pb.EmbedRequest(
             inputs=_make_inputs(texts, tokens), dimensions=dimensions, normalise=normalise
@@ -208,7 +217,7 @@
         top: int = 0,
         tokens: Sequence[int] | None = None,
     ) -> list[RankedDocument]:
-        """Return scores in the order of the documents, or the best `top` in falling order."""
+        """Return scores in the order of the documents, or the best `top` of them in descending order."""
         message = pb.RankRequest(
             query=pb.Input(text=query), documents=_make_inputs(documents, tokens), top=top
         )
--- a/myrtlehub/client/errors.py
+++ b/myrtlehub/client/errors.py
@@ -1,4 +1,4 @@
-"""Errors that a client raises for a request without a whole answer."""
+"""Errors that a client raises for a request without a complete answer."""
 
 from typing import ClassVar
 
@@ -6,7 +6,7 @@
 
 
 class AnswerError(Exception):
-    """A request ended without a whole answer, after `tokens_received` tokens and `attempts` attempts."""
+    """A request ended without a complete answer, after `tokens_received` tokens and `attempts` attempts."""
 
     outcome: ClassVar[Outcome] = Outcome.LOST
 
@@ -17,29 +17,29 @@
 
 
 class RejectedError(AnswerError):
-    """Nothing ran, or a repeat is harmless: send the request again, best after `retry_after` seconds."""
+    """Nothing ran, or a repeat is harmless; the request may be repeated, best after `retry_after` seconds."""
 
     outcome = Outcome.REJECTED
-    retry_after = 0.0
+    retry_after = 0.0  # 0: the node has stated none
 
 
 class AbortedError(AnswerError):
-    """The request may have run. A program must not send a once-only request again."""
+    """The request may have run; a program must not send one again whose semantics are at most once."""
 
     outcome = Outcome.ABORTED
 
 
 class InvalidRequestError(AnswerError):
-    """The request is malformed; it was not accepted and nothing ran. The text names the field."""
+    """The request is malformed: it was not accepted and nothing ran. The message names the field."""
 
     outcome = Outcome.INVALID
 
 
 def error_for(result: AttemptResult, tokens_received: int, attempts: int) -> AnswerError:
-    """Make the error for the last attempt of a request that was not generated."""
+    """Return the error for the result of a request's last attempt, other than a generated answer."""
     if result.outcome is Outcome.REJECTED or result.unprocessed:
         error = RejectedError(result.message, tokens_received, attempts)
-        error.retry_after = result.retry_after
+        error.retry_after = result.retry_after or 0.0
         return error
     if result.outcome is Outcome.INVALID:
         return InvalidRequestError(result.message, tokens_received, attempts)
--- a/myrtlehub/client/grpcio_calls.py
+++ b/myrtlehub/client/grpcio_calls.py
@@ -1,8 +1,8 @@
-"""What the clients over grpcio share: the call of an attempt, and the result that a status means."""
+"""Code that the clients over grpcio share: starting a call, and the result that an error status means."""
 
 from collections.abc import Sequence
 
-import grpc
+import grpc  # type: ignore[import-untyped]  # grpcio publishes no types
 
 from myrtlehub.client.results import AttemptResult, Outcome
 from myrtlehub.client.retries import ChatRetryState
@@ -12,7 +12,7 @@
 def start_call(
     channels: Sequence[grpc.Channel] | Sequence[grpc.aio.Channel], retries: ChatRetryState, now: float
 ) -> grpc.Call | grpc.aio.UnaryStreamCall:
-    """Start the next call of a request, at the node that its retry state selects."""
+    """Start the next call of a request, to the node that its retry state selects."""
     method = channels[retries.node_index % len(channels)].unary_stream(
         retries.method(),
         request_serializer=pb.GenerateRequest.SerializeToString,
@@ -24,10 +24,11 @@
 def result_of_error(error: grpc.RpcError) -> AttemptResult:
     """Return the result of a call that ended with an error status.
 
-    grpcio does not tell which calls surely never reached the node's program, so none counts as unprocessed.
+    grpcio does not report which calls certainly did not reach the node's program, so none counts as
+    unprocessed.
     """
     if error.code() == grpc.StatusCode.INVALID_ARGUMENT:
         return AttemptResult(Outcome.INVALID, message=error.details() or "")
-    if error.code() == grpc.StatusCode.ABORTED:  # another node has the sequence
+    if error.code() == grpc.StatusCode.ABORTED:  # another node has taken the sequence over
         return AttemptResult(Outcome.ABORTED, message=error.details() or "")
     return AttemptResult(Outcome.LOST, message=f"{error.code().name}: {error.details()}")
--- a/myrtlehub/client/requests.py
+++ b/myrtlehub/client/requests.py
@@ -1,4 +1,4 @@
-"""Requests of the client library and what a repeat of them does."""
+"""Requests of the client library, and their retry semantics."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class RetrySemantics(StrEnum):
-    """What a second execution of a request does; the values are those of `repeats` in a node's settings."""
+    """Effect of a second execution of a request; the values are those of `repeats` in a node's settings."""
 
     IDEMPOTENT = "repeatable"
     IDEMPOTENCY_KEY = "tokened"
@@ -16,11 +16,11 @@
 
 
 class RetryTerms(Protocol):
-    """What the retry policy reads of a request."""
+    """The part of a request that the retry policy reads."""
 
     @property
     def retry_semantics(self) -> RetrySemantics:
-        """What a second execution does."""
+        """Effect of a second execution."""
 
     @property
     def timeout(self) -> float:
@@ -35,9 +35,9 @@
 class ChatRequest:
     """One request for generated tokens.
 
-    `retry_semantics` is what the node's settings say of the traffic type; when in doubt, at most once.
-    `first_token_timeout` bounds the wait for the first token of an attempt, `timeout` the request with all
-    its attempts, both in seconds.
+    `retry_semantics` has to be that of the traffic type in the node's settings; if unknown, use at most once.
+    `first_token_timeout` limits the wait for the first token of an attempt (0: the traffic type's limit),
+    `timeout` the request with all of its attempts, both in seconds.
     """
 
     traffic_type: str
--- a/myrtlehub/client/results.py
+++ b/myrtlehub/client/results.py
@@ -1,4 +1,4 @@
-"""How an attempt ended, as its transport saw it."""
+"""The result of an attempt, from its final reply or its status."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,42 +7,42 @@
 
 
 class Outcome(StrEnum):
-    """How one attempt ended."""
+    """The way in which one attempt ended."""
 
     GENERATED = "generated"
     REJECTED = "rejected"
     ABORTED = "aborted"
-    MOVED = "moved"  # its node is draining: another node continues the sequence
+    MOVED = "moved"  # its node is draining; another node continues the sequence
     INVALID = "invalid"
-    LOST = "lost"  # ended without a final answer
+    LOST = "lost"  # no final answer was received
 
 
 class AttemptResult(NamedTuple):
-    """Outcome of one attempt, with what the node or the transport said about it."""
+    """Outcome of one attempt, with details from the node or the transport."""
 
     outcome: Outcome
-    retry_after: float = 0.0
+    retry_after: float | None = None  # seconds that a rejection asks the client to wait
     message: str = ""
-    unprocessed: bool = False  # known never to have reached the node's program
-    count: int = 0  # tokens or items of a generated answer, as the node counted
+    unprocessed: bool = False  # it certainly did not reach the node's program
+    item_count: int = 0  # tokens, or items of a batch, in a generated answer by the node's count
 
 
 class Generated(NamedTuple):
-    """The whole answer came."""
+    """The complete answer was received."""
 
     tokens: int
     attempts: int
 
 
 def result_of(reply: pb.GenerateReply) -> AttemptResult | None:
-    """Return the result that a final reply states, or None for a reply with tokens."""
+    """Return the result in a final reply, or None for a reply with tokens."""
     field = reply.WhichOneof("reply")
     if field == "tokens":
         return None
     if field == "generated":
-        return AttemptResult(Outcome.GENERATED, count=reply.generated.tokens)
+        return AttemptResult(Outcome.GENERATED, item_count=reply.generated.tokens)
     if field == "rejected":
-        return AttemptResult(Outcome.REJECTED, reply.rejected.wait_ms / 1000.0, "rejected")
+        return AttemptResult(Outcome.REJECTED, reply.rejected.wait_ms / 1000.0 or None, "rejected")
     if field == "moved":
         return AttemptResult(Outcome.MOVED, message="its node is draining")
     return AttemptResult(Outcome.ABORTED, message=reply.aborted.reason or "aborted")
--- a/myrtlehub/client/retries.py
+++ b/myrtlehub/client/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request is attempted again, when and at which node: pure, the same for all clients."""
+"""Decides whether, when and at which node a request is attempted again; without I/O, for all clients."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,19 +9,19 @@
 
 GENERATE_METHOD = "/myrtlehub.v1.Chat/Generate"
 RESUME_METHOD = "/myrtlehub.v1.Chat/Resume"
-SEQUENCE_KEY = "myrtle-seq"  # metadata: a sequence's id
-RESUMABLE_KEY = "myrtle-resume"  # metadata: a client may resume the sequence
+SEQUENCE_KEY = "myrtle-seq"  # metadata key: the id of a sequence
+RESUMABLE_KEY = "myrtle-resume"  # metadata key: present if a client may resume the sequence
 
-MAX_RESUMES = 12  # of one request: a client that finds no node by then has lost the fleet
-FIRST_RESUME_SPREAD = 0.15  # seconds over which clients of a lost node spread their first resume
-RESUME_BACKOFF = 0.1  # seconds, times the number of resumes
-MIN_RETRY_AFTER = 0.02  # seconds
+MAX_RESUMES = 12  # per request; after so many, no node of the fleet is likely to be reachable
+FIRST_RESUME_SPREAD = 0.15  # seconds; spreads the first resumes of all clients of a lost node
+RESUME_BACKOFF = 0.1  # seconds, multiplied by the number of resumes
+MIN_RETRY_AFTER = 0.02  # seconds, so that a short Retry-After causes no burst of retries
 BASE_BACKOFF = 0.05  # seconds, doubled with each attempt
-MIN_CALL_TIMEOUT = 0.001  # seconds
+MIN_CALL_TIMEOUT = 0.001  # seconds, for a call that starts at its deadline
 
 
 class RetryState:
-    """The attempts of one request; `random` draws in [0, 1) and spreads retries of many clients."""
+    """The attempts of one request; `random` returns numbers in [0, 1) that spread the retries of clients."""
 
     def __init__(self, request: RetryTerms, now: float, random: Callable[[], float]) -> None:
         self.request = request
@@ -29,22 +29,22 @@
         self.deadline = now + request.timeout
         self.attempts = 0  # so far
         self.tokens = 0  # received
-        self.started_at = now  # of the present sequence
-        self.sequence = ""  # the id at all nodes, once its node has sent it
+        self.started_at = now  # of the current sequence
+        self.sequence: str | None = None  # its id at all nodes, once a node has sent it
         self.resumes = 0
         self.resuming = False  # the next call resumes the sequence
-        self.node_index = 0  # of the node to call, among those that are known
+        self.node_index = 0  # of the next node to call; counts on beyond the number of nodes
 
     def call_timeout(self, now: float) -> float:
-        """Seconds that the next call may take."""
+        """Return the maximum duration of the next call in seconds."""
         return max(MIN_CALL_TIMEOUT, self.deadline - now)
 
     def next_delay(self, result: AttemptResult, now: float) -> float | None:
-        """Return the seconds until the next call, or None if `final_answer` has to say how it ended.
+        """Return the seconds until the next call, or None if the request has ended with this result.
 
         A rejected request is retried after its Retry-After. One that may have run is retried only if it is
-        idempotent and none of its tokens were handed out, as they would come twice. A sequence whose node or
-        connection was lost is resumed first, whatever its retry semantics.
+        idempotent and none of its tokens were delivered, as they would be delivered twice. A sequence whose
+        node or connection was lost is resumed first, whatever its retry semantics.
         """
         resume_delay = self._resume_delay(result, now)
         if resume_delay is not None:
@@ -55,21 +55,21 @@
         delay = self._backoff(result)
         if delay is None or now + delay >= self.deadline:
             return None
-        # It is another sequence from here on, at another node where one is known: the first may be gone.
+        # The retry is a new sequence; after a lost attempt it goes to the next node, as the last may be down.
         self.resuming = False
-        self.sequence = ""
+        self.sequence = None
         self.started_at = now
         if result.outcome is Outcome.LOST:
             self.node_index += 1
         return delay
 
     def _backoff(self, result: AttemptResult) -> float | None:
-        """Seconds until a retry, or None if the request must not be retried."""
-        rejected = result.outcome is Outcome.REJECTED
-        # Clients must not all return at once when nodes cannot state a Retry-After.
-        without_retry_after = rejected and not result.retry_after
-        if not without_retry_after and (rejected or result.unprocessed):
-            return max(result.retry_after, MIN_RETRY_AFTER) * (1.0 + 0.5 * self.random())
+        """Return the seconds until a retry, or None if the request must not be retried."""
+        is_rejected = result.outcome is Outcome.REJECTED
+        # Without a Retry-After, an exponential backoff prevents that all clients retry at the same time.
+        without_retry_after = is_rejected and result.retry_after is None
+        if not without_retry_after and (is_rejected or result.unprocessed):
+            return max(result.retry_after or 0.0, MIN_RETRY_AFTER) * (1.0 + 0.5 * self.random())
         may_have_run = result.outcome in (Outcome.ABORTED, Outcome.LOST)
         is_idempotent = self.request.retry_semantics == RetrySemantics.IDEMPOTENT
         if without_retry_after or (may_have_run and is_idempotent):
@@ -77,8 +77,8 @@
         return None
 
     def _resume_delay(self, result: AttemptResult, now: float) -> float | None:
-        """Seconds until the sequence is resumed at the next node, or None if it cannot be."""
-        can_resume = self.sequence and result.outcome in (Outcome.LOST, Outcome.MOVED)
+        """Return the seconds until a resume at the next node, or None if the sequence cannot be resumed."""
+        can_resume = self.sequence is not None and result.outcome in (Outcome.LOST, Outcome.MOVED)
         if not can_resume or self.resumes >= MAX_RESUMES:
             return None
         self.resuming = True
@@ -91,9 +91,9 @@
         return delay if now + delay < self.deadline else None
 
     def final_answer(self, result: AttemptResult) -> Generated:
-        """Return the generated answer; raise an `AnswerError` for every other outcome."""
+        """Return the generated answer, or raise an `AnswerError` for any other outcome."""
         if result.outcome is Outcome.GENERATED:
-            return Generated(result.count, self.attempts)
+            return Generated(result.item_count, self.attempts)
         raise error_for(result, self.tokens, self.attempts)
 
 
@@ -103,10 +103,11 @@
     request: ChatRequest
 
     def record_metadata(self, metadata: Iterable[tuple[str, str | bytes]]) -> None:
-        """Take the initial metadata of a call."""
+        """Store the sequence id in the initial metadata of a call, if the sequence may be resumed."""
         values = dict(metadata)
         if RESUMABLE_KEY in values:
-            self.sequence = values.get(SEQUENCE_KEY, "")
+            sequence = values.get(SEQUENCE_KEY)
+            self.sequence = sequence if isinstance(sequence, str) and sequence else None
 
     def method(self) -> str:
         """Return the method of the next call."""
@@ -115,7 +116,7 @@
     def message(self, now: float) -> pb.GenerateRequest:
         """Make the message of the next call."""
         message = self.request.message(self.attempts)
-        if self.resuming:
+        if self.resuming and self.sequence is not None:
             message.resume.sequence = self.sequence
             message.resume.tokens = self.tokens
             if message.time_left_ms:
@@ -125,7 +126,7 @@
 
 
 class ChatAttempt:
-    """The replies of one call; `result` is that of the final reply, or else a lost attempt."""
+    """The replies of one call; `result` is that of the final reply, or LOST without one."""
 
     def __init__(self, retries: ChatRetryState) -> None:
         self._retries = retries
@@ -133,7 +134,7 @@
         self.has_final_reply = False
 
     def receive(self, reply: pb.GenerateReply) -> tuple[int, ...] | None:
-        """Take a reply; return its token ids, or None for the final one."""
+        """Process a reply; return its token ids, or None for the final reply."""
         result = result_of(reply)
         if result is not None:
             self.result = result
@@ -143,6 +144,6 @@
         return tuple(reply.tokens.ids)
 
     def fail(self, result: AttemptResult) -> None:
-        """Take the result of a call that failed; a final reply before it stands."""
+        """Store the result of a call that failed, unless a final reply was received before."""
         if not self.has_final_reply:
             self.result = result
--- a/myrtlehub/client/sync_client.py
+++ b/myrtlehub/client/sync_client.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Self
 
-import grpc
+import grpc  # type: ignore[import-untyped]  # grpcio publishes no types
 
 from myrtlehub.client.grpcio_calls import result_of_error, start_call
 from myrtlehub.client.requests import ChatRequest
@@ -14,7 +14,7 @@
 
 
 class ChatStream:
-    """An iterator over token messages, as tuples of token ids; `answer` is set once it is over."""
+    """An iterator over tuples of token ids; `answer` is set once the iteration has ended."""
 
     def __init__(self, client: "Client", request: ChatRequest) -> None:
         self._client = client
@@ -41,20 +41,20 @@
             time.sleep(delay)
 
     def cancel(self) -> None:
-        """Cancel the call: the node and its engines stop as well."""
+        """Cancel the call, which stops the node and its engines as well."""
         if self._call is not None:
             self._call.cancel()
 
 
 class ChannelOwner:
-    """A channel to one node: any grpcio channel, or one that is made from `address` and closed with this."""
+    """Owner of a channel to one node: a given grpcio channel, or one to `address`, which it closes."""
 
     def __init__(self, address: str = "", channel: grpc.Channel | None = None) -> None:
         self._owns_channel = channel is None
         self._channel = channel or grpc.insecure_channel(address)
 
     def close(self) -> None:
-        """Close the channel if it was made here."""
+        """Close the channel unless it was given."""
         if self._owns_channel:
             self._channel.close()
 
@@ -66,12 +66,12 @@
 
 
 class Client(ChannelOwner):
-    """Chat requests at one node, and at others if that one is lost."""
+    """Sends chat requests to one node, and to others if that one is lost."""
 
     def __init__(
         self, address: str = "", channel: grpc.Channel | None = None, others: Iterable[str] = ()
     ) -> None:
-        """Connect; `others` are addresses of nodes at which lost sequences are resumed."""
+        """Make channels; `others` are addresses of nodes at which lost sequences are resumed."""
         super().__init__(address, channel)
         self._other_channels = [grpc.insecure_channel(other) for other in others]
         self.channels = [self._channel, *self._other_channels]
--- a/myrtlehub/client/twisted_client.py
+++ b/myrtlehub/client/twisted_client.py
@@ -7,7 +7,7 @@
 
 from myrtlehub.client.errors import AnswerError
 from myrtlehub.client.requests import ChatRequest
-from myrtlehub.client.results import AttemptResult, Outcome
+from myrtlehub.client.results import AttemptResult, Generated, Outcome
 from myrtlehub.client.retries import ChatAttempt, ChatRetryState
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.proto import chat_pb2 as pb
@@ -23,13 +23,13 @@
     if status.code == Code.INVALID_ARGUMENT:
         return AttemptResult(Outcome.INVALID, message=status.message)
     message = f"{status.code.name}: {status.message}"
-    if status.code == Code.ABORTED:  # another node has the sequence
+    if status.code == Code.ABORTED:  # another node has taken the sequence over
         return AttemptResult(Outcome.ABORTED, message=message)
     return AttemptResult(Outcome.LOST, message=message, unprocessed=status.unprocessed)
 
 
 class _AttemptWatcher(CallWatcher):
-    """Feeds the replies of one call to its stream."""
+    """Passes the replies of one call to its stream."""
 
     def __init__(self, stream: "ChatStream") -> None:
         self._stream = stream
@@ -51,37 +51,40 @@
 class ChatStream:
     """One request in flight; `done` fires with `Generated` or fails with an `AnswerError`.
 
-    Cancelling `done` stops the node and its engines as well. `pauseProducing` and `resumeProducing` hold
-    back the tokens at their source.
+    Cancelling `done` stops the node and its engines as well. `pauseProducing` suspends the generation of
+    tokens by flow control, `resumeProducing` resumes it.
     """
 
     def __init__(self, client: "Client", request: ChatRequest, on_tokens: TokenCallback) -> None:
         self.client = client
         self.on_tokens = on_tokens
         self.retries = ChatRetryState(request, client.clock.seconds(), client.random)
-        self.done: Deferred = Deferred(lambda ignored: self._cancel())
-        self._call: ClientCall | None = None
+        self.done: Deferred[Generated] = Deferred(lambda ignored: self._cancel())
         self._retry_timer: Timer | None = None
-        self._start_call()
+        self._call = self._start_call()
 
-    def _start_call(self) -> None:
+    def _start_call(self) -> ClientCall:
         now = self.client.clock.seconds()
-        self._retry_timer = None
         channels = self.client.channels
         channel = channels[self.retries.node_index % len(channels)]
-        self._call = channel.call(
+        call = channel.call(
             self.retries.method(), _AttemptWatcher(self), timeout=self.retries.call_timeout(now)
         )
-        self._call.send(self.retries.message(now).SerializeToString())
-        self._call.half_close()
+        call.send(self.retries.message(now).SerializeToString())
+        call.half_close()
+        return call
+
+    def _retry(self) -> None:
+        self._retry_timer = None
+        self._call = self._start_call()
 
     def attempt_ended(self, result: AttemptResult) -> None:
-        """Retry after an attempt, or fire `done`."""
+        """Schedule the next call after an attempt, or fire `done`."""
         if self.done.called:
             return
         delay = self.retries.next_delay(result, self.client.clock.seconds())
         if delay is not None:
-            self._retry_timer = self.client.clock.callLater(delay, self._start_call)
+            self._retry_timer = self.client.clock.callLater(delay, self._retry)
             return
         try:
             self.done.callback(self.retries.final_answer(result))
@@ -94,16 +97,16 @@
         self._call.cancel()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Take no more replies for now."""
+        """Suspend the delivery of tokens."""
         self._call.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Take replies again."""
+        """Resume the delivery of tokens."""
         self._call.resumeProducing()
 
 
 class Client:
-    """Chat requests at one node, on a channel that the caller owns.
+    """Sends chat requests to one node, on a channel that the caller owns.
 
     `others` are channels of nodes at which lost sequences are resumed.
     """
--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -17,7 +17,7 @@
 from myrtlehub.rpc.client_protocol import ClientProtocol, ClientProtocolFactory
 from myrtlehub.rpc.framing import IDENTITY
 from myrtlehub.rpc.reply_collector import ReplyCollector, single_reply
-from myrtlehub.rpc.status import Code, Status
+from myrtlehub.rpc.status import Code, MetadataItem, Status
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 USER_AGENT = "grpc-python-myrtlehub/0.2"
@@ -76,7 +76,7 @@
         self,
         path: str,
         watcher: CallWatcher,
-        meta: Iterable[tuple[str, str | bytes]] = (),
+        meta: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> ClientCall:
         """Start a call of any kind; the watcher's `ended` is not called before this returns."""
@@ -96,7 +96,7 @@
         self,
         path: str,
         request: bytes,
-        meta: Iterable[tuple[str, str | bytes]] = (),
+        meta: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> Deferred[bytes]:
         """Send one request for one reply; the Deferred fails with RpcError and may be cancelled."""
@@ -106,7 +106,7 @@
         self,
         path: str,
         requests: Sequence[bytes],
-        meta: Iterable[tuple[str, str | bytes]] = (),
+        meta: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> Deferred[list[bytes]]:
         """Send all requests and collect all replies, for short streams; as `unary` otherwise."""
--- a/myrtlehub/rpc/client_call.py
+++ b/myrtlehub/rpc/client_call.py
@@ -14,6 +14,7 @@
 from myrtlehub.rpc.status import (
     Code,
     Metadata,
+    MetadataItem,
     RpcError,
     Status,
     encode_timeout,
@@ -64,7 +65,7 @@
         self,
         owner: ClientCallOwner,
         path: str,
-        meta: Iterable[tuple[str, str | bytes]],
+        meta: Iterable[MetadataItem],
         timeout: float | None,
         watcher: CallWatcher,
     ) -> None:
--- a/myrtlehub/rpc/metadata.py
+++ b/myrtlehub/rpc/metadata.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from re import compile as compile_pattern
 
-from myrtlehub.rpc.status import Code, Metadata, RpcError
+from myrtlehub.rpc.status import Code, Metadata, MetadataItem, RpcError
 
 _KEY = compile_pattern(r"[0-9a-z_.\-]+")
 _VALUE = compile_pattern(r"[\x20-\x7e]*")
@@ -14,7 +14,7 @@
 Headers = list[tuple[str, str]]
 
 
-def encode(metadata: Iterable[tuple[str, str | bytes]]) -> Headers:
+def encode(metadata: Iterable[MetadataItem]) -> Headers:
     """Return headers for metadata.
 
     Raises:
@@ -40,7 +40,7 @@
     Raises:
         RpcError: INTERNAL, if the value of a `-bin` key is not base64.
     """
-    metadata: list[tuple[str, str | bytes]] = []
+    metadata: list[MetadataItem] = []
     for key, value in headers:
         if key[0] == ":" or key.startswith("grpc-") or key in RESERVED:
             continue
--- a/myrtlehub/rpc/server_call.py
+++ b/myrtlehub/rpc/server_call.py
@@ -10,7 +10,7 @@
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.rpc import framing, metadata
 from myrtlehub.rpc.metadata import Headers
-from myrtlehub.rpc.status import Code, Metadata, RpcError, encode_message
+from myrtlehub.rpc.status import Code, Metadata, MetadataItem, RpcError, encode_message
 from myrtlehub.rpc.stream import Stream
 from myrtlehub.rpc.transport_limits import TransportLimits
 
@@ -94,7 +94,7 @@
         """Return the seconds until the deadline, infinity if there is none."""
         return float("inf") if self.deadline is None else self.deadline - self.clock.seconds()
 
-    def set_initial(self, meta: Iterable[tuple[str, str | bytes]]) -> None:
+    def set_initial(self, meta: Iterable[MetadataItem]) -> None:
         """Add metadata to be sent before the first message."""
         self._initial_metadata.extend(metadata.encode(meta))
 
@@ -123,9 +123,7 @@
         headers.append(("grpc-accept-encoding", framing.ACCEPTED_ENCODINGS))
         self.stream.connection.send_headers(self.stream, headers + self._initial_metadata)
 
-    def finish(
-        self, code: Code = Code.OK, message: str = "", trailers: Iterable[tuple[str, str | bytes]] = ()
-    ) -> None:
+    def finish(self, code: Code = Code.OK, message: str = "", trailers: Iterable[MetadataItem] = ()) -> None:
         """End the call; the response has only trailers if nothing was sent before."""
         if self.over:
             return
--- a/myrtlehub/rpc/status.py
+++ b/myrtlehub/rpc/status.py
@@ -9,7 +9,8 @@
 
 from h2.errors import ErrorCodes
 
-Metadata = tuple[tuple[str, str | bytes], ...]
+MetadataItem = tuple[str, str | bytes]  # key and value, which is bytes for keys that end in -bin
+Metadata = tuple[MetadataItem, ...]
 
 
 class Code(IntEnum):
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -69,7 +69,7 @@
     ):
         with pytest.raises(kind):
             retry_state().final_answer(end)
-    assert retry_state().final_answer(AttemptResult(Outcome.GENERATED, count=7)) == Generated(7, 0)
+    assert retry_state().final_answer(AttemptResult(Outcome.GENERATED, item_count=7)) == Generated(7, 0)
 
 
 def test_the_twisted_client_retries_and_cancels_on_a_driven_clock() -> None:
