--- a/myrtlehub/rpc/client_call.py
+++ b/myrtlehub/rpc/client_call.py
@@ -11,15 +11,7 @@
 from myrtlehub.rpc.client_protocol import ClientProtocol
 from myrtlehub.rpc.metadata import Headers
 from myrtlehub.rpc.response_headers import read_header_fault, read_status
-from myrtlehub.rpc.status import (
-    Code,
-    Metadata,
-    MetadataItem,
-    RpcError,
-    Status,
-    encode_timeout,
-    from_reset,
-)
+from myrtlehub.rpc.status import Code, Metadata, MetadataItem, RpcError, Status, encode_timeout, from_reset
 from myrtlehub.rpc.stream import Stream
 from myrtlehub.rpc.transport import Producer
 from myrtlehub.rpc.transport_limits import TransportLimits
--- a/myrtlehub/rpc/header_encoder.py
+++ b/myrtlehub/rpc/header_encoder.py
@@ -18,9 +18,8 @@
     """Replaces hpack's Encoder in h2."""
 
     def __init__(self) -> None:
-        self.header_table_size = (
-            0  # set by h2 from the peer's SETTINGS; not used, as a table of size 0 is always allowed
-        )
+        # Set by h2 from the peer's SETTINGS, and not used: a table of size 0 is always allowed.
+        self.header_table_size = 0
         self._encoder = Encoder()
         self._cache: dict[tuple[str, str], bytes] = {}
         self._block_prefix = EMPTY_DYNAMIC_TABLE
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -43,21 +43,21 @@
         AttemptResult(Outcome.ABORTED),
         AttemptResult(Outcome.REJECTED, 0.4),
     )
-    assert retry_state().next_delay(rejected, 100.0) == pytest.approx(0.5)  # after the wait named, spread
-    unnamed = retry_state(max_attempts=5)
-    assert [unnamed.next_delay(AttemptResult(Outcome.REJECTED), 100.0) for _ in range(3)] == pytest.approx(
-        [0.1, 0.2, 0.4]
-    )
+    assert retry_state().next_delay(rejected, 100.0) == pytest.approx(0.5)  # the Retry-After, with jitter
+    without_retry_after = retry_state(max_attempts=5)
+    assert [
+        without_retry_after.next_delay(AttemptResult(Outcome.REJECTED), 100.0) for _ in range(3)
+    ] == pytest.approx([0.1, 0.2, 0.4])
     assert retry_state().next_delay(aborted, 100.0) is None and retry_state().next_delay(lost, 100.0) is None
     assert retry_state(RetrySemantics.IDEMPOTENCY_KEY).next_delay(lost, 100.0) is None
     assert retry_state(RetrySemantics.IDEMPOTENT).next_delay(lost, 100.0) == pytest.approx(0.1)
     assert (
         retry_state().next_delay(AttemptResult(Outcome.LOST, unprocessed=True), 100.0) is not None
-    )  # never reached the node
-    assert retry_state(timeout=0.3).next_delay(rejected, 100.0) is None  # no time for it
+    )  # it did not reach the node
+    assert retry_state(timeout=0.3).next_delay(rejected, 100.0) is None  # no time is left for a retry
     some = retry_state(RetrySemantics.IDEMPOTENT)
     some.tokens = 3
-    assert some.next_delay(aborted, 100.0) is None  # they would come twice
+    assert some.next_delay(aborted, 100.0) is None  # the tokens would be delivered twice
     last = retry_state(max_attempts=2)
     assert last.next_delay(rejected, 100.0) and last.next_delay(rejected, 100.6) is None
     for end, kind in (
@@ -72,25 +72,25 @@
     assert retry_state().final_answer(AttemptResult(Outcome.GENERATED, item_count=7)) == Generated(7, 0)
 
 
-def test_the_twisted_client_retries_and_cancels_on_a_driven_clock() -> None:
-    f = Fleet("R0 W0")
-    client, seen, ends = Client(f.channels["n0"], f.clock, lambda: 0.5), [], []
+def test_the_twisted_client_retries_and_cancels_on_a_simulated_clock() -> None:
+    fleet = Fleet("R0 W0")
+    client, seen, results = Client(fleet.channels["n0"], fleet.clock, lambda: 0.5), [], []
 
-    def ask(*args: object, **options: object) -> ChatStream:
+    def start(*args: object, **options: object) -> ChatStream:
         stream = client.generate(ChatRequest(*args, **options), seen.append)
-        stream.done.addBoth(ends.append)
+        stream.done.addBoth(results.append)
         return stream
 
-    ask("ask", 3000, 40, retry_semantics=RetrySemantics.IDEMPOTENT)
-    f.run(3.0)
-    assert ends == [Generated(len(seen), 1)] and seen
-    ask("nope", 3000, 40)
-    f.run(0.1)
-    assert ends[1].check(InvalidRequestError) and "traffic_type" in ends[1].getErrorMessage()
-    f.misbehave("W0b", "hang", seconds=3.0)
-    f.run(0.05)
-    ask("post", 100, 40, first_token_timeout=1.0)
-    ask(
+    start("ask", 3000, 40, retry_semantics=RetrySemantics.IDEMPOTENT)
+    fleet.run(3.0)
+    assert results == [Generated(len(seen), 1)] and seen
+    start("nope", 3000, 40)
+    fleet.run(0.1)
+    assert results[1].check(InvalidRequestError) and "traffic_type" in results[1].getErrorMessage()
+    fleet.misbehave("W0b", "hang", seconds=3.0)
+    fleet.run(0.05)
+    start("post", 100, 40, first_token_timeout=1.0)
+    start(
         "ask",
         100,
         40,
@@ -99,15 +99,17 @@
         timeout=40.0,
         max_attempts=30,
     )
-    f.run(1.5)
-    assert ends[2].check(AbortedError)  # it may have run: never by itself
-    f.run(35.0)
-    assert ends[3].attempts > 1  # rejected, and again after the wait named, until the engine was well
-    stopped = ask("ask", 100, 400)
-    f.run(0.5)
+    fleet.run(1.5)
+    assert results[2].check(AbortedError)  # it may have run, and is not idempotent
+    fleet.run(35.0)
+    assert (
+        results[3].attempts > 1
+    )  # rejected, and retried after the Retry-After until the engine has recovered
+    stopped = start("ask", 100, 400)
+    fleet.run(0.5)
     stopped.done.cancel()
-    f.run(0.5)
-    assert not f.stands["W0b"].model.decode.running and not f.nodes["n0"].executor.in_flight
+    fleet.run(0.5)
+    assert not fleet.stands["W0b"].model.decode.running and not fleet.nodes["n0"].executor.in_flight
 
 
 @pytest.fixture
@@ -191,7 +193,7 @@
         assert sorted(client.rank_stream(b"q", texts, sort)) == list(enumerate(scores))
         with pytest.raises(InvalidRequestError, match="is for the front 'embed'"):
             client.rank(b"q", texts, options)
-        with pytest.raises(RejectedError):  # nothing can be done in that time, and nothing runs twice for it
+        with pytest.raises(RejectedError):  # no engine can answer in that time
             client.embed(
                 texts, BatchOptions("vec", attempt_timeout=0.002, timeout=0.3, max_attempts=2), dimensions=3
             )
@@ -212,5 +214,5 @@
     assert shown.returncode == 0 and lines[0].startswith("version 1, ") and "from its file" in lines[0]
     assert [line.split()[1] for line in lines[1:]] == ["reader", "writer", "embedder", "ranker"]
     assert all(line.endswith("weight 1 serving") for line in lines[1:])
-    nobody = show("127.0.0.1:1")
-    assert nobody.returncode == 2 and nobody.stderr.startswith("127.0.0.1:1: ")
+    unreachable = show("127.0.0.1:1")
+    assert unreachable.returncode == 2 and unreachable.stderr.startswith("127.0.0.1:1: ")
--- a/tests/rpc/test_rpc_calls.py
+++ b/tests/rpc/test_rpc_calls.py
@@ -1,4 +1,4 @@
-"""Calls between our channel and our server on a driven clock."""
+"""Calls between our channel and our server on a simulated clock."""
 
 from random import Random
 
@@ -66,26 +66,26 @@
 
     class Source:
         def __init__(self, call: ServerCall) -> None:
-            self.call, self.on, self.left = call, True, 4000
+            self.call, self.is_running, self.unsent = call, True, 4000
             call.stream.registerProducer(self, True)
             self.more()
 
         def more(self) -> None:
-            while self.on and self.left:
-                self.left -= 1
+            while self.is_running and self.unsent:
+                self.unsent -= 1
                 self.call.send(b"z" * 1000)
 
         def pauseProducing(self) -> None:  # noqa: N802
-            self.on = False
+            self.is_running = False
             paused.append(self)
 
         def resumeProducing(self) -> None:  # noqa: N802
-            self.on = True
+            self.is_running = True
             resumed.append(self)
             self.more()
 
         def stopProducing(self) -> None:  # noqa: N802
-            self.on = False
+            self.is_running = False
 
     rig.server.add("/t.T/Pour", lambda call: (Source(call), Receiver())[1])
     call = rig.channel.call("/t.T/Pour", watcher)
@@ -109,16 +109,17 @@
     rig = RpcRig(TransportLimits(max_streams=3))
     rig.unary("/t.T/One", b"")
     waiting = [RecordingWatcher() for _ in range(5)]
-    calls = [rig.channel.call("/t.T/Never", h) for h in waiting]
+    calls = [rig.channel.call("/t.T/Never", watcher) for watcher in waiting]
     rig.net.run(0.1)
     assert len(rig.server.calls) == 3
     for call in calls[:2]:
         call.half_close()
     rig.net.run(0.1)
-    assert len(rig.server.calls) == 3 and [h.status is not None for h in waiting] == [True] * 2 + [False] * 3
+    assert len(rig.server.calls) == 3
+    assert [watcher.status is not None for watcher in waiting] == [True] * 2 + [False] * 3
 
 
-def test_a_draining_server_completes_running_calls_and_refuses_new_ones() -> None:
+def test_a_draining_server_completes_running_calls_and_rejects_new_ones() -> None:
     rig = RpcRig()
     watcher, late = RecordingWatcher(), RecordingWatcher()
     call = rig.channel.call("/t.T/Never", watcher)
@@ -148,16 +149,20 @@
     assert (
         watcher.status.code == Code.UNAVAILABLE and watcher.status.broken and not watcher.status.unprocessed
     )
-    refused = rig.unary("/t.T/One", b"")
-    assert refused.code == Code.UNAVAILABLE and refused.unprocessed
+    rejected = rig.unary("/t.T/One", b"")
+    assert rejected.code == Code.UNAVAILABLE and rejected.unprocessed
     assert rig.channel.state in (ChannelState.TRANSIENT_FAILURE, ChannelState.IDLE)
     rig.net.listen("s", factory)
     rig.net.run(3.0)
     assert rig.unary("/t.T/One", b"ab") == b"ba" and rig.channel.state == ChannelState.READY
-    waits = [Backoff(Random(7).random).next() for _ in range(3)]
+    initial_delays = [Backoff(Random(7).random).next() for _ in range(3)]
     backoff = Backoff(Random(7).random, 0.05, 2.0)
-    grown = [backoff.next() for _ in range(12)]
-    assert 0.04 <= waits[0] <= 0.06 and grown[3] > grown[0] and max(grown) <= 2.4
+    growing_delays = [backoff.next() for _ in range(12)]
+    assert (
+        0.04 <= initial_delays[0] <= 0.06
+        and growing_delays[3] > growing_delays[0]
+        and max(growing_delays) <= 2.4
+    )
 
 
 def test_keepalive_detects_a_silent_peer() -> None:
@@ -165,7 +170,7 @@
     watcher = RecordingWatcher()
     rig.channel.call("/t.T/Never", watcher)
     rig.net.run(20.0)
-    assert watcher.status is None  # an answered ping keeps it
+    assert watcher.status is None  # answered pings keep the connection open
     rig.net.silent.add("s")
     rig.net.run(8.0)
     assert watcher.status.code == Code.UNAVAILABLE and watcher.status.broken
--- a/tests/rpc/test_rpc_grpcio.py
+++ b/tests/rpc/test_rpc_grpcio.py
@@ -26,7 +26,7 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def running_reactor() -> Iterator[None]:
-    """Run the reactor in a thread of its own while this module runs."""
+    """Run the reactor in a thread while the tests of this module run."""
     thread = threading.Thread(target=reactor.run, kwargs={"installSignalHandlers": False}, daemon=True)
     thread.start()
     yield
@@ -38,17 +38,17 @@
     return blockingCallFromThread(reactor, call, *args)
 
 
-# -- our server, their client ------------------------------------------------------------------------
+# -- our server, grpcio's client ---------------------------------------------------------------------
 
 
 @pytest.fixture
 def our_server() -> Iterator[tuple[Server, int]]:
     server = Server(reactor, TransportLimits(max_streams=400), compress=True)
-    later = Deferred()
+    never = Deferred()
     server.add("/t.T/Echo", EchoReceiver)
     server.add("/t.T/One", unary(lambda call, data: data[::-1]))
     server.add("/t.T/Join", client_stream(lambda call, parts: b"".join(parts)))
-    server.add("/t.T/Never", unary(lambda call, data: later))
+    server.add("/t.T/Never", unary(lambda call, data: never))
     server.add("/t.T/Meta", unary(show_meta))
     server.add("/t.T/Fail", unary(fail))
     server.add("/t.T/Count", server_stream(count))
@@ -116,18 +116,18 @@
         grpcio_channel.unary_unary("/t.T/Never", **RAW)(b"", timeout=0.2)
     assert caught.value.code() == grpc.StatusCode.DEADLINE_EXCEEDED
     EchoReceiver.calls = []
-    told = threading.Event()
-    lost, EchoReceiver.lost = EchoReceiver.lost, lambda self, code: (lost(self, code), told.set())[0]
+    notified = threading.Event()
+    lost, EchoReceiver.lost = EchoReceiver.lost, lambda self, code: (lost(self, code), notified.set())[0]
     try:
-        stream = grpcio_channel.stream_stream("/t.T/Echo", **RAW)(held_open(told))
+        stream = grpcio_channel.stream_stream("/t.T/Echo", **RAW)(stay_open(notified))
         assert next(stream) == b"first"
         stream.cancel()
-        assert told.wait(10) and EchoReceiver.calls[0].end == Code.CANCELLED
+        assert notified.wait(10) and EchoReceiver.calls[0].end == Code.CANCELLED
     finally:
         EchoReceiver.lost = lost
 
 
-def held_open(until: threading.Event) -> Iterator[bytes]:
+def stay_open(until: threading.Event) -> Iterator[bytes]:
     yield b"first"
     until.wait(10)
 
@@ -149,7 +149,7 @@
 
 def test_grpcio_client_during_our_drain(our_server: tuple[Server, int], grpcio_channel: grpc.Channel) -> None:
     go = threading.Event()
-    stream = grpcio_channel.stream_stream("/t.T/Echo", **RAW)(held_open(go))
+    stream = grpcio_channel.stream_stream("/t.T/Echo", **RAW)(stay_open(go))
     assert next(stream) == b"first"
     drained = in_reactor(lambda: [our_server[0].drain()])[0]
     go.set()
@@ -157,11 +157,11 @@
     in_reactor(lambda: drained)
 
 
-# -- our channel, their server -----------------------------------------------------------------------
+# -- our channel, grpcio's server --------------------------------------------------------------------
 
 
 class GrpcioHandler(grpc.GenericRpcHandler):
-    """The methods of a server of grpcio."""
+    """Handlers of the test methods in a grpcio server."""
 
     def service(self, details: grpc.HandlerCallDetails) -> grpc.RpcMethodHandler | None:
         h = {
--- a/tests/rpc/test_rpc_invalid_peers.py
+++ b/tests/rpc/test_rpc_invalid_peers.py
@@ -1,4 +1,4 @@
-"""Peers that break the protocol, flood, or are silent."""
+"""Peers that violate the protocol, flood the connection with frames, or are silent."""
 
 from collections.abc import Callable
 
@@ -98,7 +98,7 @@
     assert_call_continues(rig, watcher, call)
 
 
-def test_requests_that_are_not_grpc_are_refused() -> None:
+def test_requests_that_are_not_grpc_are_rejected() -> None:
     rig = RpcRig()
     raw = RawClient(rig)
     assert raw.request()["grpc-status"] == "0"
@@ -108,9 +108,9 @@
     assert raw.request(drop="te")["grpc-status"] == str(int(Code.INTERNAL))
     assert raw.request(path="/no.Such/Method")["grpc-status"] == str(int(Code.UNIMPLEMENTED))
     assert raw.request(grpc_timeout="soon")["grpc-status"] == str(int(Code.INTERNAL))
-    refused = raw.request(grpc_encoding="br")
-    assert refused["grpc-status"] == str(int(Code.UNIMPLEMENTED))
-    assert "gzip" in refused["grpc-accept-encoding"]
+    rejected = raw.request(grpc_encoding="br")
+    assert rejected["grpc-status"] == str(int(Code.UNIMPLEMENTED))
+    assert "gzip" in rejected["grpc-accept-encoding"]
     assert raw.request(body=b"\0\0\0\0\x09x")["grpc-status"] == str(int(Code.INTERNAL))  # truncated
     assert raw.request(body=b"\0\x7f\0\0\0")["grpc-status"] == str(int(Code.RESOURCE_EXHAUSTED))
     assert raw.request(body=b"")["grpc-status"] == str(int(Code.UNIMPLEMENTED))  # no message
--- a/tests/rpc/test_rpc_messages.py
+++ b/tests/rpc/test_rpc_messages.py
@@ -1,4 +1,4 @@
-"""Framing, metadata and status: the forms on the wire, without any connection."""
+"""Encoding and decoding of messages, metadata and status, without a connection."""
 
 import gzip
 
@@ -37,7 +37,7 @@
     assert code in (None, Code.INTERNAL, Code.RESOURCE_EXHAUSTED, Code.UNIMPLEMENTED)
 
 
-def test_malformed_and_too_large_messages_are_refused() -> None:
+def test_malformed_and_too_large_messages_are_rejected() -> None:
     bomb = gzip.compress(b"0" * 10**6)
     for raw, encoding, code in [
         (framing.MESSAGE_PREFIX.pack(0, 65), "identity", Code.RESOURCE_EXHAUSTED),
@@ -69,7 +69,7 @@
     assert wire.isascii() and wire.isprintable() and status.decode_message(wire) == text
 
 
-def test_malformed_timeouts_and_metadata_are_refused() -> None:
+def test_malformed_timeouts_and_metadata_are_rejected() -> None:
     for text in ("", "5", "S", "123456789S", "-1S", "1.5S", "٣S", "5x"):
         with pytest.raises(ValueError, match="grpc-timeout"):
             status.decode_timeout(text)
--- a/tests/support/rpc_rig.py
+++ b/tests/support/rpc_rig.py
@@ -1,4 +1,4 @@
-"""A gRPC server and channel on a driven clock, and a client that is driven by hand."""
+"""A gRPC server and channel on a simulated clock, and a client whose bytes the test writes itself."""
 
 from random import Random
 from typing import ClassVar
@@ -19,7 +19,7 @@
 
 
 class RecordingWatcher(CallWatcher):
-    """Records what a call is told."""
+    """Records the callbacks of a call."""
 
     def __init__(self) -> None:
         self.initial_metadata: Metadata | None = None
@@ -27,21 +27,21 @@
         self.status: Status | None = None
 
     def headers(self, meta: Metadata) -> None:
-        """Take the initial metadata."""
+        """Record the initial metadata."""
         self.initial_metadata = meta
 
     def message(self, data: bytes) -> None:
-        """Take a reply."""
+        """Record a reply."""
         self.messages.append(data)
 
     def ended(self, status: Status) -> None:
-        """Take the status."""
+        """Record the status."""
         assert self.status is None, "a call ended twice"
         self.status = status
 
 
 class EchoReceiver(Receiver):
-    """Sends every message back."""
+    """Sends every message back to the client."""
 
     calls: ClassVar[list["EchoReceiver"]] = []
 
@@ -51,7 +51,7 @@
         EchoReceiver.calls.append(self)
 
     def message(self, data: bytes) -> None:
-        """Send it back."""
+        """Send the message back."""
         self.call.send(data)
 
     def finished(self) -> None:
@@ -64,7 +64,7 @@
 
 
 class RpcRig:
-    """A server and a channel on a network in memory."""
+    """A server and a channel that are connected by a network in memory."""
 
     def __init__(self, server_limits: TransportLimits | None = None, **channel_options: object) -> None:
         self.clock = Clock()
@@ -94,7 +94,7 @@
 
 
 class RawClient:
-    """A client driven by hand, beside a correct one."""
+    """A client that may violate the protocol; the rig's channel is a correct client of the same server."""
 
     def __init__(self, rig: RpcRig, sends_preface: bool = True) -> None:
         self.rig = rig
@@ -112,22 +112,22 @@
             self.exchange(self.h2.data_to_send())
 
     def buildProtocol(self, addr: None) -> "RawClient":  # noqa: N802
-        """Take the place of a factory."""
+        """Return this client, which is its own factory."""
         return self
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Wait to be driven."""
+        """Do nothing: the test decides what is sent."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Collect bytes."""
+        """Collect received bytes."""
         self._received += data
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Record the end."""
+        """Record that the connection was lost."""
         self.is_lost = True
 
     def exchange(self, data: bytes) -> list[Event]:
-        """Send bytes, and return the events of what came back."""
+        """Send bytes, and return the events of the bytes received in response."""
         self.transport.write(data)
         self.rig.net.run(0.3)
         received = bytes(self._received)
@@ -137,7 +137,7 @@
     def request(
         self, path: str = "/t.T/One", drop: str = "", body: bytes | None = b"\0\0\0\0\1x", **headers: str
     ) -> dict[str, str | int]:
-        """Send a request, without the header `drop`; return the headers and trailers that came back."""
+        """Send a request without the header `drop`; return the headers and trailers of the response."""
         all_headers = {
             ":method": "POST",
             ":scheme": "http",
