--- a/myrtlehub/client/batch_client.py
+++ b/myrtlehub/client/batch_client.py
@@ -11,7 +11,7 @@
 
 from myrtlehub.client.grpcio_calls import result_of_error
 from myrtlehub.client.requests import RetrySemantics
-from myrtlehub.client.results import AttemptResult, Generated, Outcome
+from myrtlehub.client.results import AttemptResult, Generated, Outcome, result_of_abort, result_of_rejection
 from myrtlehub.client.retries import RetryState
 from myrtlehub.client.sync_client import ChannelOwner
 from myrtlehub.proto import items_pb2 as pb
@@ -98,8 +98,8 @@
     if field == "generated":
         return AttemptResult(Outcome.GENERATED, item_count=final.generated.items)
     if field == "rejected":
-        return AttemptResult(Outcome.REJECTED, final.rejected.wait_ms / 1000.0 or None, "rejected")
-    return AttemptResult(Outcome.ABORTED, message=final.aborted.reason or "aborted")
+        return result_of_rejection(final.rejected)
+    return result_of_abort(final.aborted)
 
 
 def _decode_vector(vector: pb.Vector) -> VectorOrError:
--- a/myrtlehub/client/results.py
+++ b/myrtlehub/client/results.py
@@ -42,7 +42,17 @@
     if field == "generated":
         return AttemptResult(Outcome.GENERATED, item_count=reply.generated.tokens)
     if field == "rejected":
-        return AttemptResult(Outcome.REJECTED, reply.rejected.wait_ms / 1000.0 or None, "rejected")
+        return result_of_rejection(reply.rejected)
     if field == "moved":
         return AttemptResult(Outcome.MOVED, message="its node is draining")
-    return AttemptResult(Outcome.ABORTED, message=reply.aborted.reason or "aborted")
+    return result_of_abort(reply.aborted)
+
+
+def result_of_rejection(rejected: pb.Rejected) -> AttemptResult:
+    """Return the result in a rejection; a wait of 0 on the wire means that no Retry-After is stated."""
+    return AttemptResult(Outcome.REJECTED, rejected.wait_ms / 1000.0 or None, "rejected")
+
+
+def result_of_abort(aborted: pb.Aborted) -> AttemptResult:
+    """Return the result in an abort."""
+    return AttemptResult(Outcome.ABORTED, message=aborted.reason or "aborted")
--- a/myrtlehub/client/sync_client.py
+++ b/myrtlehub/client/sync_client.py
@@ -83,5 +83,5 @@
             channel.close()
 
     def generate(self, request: ChatRequest) -> ChatStream:
-        """Return the stream of the tokens; iterating it raises an `AnswerError` if no whole answer comes."""
+        """Return the stream of tokens; iterating raises an `AnswerError` unless the answer is complete."""
         return ChatStream(self, request)
