--- a/tests/support/rpc_rig.py
+++ b/tests/support/rpc_rig.py
@@ -1,4 +1,4 @@
-"""A gRPC server and channel on a driven clock, and a client that is driven by hand."""
+"""A gRPC server and channel on a simulated clock, and a client whose bytes the test writes itself."""
 
 from random import Random
 from typing import ClassVar
@@ -6,20 +6,21 @@
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.events import Event, ResponseReceived, StreamReset, TrailersReceived
-from memnet import Net
+from memnet import Net, Pipe
 from twisted.internet.task import Clock
+from twisted.python.failure import Failure
 
 from myrtlehub.rpc.channel import Channel
 from myrtlehub.rpc.client_call import CallWatcher
 from myrtlehub.rpc.method_handlers import client_stream, server_stream, unary
 from myrtlehub.rpc.server import Server
 from myrtlehub.rpc.server_call import Receiver, ServerCall
-from myrtlehub.rpc.status import Code, Metadata, Status
+from myrtlehub.rpc.status import Code, Metadata, RpcError, Status
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 
 class RecordingWatcher(CallWatcher):
-    """Records what a call is told."""
+    """Records the callbacks of a call."""
 
     def __init__(self) -> None:
         self.initial_metadata: Metadata | None = None
@@ -27,21 +28,21 @@
         self.status: Status | None = None
 
     def headers(self, meta: Metadata) -> None:
-        """Take the initial metadata."""
+        """Record the initial metadata."""
         self.initial_metadata = meta
 
     def message(self, data: bytes) -> None:
-        """Take a reply."""
+        """Record a reply."""
         self.messages.append(data)
 
     def ended(self, status: Status) -> None:
-        """Take the status."""
+        """Record the status."""
         assert self.status is None, "a call ended twice"
         self.status = status
 
 
 class EchoReceiver(Receiver):
-    """Sends every message back."""
+    """Sends every message back to the client."""
 
     calls: ClassVar[list["EchoReceiver"]] = []
 
@@ -51,7 +52,7 @@
         EchoReceiver.calls.append(self)
 
     def message(self, data: bytes) -> None:
-        """Send it back."""
+        """Send the message back."""
         self.call.send(data)
 
     def finished(self) -> None:
@@ -64,9 +65,11 @@
 
 
 class RpcRig:
-    """A server and a channel on a network in memory."""
+    """A server and a channel that are connected by a network in memory."""
 
-    def __init__(self, server_limits: TransportLimits | None = None, **channel_options: object) -> None:
+    def __init__(
+        self, server_limits: TransportLimits | None = None, limits: TransportLimits | None = None
+    ) -> None:
         self.clock = Clock()
         self.net = Net(self.clock)
         self.server = Server(self.clock, server_limits or TransportLimits())
@@ -77,7 +80,7 @@
         self.server.add("/t.T/Count", server_stream(self._count))
         self.server.add("/t.T/Never", lambda call: EchoReceiver(call))
         self.net.listen("s", self.server)
-        self.channel = Channel(self.clock, self.net.dialer("s"), "s", random=Random(1), **channel_options)
+        self.channel = Channel(self.clock, self.net.dialer("s"), "s", limits, Random(1))
 
     def _count(self, call: ServerCall, data: bytes) -> None:
         for i in range(int(data)):
@@ -86,15 +89,24 @@
 
     def unary(self, path: str, data: bytes) -> bytes | Status:
         """Return the reply, or the status of the failure."""
-        results = []
-        self.channel.unary(path, data).addBoth(results.append)
+        results: list[bytes | Status] = []
+
+        def failed(failure: Failure) -> None:
+            if not isinstance(failure.value, RpcError):
+                failure.raiseException()
+            else:
+                results.append(failure.value.status)
+
+        self.channel.unary(path, data).addCallbacks(results.append, failed)
         self.net.run(0.1)
         (result,) = results
-        return result if isinstance(result, bytes) else result.value.status
+        return result
 
 
 class RawClient:
-    """A client driven by hand, beside a correct one."""
+    """A client that may violate the protocol; the rig's channel is a correct client of the same server."""
+
+    transport: Pipe  # set by the network
 
     def __init__(self, rig: RpcRig, sends_preface: bool = True) -> None:
         self.rig = rig
@@ -112,22 +124,22 @@
             self.exchange(self.h2.data_to_send())
 
     def buildProtocol(self, addr: None) -> "RawClient":  # noqa: N802
-        """Take the place of a factory."""
+        """Return this client, which is its own factory."""
         return self
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Wait to be driven."""
+        """Do nothing: the test decides what is sent."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Collect bytes."""
+        """Collect received bytes."""
         self._received += data
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Record the end."""
+        """Record that the connection was lost."""
         self.is_lost = True
 
     def exchange(self, data: bytes) -> list[Event]:
-        """Send bytes, and return the events of what came back."""
+        """Send bytes, and return the events of the bytes received in response."""
         self.transport.write(data)
         self.rig.net.run(0.3)
         received = bytes(self._received)
@@ -137,7 +149,7 @@
     def request(
         self, path: str = "/t.T/One", drop: str = "", body: bytes | None = b"\0\0\0\0\1x", **headers: str
     ) -> dict[str, str | int]:
-        """Send a request, without the header `drop`; return the headers and trailers that came back."""
+        """Send a request without the header `drop`; return the headers and trailers of the response."""
         all_headers = {
             ":method": "POST",
             ":scheme": "http",
