--- a/myrtlehub/lab/scenario_runner.py
+++ b/myrtlehub/lab/scenario_runner.py
@@ -280,7 +280,7 @@
         for tally in self.clients.tallies.values():
             answers.update(tally.answers)
         counts = ", ".join(f"{count} {answer}" for answer, count in sorted(answers.items()))
-        self.report(f"{self.clients.asked} asked, {self.clients.open} open, {counts}")
+        self.report(f"{self.clients.requested} asked, {self.clients.open} open, {counts}")
 
     def verdict(self) -> Verdict:
         """Return rules and figures, from the records alone."""
--- a/myrtlehub/lab/simulated_clients/__init__.py
+++ b/myrtlehub/lab/simulated_clients/__init__.py
@@ -1,6 +1,7 @@
-"""Simulated clients of a scenario: an open loop of requests that are drawn ahead from a seed.
+"""Simulated clients of a scenario: open-loop load, planned before the scenario from a seed.
 
-`sequence_plan`, `chat_call`, `chat_clients` and `tally` are of the chat front; `batch_plan`, `batch_call` and
-`batch_clients` of the batch fronts; `recorded_call` is what both share. Clients record what passes on their
-sockets; judging the records is done elsewhere. Nothing here knows the node's code.
+`sequence_plan`, `chat_call`, `chat_clients` and `chat_tally` belong to the chat front; `batch_plan`,
+`batch_fronts`, `batch_call`, `batch_clients` and `batch_tally` to the fronts for batches (embed and rank).
+`client_group`, `recorded_call`, `call_records` and `traffic` are common to both. Clients record what they
+send and receive on their sockets; the rule checker judges these records. Clients use none of the node's code.
 """
--- a/myrtlehub/lab/simulated_clients/batch_clients.py
+++ b/myrtlehub/lab/simulated_clients/batch_clients.py
@@ -1,23 +1,20 @@
-"""The clients of the batch fronts: they check each answer for value, order and completeness.
-
-What emulated engines answer is a function of the input and the model's version, so the clients can tell.
-"""
+"""The clients of the batch fronts: requests at planned times, and retries as answers allow."""
 
 from collections.abc import Callable
 from random import Random
 
 from myrtlehub.clock import Clock
+from myrtlehub.lab.rule_checker.stored_records import FinalAnswer
 from myrtlehub.lab.scenario_file import Scenario
-from myrtlehub.lab.simulated_clients.batch_call import GENERATED, BatchCall
-from myrtlehub.lab.simulated_clients.batch_plan import IDEMPOTENT, PlannedBatch, plan_batches
-from myrtlehub.lab.simulated_clients.recorded_call import ClientGroup
+from myrtlehub.lab.simulated_clients.batch_call import BatchCall
+from myrtlehub.lab.simulated_clients.batch_plan import PlannedBatch, plan_batches
+from myrtlehub.lab.simulated_clients.batch_tally import BatchFigures, BatchTally
+from myrtlehub.lab.simulated_clients.client_group import DISCONNECTED, RETRY_DELAY, ClientGroup, Dial
+from myrtlehub.lab.simulated_clients.traffic import is_idempotent
 from myrtlehub.records import Recorder
 from myrtlehub.rpc.status import Status
 
-REJECTED = "rejected"
 MODELS = ("m1", "m2")  # versions that engines have during a scenario
-RETRY_DELAY = 0.05  # seconds, where no other is asked for
-RETRY_JITTER = 0.5  # share of Retry-After that may come on top
 
 
 class BatchClients(ClientGroup):
@@ -27,67 +24,66 @@
         self,
         scenario: Scenario,
         clock: Clock,
-        dial_by_node: dict[str, Callable],
+        dial_by_node: dict[str, Dial],
         recorder: Recorder,
         random: Random,
         rate: float,
         behind: Callable[[float], float],
         models: tuple[str, ...] = MODELS,
     ) -> None:
-        """Make them; `behind(now)`: by how much this process may be late to see what it sees."""
+        """Plan all batches.
+
+        Args:
+            scenario: The scenario.
+            clock: The clock of timers and measurements.
+            dial_by_node: How to connect to each node.
+            recorder: The recorder of clients.
+            random: The source of the plan and of retry delays.
+            rate: Batches per second.
+            behind: Returns a bound on how late, in seconds, this process reads what it reads at a time.
+            models: Versions of the model that engines have during the scenario.
+        """
         super().__init__(scenario, clock, dial_by_node, recorder, random)
         self.behind = behind
         self.models = models
         self.planned = plan_batches(scenario, rate, random)
-        self.calls = 0
-        self.checked_items = 0
-        self.cached_items = 0
-        self.faults: list[str] = []
-        self._answers: dict[str, dict[str, int]] = {}  # counts, by traffic type and answer
+        self.tally = BatchTally()
+
+    @property
+    def faults(self) -> list[str]:
+        """What was wrong with answers."""
+        return self.tally.faults
 
     def start(self) -> None:
-        """Ask for every batch at its time, whatever became of others."""
+        """Schedule the request of each batch at its time, independently of other answers."""
         self.open = len(self.planned)
         for plan in self.planned:
             self.clock.callLater(plan.at, self._start_call, plan, 0)
 
-    def add_fault(self, call: BatchCall, text: str) -> None:
-        """Note that an answer is not what was asked for."""
-        items = len(call.plan.inputs)
-        self.faults.append(f"{call.name} ({call.plan.traffic.name}, {items} items): {text}")
-
     def call_ended(self, call: BatchCall, status: Status) -> None:
-        """Count a call, or call again where its answer allows that."""
-        can_retry = call.number < self.scenario.clients.retries and not call.has_left
+        """Count the request of a call that ended, or retry it if that is safe."""
+        can_retry = call.attempt < self.scenario.clients.retries and not call.has_disconnected
         if can_retry and _is_safe_to_retry(call, status):
-            delay = RETRY_DELAY
-            if call.retry_after:
-                delay = call.retry_after * (1.0 + RETRY_JITTER * self.random.random())
-            self.clock.callLater(delay, self._start_call, call.plan, call.number + 1)
+            delay = self._with_jitter(call.retry_after) if call.retry_after else RETRY_DELAY
+            self.clock.callLater(delay, self._start_call, call.plan, call.attempt + 1)
             return
-        self.open -= 1
-        answers = self._answers.setdefault(call.plan.traffic.name, {})
-        answer = call.answer or ("left" if call.has_left else status.code.name.lower())
-        answers[answer] = answers.get(answer, 0) + 1
-        if not self.open:
-            self.on_quiet()
-
-    def figures(self) -> dict:
+        self.tally.add_answer(call.plan.traffic.name, call.answer or _end_without_answer(call, status))
+        self._request_ended()
+
+    def figures(self) -> BatchFigures:
         """Return figures for the verdict."""
-        return {
-            "batches": len(self.planned),
-            "tries": self.calls,
-            "items": self.checked_items,
-            "kept": self.cached_items,
-            "answers": self._answers,
-            "faults": self.faults,
-        }
+        return self.tally.figures(len(self.planned))
 
-    def _start_call(self, plan: PlannedBatch, number: int) -> None:
-        BatchCall(self, plan, number, self.random.choice(self.nodes)).start()
+    def _start_call(self, plan: PlannedBatch, attempt: int) -> None:
+        BatchCall(self, plan, attempt, self.random.choice(self.nodes)).start()
 
 
 def _is_safe_to_retry(call: BatchCall, status: Status) -> bool:
-    if call.answer == REJECTED or (not call.answer and status.unprocessed):
+    if call.answer == FinalAnswer.REJECTED or (call.answer is None and status.unprocessed):
         return True
-    return call.plan.traffic.repeats == IDEMPOTENT and call.answer != GENERATED
+    return is_idempotent(call.plan.traffic) and call.answer != FinalAnswer.GENERATED
+
+
+def _end_without_answer(call: BatchCall, status: Status) -> str:
+    """Return the word of a verdict's answer counts for a call without a final answer."""
+    return DISCONNECTED if call.has_disconnected else status.code.name.lower()
--- a/myrtlehub/lab/simulated_clients/batch_plan.py
+++ b/myrtlehub/lab/simulated_clients/batch_plan.py
@@ -1,20 +1,18 @@
-"""The batches that clients of a scenario ask for, drawn ahead."""
+"""The batches that clients of a scenario request, planned before it begins."""
 
 from random import Random
 from typing import NamedTuple
 
 from myrtlehub.lab.scenario_file import Scenario, TrafficMix
-from myrtlehub.lab.simulated_clients.sequence_plan import CHAT_FRONT, STAYS
+from myrtlehub.lab.simulated_clients.traffic import CHAT_FRONT, RANK_FRONT, is_idempotent
 
-RANK_FRONT = "rank"
-IDEMPOTENT = "repeatable"
-MAX_UNDIVIDED = 200  # items of a batch that goes whole to one engine, as it is not idempotent
-INPUT_SKEW = 0.6  # of the Pareto distribution by which inputs are drawn: some come again and again
-MAX_INPUT = 10**7
+MAX_UNDIVIDED = 200  # items of a batch that is not idempotent: it is sent as a whole to one engine
+INPUT_SKEW = 0.6  # shape of the Pareto distribution of inputs: a few of them occur again and again
+MAX_INPUT = 10**7  # the largest number of an input
 STREAMED_SHARE = 0.4
-TOP_SHARE = 0.3  # of rerank batches, that want the best few alone
+TOP_SHARE = 0.3  # of rerank batches, whose clients want only the best documents
 MAX_TOP = 10
-LEAVE_WITHIN = 0.3  # seconds
+MAX_DISCONNECT_DELAY = 0.3  # seconds from the request until a client that disconnects does so
 
 
 class _Size(NamedTuple):
@@ -36,19 +34,19 @@
 
 
 class PlannedBatch(NamedTuple):
-    """One batch that a client will ask for."""
+    """One batch that a client will request; times in seconds."""
 
-    at: float
+    at: float  # from the start of the traffic
     traffic: TrafficMix
     idempotency_key: str
     inputs: tuple[BatchInput, ...]
     is_streamed: bool
-    top: int  # how many of the best are wanted; 0: all
-    leaves_after: float  # seconds after asking; STAYS: not at all
+    top: int | None  # how many of the best documents are requested; None: all
+    disconnects_after: float | None  # from the request; None: the client waits for its answer
 
 
 def plan_batches(scenario: Scenario, rate: float, random: Random) -> list[PlannedBatch]:
-    """Draw all batches of a scenario, by the time of their arrival."""
+    """Return all batches of a scenario, by the time of their arrival."""
     batch_traffic = [traffic for traffic in scenario.traffic if traffic.front != CHAT_FRONT]
     shares = [traffic.share for traffic in batch_traffic]
     planned: list[PlannedBatch] = []
@@ -58,34 +56,41 @@
         if at >= scenario.length:
             break
         traffic = random.choices(batch_traffic, shares)[0]
-        inputs = _draw_inputs(traffic, random)
-        is_streamed = random.random() < STREAMED_SHARE
-        wants_top = traffic.front == RANK_FRONT and random.random() < TOP_SHARE
-        planned.append(
-            PlannedBatch(
-                at,
-                traffic,
-                f"b{len(planned)}",
-                inputs,
-                is_streamed,
-                random.randint(1, MAX_TOP) if wants_top else 0,
-                LEAVE_WITHIN * random.random() if random.random() < scenario.clients.leave else STAYS,
-            )
-        )
+        planned.append(_plan_batch(scenario, at, len(planned), traffic, random))
     return planned
 
 
+def _plan_batch(
+    scenario: Scenario, at: float, number: int, traffic: TrafficMix, random: Random
+) -> PlannedBatch:
+    """Draw one batch. The order of the draws is fixed, as a seed must always give the same load."""
+    inputs = _draw_inputs(traffic, random)
+    is_streamed = random.random() < STREAMED_SHARE
+    wants_top = traffic.front == RANK_FRONT and random.random() < TOP_SHARE
+    top = random.randint(1, MAX_TOP) if wants_top else None
+    disconnects = random.random() < scenario.clients.leave
+    return PlannedBatch(
+        at=at,
+        traffic=traffic,
+        idempotency_key=f"b{number}",
+        inputs=inputs,
+        is_streamed=is_streamed,
+        top=top,
+        disconnects_after=MAX_DISCONNECT_DELAY * random.random() if disconnects else None,
+    )
+
+
 def _draw_inputs(traffic: TrafficMix, random: Random) -> tuple[BatchInput, ...]:
     size = random.choices(SIZES, [size.share for size in SIZES])[0]
     count = random.randint(size.fewest, size.most)
-    if traffic.repeats != IDEMPOTENT:
+    if not is_idempotent(traffic):
         count = min(count, MAX_UNDIVIDED)
     return tuple(_draw_input(traffic, random) for _ in range(count))
 
 
 def _draw_input(traffic: TrafficMix, random: Random) -> BatchInput:
-    """Draw a text; its tokens are a function of it."""
+    """Draw a text; its number of tokens is a function of the text."""
     text = f"{traffic.name}-{min(int(random.paretovariate(INPUT_SKEW)), MAX_INPUT)}".encode()
     fewest, most = traffic.prompt
-    random.randint(fewest, most)  # not used; later draws of a seed stay what they were
+    random.randint(fewest, most)  # not used: without this draw, a seed would give another load than before
     return BatchInput(text, fewest + sum(text) % (most - fewest + 1))
--- a/myrtlehub/lab/simulated_clients/chat_clients.py
+++ b/myrtlehub/lab/simulated_clients/chat_clients.py
@@ -1,42 +1,40 @@
-"""The clients of the chat front: they ask at planned times, retry and resume as answers allow."""
+"""The clients of the chat front: requests at planned times, retries and resumes as answers allow."""
 
 from collections import Counter
-from collections.abc import Callable
 from enum import StrEnum
 from random import Random
 from typing import NamedTuple
 
 from myrtlehub.clock import Clock, Timer
+from myrtlehub.lab.rule_checker.stored_records import FinalAnswer
 from myrtlehub.lab.scenario_file import Scenario
 from myrtlehub.lab.simulated_clients.chat_call import ChatCall
-from myrtlehub.lab.simulated_clients.recorded_call import ClientGroup
-from myrtlehub.lab.simulated_clients.sequence_plan import CHAT_FRONT, PlannedSequence, plan_sequences
-from myrtlehub.lab.simulated_clients.tally import Tally
+from myrtlehub.lab.simulated_clients.chat_tally import ChatTally
+from myrtlehub.lab.simulated_clients.client_group import DISCONNECTED, RETRY_DELAY, ClientGroup, Dial
+from myrtlehub.lab.simulated_clients.sequence_plan import PlannedSequence, plan_sequences
+from myrtlehub.lab.simulated_clients.traffic import CHAT_FRONT, is_idempotent
 from myrtlehub.limits.event_loop_lag import LagMeter
 from myrtlehub.records import Recorder
 from myrtlehub.rpc.status import Code, Status
 
-GENERATED = "generated"
-REJECTED = "rejected"
-ABORTED = "aborted"
-IDEMPOTENT = "repeatable"
 MAX_RESUMES = 12  # of one sequence
-RESUME_BACKOFF = 0.15  # seconds a resume, at most
-RESUME_UNPROCESSED_BACKOFF = 0.1  # seconds a resume
-RETRY_DELAY = 0.05  # seconds, where no other is asked for
-RETRY_JITTER = 0.5  # share of Retry-After that may come on top
-UNPROCESSED_RETRIES = 2  # more than the scenario's, where the node never saw the call
+RESUME_BACKOFF = 0.15  # seconds per earlier call, at most, before a sequence of a lost node is resumed
+RESUME_UNPROCESSED_BACKOFF = 0.1  # seconds per earlier call, after a node that did not process a resume
+UNPROCESSED_RETRIES = 2  # beyond the scenario's retries, for calls that no node processed
+
+
+LOST = "lost"  # the word in a verdict for a lost sequence without a final answer
 
 
 class LostStage(StrEnum):
-    """Where a sequence was when its node was lost."""
+    """What a node did with a sequence when it was lost."""
 
     WAITING = "waiting"
     STREAMING = "streaming"
 
 
 class LostSequence(NamedTuple):
-    """What became of a sequence whose node was lost."""
+    """The final answer to a sequence whose node was lost, or LOST."""
 
     retry_semantics: str
     stage: LostStage
@@ -50,36 +48,39 @@
         self,
         scenario: Scenario,
         clock: Clock,
-        dial_by_node: dict[str, Callable],
+        dial_by_node: dict[str, Dial],
         recorder: Recorder,
         random: Random,
         rate: float,
     ) -> None:
+        """Plan all sequences; `rate` is in sequences per second."""
         super().__init__(scenario, clock, dial_by_node, recorder, random)
         takeover = scenario.takeover
         self.can_resume = takeover is not None and takeover.on
-        self.pauses: list[float] = []  # seconds from the last token at a lost node to the next one
+        self.stream_gaps: list[float] = []  # seconds from the last token at a lost node to the next one
         self.lost: Counter[LostSequence] = Counter()
-        self.whole_time = scenario.clients.whole
-        self.asked = 0
+        self.answer_timeout = scenario.clients.whole
+        self.requested = 0  # sequences
         self.lag = LagMeter()  # of this process, not of a node
         self._planned = plan_sequences(scenario, rate, random)
-        self.tallies = {traffic.name: Tally() for traffic in scenario.traffic if traffic.front == CHAT_FRONT}
+        self.tallies = {
+            traffic.name: ChatTally() for traffic in scenario.traffic if traffic.front == CHAT_FRONT
+        }
         self._is_stopped = False
         self._lag_timer: Timer | None = None
 
     def behind(self, now: float) -> float:
-        """Return by how much this process may itself be late to see what it now sees."""
+        """Return a bound on how late, in seconds, this process reads what it reads now."""
         return round(self.lag.age(now), 4)
 
     def start(self) -> None:
-        """Ask for every sequence at its time, whatever became of others."""
+        """Schedule the request of each sequence at its time, independently of other answers."""
         self._measure_lag()
         for plan in self._planned:
-            self.clock.callLater(plan.at, self._ask, plan)
+            self.clock.callLater(plan.at, self._request, plan)
 
     def stop(self) -> None:
-        """Ask for nothing more; open sequences continue."""
+        """Request nothing more; open sequences continue."""
         self._is_stopped = True
 
     def close(self) -> None:
@@ -92,30 +93,31 @@
         now = self.clock.seconds()
         self._lag_timer = self.clock.callLater(self.lag.tick(now) - now, self._measure_lag)
 
-    def _ask(self, plan: PlannedSequence) -> None:
+    def _request(self, plan: PlannedSequence) -> None:
         if self._is_stopped:
             return
         tally = self.tallies[plan.traffic.name]
-        tally.asked += 1
-        tally.utility += plan.traffic.utility
+        tally.requests += 1
+        tally.requested_utility += plan.traffic.utility
         self.open += 1
-        self.asked += 1
+        self.requested += 1
         self._start_call(plan, 0, self.random.choice(self.nodes))
 
-    def _start_call(self, plan: PlannedSequence, number: int, node: str) -> None:
-        ChatCall(self, plan, number, node).start()
+    def _start_call(self, plan: PlannedSequence, attempt: int, node: str) -> None:
+        ChatCall(self, plan, attempt, node).start()
 
     def _resume(self, call: ChatCall, node: str) -> None:
         """Call again for the rest of a sequence whose node was lost."""
-        ChatCall(self, call.plan, call.number + 1, node, call).start()
+        ChatCall(self, call.plan, call.attempt + 1, node, call).start()
 
     def _other_nodes(self, node: str) -> list[str]:
+        """Return the nodes without this one, or this one if there is no other."""
         return [other for other in self.nodes if other != node] or self.nodes
 
     # -- the end of a call ------------------------------------------------------------------------
 
     def call_ended(self, call: ChatCall, status: Status) -> None:
-        """Count a call, or call again where the semantics of its traffic and its answer allow that."""
+        """Count the request of a call that ended, or resume or retry it if that is safe."""
         if self._resume_later(call, status):
             return
         self._count_lost(call, status)
@@ -124,14 +126,14 @@
         self._finish(call, status)
 
     def _resume_later(self, call: ChatCall, status: Status) -> bool:
-        """Resume a lost sequence after a while, if it may be resumed; return whether it may."""
-        if call.number >= MAX_RESUMES:
+        """Schedule a call that resumes a lost sequence, if it may be resumed; return whether it may."""
+        if call.attempt >= MAX_RESUMES:
             return False
         if self.can_resume and _is_lost(call, status) and status.code != Code.ABORTED:
-            delay = RESUME_BACKOFF * self.random.random() * (1 + call.number)
+            delay = RESUME_BACKOFF * self.random.random() * (1 + call.attempt)
             node = self.random.choice(self._other_nodes(call.node))
-        elif not call.answer and status.unprocessed and call.resumed is not None:
-            delay = RESUME_UNPROCESSED_BACKOFF * (1 + call.number)
+        elif call.answer is None and status.unprocessed and call.resumed is not None:
+            delay = RESUME_UNPROCESSED_BACKOFF * (1 + call.attempt)
             node = self.random.choice(self.nodes)
         else:
             return False
@@ -142,51 +144,52 @@
         was_lost = call.resumed is not None or _is_lost(call, status)
         if not was_lost or status.code == Code.ABORTED:
             return
-        has_started = call.first_call.token_count if self.can_resume else call.messages
-        stage = LostStage.STREAMING if has_started else LostStage.WAITING
-        self.lost[LostSequence(call.plan.traffic.repeats, stage, call.answer or "lost")] += 1
+        # Only clients that can resume count tokens; the others count messages.
+        has_tokens = call.first_call.token_count if self.can_resume else call.token_messages
+        stage = LostStage.STREAMING if has_tokens else LostStage.WAITING
+        self.lost[LostSequence(call.plan.traffic.repeats, stage, call.answer or LOST)] += 1
 
     def _retry_unprocessed(self, call: ChatCall, status: Status) -> bool:
-        """Call another node at once if the first one never saw the call; return whether that was so."""
+        """Call another node at once if no node processed the call; return whether that was so."""
         most = UNPROCESSED_RETRIES + self.scenario.clients.retries
-        if call.answer or not status.unprocessed or call.number >= most:
+        if call.answer is not None or not status.unprocessed or call.attempt >= most:
             return False
         node = self.random.choice(self._other_nodes(call.node))
-        self._start_call(call.plan, call.number + 1, node)
+        self._start_call(call.plan, call.attempt + 1, node)
         return True
 
     def _retry_later(self, call: ChatCall) -> bool:
-        """Retry after a while, if that is safe and wanted; return whether it is."""
-        is_idempotent = call.plan.traffic.repeats == IDEMPOTENT
-        is_safe = call.answer == REJECTED or (is_idempotent and call.answer in ("", ABORTED))
-        if call.number >= self.scenario.clients.retries or call.has_left or not is_safe:
+        """Schedule a retry if that is safe and retries remain; return whether it was scheduled."""
+        was_rejected = call.answer == FinalAnswer.REJECTED
+        may_repeat = is_idempotent(call.plan.traffic) and call.answer in (None, FinalAnswer.ABORTED)
+        if call.attempt >= self.scenario.clients.retries or call.has_disconnected:
+            return False
+        if not was_rejected and not may_repeat:
             return False
-        delay = RETRY_DELAY
-        if call.answer == REJECTED:
-            delay = call.retry_after * (1.0 + RETRY_JITTER * self.random.random())
+        delay = self._with_jitter(call.retry_after) if was_rejected else RETRY_DELAY
         node = self.random.choice(self.nodes)
-        self.clock.callLater(delay, self._start_call, call.plan, call.number + 1, node)
+        self.clock.callLater(delay, self._start_call, call.plan, call.attempt + 1, node)
         return True
 
     def _finish(self, call: ChatCall, status: Status) -> None:
         traffic = call.plan.traffic
         tally = self.tallies[traffic.name]
-        self.open -= 1
         tally.answers[call.answer or _end_without_answer(call, status)] += 1
-        if call.answer == GENERATED:
+        if call.answer == FinalAnswer.GENERATED:
             tally.good_utility += traffic.utility * (1.0 if call.is_in_time else traffic.late_share)
-        elif call.has_left:
-            tally.utility -= traffic.utility  # nobody waited for it
-        if not self.open:
-            self.on_quiet()
+        elif call.has_disconnected:
+            tally.requested_utility -= traffic.utility  # its client no longer wanted the answer
+        self._request_ended()
 
 
 def _is_lost(call: ChatCall, status: Status) -> bool:
     """Return whether a node accepted the sequence and ended the call without an answer."""
-    return bool(not call.answer and not call.has_left and call.sequence_id and not status.unprocessed)
+    was_accepted = call.sequence_id is not None and not status.unprocessed
+    return call.answer is None and not call.has_disconnected and was_accepted
 
 
 def _end_without_answer(call: ChatCall, status: Status) -> str:
-    if call.has_left:
-        return "left"
+    """Return the word of a verdict's answer counts for a call without a final answer."""
+    if call.has_disconnected:
+        return DISCONNECTED
     return "node lost" if status.code == Code.UNAVAILABLE else status.code.name.lower()
--- a/myrtlehub/lab/simulated_clients/recorded_call.py
+++ b/myrtlehub/lab/simulated_clients/recorded_call.py
@@ -1,106 +1,93 @@
-"""Calls of clients to nodes, recorded from asking to their end."""
+"""One call of a client to a node, recorded from its request to its end."""
 
-from collections.abc import Callable
-from random import Random
+from collections.abc import Mapping
 from typing import Protocol
 
+from google.protobuf.message import Message
+
 from myrtlehub.clock import Clock
-from myrtlehub.lab.scenario_file import Scenario, TrafficMix
+from myrtlehub.lab.rule_checker.stored_records import FinalAnswer
+from myrtlehub.lab.scenario_file import TrafficMix
+from myrtlehub.lab.simulated_clients.call_records import CallRecords
 from myrtlehub.records import Recorder
-from myrtlehub.rpc.channel import Channel, ClientCall
-from myrtlehub.rpc.client_call import CallWatcher
+from myrtlehub.rpc.channel import Channel
+from myrtlehub.rpc.client_call import CallWatcher, ClientCall
 from myrtlehub.rpc.status import Status
-from myrtlehub.rpc.transport_limits import TransportLimits
-
-CONNECT_TIMEOUT = 0.5  # seconds
 
 
 class Plan(Protocol):
-    """What a client will ask for."""
-
-    traffic: TrafficMix
-    idempotency_key: str
-
-
-class ClientGroup:
-    """Clients with a channel to each node, and what they record on them."""
-
-    def __init__(
-        self,
-        scenario: Scenario,
-        clock: Clock,
-        dial_by_node: dict[str, Callable],
-        recorder: Recorder,
-        random: Random,
-    ) -> None:
-        self.scenario = scenario
-        self.clock = clock
-        self.recorder = recorder
-        self.random = random
-        self.nodes = sorted(dial_by_node)
-        self.open = 0  # requests whose last call is not over
-        self.on_quiet: Callable[[], None] = lambda: None
-        limits = _transport_limits(scenario)
-        self.channels = {
-            node: Channel(clock, dial, node, limits, Random(random.random()), connect_timeout=CONNECT_TIMEOUT)
-            for node, dial in dial_by_node.items()
-        }
-
-    def call_ended(self, call: "RecordedCall", status: Status) -> None:
-        """Take the end of a call."""
-        raise NotImplementedError
-
-    def close(self) -> None:
-        """Close all channels."""
-        for channel in self.channels.values():
-            channel.close()
-
-
-def _transport_limits(scenario: Scenario) -> TransportLimits:
-    if scenario.takeover is None:
-        return TransportLimits()
-    keepalive = scenario.takeover.keepalive
-    return TransportLimits(keepalive_interval=keepalive, keepalive_timeout=keepalive)
+    """What a client will request."""
+
+    @property
+    def traffic(self) -> TrafficMix:
+        """The traffic type."""
+
+    @property
+    def idempotency_key(self) -> str:
+        """The key that all calls for this request have."""
+
+
+class CallOwner(Protocol):
+    """The group of clients that makes a call, as the call sees it."""
+
+    @property
+    def clock(self) -> Clock:
+        """The clock of timeouts and measurements."""
+
+    @property
+    def recorder(self) -> Recorder:
+        """The recorder of all clients."""
+
+    @property
+    def channels(self) -> Mapping[str, Channel]:
+        """A channel to each node."""
+
+    def behind(self, now: float, /) -> float:
+        """Return a bound on how late, in seconds, this process reads what it reads now."""
 
 
 class RecordedCall(CallWatcher):
-    """One call for what a client wants."""
+    """One call for a planned request; `attempt` counts the calls for it, from 0."""
 
-    def __init__(self, clients: ClientGroup, plan: Plan, number: int, node: str) -> None:
-        self.clients = clients
-        self.plan = plan
-        self.number = number
+    def __init__(self, owner: CallOwner, plan: Plan, attempt: int, node: str) -> None:
+        self.attempt = attempt
         self.node = node
-        self.name = f"{plan.idempotency_key}.{number}"
-        self.answer = ""  # the final answer, empty before it
-        self.retry_after = 0.0
-        self.asked_at = 0.0
-        self.has_left = False
-        self.call: ClientCall | None = None
-
-    def record_ask(self, time_left: float, whole_time: float) -> None:
-        """Record that it is asked now: seconds until the first of an answer is owed, and all of it."""
-        self.asked_at = self.clients.clock.seconds()
-        self.clients.recorder.note(
-            "ask",
-            call=self.name,
-            node=self.node,
-            traffic=self.plan.traffic.name,
-            mark=self.plan.idempotency_key,
-            left=time_left,
-            whole=whole_time,
+        self.name = f"{plan.idempotency_key}.{attempt}"
+        self.answer: FinalAnswer | None = None
+        self.retry_after = 0.0  # seconds that the final answer asks to wait; 0 for none, as on the wire
+        self.requested_at = owner.clock.seconds()
+        self.has_disconnected = False
+        self._clock = owner.clock
+        self._channel = owner.channels[node]
+        self._plan = plan
+        self._records = CallRecords(owner.recorder, self.name)
+        self._call: ClientCall | None = None
+
+    def _record_request(self, first_token_timeout: float, answer_timeout: float) -> None:
+        """Record the request; seconds within which the first token, and the final answer, must arrive."""
+        plan = self._plan
+        self._records.request_sent(
+            self.node, plan.traffic.name, plan.idempotency_key, first_token_timeout, answer_timeout
         )
 
-    def leave(self) -> None:
-        """Cancel the call, as the client goes away."""
-        if not self.call.over:
-            self.has_left = True
-            self.clients.recorder.note("left", call=self.name)
-            self.call.cancel()
+    def _send(self, method: str, request: Message, timeout: float) -> ClientCall:
+        """Send the request; return the call."""
+        call = self._channel.call(method, self, timeout=timeout)
+        self._call = call
+        call.send(request.SerializeToString())
+        call.half_close()
+        return call
+
+    def _disconnect_after(self, seconds: float) -> None:
+        self._clock.callLater(seconds, self.disconnect)
+
+    def disconnect(self) -> None:
+        """Cancel the call, as a client does that closes its connection."""
+        if self._call is not None and not self._call.over:
+            self.has_disconnected = True
+            self._records.client_disconnected()
+            self._call.cancel()
 
     def ended(self, status: Status) -> None:
-        """Take the end of the call."""
-        self.clients.recorder.note(
-            "over", call=self.name, code=status.code.name, unprocessed=status.unprocessed
-        )
-        self.clients.call_ended(self, status)
+        """Record the end of the call; subclasses notify their owner."""
+        self._records.call_ended(status)
--- a/myrtlehub/lab/takeover_scenario.py
+++ b/myrtlehub/lab/takeover_scenario.py
@@ -143,7 +143,7 @@
         lost: dict[str, dict[str, int]] = {}
         for (repeats, stage, answer), count in sorted(self.clients.lost.items()):
             lost.setdefault(f"{repeats}, {stage}", {})[answer] = count
-        pauses = sorted(self.clients.pauses)
+        pauses = sorted(self.clients.stream_gaps)
         percentiles = quantiles(pauses, n=100) if len(pauses) > 1 else [0.0] * 99
         return {
             "lost": lost,
