--- a/myrtlehub/cli/network.py
+++ b/myrtlehub/cli/network.py
@@ -1,9 +1,7 @@
 """TCP connections and ports of the programs."""
 
-from collections.abc import Callable
-from typing import TYPE_CHECKING, TypeAlias
+from typing import TYPE_CHECKING
 
-from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import Factory
@@ -12,18 +10,16 @@
 from myrtlehub.cli.exits import fail
 
 if TYPE_CHECKING:
-    from myrtlehub.rpc.client_protocol import ClientProtocol
+    from myrtlehub.rpc.channel import Connect, Dialer
 
 CONNECT_TIMEOUT_S = 30  # above the timeouts of channels, which end an attempt to connect earlier
 LISTEN_BACKLOG = 511  # connections that the system queues until the program accepts them
 
-Connect: TypeAlias = Callable[[Factory], "Deferred[ClientProtocol]"]  # opens a connection to one address
 
-
-def dialer(event_loop: EventLoop) -> Callable[[str], Connect]:
+def dialer(event_loop: EventLoop) -> "Dialer":
     """Return `dial`, which returns the connect function of an address, `host:port`."""
 
-    def dial(address: str) -> Connect:
+    def dial(address: str) -> "Connect":
         host, port = address.rsplit(":", 1)
         endpoint = TCP4ClientEndpoint(event_loop, host, int(port), timeout=CONNECT_TIMEOUT_S)
         return endpoint.connect  # type: ignore[return-value] # zope interfaces are unknown to mypy
--- a/myrtlehub/lab/client_load.py
+++ b/myrtlehub/lab/client_load.py
@@ -5,11 +5,11 @@
 
 from twisted.internet.defer import Deferred
 
-from myrtlehub.lab.process_calls import Connect
 from myrtlehub.lab.scenario_context import ScenarioContext
 from myrtlehub.lab.simulated_clients.batch_clients import BatchClients
 from myrtlehub.lab.simulated_clients.chat_clients import ChatClients
 from myrtlehub.records import Recorder
+from myrtlehub.rpc.channel import Connect
 
 OPEN_CALL_GRACE = 5.0  # seconds after their deadline for which open calls are awaited
 
@@ -22,12 +22,12 @@
         self._context = context
         self._recorder = Recorder("client", context.clock, context.folder / "client.rec")
         self.chat = ChatClients(
-            context.scenario, context.clock, dict(dial_by_node), self._recorder, context.random, rate
+            context.scenario, context.clock, dial_by_node, self._recorder, context.random, rate
         )
         self.batches = BatchClients(
             context.scenario,
             context.clock,
-            dict(dial_by_node),
+            dial_by_node,
             self._recorder,
             context.random,
             context.scenario.batch_rate,
@@ -72,4 +72,4 @@
         for tally in self.chat.tallies.values():
             answers.update(tally.answers)
         counts = ", ".join(f"{count} {answer}" for answer, count in sorted(answers.items()))
-        self._context.report(f"{self.chat.asked} requests, {self.chat.open} open, {counts}")
+        self._context.report(f"{self.chat.requested} requests, {self.chat.open} open, {counts}")
--- a/myrtlehub/lab/process_calls.py
+++ b/myrtlehub/lab/process_calls.py
@@ -1,23 +1,16 @@
 """Unary calls to the processes of a scenario."""
 
-from collections.abc import Callable
-from typing import TypeAlias
-
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.protocol import Factory
 
 from myrtlehub.clock import Clock
 from myrtlehub.lab.interfaces import Reactor
-from myrtlehub.rpc.channel import Channel
-from myrtlehub.rpc.client_protocol import ClientProtocol
+from myrtlehub.rpc.channel import Channel, Connect
 
 TCP_TIMEOUT = 2  # seconds for a TCP connection
 CALL_TIMEOUT = 2.0  # seconds
 CONNECT_TIMEOUT = 1.0  # seconds in which a channel has to be connected
 
-Connect: TypeAlias = Callable[[Factory], Deferred[ClientProtocol]]
-
 
 class ProcessCalls:
     """Calls processes, each over a channel that is made at its first call."""
--- a/myrtlehub/lab/scenario_fleet.py
+++ b/myrtlehub/lab/scenario_fleet.py
@@ -9,10 +9,11 @@
 from myrtlehub.lab.endpoint_publisher import EndpointPublisher
 from myrtlehub.lab.endpoint_row import EngineState
 from myrtlehub.lab.fleet_layout import make_layout
-from myrtlehub.lab.process_calls import Connect, ProcessCalls
+from myrtlehub.lab.process_calls import ProcessCalls
 from myrtlehub.lab.process_files import NODE_PROGRAM, ProcessFiles
 from myrtlehub.lab.processes import LogLine, Process, Processes
 from myrtlehub.lab.scenario_context import ScenarioContext
+from myrtlehub.rpc.channel import Connect
 
 ENGINE_PROGRAM = "myrtlehub.cli.emulator"
 
--- a/myrtlehub/lab/takeover_scenario.py
+++ b/myrtlehub/lab/takeover_scenario.py
@@ -58,7 +58,7 @@
     lost: dict[str, dict[str, int]] = {}
     for (semantics, stage, answer), count in sorted(clients.lost.items()):
         lost.setdefault(f"{semantics}, {stage}", {})[answer] = count
-    pauses = sorted(clients.pauses)
+    pauses = sorted(clients.stream_gaps)
     percentiles = quantiles(pauses, n=100) if len(pauses) > 1 else [0.0] * 99
     decisions: Counter[str] = Counter()
     seconds_to_records = []
--- a/myrtlehub/lab/verdict_format.py
+++ b/myrtlehub/lab/verdict_format.py
@@ -1,8 +1,9 @@
 """The verdict as verdict.json has it; the keys are stored and read by other programs."""
 
-from typing import Any, NotRequired, TypeAlias, TypedDict
+from typing import NotRequired, TypedDict
 
-JsonObject: TypeAlias = dict[str, Any]  # figures whose format the simulated clients define
+from myrtlehub.lab.simulated_clients.batch_tally import BatchFigures
+from myrtlehub.lab.simulated_clients.chat_tally import ChatFigures
 
 
 class RuleFigures(TypedDict):
@@ -61,13 +62,13 @@
     kept: bool
     rules: list[RuleFigures]
     lists: ListFileFigures | None
-    batches: JsonObject | None
+    batches: BatchFigures | None
     unclean: list[str]
     attempts: dict[str, int]
     cases: dict[str, int]
     cancels: dict[str, dict[str, float]]
     excused: int
     client_behind: float
-    traffic: dict[str, JsonObject]
+    traffic: dict[str, ChatFigures]
     roll: NotRequired[RolloutFigures]
     takeover: NotRequired[TakeoverFigures]
--- a/myrtlehub/lab/verdict_text.py
+++ b/myrtlehub/lab/verdict_text.py
@@ -2,7 +2,9 @@
 
 from collections.abc import Mapping
 
-from myrtlehub.lab.verdict_format import JsonObject, ListFileFigures, RuleFigures, Verdict
+from myrtlehub.lab.simulated_clients.batch_tally import BatchFigures
+from myrtlehub.lab.simulated_clients.chat_tally import ChatFigures
+from myrtlehub.lab.verdict_format import ListFileFigures, RuleFigures, Verdict
 
 MAX_VIOLATIONS_SHOWN = 5  # of each rule
 MAIN_ANSWERS = ("generated", "rejected", "aborted")
@@ -73,7 +75,7 @@
     return lines
 
 
-def _batch_lines(batches: JsonObject) -> list[str]:
+def _batch_lines(batches: BatchFigures) -> list[str]:
     return [
         f"batches: {batches['batches']} in {batches['tries']} tries, {batches['items']} items checked, "
         f"{batches['kept']} of them kept from before, {len(batches['faults'])} answers wrong",
@@ -85,7 +87,7 @@
     ]
 
 
-def _traffic_lines(traffic: Mapping[str, JsonObject]) -> list[str]:
+def _traffic_lines(traffic: Mapping[str, ChatFigures]) -> list[str]:
     header = (
         f"{'traffic type':<14}{'seqs':>6}{'tries':>7}{'generated':>11}{'rejected':>10}{'aborted':>9}"
         f"{'other':>7}{'first token p50/p99':>22}{'per token p50/p99':>20}{'goodput':>9}"
@@ -93,7 +95,7 @@
     return [header, *[_traffic_line(name, figures) for name, figures in traffic.items()]]
 
 
-def _traffic_line(name: str, figures: JsonObject) -> str:
+def _traffic_line(name: str, figures: ChatFigures) -> str:
     answers = figures["answers"]
     other = sum(count for answer, count in answers.items() if answer not in MAIN_ANSWERS)
     goodput = "-" if figures["goodput"] is None else f"{figures['goodput']:.3f}"
