--- a/myrtlehub/lab/scenario_fleet.py
+++ b/myrtlehub/lab/scenario_fleet.py
@@ -16,6 +16,7 @@
 from myrtlehub.rpc.channel import Connect
 
 ENGINE_PROGRAM = "myrtlehub.cli.emulator"
+MAX_START_S = 10.0  # for which the end of a scenario waits for processes that are being started
 
 
 class ScenarioFleet:
@@ -139,14 +140,32 @@
             self.context.failures.append(f"{process.name} ended with {process.exit_code}")
 
     async def end(self) -> None:
-        """End the nodes, then the engines, once those that are being started are ready or have failed."""
-        # Otherwise the end of a node that a late fault restarts is recorded as a failed start.
-        await DeferredList([process.ready for process in self.running.values() if process.is_running])
+        """End the nodes, then the engines."""
+        await self._until_all_started()
         self._calls.close()
         for names in (self.layout.admin_addresses, self.layout.engines):
             running = [self.running[name] for name in names if name in self.running]
             await self.processes.end([process for process in running if process.is_running], self._overdue)
 
+    async def _until_all_started(self) -> None:
+        """Wait until the processes that are being started are ready or have failed, for a bounded time.
+
+        A node may be restarted after a late fault. If it were ended meanwhile, the verdict would have a
+        failed start. Test: `test_the_end_waits_for_a_process_that_is_being_restarted`.
+        """
+        finished: Deferred[None] = Deferred()
+
+        def finish(_result: object = None) -> None:
+            if not finished.called:
+                finished.callback(None)
+
+        limit = self.context.clock.callLater(MAX_START_S, finish)
+        starts = [process.ready for process in self.running.values() if process.is_running]
+        DeferredList(starts).addCallback(finish)
+        await finished
+        if limit.active():
+            limit.cancel()
+
     def _overdue(self, process: Process) -> None:
         self.context.failures.append(f"{process.name} did not end in time")
 
