--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -24,7 +24,7 @@
         """Handle the end of a stream whose answer is incomplete."""
 
     def superseded(self, reason: str) -> None:
-        """Handle the engine's refusal: another node owns the sequence."""
+        """Handle the engine's rejection: another node owns the sequence."""
 
 
 class AttachedStream(CallWatcher):
@@ -70,9 +70,9 @@
 
     Args:
         transport: has the channel to the engine.
-        record: of the sequence, with this node's ownership.
-        target: the attempt.
-        request: of the client.
+        record: the record of the sequence, with this node's ownership.
+        target: the attempt to attach to.
+        request: the client's request to resume.
         observer: is notified of the stream's events, only after this function has returned.
     """
     work = pb.Work(
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -11,7 +11,7 @@
 from myrtlehub.recovery.sequence_records import AttemptIntent, SequenceRecord
 
 CLAIM_TIMEOUT = 0.5  # seconds for an engine's reply; without one, its attempts count as unknown
-MAX_CLOCK_ERROR = 0.5  # seconds; bounds the error of an attempt's age, which has passed between two nodes
+MAX_CLOCK_ERROR = 0.5  # seconds; upper bound on the error of an attempt's age, measured by several clocks
 
 
 class EngineClaims:
@@ -62,12 +62,12 @@
 
 
 def is_rejected(reply: pb.ClaimReply | None) -> bool:
-    """Return whether the engine refused the claim, because another node has a higher ownership."""
+    """Return whether the engine rejected the claim because a higher ownership has claimed the sequence."""
     return reply is not None and not reply.granted
 
 
 def has_stream(reply: pb.ClaimReply | None) -> bool:
-    """Return whether an engine has a stream to attach to; the reports of other engines are optional then."""
+    """Return whether the engine has a stream to attach to; if so, other engines' reports are optional."""
     return reply is not None and any(row.says in STREAMING_STATES for row in reply.attempts)
 
 
@@ -80,7 +80,8 @@
         transport: has the channel to the engine.
         engine: its address.
         record: has the sequence and the ownership that claims it.
-        close: stop the attempts of the sequence, release its read state, and refuse any further work.
+        close: whether the engine also stops the sequence's attempts, releases its read state, and
+            rejects any further work for it.
 
     Returns:
         A Deferred that fires with the reply, or with None if there is none.
--- a/myrtlehub/node/replication/former_ownerships.py
+++ b/myrtlehub/node/replication/former_ownerships.py
@@ -1,7 +1,7 @@
 """Ownerships of sequences that have ended at this node.
 
-A read state may be released seconds after its sequence has ended, and the message still needs the ownership
-as its fencing token.
+A read state may be released seconds after its sequence has ended. The release message still carries the
+ownership as its fencing token, so the ownership is retained here.
 """
 
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
@@ -18,7 +18,7 @@
         self._migrated: set[str] = set()
 
     def of(self, sequence_id: str) -> Ownership:
-        """Return the ownership by which this node had a sequence; `UNOWNED` if it is not known."""
+        """Return the last ownership that this node had of a sequence; `UNOWNED` if it is not known."""
         return self._ownerships.get(sequence_id, UNOWNED)
 
     def add(self, sequence_id: str, ownership: Ownership) -> None:
--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -11,7 +11,7 @@
 from myrtlehub.recovery.sequence_records import SequenceRecord
 from myrtlehub.rpc.channel import Channel, Dialer
 
-BATCHING_DELAY = 0.05  # seconds; updates that no send waits for are batched, as a message costs more
+BATCHING_DELAY = 0.05  # seconds that an update which no send waits for is delayed, to share a message
 
 
 class PendingUpdate(NamedTuple):
@@ -28,7 +28,7 @@
     def __init__(self, name: str, channel: Channel) -> None:
         self.name = name
         self.channel = channel
-        self.incarnation: str | None = None  # None: it did not reply to the last call
+        self.incarnation: str | None = None  # None: not called yet, or no reply to the last call
         self.outbox: dict[str, PendingUpdate] = {}  # by sequence: only the newest version is sent
         self.is_flush_scheduled = False
         self.is_batch_flush_scheduled = False
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -1,4 +1,4 @@
-"""The owner's side of replication: the records of this node's sequences are replicated.
+"""The owner's side of replication: sends the records of this node's sequences to replicas.
 
 Which acknowledgements a send needs is decided in `recovery.ownership`.
 """
@@ -21,7 +21,7 @@
 from myrtlehub.recovery.sequence_records import FIRST_EPOCH, AttemptIntent, Ownership, SequenceRecord
 
 MAX_RECORD_LIFETIME = 60.0  # seconds; bounds the record of a call whose deadline is later, or missing
-MAX_ACKNOWLEDGEMENT_AGE = 0.25  # seconds since an update; a send by older acknowledgements needs a new one
+MAX_ACKNOWLEDGEMENT_AGE = 0.25  # seconds, plus the timeout: acknowledgements of older updates allow no send
 
 
 @dataclass(slots=True)
@@ -50,9 +50,10 @@
         Args:
             owner: this node as an owner, NODE.INCARNATION.
             replicas: the replicas of this node.
-            acknowledgement_timeout: seconds that a send waits for replicas at most.
+            acknowledgement_timeout: the longest time, in seconds, that a send waits for replicas.
             connections: to all other nodes.
-            local_store: this node's replica store, which may have records that it takes over itself.
+            local_store: this node's replica store; it may contain the record of a sequence that this node
+                takes over.
             clock: time and timers.
             log: the operators' log.
         """
@@ -70,7 +71,7 @@
     # -- sequences --------------------------------------------------------------------------------
 
     def ownership_of(self, sequence_id: str) -> Ownership:
-        """Return the ownership by which this node has or had a sequence; `UNOWNED` without a record."""
+        """Return this node's present or last ownership of a sequence; `UNOWNED` if it is not known."""
         published = self.sequences.get(sequence_id)
         if published is not None:
             return published.owned.record.ownership
@@ -99,7 +100,7 @@
         self.updater.update_with_next_heartbeat(published.owned)
 
     def answered(self, sequence_id: str) -> None:
-        """Drop the record of a sequence that got its final answer."""
+        """Drop the record of a sequence that has its final answer, or whose client has disconnected."""
         published = self.sequences.get(sequence_id)
         if published is not None:
             self.updater.complete(published.owned)
@@ -144,7 +145,7 @@
         published = self.sequences.get(sequence_id)
         if published is None:
             if attempt.number:
-                return SendDecision.SEND  # its first attempt was sent before takeover was configured
+                return SendDecision.SEND  # no record covers its earlier attempts, so none is begun now
             published = PublishedSequence(self._begin(executor, sequence, now), executor, now)
         engine = executor.decoder.engines.rows[attempt.engine].address
         number = sequence.earlier_attempts + attempt.number
@@ -191,9 +192,10 @@
         if not self.send_gate.is_waiting(sequence_id) or decision == SendDecision.WAIT:
             return
         if decision == SendDecision.SEND and self._are_acknowledgements_stale(published):
-            # This process may have been paused since the update: another node claims all engines, one of
-            # them restarts and forgets the claim, and this process resumes and sends to it. The checker
-            # covers this sequence in `recovery.model.network_steps`.
+            # This process may have been paused since the update. Meanwhile another node may have claimed the
+            # sequence at all engines, and one of them may have restarted and lost the claim: it would accept
+            # this stale send. So replicas have to acknowledge a new update first. The model checker covers
+            # this case in `recovery.model.network_steps`.
             published.owned = owned._replace(version=owned.version + 1)
             self._update_replicas(published)
             return
--- a/myrtlehub/node/replication/replica_service.py
+++ b/myrtlehub/node/replication/replica_service.py
@@ -72,7 +72,7 @@
             self.clock.callLater(self.resume_timeout, self._abandon, node, incarnation)
 
     def _abandon(self, node: str, incarnation: str) -> None:
-        """Take over the sequences whose clients did not resume, so that engines can drop them."""
+        """Take ownership of sequences whose clients did not resume, to have them closed at engines."""
         if self.detector.is_alive(node, incarnation):
             return
         for record in self.store.records_of(f"{node}.{incarnation}"):
--- a/myrtlehub/node/replication/replica_updater.py
+++ b/myrtlehub/node/replication/replica_updater.py
@@ -10,7 +10,8 @@
 class ReplicaUpdater:
     """Sends updates to other nodes, and to this node's own store.
 
-    This node is itself a replica of a sequence that it took over from a node whose replica it is.
+    If this node is a replica of the node that it took a sequence over from, then it is itself one of the
+    replicas of that sequence.
     """
 
     def __init__(self, connections: PeerConnections, local_store: ReplicaStore) -> None:
--- a/myrtlehub/node/replication/replicated_transport.py
+++ b/myrtlehub/node/replication/replicated_transport.py
@@ -39,7 +39,7 @@
         if decision == SendDecision.SEND:
             self.transport.start(attempt)
         elif decision == SendDecision.ABANDON:
-            # The contract of `EngineTransport.start`: no report to the executor before a later turn.
+            # `EngineTransport.start` may not report to the executor before a later turn of the event loop.
             self.replication.clock.callLater(0, self._decided, attempt, decision)
 
     def _decided(self, attempt: Attempt, decision: SendDecision) -> None:
--- a/myrtlehub/node/replication/retry_arrival.py
+++ b/myrtlehub/node/replication/retry_arrival.py
@@ -16,9 +16,9 @@
     """Return the arrival of a sequence that was taken over.
 
     Args:
-        arrival: of the client's request to resume.
-        decision: to use a read state, or to retry.
-        engine_indices: of the engines in the endpoint list, by address.
+        arrival: the arrival of the client's request to resume.
+        decision: the decision to write from a read state, or to retry.
+        engine_indices: the indices of the engines in the endpoint list, by address.
         started_at: when the takeover started.
         now: seconds on the same clock.
     """
--- a/myrtlehub/node/replication/send_gate.py
+++ b/myrtlehub/node/replication/send_gate.py
@@ -19,7 +19,7 @@
 
 
 class SendGate:
-    """Holds back the last attempt of each sequence until it is decided whether it may be sent."""
+    """Delays the newest attempt of each sequence until it is decided whether the attempt may be sent."""
 
     def __init__(
         self, acknowledgement_timeout: float, on_timeout: Callable[[str], None], clock: Clock
@@ -27,8 +27,8 @@
         """Make a gate at which no attempt waits.
 
         Args:
-            acknowledgement_timeout: seconds that an attempt waits for replicas at most.
-            on_timeout: called with the id of a sequence whose attempt has waited for so long.
+            acknowledgement_timeout: the longest time, in seconds, that an attempt waits for replicas.
+            on_timeout: called with the id of a sequence whose attempt has waited that long.
             clock: time and timers.
         """
         self.acknowledgement_timeout = acknowledgement_timeout
@@ -38,7 +38,7 @@
         self.abandoned_count = 0  # attempts that were not sent for lack of acknowledgements
 
     def wait(self, attempt: Attempt, on_decision: DecisionCallback) -> None:
-        """Hold an attempt back; `on_decision` is called once, unless the attempt ends or is cancelled."""
+        """Delay an attempt; `on_decision` is called once, unless the attempt ends or is cancelled."""
         sequence_id = attempt.sequence.sequence_id
         timer = self.clock.callLater(self.acknowledgement_timeout, self.on_timeout, sequence_id)
         self.waiting[sequence_id] = WaitingSend(attempt, on_decision, timer)
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -1,8 +1,9 @@
 """Takes over a sequence of another node when its client resumes at this node.
 
 The takeover fetches the record from replicas, claims the sequence at all engines in the record, and carries
-out the decision of `recovery.recovery_decision`. It relays a stream that a writer is still generating by
-itself; a sequence that has to be read or written again goes through the router like a new arrival.
+out the decision of `recovery.recovery_decision`. If a writer is still generating the answer, the takeover
+attaches to its stream and relays it. If the sequence has to be read or written again, the router routes it
+like a new arrival.
 """
 
 from collections.abc import Callable, Sequence
@@ -55,9 +56,9 @@
         """Make a takeover; `start` begins it.
 
         Args:
-            request: of the client.
-            replication: of this node.
-            transport: to engines.
+            request: the client's request to resume.
+            replication: the replication of this node.
+            transport: sends the claims, and has the channels to engines.
             executor: gets the sequence if it is routed again.
             client: takes the response.
             redispatch: routes the sequence again.
@@ -104,7 +105,7 @@
     # -- events from outside ----------------------------------------------------------------------
 
     def client_disconnected(self) -> None:
-        """Cancel the takeover: the client does not wait for an answer any more."""
+        """Cancel the takeover: the client no longer waits for an answer."""
         if self._accepts(TakeoverEvent.RELEASED):
             self._stop()
 
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -13,7 +13,7 @@
 
     sequence_id: str
     client_token_count: int  # tokens that the client has received
-    request: DecodedRequest  # the client repeats the request of its first call
+    request: DecodedRequest  # the same as in the client's first call, which the client sends again
     arrival: Arrival
 
 
