--- a/myrtlehub/node/batch_fronts/batch_request.py
+++ b/myrtlehub/node/batch_fronts/batch_request.py
@@ -19,7 +19,7 @@
     """A client's request."""
 
     front: Front
-    terms: DecodedRequest  # of the complete batch; the coordinator sets the tokens of prompt and output
+    terms: DecodedRequest  # of the complete batch; the coordinator sets its token counts
     items: Sequence[BatchItem]
     shared_tokens: int  # tokens that each item costs in addition to its own
     is_stream: bool
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -123,7 +123,7 @@
         return len(self.executor.in_flight) + len(self.in_flight) >= self._sheet.node.most_sequences
 
     def closed(self, batch: InFlightBatch) -> None:
-        """Forget a batch that is over."""
+        """Remove a batch that has ended."""
         self.in_flight.discard(batch)
         if batch.waiting_key is not None:
             self.batcher.remove(batch.waiting_key, batch)
@@ -147,7 +147,7 @@
         return True
 
     def send_parts(self, batch: InFlightBatch, parts: list[list[int]]) -> None:
-        """Send each part in an engine batch of its own, until the batch is over."""
+        """Send each part in an engine batch of its own; stop if the batch ends meanwhile."""
         engine_batches = []
         for indices in parts:
             engine_batch = EngineBatch(self.dispatcher, batch.request, batch.model)
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -1,4 +1,7 @@
-"""Sends engine batches when the front's share of common engines allows it, and queues the others."""
+"""Sends engine batches as far as a front's share of the engines allows, and queues the others.
+
+Common engines are those whose kind serves several fronts.
+"""
 
 from collections.abc import Sequence
 
@@ -19,11 +22,11 @@
 
 
 class BatchDispatcher(ExecutorObserver):
-    """The engine batches of a node, and the work that its fronts have at common engines.
+    """The engine batches of a node, and the tokens that each front has in flight at common engines.
 
     Attributes:
         shares: the shares of the fronts, and the queued engine batches.
-        fronts: the batch fronts that the settings have traffic types of.
+        fronts: the batch fronts for which the settings have a traffic type.
         pooled_fronts: the fronts in the order of the engine pools; empty if there is one router only.
     """
 
@@ -111,7 +114,7 @@
             self._update_share(request.front, sign * request.prompt_tokens)
 
     def _update_share(self, front: str, tokens: float) -> None:
-        """Add tokens to those of a front at common engines, and admit it there or exclude it accordingly."""
+        """Add to a front's tokens at common engines; exclude the front there, or readmit it, by its share."""
         if not (self.pooled_fronts and self.shares.common_capacity):
             return
         if self.shares.update_common_tokens(self.clock.seconds(), front, tokens):
--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -8,7 +8,7 @@
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.proto import engine_pb2
 
-MIN_TIME_LEFT = 0.001  # seconds; above 0, as a time_left of 0 stands for the abandon time of the traffic type
+MIN_TIME_LEFT = 0.001  # seconds; above 0, because a time_left of 0 means the traffic type's abandon time
 
 
 class EngineBatch:
@@ -19,7 +19,7 @@
 
         Args:
             runner: the dispatcher that will run it.
-            request: the request of its first part; those of the other parts have the same common fields.
+            request: the request of its first part; the other parts have an equal `coordinator.GroupKey`.
             model: the version of the model that has to run it; empty: any.
         """
         self.request = request
--- a/myrtlehub/node/batch_fronts/front_capacity.py
+++ b/myrtlehub/node/batch_fronts/front_capacity.py
@@ -1,4 +1,4 @@
-"""The engines of each batch front, by the endpoint list and the settings."""
+"""The engines of each batch front, according to the endpoint list and the settings."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 class FrontCapacity:
-    """Engines, their common part limits and their model version, by front."""
+    """The number of engines, the limits on a part, and the model version of each front."""
 
     def __init__(self, sheet: NodeConfig, fronts: Sequence[Front]) -> None:
         self._sheet = sheet
@@ -36,7 +36,7 @@
         return self._engine_counts.get(front, 1)
 
     def model(self, front: Front) -> str:
-        """Return the model version of most engines of the front; empty if the list states none."""
+        """Return the model version that most engines of the front run; empty if the list states none."""
         return self._models.get(front, "")
 
     def update(self, serving: Sequence[Endpoint]) -> None:
--- a/myrtlehub/node/batch_fronts/in_flight_batch.py
+++ b/myrtlehub/node/batch_fronts/in_flight_batch.py
@@ -49,7 +49,7 @@
         model = coordinator.capacity.model(request.front)
         self._merger: ResultMerger[ItemResult] = ResultMerger(len(request.items), request.is_stream, model)
         self._keys: list[ItemKey] = []  # by item; set when the batch begins
-        self._duplicates: dict[int, list[int]] = {}  # by the first item with the same key
+        self._duplicates: dict[int, list[int]] = {}  # later indices, by the first index with the same key
         self._cached_count = 0
         self._error_count = 0
         self._part_count = 0
@@ -132,7 +132,7 @@
         self.engine_batches[number] = engine_batch
 
     def part_generated(self, part: BatchPart, results: Sequence[ItemResult], model: str) -> None:
-        """Handle the results of a part, which were made by this version of the model."""
+        """Handle the results of a part; `model` is the model version that computed them."""
         engine_batch = self.engine_batches.pop(part.number, None)
         if self.is_over or engine_batch is None:
             return
@@ -191,7 +191,7 @@
             self._close()
 
     def deadline_passed(self) -> None:
-        """Answer that the deadline has passed; at this time the router gives up the parts at engines too."""
+        """Answer that the deadline has passed; the router ends the parts at engines by the same deadline."""
         is_sent = any(engine_batch.is_started for engine_batch in self.engine_batches.values())
         may_have_run = is_sent and not self.is_repeatable
         outcome = BatchOutcome.ABORTED if may_have_run else BatchOutcome.REJECTED
@@ -202,7 +202,7 @@
         self.answer(BatchAnswer(BatchOutcome.ABORTED, 0.0, reason))
 
     def answer(self, answer: BatchAnswer) -> None:
-        """Give this answer, whatever the parts do; does nothing if there is an answer already."""
+        """Answer at once without waiting for parts; do nothing if the batch has ended already."""
         if not self.is_over:
             self._merger.answer = answer
             self._finish()
--- a/myrtlehub/node/batch_fronts/interfaces.py
+++ b/myrtlehub/node/batch_fronts/interfaces.py
@@ -34,7 +34,7 @@
         """Receive the batch; called before the other methods."""
 
     def send_results(self, results: list[IndexedResult]) -> None:
-        """Receive results: of a stream as they are ready, else all at once before the final answer."""
+        """Receive results: as they become ready for a stream, else all at once before the final answer."""
 
     def send_answer(self, answer: BatchAnswer, summary: BatchSummary) -> None:
         """Receive the final answer; called once."""
@@ -48,7 +48,7 @@
         """Whether the action executor has accepted it as a sequence."""
 
     def batch_left(self, batch: "PartOwner") -> None:
-        """Stop waiting on behalf of a batch; once no batch waits, stop the sequence."""
+        """Record that a batch no longer needs the results; stop the sequence once no batch needs them."""
 
 
 class BatchPart(NamedTuple):
@@ -74,7 +74,7 @@
         """Record the engine batch that runs a part."""
 
     def part_generated(self, part: BatchPart, results: Sequence[ItemResult], model: str) -> None:
-        """Handle the results of a part, which were made by this version of the model."""
+        """Handle the results of a part; `model` is the model version that computed them."""
 
     def part_failed(self, number: int, failure: BatchAnswer) -> None:
         """Handle the end of a part without results."""
@@ -109,4 +109,4 @@
         """Send each part in an engine batch of its own."""
 
     def closed(self, batch: BatchT_contra) -> None:
-        """Forget a batch that is over."""
+        """Remove a batch that has ended."""
--- a/myrtlehub/node/batch_fronts/rerank.py
+++ b/myrtlehub/node/batch_fronts/rerank.py
@@ -13,7 +13,7 @@
     """Decode a request; the engine reads the query with each document, so its tokens count for each.
 
     Raises:
-        ValueError: a stream with `top`.
+        ValueError: the request sets `top` and asks for a stream.
     """
     if is_stream and request.top:
         raise ValueError("top: is for Rank; RankStream gives scores as they are ready")
@@ -31,7 +31,7 @@
 
 
 def encode_reply(results: list[IndexedResult], request: pb.RankRequest) -> pb.RankReply:
-    """Encode scores by index, or the best `top` in descending order, and equal scores by index."""
+    """Encode all scores by index; with `top`, only the best ones in descending order, ties by index."""
     if request.top:
         results = sorted(results, key=_rank)[: request.top]
     return pb.RankReply(
