--- a/myrtlehub/node/engine_transport/__init__.py
+++ b/myrtlehub/node/engine_transport/__init__.py
@@ -7,6 +7,6 @@
     write_attempt         the replies to a write: a stream of tokens
     batch_attempt         the replies to a part of a batch
 
-The router decides what follows from an outcome. `myrtlehub.node.replication.replicated_transport` sends
+The router decides what to do after an outcome. `myrtlehub.node.replication.replicated_transport` sends
 sequence records to replicas before an attempt starts.
 """
--- a/myrtlehub/node/engine_transport/batch_attempt.py
+++ b/myrtlehub/node/engine_transport/batch_attempt.py
@@ -13,7 +13,7 @@
 class EngineResults(NamedTuple):
     """The results of an engine batch, as its attempt reports them."""
 
-    model: str  # version of the model that made them
+    model: str  # version of the model that computed them
     results: Sequence[pb.ItemResult]  # in the order of the items
 
 
