--- a/myrtlehub/node/admin/__init__.py
+++ b/myrtlehub/node/admin/__init__.py
@@ -4,7 +4,7 @@
     service              the methods by name
     orders               orders of a rollout's controller: stage and apply settings, drain
     endpoint_list_push   changes of the endpoint list, where the settings allow pushing them
-    node_state           what the node runs and routes by
+    node_state           program, settings, sequences and endpoint list of the node
     limits_state         memory accounted to clients, and the clients that were disconnected
     figures              counters since the start
 
--- a/myrtlehub/node/admin/endpoint_list_push.py
+++ b/myrtlehub/node/admin/endpoint_list_push.py
@@ -17,7 +17,7 @@
     """Apply a complete list, or a change to it; if one endpoint is malformed, nothing is applied.
 
     Raises:
-        RpcError: the node's list is not pushed, or an endpoint is malformed.
+        RpcError: the node's settings do not allow pushing the list, or an endpoint is malformed.
     """
     if not node.sheet.list.pushed:
         raise RpcError(Code.FAILED_PRECONDITION, "list.pushed is no in this node's file")
--- a/myrtlehub/node/admin/interfaces.py
+++ b/myrtlehub/node/admin/interfaces.py
@@ -41,10 +41,10 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether it has an endpoint list and has generated an answer with these settings."""
+        """Whether the node has an endpoint list and has generated an answer with these settings."""
 
     def replaced_sequence_count(self) -> int:
-        """Count the in-flight sequences of replaced settings."""
+        """Return the number of in-flight sequences that began with settings that have been replaced since."""
 
     def apply(self, sheet: NodeConfig) -> None:
         """Apply validated settings, from the next sequence on."""
--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -26,7 +26,7 @@
 
 
 def _initial_validator(incarnation: str) -> OrderValidator:
-    """Return the validator of orders; it accepts the controller that started this process, if one did."""
+    """Return the validator of orders; it knows the controller that started this process, if one did."""
     generation, _, controller = os.environ.get(GENERATION_VARIABLE, "").partition(" ")
     return OrderValidator(incarnation, int(generation) if generation.isdecimal() else 0, controller)
 
@@ -72,7 +72,7 @@
         order = pb.Order.FromString(data)
         self._validate(order, "apply")
         if order.settings == settings_digest(self.node.sheet):
-            return pb.OrderTaken(settings=order.settings).SerializeToString()  # a repeated order
+            return pb.OrderTaken(settings=order.settings).SerializeToString()  # a retried order
         staged = self._take_staged(order.settings)
         self._validate_change(staged.settings)  # the endpoint list may have changed since they were staged
         self.node.apply(staged.settings)
