--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -18,10 +18,10 @@
     """A client's call, as the queue sees it."""
 
     def wait_for_admission(self, pending: PendingAdmission) -> None:
-        """Notify the queue of the first token, or of an end without one."""
+        """Store the queue, which is to be notified of the first token or of an end without one."""
 
     def leave_admission(self) -> None:
-        """Notify the queue of nothing more: the request is shed."""
+        """Drop the queue, which is no longer to be notified: the request is shed."""
 
     def rejected(self, retry_after: float) -> None:
         """Send a rejection, with a Retry-After in seconds."""
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -23,7 +23,7 @@
     Attributes:
         sequence: set once the executor has accepted it.
         takeover: set while the sequence is taken over from another node.
-        may_move: whether the client resumes by itself, at any node.
+        may_move: whether the client can resume the sequence, at any node, if its call ends early.
         resume_grace: seconds after a lost connection until such a client counts as disconnected.
     """
 
@@ -35,16 +35,16 @@
         self.deadline_timer: Timer | None = None
         self.may_move = False
         self.resume_grace = 0.0
-        self._pending_admission: PendingAdmission | None = None  # until the first token, or until it is shed
+        self._pending_admission: PendingAdmission | None = None  # None once the queue needs no notification
 
     # -- admission control ------------------------------------------------------------------------
 
     def wait_for_admission(self, pending: PendingAdmission) -> None:
-        """Notify the queue of the first token, or of an end without one."""
+        """Store the queue, which is to be notified of the first token or of an end without one."""
         self._pending_admission = pending
 
     def leave_admission(self) -> None:
-        """Notify the queue of nothing more: the request is shed."""
+        """Drop the queue, which is no longer to be notified: the request is shed."""
         self._pending_admission = None
 
     def _end_admission(self) -> None:
@@ -74,7 +74,7 @@
         self._send_final(pb.GenerateReply(aborted=pb.Aborted(reason=reason)))
 
     def migrated(self) -> None:
-        """Tell the client to resume at another node, because this one ends; not a final answer."""
+        """Tell the client to resume at another node, because this one shuts down; this is no final answer."""
         self._send_final(pb.GenerateReply(moved=pb.Moved()))
 
     def sequence_id_assigned(self, sequence_id: str) -> None:
@@ -100,7 +100,7 @@
         if self.deadline_timer is not None and self.deadline_timer.active():
             self.deadline_timer.cancel()
 
-    # -- ends that the engines did not cause ------------------------------------------------------
+    # -- ends for reasons other than engines ------------------------------------------------------
 
     def cut_off(self, reason: str) -> None:
         """Abort the call, because its client exceeded a limit."""
@@ -150,7 +150,7 @@
         """Do nothing, because `lost` is called as well."""
 
     def _source(self) -> Producer | None:
-        """Return the call that brings the tokens."""
+        """Return the engine call whose tokens are relayed; None if there is none."""
         if self.takeover is not None:
             return self.takeover.call
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -91,7 +91,7 @@
             self.admission = AdmissionQueue(
                 limits.admission, executor.clock, limits.max_retry_after, on_rejected
             )
-        self._movable_calls: set[ChatCall] = set()  # calls of clients that resume by themselves
+        self._movable_calls: set[ChatCall] = set()  # calls whose clients can resume at another node
 
     def serve(self, server: Server) -> None:
         """Serve the methods."""
@@ -107,10 +107,10 @@
         return accepted.chat_call
 
     def resume(self, call: ServerCall, data: bytes) -> Receiver:
-        """Resume a sequence that its client has begun, at another node or here.
+        """Resume a sequence that was accepted earlier, by another node or by this one.
 
         Raises:
-            RpcError: nodes do not replicate sequence records here, or the request is malformed.
+            RpcError: the nodes do not replicate sequence records, or the request is malformed.
         """
         support = self.takeover_support
         if support is None:
@@ -185,7 +185,7 @@
         earlier_attempts: int = 0,
         handle: engine_pb2.State | None = None,
     ) -> None:
-        """Give a sequence to the executor; its id is sent with the first message."""
+        """Pass a sequence to the executor; the client gets the id in the initial metadata."""
         sequence_id = sequence_id or self.executor.next_sequence_id()
         chat_call.sequence_id_assigned(sequence_id)
         if chat_call.may_move:
@@ -224,7 +224,7 @@
         chat_call.takeover.start()
 
     def hand_over(self) -> None:
-        """Release sequences to other nodes: clients that can resume are told to do so there."""
+        """Release sequences whose clients can resume, and tell these clients to resume at another node."""
         support = self.takeover_support
         if support is None:
             return
