--- a/myrtlehub/node/__init__.py
+++ b/myrtlehub/node/__init__.py
@@ -3,7 +3,7 @@
     node                  a complete node: servers, endpoint list, change of settings, drain
     node_runtime          what a node runs with one version of its settings
     drain                 waits until nothing is in flight
-    endpoint_list_source  makes the source of the endpoint list that the settings name
+    endpoint_list_source  makes the source of the endpoint list, as the settings specify it
     chat_front            the methods of chat
     batch_fronts          the methods of embeddings and rerank
     client_limits         memory and rate limits on clients
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -63,7 +63,7 @@
             observer.attempt_started(attempt)
         self._step_read_state(attempt)
         if sequence.answer.is_final:
-            # An action before this one gave the final answer, so nothing is sent for the sequence any more.
+            # An earlier action gave the final answer, so no further attempt is sent for the sequence.
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             return
         delay = max(0.0, attempt.times_out_at - now)
--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -25,11 +25,11 @@
 from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.rpc.server_call import ServerCall
 
-MAX_CUTS = 50  # disconnected clients that are remembered for the admin service
+MAX_CUTS = 50  # number of latest disconnects that are stored for the admin service
 
 
 class LimitCounter(StrEnum):
-    """Reasons that are counted; the values are those of the admin protocol (`LimitsState.counts`)."""
+    """Counted causes of rejections and disconnects; the values are the keys of `LimitsState.counts`."""
 
     SLOW = "slow"
     MEMORY = "memory"
@@ -69,7 +69,7 @@
     """One call of a client. `abort(reason)` ends it with an aborted answer, if it has none yet."""
 
     call: ServerCall
-    name: str
+    name: str  # for the log: the idempotency key of a chat request, or "batch"
     tenant: str
     utility: float
     request_size: int  # bytes of the request, which are in memory until the call is over
--- a/myrtlehub/node/drain.py
+++ b/myrtlehub/node/drain.py
@@ -71,7 +71,7 @@
         self._clock.callLater(FLUSH_DELAY, self._done.callback, None)
 
     def _on_timeout(self) -> None:
-        """Abort the sequences without an answer, and wait for no connection any more."""
+        """Abort the sequences without an answer, and stop waiting for connections to close."""
         self._awaits_connections = False
         for runtime in self._runtimes:
             runtime.abort_all(ABORT_REASON)
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -24,7 +24,7 @@
 
 
 class EngineStateChange(NamedTuple):
-    """An engine, by its address, and the state that the endpoint list has for it from now on."""
+    """An engine, by its address, and its new state in the endpoint list."""
 
     address: str
     state: str
@@ -55,7 +55,8 @@
     ) -> list[contract.EndpointUpdate]:
         """Apply a change of the endpoint list and return it as updates for the router, in the same order.
 
-        Engines that the change removes keep their index until they are unused.
+        If `is_complete`, engines that are not among the rows are removed. Engines that are removed keep their
+        index until they are unused.
         """
         updates = []
         listed = set()
@@ -70,7 +71,7 @@
         return updates
 
     def state_changes(self, rows: Sequence[Endpoint], is_complete: bool) -> list[EngineStateChange]:
-        """Return the engines whose state a change will change; called before the change is applied."""
+        """Return the engines whose state these rows change; called before `apply` with the same rows."""
         removed_state = EndpointState.GONE.value
         former = {
             row.address: self.rows[self.index_of[row.address]].state
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -34,7 +34,7 @@
     log: Log,
     unresponsive: Callable[[], frozenset[str]],
 ) -> StaticEndpointSource | EndpointWatcher:
-    """Return the source of a node's endpoint list; `unresponsive` returns unreachable engines."""
+    """Return the source of a node's endpoint list; `unresponsive` returns unreachable addresses."""
     settings = sheet.list
     if not settings.files:
         return StaticEndpointSource(settings.engines)
--- a/myrtlehub/node/engine_pools.py
+++ b/myrtlehub/node/engine_pools.py
@@ -14,7 +14,7 @@
 class KnownEngine(NamedTuple):
     """The last update of an engine that a pool has received."""
 
-    generation: int  # number of engines that had been given this engine's index when the update arrived
+    generation: int  # of the index, when the update arrived; see `EnginePools._generations`
     update: contract.EndpointUpdate  # with the state of the endpoint list
 
 
@@ -40,8 +40,8 @@
         self.kinds = kinds
         self.pool_of_traffic = pool_of_traffic
         self._pool_of_sequence: dict[int, int] = {}
-        self._generations: list[int] = []  # by engine index: number of engines that were given this index
-        self._closed: set[int] = set()  # pools that may not use engines of several pools now
+        self._generations: list[int] = []  # by engine index: how many engines have had this index so far
+        self._closed: set[int] = set()  # pools that currently may not use engines in several pools
         self._known: list[dict[int, KnownEngine]] = [{} for _ in configs]  # by pool, by engine
 
     def start(self, now: float) -> list[contract.Action]:
@@ -63,7 +63,7 @@
     def update_endpoints(
         self, now: float, updates: Sequence[contract.EndpointUpdate], is_complete: bool
     ) -> list[contract.Action]:
-        """Report to each pool the changes of its engines; one that changed its kind may leave a pool."""
+        """Report to each pool the changes of its engines; an engine whose kind changed may leave the pool."""
         self._count_generations(updates)
         actions = []
         for pool, router in enumerate(self.routers):
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -1,6 +1,6 @@
 """A complete node: its servers, its endpoint list and the runtime of its settings.
 
-The process listens with the servers.
+The node opens no ports: the process listens, and the servers handle its connections.
 """
 
 from collections.abc import Callable
@@ -175,7 +175,7 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether it has an endpoint list and has generated an answer with its present settings."""
+        """Whether the node has an endpoint list and has generated an answer with its present settings."""
         has_endpoints = bool(self.executor.decoder.engines.index_of)
         return has_endpoints and self.counters.generated > self._generated_before
 
@@ -213,7 +213,7 @@
             self.clock.callLater(IDLE_CHECK_INTERVAL, self._drop_idle_runtimes)
 
     def replaced_sequence_count(self) -> int:
-        """Count the in-flight sequences of replaced settings."""
+        """Return the number of in-flight sequences that began with settings that have been replaced since."""
         return sum(len(runtime.executor.in_flight) for runtime in self.replaced_runtimes)
 
     # -- event loop lag ---------------------------------------------------------------------------
@@ -235,7 +235,7 @@
         self.on_drain_requested()
 
     def drain(self) -> "Deferred[None]":
-        """Accept nothing new; the Deferred fires when all is answered, at the latest after `drain_within`.
+        """Reject new requests; the Deferred fires once the node is idle or `drain_within` has passed.
 
         It may be called again, for example by SIGTERM during a drain that the admin service requested: both
         Deferreds fire together.
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -87,7 +87,7 @@
         Args:
             sheet: the settings.
             context: what it shares with other runtimes of the node.
-            number: the number of changes of settings that this process has applied before.
+            number: how many changes of settings the process has applied so far; 0 for its first runtime.
             predecessor: the runtime whose settings these replace.
         """
         self.sheet = sheet
@@ -122,7 +122,7 @@
 
     def _make_executor(self) -> ActionExecutor:
         context = self.context
-        # Ids contain the incarnation and the settings, so that no two sequences of a node ever share one.
+        # Ids contain the incarnation and the runtime's number, so that all sequence ids of a node are unique.
         run = f"{context.incarnation}~{self.number}" if self.number else context.incarnation
         transport: EngineTransport = self.transport
         if context.replication is not None:
@@ -239,7 +239,7 @@
         return not self.executor.in_flight and not self.batches.in_flight
 
     def abort_all(self, reason: str) -> None:
-        """Abort all sequences and batches in flight."""
+        """Abort all sequences in flight, and end all batches as if their deadline had passed."""
         for batch in list(self.batches.in_flight):
             batch.deadline_passed()
         for sequence in list(self.executor.in_flight.values()):
--- a/myrtlehub/node/process.py
+++ b/myrtlehub/node/process.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# Allocations between two collections of the youngest generation, and collections of each generation between
-# two of the next. The youngest is collected rarely: few objects of these programs are in reference cycles.
+# Arguments of `gc.set_threshold`. The youngest generation is collected after this many net allocations, each
+# older one after this many collections of the next younger. Collections are rare because few objects of these
+# programs are in reference cycles.
 COLLECTOR_THRESHOLDS = (20_000, 20, 50)
 
 
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -25,7 +25,7 @@
 
 
 class Decoder(Protocol):
-    """Maps names from outside to dense indices."""
+    """Maps the names of engine kinds, zones and engines to dense indices."""
 
     @property
     def rows(self) -> Sequence[TrafficTypeRow]:
@@ -42,11 +42,12 @@
     def start(self, attempt: Attempt) -> None:
         """Send an attempt.
 
-        The executor may only be called in a later turn of the event loop, and nothing may be written before.
+        Within this call the transport may neither call the executor nor write to the network; it may do so
+        from the next turn of the event loop on.
         """
 
     def cancel(self, attempt: Attempt) -> None:
-        """Reset an attempt at its engine; nothing is reported of it any more."""
+        """Reset an attempt at its engine, and report no further events of it."""
 
     def release(self, engine: int, sequence_id: str) -> None:
         """Ask an engine to free the read state of a sequence."""
--- a/myrtlehub/node/router_calls.py
+++ b/myrtlehub/node/router_calls.py
@@ -7,10 +7,11 @@
 from myrtlehub.clock import Clock
 from myrtlehub.routing import contract
 
-# A call of a router whose only open argument is the present time: it gets that when it is made, which may be
-# later than it was queued.
+# A router call with all arguments bound except the current time, which is passed when the call is made: that
+# may be later than when it was queued.
 RouterCall: TypeAlias = Callable[[float], Iterable[contract.Action]]
-# Executes actions of the one type that it is registered for, which the type of a mapping cannot express.
+# Executes actions of the type under which it is registered; `Mapping` cannot express that dependency, so the
+# argument is `Any`.
 ActionHandler: TypeAlias = Callable[[Any], None]
 ActionHandlers: TypeAlias = Mapping[type[contract.Action], ActionHandler]
 
--- a/myrtlehub/node/router_driver.py
+++ b/myrtlehub/node/router_driver.py
@@ -28,13 +28,13 @@
 
 
 class RouterDriver(ABC):
-    """Calls a router and has the returned actions executed; has the observers to notify.
+    """Calls a router, has the returned actions executed, and stores the observers to notify.
 
     Attributes:
         router: Makes the decisions.
-        decoder: Names from outside as dense indices; has the engines.
+        decoder: Maps external names to dense indices; has the index of engines.
         list_version: Number of the endpoint list that decisions are based on; 0 before the first one.
-        list_label: The same with the start of the list's digest, if it has one.
+        list_label: `list_version` as text, followed by the start of the list's digest if that is known.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         """Apply the complete endpoint list, or a change to it.
 
         Args:
-            rows: the engines, or those that the change is about.
+            rows: all engines of the list, or only those that changed.
             is_complete: whether engines that are not among the rows are removed.
             version: number of the list; None: one more than the last.
             digest: hexadecimal digest of the list's content; None: unknown.
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -14,7 +14,8 @@
 from myrtlehub.state.read_state import ReadStateEvent
 from myrtlehub.state.state_machine import CommonEffect
 
-# Read for each token message: looking a member up in its enumeration costs as much as a step.
+# Constants because they are used for each token message, and a member's look-up costs as much as a step of
+# the state machine.
 _MORE_TOKENS, _PASS = AnswerEvent.MORE_TOKENS, AnswerEffect.PASS
 _REJECTIONS = (AttemptEvent.FULL, AttemptEvent.UNREACHED, AttemptEvent.UNSENT)
 _EVENT_OF_OUTCOME = {outcome: AttemptEvent(outcome.value) for outcome in contract.Outcome}
@@ -41,7 +42,7 @@
         id_prefix: str = "",
         log: Log = no_log,
     ) -> None:
-        """Make one without sequences; `id_prefix` starts the sequence ids that are made here."""
+        """Make a life cycle without sequences; `id_prefix` starts the ids of its sequences."""
         super().__init__(router, decoder, clock, transport, log)
         self.config = config
         self.id_prefix = id_prefix
@@ -105,7 +106,7 @@
             self._close_answer(sequence)
 
     def hand_over(self, sequence: InFlightSequence) -> None:
-        """Leave a sequence to another node: its client gets nothing from here, a stream is not stopped."""
+        """Release a sequence to another node: send its client nothing more, and do not stop its stream."""
         stream, sequence.streaming_attempt = sequence.streaming_attempt, None
         if sequence.answer.step(AnswerEvent.CLIENT_LEFT) == CommonEffect.LATE:
             return
@@ -115,7 +116,7 @@
             self.ended(stream, contract.Outcome.CANCELLED)
 
     def _close_answer(self, sequence: InFlightSequence) -> None:
-        """Report an answer that the router did not decide, and stop the stream."""
+        """Report an answer that was given without a decision of the router, and stop the stream."""
         self._report_answer(sequence)
         self._report_client_left(sequence)
         if sequence.streaming_attempt is not None:
@@ -194,8 +195,8 @@
         Args:
             attempt: the attempt.
             outcome: how it ended.
-            cached_tokens: prompt tokens that the engine had cached; for a write that was rejected, not 0 if
-                the reader had no state to fetch.
+            cached_tokens: prompt tokens that the engine had cached; for a rejected write it is a flag
+                instead, nonzero if the reader had no state to fetch.
             load: the load report that came with it.
             handle: of the state that a reader holds now.
             tokens: number of generated tokens.
@@ -207,7 +208,7 @@
         sequence, latency = attempt.sequence, self.clock.seconds() - attempt.sent_at
         attempt.stop_timer()
         if was_streaming and event in _REJECTIONS:
-            # An engine may send tokens and then a rejection: it has run all the same.
+            # A rejection after tokens must not count as one: the attempt has run.
             event, outcome, cached_tokens = AttemptEvent.RESET, contract.Outcome.RESET, 0.0
         sequence.resolve_read_state(attempt, event, bool(cached_tokens), handle)
         self._resolve_answer(attempt, outcome, tokens)
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -20,7 +20,7 @@
 
 NEVER = float("inf")  # seconds; the deadline of a sequence that has none
 
-# Read for each token message: looking a member up in its enumeration costs more than the comparison.
+# Constants because they are used for each token message, and a member's look-up costs more than comparing it.
 _STREAMING = AttemptState.STREAMING
 _NO_STATE = ReadStateStatus.NONE
 
@@ -55,7 +55,7 @@
         self.sequence = sequence
         self.number = number  # counts the attempts of this node from 0
         self.engine = engine
-        self.kind = kind  # of the engine when the attempt was sent: the endpoint list may change it
+        self.kind = kind  # the engine's kind at the time of sending, because the endpoint list may change it
         self.is_read = is_read
         self.sent_at = sent_at
         self.times_out_at = times_out_at
@@ -82,7 +82,7 @@
 
 
 class ReadState:
-    """What one reader holds for one sequence, and the handle by which writers fetch it."""
+    """The read state that one reader holds for one sequence, and the handle by which writers fetch it."""
 
     __slots__ = ("engine", "handle", "state_machine")
 
--- a/myrtlehub/node/settings_change.py
+++ b/myrtlehub/node/settings_change.py
@@ -16,7 +16,7 @@
     """Parse a node's settings file.
 
     Raises:
-        ConfigError: the text has faults; the message has a line for each.
+        ConfigError: the settings are invalid; the message has a line for each error.
     """
     return parse_config(text, NodeConfig, "staged")
 
--- a/myrtlehub/node/traffic_counters.py
+++ b/myrtlehub/node/traffic_counters.py
@@ -35,7 +35,7 @@
         self.requests = 0
         self.attempts = 0
         self.offered_utility = 0.0  # of all requests whose client waited for the answer
-        self.earned_utility = 0.0  # the part of it that answers earned, by their lateness
+        self.earned_utility = 0.0  # the utility of complete answers, reduced for late ones
         self.answers: Counter[str] = Counter()
         self.first_token_histogram = HdrHistogram(1, MAX_LATENCY, HISTOGRAM_DIGITS)  # microseconds
         self.first_token_log_sum = 0.0  # of the natural logarithms of seconds
