--- a/myrtlehub/cli/event_loop.py
+++ b/myrtlehub/cli/event_loop.py
@@ -1,4 +1,4 @@
-"""Twisted's reactor as the programs use it."""
+"""The interface of Twisted's reactor that the programs use, and functions that run it."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeVar
--- a/myrtlehub/cli/exits.py
+++ b/myrtlehub/cli/exits.py
@@ -1,4 +1,4 @@
-"""How the programs end if a file, an argument or an address is invalid."""
+"""Functions that end a program whose settings file, argument or address is invalid."""
 
 import sys
 from pathlib import Path
--- a/myrtlehub/cli/fault_soak.py
+++ b/myrtlehub/cli/fault_soak.py
@@ -16,10 +16,10 @@
 from myrtlehub.lab.fault_soak.schedule_shrinker import shrink
 from myrtlehub.lab.fault_soak.soak_result import SoakResult
 
-MAX_SEEDS = 1000  # of one command
-MAX_SHOWN_PER_RULE = 4  # findings of a run that are printed
-MAX_STDERR_SHOWN = 2000  # characters, from the end, of a run that failed
-RUN_MARGIN_S = 60.0  # by which the process of a run may take longer than the run's length
+MAX_SEEDS = 1000  # largest number of seeds of one command
+MAX_SHOWN_PER_RULE = 4  # largest number of findings per rule that are printed for a run
+MAX_STDERR_SHOWN = 2000  # characters printed from the end of the standard error of a failed run
+RUN_MARGIN_S = 60.0  # seconds for start and end of a run's process, in addition to the duration of the run
 
 
 @click.group()
--- a/myrtlehub/cli/faulty_node.py
+++ b/myrtlehub/cli/faulty_node.py
@@ -1,4 +1,4 @@
-"""Runs a node with one injected fault, to test rollouts of a worse program.
+"""Runs a node with one injected fault, to test rollouts of a program with a regression.
 
     python -m myrtlehub.cli.faulty_node KIND CONFIG
 
@@ -26,20 +26,20 @@
 from myrtlehub.routing.contract import Action, Arrival, Forget, Reject
 from myrtlehub.routing.policy.router import Router
 
-CRASH_AFTER_S = 5.0  # from the start of `crashes` to its exit
+CRASH_AFTER_S = 5.0  # from the start of a node with the fault `crashes` to its exit
 CRASH_EXIT_CODE = 3
-NEVER_READY_S = 3600.0  # for which `never-ready` sleeps: longer than any rollout of a test
-SEND_DELAY_S = 0.06  # of each send of `slow`: about a third of the usual time to first token
-LEAK_BYTES_PER_S = 2_000_000  # of `leaks`
+NEVER_READY_S = 3600.0  # duration of the sleep in `never-ready`: longer than any rollout of a test
+SEND_DELAY_S = 0.06  # added to each send by `slow`: about a third of the usual time to first token
+LEAK_BYTES_PER_S = 2_000_000  # rate at which `leaks` leaks memory
 LEAK_INTERVAL_S = 0.1
 RANDOM_SEED = 7
 # Fractions of sequences that are rejected, in addition to those that the router rejects.
 REJECTED = 0.02  # by `rejects`
 MOSTLY_REJECTED = 0.8  # by `rejects-most` and `foreign`
 REJECTED_OF_ONE_TRAFFIC_TYPE = 0.5  # by `spoils`, of the traffic type below
-REJECTED_BY_HALF = 0.3  # by `half`, as soon as half of the nodes run it
-AFFECTED_TRAFFIC_TYPE = 1  # index in the settings
-RETRY_AFTER_S = 0.5  # of these rejections
+REJECTED_BY_HALF = 0.3  # by `half`, as soon as half of the nodes run the faulty program
+AFFECTED_TRAFFIC_TYPE = 1  # index of that type in the list `traffic` of the settings
+RETRY_AFTER_S = 0.5  # Retry-After of the injected rejections
 
 
 def _replace(owner: object, name: str, replacement: object) -> None:
@@ -93,7 +93,7 @@
     name = Path(sys.argv[1]).name.split(".")[0]
 
     def crash() -> None:
-        # Only this process knows the time of its end, which the rule checker needs.
+        # The rule checker needs the time of the crash, which only this process knows.
         path = Path(os.environ[FOLDER_VARIABLE]) / f"crash-{os.getpid()}.rec"
         Recorder("variant", SteadyClock(event_loop), path).note("killed", who=name)
         os._exit(CRASH_EXIT_CODE)
@@ -104,7 +104,7 @@
 def _half() -> None:
     """Reject a fraction of the sequences as soon as half of the nodes run this program.
 
-    Each of them leaves a file named by its process id, by which they count one another.
+    Each of them leaves a file named by its process id, so that the others can count it.
     """
     folder = Path(os.environ[FOLDER_VARIABLE])
     (folder / f"half-{os.getpid()}").touch()
--- a/myrtlehub/cli/network.py
+++ b/myrtlehub/cli/network.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from myrtlehub.rpc.channel import Connect, Dialer
 
-CONNECT_TIMEOUT_S = 30  # above the timeouts of channels, which end an attempt to connect earlier
-LISTEN_BACKLOG = 511  # connections that the system queues until the program accepts them
+CONNECT_TIMEOUT_S = 30  # longer than the timeouts of channels, which therefore take effect first
+LISTEN_BACKLOG = 511  # largest number of connections that the kernel queues until the program accepts them
 
 
 def dialer(event_loop: EventLoop) -> "Dialer":
--- a/myrtlehub/client/asyncio_client.py
+++ b/myrtlehub/client/asyncio_client.py
@@ -47,7 +47,7 @@
     """Sends chat requests to one node, and to others if that one is lost; used with `async with`."""
 
     def __init__(self, address: str, others: Iterable[str] = ()) -> None:
-        """Make channels; `others` are addresses of nodes at which lost sequences are resumed."""
+        """Make channels; `others` are addresses of nodes that resume sequences of a lost node."""
         self.channels = [grpc.aio.insecure_channel(node) for node in (address, *others)]
 
     def generate(self, request: ChatRequest) -> ChatStream:
--- a/myrtlehub/client/batch_client.py
+++ b/myrtlehub/client/batch_client.py
@@ -22,7 +22,7 @@
 
 
 class BatchMethod(NamedTuple, Generic[ReplyT]):
-    """A method of the batch services."""
+    """A gRPC method of the embeddings or rerank service."""
 
     path: str
     reply_type: type[ReplyT]
@@ -36,7 +36,7 @@
 
 
 class InputError(NamedTuple):
-    """Replaces the vector or score of an input that cannot be processed; others are not affected."""
+    """Replaces the vector or score of an input that cannot be processed; other inputs are not affected."""
 
     reason: str
 
@@ -76,7 +76,7 @@
     max_attempts: int = 3
 
     def terms(self, attempt: int) -> pb.Terms:
-        """Return the terms of an attempt, counted from 0."""
+        """Make the message part that all batch requests share; `attempt` is counted from 0."""
         return pb.Terms(
             traffic_type=self.traffic_type,
             tenant=self.tenant,
@@ -103,7 +103,7 @@
 
 
 def _decode_vector(vector: pb.Vector) -> VectorOrError:
-    """Return the numbers of a vector, or the error of its input."""
+    """Return the numbers of a vector, or the error that the node states for this input."""
     if vector.error:
         return InputError(vector.error)
     numbers = array("f", vector.packed)
@@ -113,7 +113,7 @@
 
 
 def _decode_score(score: pb.Score) -> RankedDocument:
-    """Return the score of a document, or the error of its input."""
+    """Return the score of a document, or the error that the node states for this document."""
     return RankedDocument(score.index, InputError(score.error) if score.error else score.score)
 
 
--- a/myrtlehub/client/errors.py
+++ b/myrtlehub/client/errors.py
@@ -17,7 +17,7 @@
 
 
 class RejectedError(AnswerError):
-    """Nothing ran, or a repeat is harmless; the request may be repeated, best after `retry_after` seconds."""
+    """Nothing ran, or a second execution is harmless; send again after `retry_after` seconds or later."""
 
     outcome = Outcome.REJECTED
     retry_after = 0.0  # 0: the node has stated none
--- a/myrtlehub/client/grpcio_calls.py
+++ b/myrtlehub/client/grpcio_calls.py
@@ -1,4 +1,4 @@
-"""Code that the clients over grpcio share: starting a call, and the result that an error status means."""
+"""Code that the clients over grpcio share: starting a call, and converting an error status to a result."""
 
 from collections.abc import Sequence
 
@@ -24,8 +24,8 @@
 def result_of_error(error: grpc.RpcError) -> AttemptResult:
     """Return the result of a call that ended with an error status.
 
-    grpcio does not report which calls certainly did not reach the node's program, so none counts as
-    unprocessed.
+    grpcio does not report whether a failed call reached the node's application. Every call therefore counts
+    as possibly processed.
     """
     if error.code() == grpc.StatusCode.INVALID_ARGUMENT:
         return AttemptResult(Outcome.INVALID, message=error.details() or "")
--- a/myrtlehub/client/requests.py
+++ b/myrtlehub/client/requests.py
@@ -8,7 +8,7 @@
 
 
 class RetrySemantics(StrEnum):
-    """Effect of a second execution of a request; the values are those of `repeats` in a node's settings."""
+    """Effect of a second execution of a request; the values are those of the setting `repeats`."""
 
     IDEMPOTENT = "repeatable"
     IDEMPOTENCY_KEY = "tokened"
@@ -16,7 +16,7 @@
 
 
 class RetryTerms(Protocol):
-    """The part of a request that the retry policy reads."""
+    """The attributes of a request that decide whether and for how long it is retried."""
 
     @property
     def retry_semantics(self) -> RetrySemantics:
--- a/myrtlehub/client/results.py
+++ b/myrtlehub/client/results.py
@@ -23,8 +23,8 @@
     outcome: Outcome
     retry_after: float | None = None  # seconds that a rejection asks the client to wait
     message: str = ""
-    unprocessed: bool = False  # it certainly did not reach the node's program
-    item_count: int = 0  # tokens, or items of a batch, in a generated answer by the node's count
+    unprocessed: bool = False  # True: the request certainly did not reach the node's application
+    item_count: int = 0  # tokens, or items of a batch, of a generated answer, as counted by the node
 
 
 class Generated(NamedTuple):
--- a/myrtlehub/client/retries.py
+++ b/myrtlehub/client/retries.py
@@ -14,7 +14,7 @@
 
 MAX_RESUMES = 12  # per request; after so many, no node of the fleet is likely to be reachable
 FIRST_RESUME_SPREAD = 0.15  # seconds; spreads the first resumes of all clients of a lost node
-RESUME_BACKOFF = 0.1  # seconds, multiplied by the number of resumes
+RESUME_BACKOFF = 0.1  # seconds; the delay before a resume is this, times the number of resumes so far
 MIN_RETRY_AFTER = 0.02  # seconds, so that a short Retry-After causes no burst of retries
 BASE_BACKOFF = 0.05  # seconds, doubled with each attempt
 MIN_CALL_TIMEOUT = 0.001  # seconds, for a call that starts at its deadline
@@ -27,13 +27,13 @@
         self.request = request
         self.random = random
         self.deadline = now + request.timeout
-        self.attempts = 0  # so far
-        self.tokens = 0  # received
-        self.started_at = now  # of the current sequence
-        self.sequence: str | None = None  # its id at all nodes, once a node has sent it
+        self.attempts = 0  # number of attempts that have ended, without those that were resumed
+        self.tokens = 0  # number of tokens, or items of a batch stream, that were received
+        self.started_at = now  # start time of the current sequence
+        self.sequence: str | None = None  # id of a resumable sequence, the same at all nodes
         self.resumes = 0
         self.resuming = False  # the next call resumes the sequence
-        self.node_index = 0  # of the next node to call; counts on beyond the number of nodes
+        self.node_index = 0  # index of the next node to call, modulo the number of nodes
 
     def call_timeout(self, now: float) -> float:
         """Return the maximum duration of the next call in seconds."""
@@ -66,7 +66,7 @@
     def _backoff(self, result: AttemptResult) -> float | None:
         """Return the seconds until a retry, or None if the request must not be retried."""
         is_rejected = result.outcome is Outcome.REJECTED
-        # Without a Retry-After, an exponential backoff prevents that all clients retry at the same time.
+        # Without a Retry-After, an exponential backoff keeps clients from retrying at the same time.
         without_retry_after = is_rejected and result.retry_after is None
         if not without_retry_after and (is_rejected or result.unprocessed):
             return max(result.retry_after or 0.0, MIN_RETRY_AFTER) * (1.0 + 0.5 * self.random())
@@ -126,7 +126,7 @@
 
 
 class ChatAttempt:
-    """The replies of one call; `result` is that of the final reply, or LOST without one."""
+    """The replies of one call; `result` is that of the final reply, or LOST if none was received."""
 
     def __init__(self, retries: ChatRetryState) -> None:
         self._retries = retries
--- a/myrtlehub/client/sync_client.py
+++ b/myrtlehub/client/sync_client.py
@@ -71,7 +71,7 @@
     def __init__(
         self, address: str = "", channel: grpc.Channel | None = None, others: Iterable[str] = ()
     ) -> None:
-        """Make channels; `others` are addresses of nodes at which lost sequences are resumed."""
+        """Make channels; `others` are addresses of nodes that resume sequences of a lost node."""
         super().__init__(address, channel)
         self._other_channels = [grpc.insecure_channel(other) for other in others]
         self.channels = [self._channel, *self._other_channels]
--- a/myrtlehub/client/twisted_client.py
+++ b/myrtlehub/client/twisted_client.py
@@ -1,4 +1,4 @@
-"""Chat client for Twisted programs, over this project's channel, which knows unprocessed calls."""
+"""Chat client for Twisted programs, over this project's channel, which reports unprocessed calls."""
 
 import random
 from collections.abc import Callable, Iterable
--- a/myrtlehub/config/emulated_engine.py
+++ b/myrtlehub/config/emulated_engine.py
@@ -12,12 +12,16 @@
 
 
 class FaultInjectionConfig(ConfigModel):
-    """The fractions of attempts in which an emulated engine fails by each kind of fault."""
+    """The fractions of attempts in which an emulated engine fails by each kind of fault.
+
+    Readers are engines that prefill prompts, writers are engines that decode answers. A read state is the KV
+    cache that a reader holds for a sequence until a writer has fetched it.
+    """
 
     break_stream: Share = 0.0  # a writer resets the stream after a few tokens
-    lose_fetch: Share = 0.0  # a reader aborts a fetch partway and loses the state
-    fail_late: Share = 0.0  # a writer accepts an attempt and fails it before its start, after 0.2 to 0.6 s
-    full_after_fetch: Share = 0.0  # a writer rejects an attempt after it has fetched the state
+    lose_fetch: Share = 0.0  # a reader aborts a fetch partway and loses the read state
+    fail_late: Share = 0.0  # a writer accepts an attempt, and fails it 0.2 to 0.6 s later, before its start
+    full_after_fetch: Share = 0.0  # a writer rejects an attempt after it has fetched the read state
 
 
 class EmulatedEngineConfig(ConfigModel):
@@ -35,26 +39,26 @@
     batch_rate: Rate = 60000.0  # tokens per second, for a batch without concurrent streams
     batch_slots: Count = 1  # batches that run concurrently
     batch_queue: CountOrZero = 16
-    batch_drag: NotNegative = 0.5  # fraction by which concurrent batches and streams slow one another
+    batch_drag: NotNegative = 0.5  # relative slowdown by one batch, or by streams in all slots
     longest_input: Tokens = 8192.0
     slots: Count = 8
     queue: CountOrZero = 32
     memory: Tokens = 200000.0
     read_rate: Rate = 16000.0  # prompt tokens per second and slot
-    step: Duration = 0.02  # time between tokens of a single stream
+    step: Duration = 0.02  # duration of a decode step, one token per stream, with a single stream
     step_crowd: Share = 0.5  # fraction by which steps are longer with all slots in use
     fetch_rate: Rate = 250000.0  # tokens of read state per second
-    kept: Tokens = 60000.0  # capacity of the prefix cache, in addition to the memory
+    kept: Tokens = 60000.0  # capacity of the prefix cache, in addition to `memory`
     reports: Literal["answers", "probe"] = "answers"  # messages that carry the load report
     cold: bool = False
     cold_share: Share = 0.25  # fraction of the capacity right after a cold start
     cold_time: Duration = 10.0  # from a cold start to the full capacity
-    fall_multiple: Positive = 2.5  # work received, relative to the capacity, that crashes a cold engine
-    fall_time: Duration = 1.0  # window over which received work is counted for that
-    state_bound: Duration = 3.0  # a read state that no writer fetches is freed after this
-    stream_bound: Duration = 0.0  # a stream continues without its node for this long; 0: not at all
+    fall_multiple: Positive = 2.5  # ratio of received work to capacity above which a cold engine crashes
+    fall_time: Duration = 1.0  # window over which `fall_multiple` is measured
+    state_bound: Duration = 3.0  # time after which a read state that was not fetched is freed
+    stream_bound: Duration = 0.0  # time for which a stream continues after the loss of its node; 0: it ends
     dedup_window: Duration = 5.0
-    begin: Duration = 0.0  # from a fetched read state to the first step of its answer
+    begin: Duration = 0.0  # time from the fetch of the read state to the first decode step
     mishaps: FaultInjectionConfig = FaultInjectionConfig()
     seed: int = 0
     records: str = ""  # path of the records file; empty for none
--- a/myrtlehub/config/endpoints.py
+++ b/myrtlehub/config/endpoints.py
@@ -20,9 +20,9 @@
     kind: Name
     zone: Name
     cell: int = 0
-    weight: NotNegative = 1.0  # share of load relative to others of its kind; 0: it drains
+    weight: NotNegative = 1.0  # share of the load, relative to other engines of its kind; 0: it is draining
     state: Literal["serving", "draining", "gone"] = "serving"
-    age: Duration = 0.0  # time since its start, for slow start; 0: it is warm
+    age: Duration = 0.0  # time since the start of the engine, for slow start; 0: it is warm
     model: str = ""  # version of its embedding or rerank model
     FIELD_NAMES: ClassVar[tuple[str, ...]] = (
         "address",
@@ -79,21 +79,21 @@
     most_removed: Share | Literal["any"] = (
         0.5  # largest fraction of serving engines removed without confirmation
     )
-    after: Duration = 2.0  # a snapshot with the same content, so much later, confirms the removal
+    after: Duration = 2.0  # a snapshot with the same content confirms the removal this long after the first
 
 
 class FlapDampingConfig(ConfigModel):
     """The conditions for ignoring an engine that is repeatedly added and removed."""
 
     flaps: Annotated[int, Field(ge=2)] | Literal["off"] = (
-        4  # additions and removals after which it is ignored
+        4  # number of additions and removals after which the engine is ignored
     )
     within: Duration = 30.0
-    quiet_for: Duration = 10.0  # time without a change, after which it is used again
+    quiet_for: Duration = 10.0  # time without additions and removals after which the engine is used again
 
 
 class EndpointListConfig(ConfigModel):
-    """The endpoint list: stated here, pushed over the admin address, or read from files that are watched."""
+    """The source of the endpoint list: this section, pushes to the admin address, or watched files."""
 
     pushed: bool = False  # NodeAdmin.PushList may change the list
     engines: list[EndpointConfig] = Field(default=[])
--- a/myrtlehub/config/engines.py
+++ b/myrtlehub/config/engines.py
@@ -19,11 +19,11 @@
     embeds: bool = False
     ranks: bool = False
     memory: Tokens = 0.0  # capacity for sequences; 0: unknown
-    batch: Tokens = 16000.0  # largest part of a batch
+    batch: Tokens = 16000.0  # tokens of the largest part of a batch
     batch_items: Count = 256  # largest number of items of a part
 
     def serves(self, front: Front) -> bool:
-        """Return whether engines of this kind do the work of a front."""
+        """Return whether engines of this kind process requests of a front: chat, embeddings or rerank."""
         return {"chat": self.reads or self.writes, "embed": self.embeds, "rank": self.ranks}[front]
 
     @model_validator(mode="after")
@@ -36,7 +36,7 @@
 class EngineCapabilities(ConfigModel):
     """The optional requests that all engines of this fleet support."""
 
-    read_alone: bool = True  # an engine that only writes can read a prompt itself
+    read_alone: bool = True  # a writer (decode engine) can prefill a prompt itself
     cancel: bool = True  # cancelling an attempt
     hold: bool = False  # reserving capacity; engines of myrtlehub.v1 cannot
     resume: bool = False  # migrating a stream; engines of myrtlehub.v1 cannot
@@ -48,5 +48,5 @@
     """How engines report their load, and the cost of polling for it."""
 
     how: Literal["answers", "probe"] = "answers"  # messages that carry the load report
-    probe_price: Share = 0.0  # utility that one probe per sequence costs, as a fraction of the sequence's
-    probe_timeout: Duration = 0.25  # an engine that has not responded by then counts as full
+    probe_price: Share = 0.0  # cost of one poll per sequence, as a fraction of the utility of a sequence
+    probe_timeout: Duration = 0.25  # an engine that has not answered a poll within this time counts as full
--- a/myrtlehub/config/fault_lines.py
+++ b/myrtlehub/config/fault_lines.py
@@ -8,8 +8,8 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 
 FieldPath: TypeAlias = tuple[int | str, ...]  # keys and indices from the root of the file to a field
-MIN_SIMILARITY = 0.5  # of difflib, 0 to 1, from which a known name is suggested for an unknown one
-MESSAGES = {  # by pydantic's type of error; others have pydantic's message
+MIN_SIMILARITY = 0.5  # smallest similarity (difflib's ratio) of an unknown name to one that is suggested
+MESSAGES = {  # by pydantic's error type; errors of other types keep pydantic's message
     "missing": "is missing",
     "extra_forbidden": "is not known here",
     "int_type": "has to be a whole number",
--- a/myrtlehub/config/node.py
+++ b/myrtlehub/config/node.py
@@ -21,19 +21,19 @@
     name: Name
     listen: Address  # for clients
     admin: Address | None = None  # for operators' programs
-    index: CountOrZero = 0  # number of this node; quotas are divided among `nodes`
+    index: CountOrZero = 0  # index of this node among all `nodes`, which share the quotas of tenants
     nodes: Count = 1
     zone: Name
-    seed: int = 0  # of all random choices; different from other nodes'
-    drain_within: Duration = 10.0  # longest graceful shutdown
+    seed: int = 0  # of the random generator; has to differ between the nodes
+    drain_within: Duration = 10.0  # longest duration of a graceful shutdown
     most_attempts: Count = 5  # per sequence
     max_wait: Duration = 2.0  # longest Retry-After; 0: none is sent
     over_share_utility: Share = 0.1  # utility of sequences that a tenant sends beyond its quota
-    tick: Duration = 0.004  # by how much a timer may be late
+    tick: Duration = 0.004  # expected lateness of timers; final answers are sent earlier by a multiple of it
     tell_nodes: bool = False  # nodes notify each other of their sends; not implemented
-    connect_timeout: Duration = 0.25  # an engine without a connection by then counts as unreachable
-    most_sequences: Count = 20000  # in flight; more are rejected before they are routed
-    prompt_limit: Size = 8 * 2**20  # bytes of one request
+    connect_timeout: Duration = 0.25  # an engine that is not connected after this time counts as unreachable
+    most_sequences: Count = 20000  # limit on sequences in flight; further ones are rejected before routing
+    prompt_limit: Size = 8 * 2**20  # largest size of one request
 
 
 class NodeConfig(ConfigModel):
--- a/myrtlehub/config/rollout_plan.py
+++ b/myrtlehub/config/rollout_plan.py
@@ -11,7 +11,7 @@
 
 NODE_FIELDS = frozenset({"name", "settings"})  # placeholders of node paths and command lines
 PROCESS_FIELDS = frozenset({"name", "pid"})  # placeholders of commands for processes on other machines
-MIN_SAMPLE_WINDOWS = 3  # per observation of a stage
+MIN_SAMPLE_WINDOWS = 3  # smallest number of sample windows in the observation of a stage
 
 
 class SettingsChange(ConfigModel):
@@ -26,7 +26,7 @@
 
     was: str
     now: str
-    revision: str = ""  # digest that the new program reports; empty: the first other digest
+    revision: str = ""  # digest that the new program reports; empty: the first one that differs from the old
 
 
 class ChangeConfig(ConfigModel):
@@ -58,7 +58,7 @@
 
 
 class StageConfig(ConfigModel):
-    """How many nodes have the change at the end of a stage: a count or a fraction of all."""
+    """The number of nodes that run the change at the end of a stage: a count or a fraction of all."""
 
     nodes: Count | None = None
     share: Annotated[float, Field(gt=0.0, le=1.0)] | None = None
@@ -74,14 +74,14 @@
     """A metric that the change may not worsen."""
 
     figure: Literal["served", "rejected", "aborted", "first_token", "tail", "attempts", "memory"]
-    worse: Positive  # smallest unacceptable difference, in the metric's unit
-    traffic: str = ""  # a traffic type; empty: all together; "each": each type separately
+    worse: Positive  # smallest unacceptable worsening, as a difference in the metric's unit
+    traffic: str = ""  # the traffic type to compare; empty: all types together; "each": each type separately
 
 
 class Template(NamedTuple):
     """A text of the plan with placeholders in braces."""
 
-    name: str  # of the setting
+    name: str  # name of the setting, for error messages
     text: str
     known_fields: frozenset[str]
 
@@ -111,7 +111,7 @@
     start: str = "hub-node {settings}"  # command line of a node that exited while its settings changed
     processes: ProcessCommands | None = None  # None: the nodes run on this machine
     stages: Annotated[list[StageConfig], Field(min_length=1)]
-    one_zone: CountOrZero = 1  # number of first stages that stay within the largest zone
+    one_zone: CountOrZero = 1  # number of stages, from the first, that are limited to the largest zone
     most_away: Count = 1  # largest number of unavailable nodes
     measure: Duration = 60.0  # duration of the baseline measurement, before anything is changed
     warm: Duration = 10.0  # duration of a stage's warm-up, without a comparison
@@ -119,8 +119,8 @@
     hold: Duration = 300.0  # longest time for which a disturbance may put a stage on hold
     block: Duration = 5.0  # length of a sample window
     look: Duration = 1.0  # interval of the polls
-    drain_within: Duration = 20.0  # a node that has not exited by then is killed
-    start_within: Duration = 30.0  # a node that has not generated a sequence by then has failed
+    drain_within: Duration = 20.0  # a draining node that has not exited after this time is killed
+    start_within: Duration = 30.0  # a started node that has generated no sequence after this time has failed
     guards: Annotated[list[GuardConfig], Field(min_length=1)] = Field(
         default=[
             GuardConfig(figure="served", worse=0.005),
@@ -132,7 +132,7 @@
             GuardConfig(figure="memory", worse=20.0),
         ]
     )
-    alarm: Share = 0.01  # fraction of equal versions that may be rolled back
+    alarm: Share = 0.01  # false-alarm rate: fraction of rollouts of an equal version that may be rolled back
     most_lost: Duration = 30.0  # limit on the lost utility, as the utility offered to the fleet in this time
     journal: str = ""  # path of the journal; empty: beside the plan
 
--- a/myrtlehub/config/takeover.py
+++ b/myrtlehub/config/takeover.py
@@ -20,7 +20,7 @@
 class TakeoverConfig(ConfigModel):
     """Replication of sequence records to other nodes, which can then take the sequences over."""
 
-    listen: Address  # for other nodes, not for clients
+    listen: Address  # address for connections of other nodes, not of clients
     peers: Annotated[list[PeerConfig], Field(min_length=2)]  # all nodes of the fleet, this one included
     copies: Count = 2  # number of replicas of this node's records
     keep: Count = 20000  # largest number of records that this node stores for others
--- a/myrtlehub/config/traffic.py
+++ b/myrtlehub/config/traffic.py
@@ -18,13 +18,13 @@
     front: Front = "chat"
     repeats: Literal["repeatable", "tokened", "once-only"]
     latency_slo: Duration  # latency objective of the first token
-    slo_per_1000_tokens: Duration = 0.0  # added to it per 1,000 prompt tokens
+    slo_per_1000_tokens: Duration = 0.0  # added to `latency_slo` per 1,000 prompt tokens
     abandon_time: Duration  # deadline of the first token
     pace: Duration = 0.05  # time per generated token that clients expect
     utility: Positive = 1.0  # priority weight
     late_share: Share = 0.3  # fraction of the utility of an answer after its latency objective
     dedup_group: Literal["all", "zone", "cell"] = "all"  # engines that share a memory of idempotency keys
-    dedup_window: Duration = 0.0  # for how long they remember a key
+    dedup_window: Duration = 0.0  # time for which engines remember a key
 
     @model_validator(mode="after")
     def _check_times(self) -> Self:
@@ -46,9 +46,9 @@
     """Facts of the fleet that the five rules depend on; they are not objectives."""
 
     answer_slack: Duration = 0.016  # time before the deadline at which a final answer is sent
-    drain_grace: Duration  # from the notification that an engine drains until the last send to it
-    let_go: Duration  # longest time of a read state without an attempt in flight
-    cold_share: Share  # fraction of its usual work that an engine can do right after its start
-    cold_time: Duration  # time from its start until it is warm
-    fall_multiple: Positive  # work received, relative to the cold capacity, that crashes a cold engine
-    fall_time: Duration  # window over which received work is counted for that
+    drain_grace: Duration  # time from the notification that an engine is draining to the last send to it
+    let_go: Duration  # time to fetch or release a read state (KV cache of a prompt) with no attempt in flight
+    cold_share: Share  # capacity of an engine right after its start, as a fraction of its warm capacity
+    cold_time: Duration  # time from the start of an engine until it is warm
+    fall_multiple: Positive  # ratio of received work to cold capacity above which a cold engine crashes
+    fall_time: Duration  # window over which `fall_multiple` is measured
--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -1,4 +1,7 @@
-"""A channel: calls to one address, over a connection that is opened on demand, with backoff."""
+"""A channel: calls to one address, over a connection that is opened on demand.
+
+Failed attempts to connect are repeated after a backoff.
+"""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
@@ -67,7 +70,7 @@
         self._backoff = Backoff((random or Random()).random)
         self._queue: deque[ClientCall] = deque()
         self._dialling: Deferred[ClientProtocol] | None = None
-        self._timer: Timer | None = None  # of the connect timeout, or of the backoff
+        self._timer: Timer | None = None  # timer of the connect timeout, or of the backoff
         self._failure_reason = "never connected"
 
     # -- calls ------------------------------------------------------------------------------------
--- a/myrtlehub/rpc/client_call.py
+++ b/myrtlehub/rpc/client_call.py
@@ -31,7 +31,7 @@
 
 
 class ClientCallOwner(Protocol):
-    """The channel, as its calls use it."""
+    """What a call requires of its channel."""
 
     clock: Clock
     limits: TransportLimits
@@ -44,7 +44,7 @@
 
 
 class ProducerRegistration(NamedTuple):
-    """A producer of request messages, as it was registered."""
+    """A registered producer of request messages, and whether it is a push producer."""
 
     producer: Producer
     is_push_producer: bool
@@ -74,7 +74,7 @@
         self._producer: ProducerRegistration | None = None
         self._reader: framing.MessageReader | None = None
         self._status: Status | None = None  # from the trailers
-        self._header_fault: Status | None = None  # if the headers are not those of a gRPC response
+        self._header_fault: Status | None = None  # set if the headers are not those of a gRPC response
         self._timer: Timer | None = None
         if timeout is not None:
             self._timer = owner.clock.callLater(max(0.0, timeout), self._deadline_passed)
@@ -247,5 +247,5 @@
             self.conclude(Status(from_reset(error), message, unprocessed=is_refused, broken=not is_refused))
 
     def _not_processed(self) -> None:
-        """End the call: by a GOAWAY, the peer's application did not receive it."""
+        """End the call: the peer's GOAWAY says that its application did not receive the call."""
         self._stop(Status(Code.UNAVAILABLE, "peer is going away; call was not processed", unprocessed=True))
--- a/myrtlehub/rpc/client_protocol.py
+++ b/myrtlehub/rpc/client_protocol.py
@@ -16,7 +16,7 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """The channel, as its connections use it."""
+    """What a client's connection requires of its channel."""
 
     clock: Clock
     limits: TransportLimits
@@ -31,7 +31,7 @@
         """Called after the connection was lost and all of its streams have ended."""
 
     def start_calls(self, protocol: "ClientProtocol", /) -> None:
-        """Called after a stream has ended, which makes a slot for another call."""
+        """Called after a stream has ended, so that another call may open one."""
 
 
 class ClientProtocol(Http2Protocol):
@@ -41,7 +41,7 @@
 
     def __init__(self, owner: ClientConnectionOwner) -> None:
         super().__init__(owner.clock, owner.limits)
-        self.goaway_reason: str | None = None  # of a GOAWAY with an error code
+        self.goaway_reason: str | None = None  # reason text of a received GOAWAY with an error code
         self._owner = owner
 
     @property
@@ -63,7 +63,7 @@
         self._owner.connection_lost(self)
 
     def goaway_received(self, error: int, last_stream_id: int, reason: str) -> None:
-        """End the calls that the peer did not process; the others may finish."""
+        """End the calls that the peer will not process; calls on lower stream ids may finish."""
         self.is_draining = True
         if error:
             self.goaway_reason = f"GOAWAY {error} {reason}"
--- a/myrtlehub/rpc/event_handler.py
+++ b/myrtlehub/rpc/event_handler.py
@@ -24,7 +24,7 @@
 
 
 class EventObserver(Protocol):
-    """The connection, as far as it is notified of events that do not concern a single stream."""
+    """What the event handler requires of a connection: methods for events that concern no single stream."""
 
     is_established: bool
 
@@ -35,13 +35,13 @@
         """Process a SETTINGS frame of the peer."""
 
     def ping_answered(self, data: bytes) -> None:
-        """Process the acknowledgement of a ping that was sent from here."""
+        """Process the peer's acknowledgement of a ping that this side has sent."""
 
     def goaway_received(self, error: int, last_stream_id: int, reason: str) -> None:
         """Process a GOAWAY: the peer will process no stream above `last_stream_id`."""
 
     def headers_event(self, event: Event) -> None:
-        """Process a request or response, which only one side receives."""
+        """Process received headers or trailers: of requests on a server, of responses on a client."""
 
 
 class EventHandler:
--- a/myrtlehub/rpc/frame_reader.py
+++ b/myrtlehub/rpc/frame_reader.py
@@ -14,7 +14,7 @@
 
 
 class ReadConnection(Protocol):
-    """The connection, as its reader uses it."""
+    """What a frame reader requires of its connection."""
 
     close_reason: str | None
 
@@ -42,7 +42,7 @@
         self._connection_window = limits.connection_window
         self._is_preface_expected = not conn.config.client_side
         self._rest = b""  # bytes of an incomplete frame, or of an incomplete preface
-        self._unacknowledged = 0  # bytes received, for which the peer's window was not enlarged yet
+        self._unacknowledged = 0  # bytes received that no WINDOW_UPDATE has returned to the peer yet
 
     def read(self, data: bytes) -> None:
         """Process received bytes; an incomplete frame is retained until its rest arrives."""
@@ -57,7 +57,7 @@
             self._read_frames(data, len(CLIENT_PREFACE))
 
     def _read_frames(self, data: bytes, position: int) -> None:
-        unread = 0  # the first byte that was not passed to h2 or a stream
+        unread = 0  # offset of the first byte that was not passed to h2 or a stream
         size = len(data)
         while size - position >= FRAME_HEADER_SIZE:
             length = data[position] << 16 | data[position + 1] << 8 | data[position + 2]
--- a/myrtlehub/rpc/frame_writer.py
+++ b/myrtlehub/rpc/frame_writer.py
@@ -13,7 +13,7 @@
 
 
 class WrittenConnection(Protocol):
-    """The connection, as its writer uses it."""
+    """What a frame writer requires of its connection."""
 
     is_lost: bool
     close_reason: str | None
@@ -29,11 +29,11 @@
         self._connection = connection
         self._conn = conn
         self._clock = clock
-        self._pending: dict[Stream, None] = {}  # streams with something to send, in the order of sending
+        self._pending: dict[Stream, None] = {}  # streams with data to send, in the order of sending
         self._flush_call: Timer | None = None
 
     def mark(self, stream: Stream) -> None:
-        """Send the queued data of this stream at the end of this turn."""
+        """Send the queued data of this stream at the end of this turn of the reactor."""
         self._pending[stream] = None
         if self._flush_call is None:
             self.schedule_flush()
--- a/myrtlehub/rpc/framing.py
+++ b/myrtlehub/rpc/framing.py
@@ -50,7 +50,7 @@
         self._encoding = encoding
         self._parts: list[bytes] = []
         self._size = 0
-        self._needed = MESSAGE_PREFIX.size  # collected bytes from which on a message may be complete
+        self._needed = MESSAGE_PREFIX.size  # bytes to collect before a message can be complete
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the messages that these bytes complete, in order."""
--- a/myrtlehub/rpc/h2_connection.py
+++ b/myrtlehub/rpc/h2_connection.py
@@ -17,7 +17,7 @@
 
 FRAME_HEADER_SIZE = 9  # bytes
 INITIAL_CONNECTION_WINDOW = 65535  # bytes, by RFC 9113
-HEADER_CHARSET = "latin-1"  # decodes any byte; values outside ASCII are judged by their readers
+HEADER_CHARSET = "latin-1"  # decodes any byte; the readers of a header check values outside ASCII
 _FRAME_HEADER = Struct(">HBBBI")  # length in 24 bits, type, flags, stream id
 _RECEIVING = (StreamState.OPEN, StreamState.HALF_CLOSED_LOCAL)
 _SENDING = (StreamState.OPEN, StreamState.HALF_CLOSED_REMOTE)
@@ -54,7 +54,7 @@
 
     def initiate(self, limits: TransportLimits) -> None:
         """Queue the preface, our SETTINGS and the window of the connection."""
-        # As initial values: h2 applies later changes only once the peer has acknowledged them.
+        # Set as initial values, because h2 applies later changes only once the peer has acknowledged them.
         self.local_settings = Settings(self.config.client_side, self._initial_settings(limits))
         self.max_inbound_frame_size = limits.max_frame
         self.initiate_connection()
--- a/myrtlehub/rpc/http2_protocol.py
+++ b/myrtlehub/rpc/http2_protocol.py
@@ -167,7 +167,7 @@
         """Called after a GOAWAY: the peer will process no stream above `last_stream_id`."""
 
     def headers_event(self, event: Event) -> None:
-        """Called with a request or response, and with events that need no action."""
+        """Called with received headers or trailers, and with events that need no action."""
 
     def stream_closed(self) -> None:
         """Called after a stream has ended."""
--- a/myrtlehub/rpc/keepalive.py
+++ b/myrtlehub/rpc/keepalive.py
@@ -1,4 +1,4 @@
-"""Detects peers that do not respond: no SETTINGS in time, or no answer to a keep-alive ping."""
+"""Detects peers that do not respond: no SETTINGS in time, or no bytes after a keepalive ping."""
 
 from collections.abc import Callable
 
--- a/myrtlehub/rpc/server_call.py
+++ b/myrtlehub/rpc/server_call.py
@@ -14,7 +14,7 @@
 from myrtlehub.rpc.stream import Stream
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-RESET_DELAY = 0.05  # seconds between checks whether the trailers were sent
+RESET_DELAY = 0.05  # seconds between checks whether the trailers were sent and the stream can be reset
 MAX_RESET_CHECKS = 20  # after which the stream is reset although the client has not accepted the trailers
 
 log = Logger()
@@ -34,7 +34,7 @@
 
 
 class ServerCallOwner(Protocol):
-    """The server, as its calls use it."""
+    """What a call requires of its server."""
 
     clock: Clock
     limits: TransportLimits
--- a/myrtlehub/rpc/server_protocol.py
+++ b/myrtlehub/rpc/server_protocol.py
@@ -19,7 +19,7 @@
 
 
 class ServerConnectionOwner(Protocol):
-    """The server, as its connections use it."""
+    """What a connection requires of its server."""
 
     clock: Clock
     limits: TransportLimits
--- a/myrtlehub/rpc/stream.py
+++ b/myrtlehub/rpc/stream.py
@@ -14,20 +14,20 @@
 
 
 class SendQueue(Protocol):
-    """The streams of a connection that have something to send."""
+    """The set of a connection's streams that have queued data to send."""
 
     def mark(self, stream: "Stream", /) -> None:
-        """Send the queued data of this stream at the end of this turn."""
+        """Send the queued data of this stream at the end of this turn of the reactor."""
 
 
 class StreamConnection(Protocol):
-    """The connection, as a stream uses it."""
+    """What a stream requires of its connection."""
 
     limits: TransportLimits
 
     @property
     def writer(self) -> SendQueue:
-        """The queue in which the stream enters itself when it has something to send."""
+        """The queue to which the stream adds itself when it has data to send."""
 
     def send_headers(self, stream: "Stream", headers: Headers, /) -> None:
         """Send the first headers of a stream."""
@@ -79,13 +79,13 @@
         self._send_buffer = connection.limits.send_buffer
         self._window = connection.limits.stream_window
         self._send_queue: deque[bytes] = deque()
-        self._is_partly_sent = False  # of the first write in the queue a part was sent
+        self._is_partly_sent = False  # a part of the first write in the queue was sent
         self._producer: Producer | None = None
         self._is_push_producer = False
         self._is_producer_paused = False
-        self._received: deque[bytes] = deque()  # while paused
+        self._received: deque[bytes] = deque()  # data that was received while the stream is paused
         self._is_end_delayed = False  # END_STREAM was received, but `on_end` waits for paused data
-        self._unacknowledged = 0  # bytes received, for which the peer's window was not enlarged yet
+        self._unacknowledged = 0  # bytes received that no WINDOW_UPDATE has returned to the peer yet
 
     @property
     def is_end_delayed(self) -> bool:
--- a/myrtlehub/rpc/transport_limits.py
+++ b/myrtlehub/rpc/transport_limits.py
@@ -50,7 +50,7 @@
     max_streams: int = 1000  # MAX_CONCURRENT_STREAMS that is announced to the peer
     send_buffer: int = 64 * KIB  # per stream; its producer is suspended above it
     keepalive_interval: float = 20.0  # silence after which a ping is sent; 0: never
-    keepalive_timeout: float = 10.0  # for the answer to that ping
-    settings_timeout: float = 10.0  # for the peer's preface and first SETTINGS
+    keepalive_timeout: float = 10.0  # time after that ping within which any bytes have to arrive
+    settings_timeout: float = 10.0  # time limit for the peer's preface and first SETTINGS
     idle_timeout: float = 0.0  # of a connection without streams; 0: none; no connection applies it yet
     frame_rates: dict[FrameKind, FrameRate] = field(default_factory=_default_frame_rates)
