--- a/myrtlehub/recovery/failure_detector.py
+++ b/myrtlehub/recovery/failure_detector.py
@@ -71,7 +71,7 @@
         ]
 
     def _allow_two_more_intervals(self, now: float) -> None:
-        """Count each node as heard two intervals ago, unless it was heard later.
+        """Treat the last heartbeat of each node as received no more than two intervals ago.
 
         Protects against this sequence: the observer pauses for longer than the timeout, resumes, and checks
         before it has read the heartbeats that arrived meanwhile
--- a/myrtlehub/recovery/fencing.py
+++ b/myrtlehub/recovery/fencing.py
@@ -5,9 +5,9 @@
 node has claimed its sequence.
 
 A claim is atomic at the engine: it raises the fence and reports the attempts that are there. Every send,
-attach, cancel and release carries its owner's ownership and raises the fence in the same way. An owner
-closes a fence before a final answer that rules out any further execution; a closed fence refuses the claims
-of all other owners.
+attach, cancel and release carries its owner's ownership and raises the fence in the same way. Before
+an owner answers its client that the sequence was not executed and never will be, it closes the fence. A
+closed fence refuses every send, attach, cancel and release, and the claims of all other owners.
 """
 
 from enum import StrEnum
@@ -17,7 +17,7 @@
 
 
 class AttemptState(StrEnum):
-    """The state of an attempt, as an engine reports it; the values are those of `Stood.says`."""
+    """The state of an attempt, as an engine reports it; the values are those of `Stood.says` on the wire."""
 
     NEVER_RAN = "never"  # it was not received, or it ended without any effect
     READING = "reading"
@@ -68,8 +68,8 @@
 class FenceTable:
     """The fences of one engine, bounded in count.
 
-    An engine that restarted has lost its fences. `known_since` tells for which attempts the table is
-    complete.
+    An engine that restarted has lost its fences, so the table knows nothing of attempts before
+    `known_since`.
     """
 
     def __init__(self, capacity: int, known_since: float) -> None:
@@ -106,5 +106,5 @@
         self.fences.pop(sequence_id, None)
         self.fences[sequence_id] = fence
         if len(self.fences) > self.capacity:
-            # The capacity covers minutes of work, so the oldest sequence has ended.
+            # The capacity covers minutes of work, so the least recently used sequence has ended.
             del self.fences[next(iter(self.fences))]
--- a/myrtlehub/recovery/model/__init__.py
+++ b/myrtlehub/recovery/model/__init__.py
@@ -4,8 +4,8 @@
 replicas and engines restart.
 
 Each process runs the functions that the program runs: those of `sequence_records`, `ownership`, `fencing`
-and `recovery_decision`. Beside what each process knows, the state has the facts that the rules are checked
-by: how often the sequence had its effect, and how its clients were answered.
+and `recovery_decision`. In addition to what each process knows, the state records what the rules are
+checked against: how often the sequence was executed, and how its clients were answered.
 
     state           the state, its parameters, and messages in transit
     owner_steps     steps of an owner: it updates replicas, sends attempts and answers its client
--- a/myrtlehub/recovery/model/checker_model.py
+++ b/myrtlehub/recovery/model/checker_model.py
@@ -16,7 +16,7 @@
 
 
 class RecoveryModel:
-    """The model as the model checker calls it."""
+    """The model, called by the model checker with a state to get the steps that are possible from it."""
 
     def __init__(self, parameters: ModelParameters) -> None:
         self.parameters = parameters
--- a/myrtlehub/recovery/model/network_steps.py
+++ b/myrtlehub/recovery/model/network_steps.py
@@ -19,7 +19,7 @@
 
 
 def deliver_messages(parameters: ModelParameters, state: ModelState) -> Iterator[Step]:
-    """Deliver any one message in transit."""
+    """Yield one step for each message in transit: its delivery."""
     for update in state.updates:
         # An update to a former incarnation is lost with the connection to it.
         if str(state.incarnations[update.replica]) == update.incarnation:
@@ -66,7 +66,7 @@
 
 
 def run_attempts(state: ModelState) -> Iterator[Step]:
-    """Run any one attempt that waits at an engine: the sequence has its effect."""
+    """Yield one step for each attempt that waits at an engine: the engine executes the sequence."""
     for engine_index, engine in enumerate(state.engines):
         for attempt_index, attempt in enumerate(engine.attempts):
             if attempt.state != AttemptState.WAITING:
@@ -79,7 +79,7 @@
 
 
 def restart_processes(parameters: ModelParameters, state: ModelState) -> Iterator[Step]:
-    """Restart any one replica or engine."""
+    """Yield one step for each replica and each engine: its restart."""
     state = state._replace(fault_count=state.fault_count + 1)
     for replica in range(parameters.replicas):
         yield Step(f"replica {replica} restarts", state.with_restarted_replica(replica))
--- a/myrtlehub/recovery/model/owner_steps.py
+++ b/myrtlehub/recovery/model/owner_steps.py
@@ -21,7 +21,7 @@
 
 
 def intend(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
-    """Add the intent to send an attempt to one engine, and update the replicas: a step for each engine."""
+    """Yield one step for each engine: the owner adds the intent to send to it, and updates the replicas."""
     intents = owner.sequence.record.intents
     # The model has no clock: `intended_at` is the index of the owner that added the intent.
     own_intents = sum(intent.intended_at == index for intent in intents)
@@ -40,11 +40,11 @@
 def update_replicas(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> ModelState:
-    """Send the record to all replicas, and the waiting attempt with it if it may be sent already."""
+    """Send the record to all replicas, and the waiting attempt to its engine if that is allowed already."""
     owned = owner.sequence
     replicas = [index_of(replica.node) for replica in owned.replicas]
-    # The update is addressed to the present incarnation of a replica; its first update may have reached
-    # a former one.
+    # The update is addressed to the present incarnation of a replica. An earlier update of this sequence may
+    # have reached a former incarnation.
     updates = frozenset(
         RecordUpdate(index, replica, str(state.incarnations[replica]), owned.record, owned.version)
         for replica in replicas
@@ -55,7 +55,7 @@
 def send_if_allowed(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> ModelState:
-    """Replace an owner, and send its waiting attempt if the acknowledgements allow it."""
+    """Set the state of an owner, and send its waiting attempt if the acknowledgements allow it."""
     if owner.phase == Phase.WAITING and parameters.send_decision(owner.sequence) == SendDecision.SEND:
         record = owner.sequence.record
         intent = record.intents[-1]
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -30,8 +30,8 @@
     successors: int = 2  # nodes that may take the sequence over
     replicas: int = 2
     engines: int = 2
-    attempts: int = 2  # of the first owner; every successor makes one
-    faults: int = 1  # restarts, and nodes that a successor does not reach, in one history together
+    attempts: int = 2  # that the first owner may make; every successor may make one
+    faults: int = 1  # at most, in one run: restarts plus requests of successors that are lost
     merge_update: Callable[[SequenceRecord | None, SequenceRecord], MergeResult] = (
         sequence_records.merge_update
     )
@@ -186,8 +186,9 @@
     def with_owner(self, index: int, owner: ModelOwner) -> Self:
         """Return the state with an owner replaced.
 
-        States whose further steps are the same are made equal, so that the checker visits them once: of a
-        node that is done only the answer remains, and replies to a node that no longer waits are dropped.
+        Details that cannot affect any further step are removed, so that the checker visits equivalent states
+        only once: a node that is done keeps only its answer, and replies to a node that no longer waits are
+        dropped.
         """
         if owner.phase == Phase.DONE:
             owner = ModelOwner(phase=Phase.DONE, answer=owner.answer)
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -22,7 +22,7 @@
 
 
 class UnsafeRetryError(Exception):
-    """The recovery decision would send a sequence again that may have run."""
+    """The recovery decision would retry a sequence that may already have run."""
 
     def __init__(self, decision: RecoveryDecision) -> None:
         super().__init__(f"without a record, a sequence that is not idempotent would continue: {decision}")
@@ -56,7 +56,7 @@
 
 
 def _take_ownership(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
-    """Own the sequence by the records of the replicas, or abort if there is none."""
+    """Become the owner of the sequence with the merged record; abort if no replica returned one."""
     records = [fetched.record for fetched in owner.fetched if fetched.record is not None]
     if not records:
         return _recover_without_record(parameters, state, index, owner)
@@ -76,10 +76,10 @@
 ) -> Step:
     """Abort, as no replica has a record.
 
-    The program sends an idempotent sequence again under another id, which the model does not follow.
+    The program would retry an idempotent sequence under another id; the model does not cover that.
 
     Raises:
-        UnsafeRetryError: the decision is to send a sequence again that is not idempotent.
+        UnsafeRetryError: the decision is to retry a sequence that is not idempotent.
     """
     decision = parameters.decide(parameters.retry_semantics, [], 0, False)
     is_idempotent = parameters.retry_semantics == RetrySemantics.IDEMPOTENT
@@ -93,7 +93,7 @@
 def claim_engines(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Iterator[Step]:
-    """Claim the sequence at the next engine of the record, which may not be reached."""
+    """Claim the sequence at the next engine of the record; the engine may be unreachable."""
     record = owner.sequence.record
     claimed = {report.engine for report in owner.reports}
     remaining = {index_of(intent.engine) for intent in record.intents} - claimed
@@ -139,7 +139,7 @@
 
 
 def _attempt_report(intent: AttemptIntent, report: EngineReport) -> AttemptReport:
-    """Return the report of an engine as one about an attempt that was intended there."""
+    """Return what the report of an engine says about one attempt that was intended for it."""
     states_without_attempt = (AttemptState.NEVER_RAN, AttemptState.UNKNOWN, AttemptState.REJECTED)
     if report.state not in states_without_attempt and report.attempt != intent.attempt:
         return AttemptReport(intent, AttemptState.NEVER_RAN)  # the state is that of another attempt
--- a/myrtlehub/recovery/ownership.py
+++ b/myrtlehub/recovery/ownership.py
@@ -1,8 +1,8 @@
 """The owner's side of a record: which acknowledgements a send has to wait for.
 
 Attempts of an idempotent sequence are sent at once, and the replicas are updated in parallel. Any other
-attempt waits until every replica to which the record was ever sent has acknowledged the intent, in the same
-incarnation as before. Only the first intent of a sequence may be sent with fewer acknowledgements: a replica
+attempt waits until every replica to which the record was ever sent has acknowledged the intent without a
+restart in between. Only the attempt of the first intent may be sent with fewer acknowledgements: a replica
 that did not answer has either this intent, which is the complete record, or no record to hand out.
 """
 
@@ -17,7 +17,7 @@
     SequenceRecord,
 )
 
-NO_VERSION = -1  # acknowledged by a replica that is not known to have the record; below every version
+NO_VERSION = -1  # of a replica that has acknowledged no version yet; lower than every version
 
 
 class SendDecision(StrEnum):
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -36,7 +36,7 @@
     action: RecoveryAction
     target: AttemptIntent | None = None  # `ATTACH`, `USE_READ_STATE`: the attempt whose engine is used
     abort_reason: str | None = None  # `ABORT` only
-    uncertain_attempt: AttemptIntent | None = None  # a retry: the first attempt that may have run
+    uncertain_attempt: AttemptIntent | None = None  # `RETRY`, `USE_READ_STATE`: the first that may have run
 
 
 STREAMING_STATES = (AttemptState.WAITING, AttemptState.WRITING, AttemptState.ENDED)
@@ -94,9 +94,9 @@
 
 
 def _best_stream(streams: list[AttemptReport]) -> AttemptIntent:
-    """Return the attempt whose stream the client has begun to receive.
+    """Return the attempt to attach to: the latest that has begun to generate, else the latest that waits.
 
-    This is the latest attempt that generates: no attempt is sent in parallel with one that streams.
+    If the client has received tokens, they are of this attempt: no attempt is sent while another one streams.
     """
     return max(
         streams, key=lambda report: (report.state != AttemptState.WAITING, report.intent.attempt)
--- a/myrtlehub/recovery/replica_store.py
+++ b/myrtlehub/recovery/replica_store.py
@@ -75,7 +75,7 @@
         return sorted(records, key=lambda record: record.expires_at)
 
     def remove_expired(self, now: float) -> list[str]:
-        """Remove the expired records, for which no client can still return.
+        """Remove the expired records, whose clients can no longer resume.
 
         Returns:
             The ids of their sequences.
