--- a/myrtlehub/rollout/canary_analysis.py
+++ b/myrtlehub/rollout/canary_analysis.py
@@ -1,4 +1,4 @@
-"""Canary analysis: whether the changed nodes of a fleet do worse than the unchanged ones in the same time.
+"""Canary analysis: whether changed nodes of a fleet do worse than unchanged ones over the same period.
 
 A verdict may be requested after every sample window. Windows with a disturbance are left out. `statistics`
 defines the comparison of the two groups.
@@ -52,7 +52,7 @@
 
 
 class CanaryAnalysis:
-    """Collects sample windows and gives verdicts."""
+    """Accumulates sample windows and returns the verdict on the current stage."""
 
     def __init__(
         self,
@@ -68,8 +68,8 @@
             guards: the metrics that must not get worse.
             zones: the zone of each node.
             observation_windows: number of windows for which a stage is observed.
-            false_alarm_rate: fraction of equal versions that may be stopped, over all guards and evaluations
-                of a stage.
+            false_alarm_rate: permitted probability that a stage is stopped although the new version is no
+                worse, over all guards and evaluations together.
             max_lost: utility that the rollout may cost, in units of the utility offered to the fleet in a
                 window.
         """
@@ -111,7 +111,7 @@
 
     @property
     def is_disturbed(self) -> bool:
-        """Whether a disturbance is going on or ended only a few windows ago."""
+        """Whether there is a disturbance, or the last one ended only a few windows ago."""
         return self.disturbance.is_active
 
     def compare(self, guard: Guard) -> Comparison | None:
@@ -163,7 +163,7 @@
     def _lost_utility(self, comparisons: tuple[Comparison, ...]) -> float:
         """Return the utility that the rollout has cost, in units of the fleet's offered utility per window.
 
-        It is 0 unless the comparison shows a loss with certainty.
+        It is 0 unless the lower bound of the comparison shows a loss.
         """
         for comparison in comparisons:
             if MetricKey(comparison.guard.metric, comparison.guard.traffic) == SERVED_KEY:
--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -1,8 +1,8 @@
 """Detection of disturbances: changes in the fleet that affect unchanged nodes as well.
 
 A change in the number of serving engines or a burst of traffic is not attributed to the rollout. A revision
-that harms the other nodes looks like a burst at first, so the stage is put on hold; a fall that outlasts
-every burst is then attributed to the change.
+that also harms unchanged nodes looks like a burst at first, so the stage is put on hold. If the served
+fraction stays low for longer than any burst lasts, this is attributed to the change.
 """
 
 from collections.abc import Sequence
@@ -13,16 +13,18 @@
 from myrtlehub.rollout.statistics import MAX_INFLATION, MIN_WINDOWS
 
 ENGINE_CHANGE = 0.1  # fraction of a zone's serving engines whose change within QUIET_WINDOWS is a disturbance
-# Fall of the unchanged nodes' served fraction within one window that is a disturbance. It also has to exceed
-# SUDDEN_FALL_DEVIATIONS standard deviations of the baseline, because a noisy fleet varies that much.
+# A window is disturbed if the unchanged nodes' served fraction in it is below the baseline by more than this.
+# The fall also has to exceed SUDDEN_FALL_DEVIATIONS standard deviations of the baseline, because the windows
+# of a noisy fleet vary that much.
 SUDDEN_FALL = 0.05
 SUDDEN_FALL_DEVIATIONS = 4.0
-# The same thresholds for a mean over half an observation or more, which varies less than one window.
+# The same thresholds for the mean of half an observation or more, which varies less than a single window; the
+# second is in standard errors of its difference from the baseline.
 SLOW_FALL = 0.02
 SLOW_FALL_DEVIATIONS = SUDDEN_FALL_DEVIATIONS / 2.0
-# Observation lengths for which a fall has to last before it is attributed to the change: bursts end sooner.
+# A fall is attributed to the change once it has lasted for this many observation lengths: bursts end sooner.
 OBSERVATIONS_TO_ATTRIBUTE = 2.0
-QUIET_WINDOWS = 3  # consecutive windows without a sign of a disturbance until it counts as over
+QUIET_WINDOWS = 3  # consecutive windows without a sign of a disturbance after which it counts as over
 SERVED_KEY = MetricKey(Metric.SERVED)
 
 
@@ -33,7 +35,7 @@
         """Start without windows.
 
         Args:
-            zone_names: the zones of the fleet, in the order of the results.
+            zone_names: the zones of the fleet, in the order of the arrays that `add` returns.
             observation_windows: number of windows for which a stage is observed.
         """
         self.zone_names = zone_names
@@ -47,7 +49,7 @@
         self._stage_engines: dict[str, int] = {}  # serving engines by zone at the start of the current stage
         self._served: list[float] = []  # served fraction of the unchanged nodes, by window
         self._stage_from = 0  # window in which the first node of the current stage was changed
-        # Window from which the fleet has served less without any change of the engines; None: it does not.
+        # First window of the present fall of the served fraction while engines are unchanged; None: no fall.
         self._fallen_from: int | None = None
 
     def add(self, window: SampleWindow) -> BoolArray:
@@ -80,10 +82,11 @@
         return any(zones.any() for zones in self.disturbed_zones[-QUIET_WINDOWS:])
 
     def attribution_to_change(self) -> str | None:
-        """Return why a fall of the whole fleet is attributed to the change; None if it is not.
+        """Return why a fall of the served fraction is attributed to the change; None if it is not.
 
-        All of these have to hold: the fall began within the current stage, it has outlasted any burst, the
-        last half observation is no better, and as many engines serve as at the start of the stage.
+        All of these have to hold: the fall began within the current stage, it has lasted longer than
+        any burst, the mean of the last half observation is still below the baseline, and about as many
+        engines serve as at the start of the stage.
         """
         if self._fallen_from is None or self._fallen_from < self._stage_from:
             return None
@@ -128,7 +131,7 @@
         return disturbed
 
     def _fall(self) -> str | None:
-        """Describe by how much the whole fleet serves less than in the baseline; None if it does not.
+        """Describe by how much the unchanged nodes serve less than in the baseline; None if they do not.
 
         A change that harms unchanged nodes as much as changed ones shows no difference between the groups, so
         only this check finds it
@@ -158,7 +161,7 @@
 
 
 def _has_changed(count: int, other_count: int) -> bool:
-    """Whether two counts of a zone's serving engines differ by enough to be a disturbance."""
+    """Return whether two counts of a zone's serving engines differ by enough to be a disturbance."""
     return abs(count - other_count) > ENGINE_CHANGE * max(count, other_count)
 
 
--- a/myrtlehub/rollout/journal_details.py
+++ b/myrtlehub/rollout/journal_details.py
@@ -10,7 +10,7 @@
 from myrtlehub.rollout.journal_format import JsonObject
 from myrtlehub.rollout.node_status import Revision
 
-UNKNOWN_START = 0  # in place of a process's start time
+UNKNOWN_START = 0  # stands for the start time of a process if it is not known
 
 
 class ControllerDetails(msgspec.Struct):
--- a/myrtlehub/rollout/journal_format.py
+++ b/myrtlehub/rollout/journal_format.py
@@ -25,7 +25,7 @@
 class BookkeepingEvent(StrEnum):
     """Events of entries that change neither the state of a node nor that of the rollout."""
 
-    CONTROLLER = "controller"  # another controller continues, with a higher generation
+    CONTROLLER = "controller"  # a controller begins or resumes, with a higher generation than before
     REVISION = "revision"  # the revision that the new program reports
     PROCESS = "process"  # another process answers for a node
 
--- a/myrtlehub/rollout/metric_tally.py
+++ b/myrtlehub/rollout/metric_tally.py
@@ -20,7 +20,11 @@
 
 
 class TallySum(StrEnum):
-    """A sum by node. An offset is a node's distance from the unchanged nodes, times its weight."""
+    """A sum by node and over windows.
+
+    An offset is the node's metric minus that of the unchanged nodes of its zone. The weight is the
+    denominator of the node's metric in the window. Offsets are summed times their weight.
+    """
 
     BASELINE_OFFSET = "pre_off"  # of the windows before the change
     BASELINE_WEIGHT = "pre_weight"
@@ -34,23 +38,23 @@
     UNCHANGED_DENOMINATOR = "still_below"
     OFFSET = "off"  # of all windows
     WEIGHT = "weight"
-    SQUARE = "square"
-    COUNT = "count"
-    # Sums over pairs of consecutive windows, weighted by the square root of the product of their weights.
-    # They give the autocorrelation.
+    SQUARE = "square"  # of the offset, times the weight
+    COUNT = "count"  # of the windows in which the node has a weight
+    # Sums over pairs of consecutive windows, from which the autocorrelation is computed. A pair is weighted
+    # by the square root of the product of the weights of its two windows.
     PAIR_PRODUCT = "both_ab"
-    PAIR_NEW = "both_a"
-    PAIR_LAST = "both_b"
+    PAIR_NEW = "both_a"  # offset in the later window
+    PAIR_LAST = "both_b"  # offset in the earlier window
     PAIR_WEIGHT = "both_weight"
     PAIR_COUNT = "both_count"
-    LAST_OFFSET = "last_off"
+    LAST_OFFSET = "last_off"  # of the newest window, without weight: for the next pair
     LAST_WEIGHT = "last_weight"
 
 
 class ZoneSum(StrEnum):
     """A sum by zone."""
 
-    OFFSET = "lead"  # the zone's distance from the fleet in the windows before the change
+    OFFSET = "lead"  # the zone's metric minus that of the fleet, in the windows before the change
     WINDOWS = "led"  # number of those windows
 
 
@@ -92,7 +96,7 @@
         self.node_zones = node_zones
         self.zone_sums: dict[ZoneSum, FloatArray] = {name: np.zeros(zone_count) for name in ZoneSum}
         self.sums: dict[TallySum, FloatArray] = {name: np.zeros(len(node_zones)) for name in TallySum}
-        self.windows = 0  # with at least one changed node
+        self.windows = 0  # number of windows with at least one changed node
 
     def add(self, ratios: NodeRatios, window: SampleWindow, disturbed: BoolArray) -> None:
         """Add a window.
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -80,7 +80,7 @@
     """The size of the model and the faults that may happen."""
 
     plan: RolloutPlan
-    max_faults: int = 1  # node kills, controller restarts and operator rollbacks in one history, together
+    max_faults: int = 1  # node kills, controller restarts and operator rollbacks, together, in one run
     new_fault: ProgramFault = ProgramFault.NONE
     old_fault: ProgramFault = ProgramFault.NONE  # of the old program after a restart
 
--- a/myrtlehub/rollout/node_status.py
+++ b/myrtlehub/rollout/node_status.py
@@ -6,7 +6,7 @@
 
 
 class Revision(NamedTuple):
-    """What a node runs, as digests. An empty digest is unknown; journals and messages store it so."""
+    """What a node runs, as digests. In journals and messages, an empty digest stands for an unknown one."""
 
     program: str
     settings: str
@@ -64,7 +64,7 @@
 def timer_event(
     state: NodeState, elapsed: float, is_absent: bool, timeouts: NodeTimeouts
 ) -> NodeEvent | None:
-    """Return the event that follows from the time spent in a state, if any.
+    """Return the event that is due because of the time spent in a state, if any.
 
     Args:
         state: the node's state.
--- a/myrtlehub/rollout/node_table.py
+++ b/myrtlehub/rollout/node_table.py
@@ -3,7 +3,7 @@
 from myrtlehub.rollout.states import NodeEffect, NodeEvent, NodeState
 from myrtlehub.state.state_machine import Row, TransitionTable, forbid, on
 
-# Row of each state in which the progress of the stage does not concern the node.
+# Row of each state in which a node must not be scheduled and takes no part in the observation of its stage.
 NO_STAGE_EVENTS_ROW: Row[NodeState, NodeEvent] = forbid(
     NodeEvent.REPLACE_SCHEDULED,
     NodeEvent.APPLY_SCHEDULED,
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -1,7 +1,7 @@
 """Progress of a rollout: `step` takes one event and returns the new state and the actions that it requires.
 
 `RolloutState` is the complete state. A controller that resumes a rollout restores it by replaying the events
-of the journal. Every action is idempotent: it names the wanted revision and does nothing if the node has it
+of the journal. Every action is idempotent: it names the wanted revision and has no effect if the node has it
 already.
 """
 
@@ -172,7 +172,7 @@
             self._roll_back()
 
     def _change_stage(self, stage: tuple[int, ...]) -> None:
-        """Schedule as many nodes as may be unavailable; end the step once all nodes are ready."""
+        """Schedule nodes up to the limit of unavailable ones; end the phase once all nodes are ready."""
         in_place = self.plan.method is ChangeMethod.IN_PLACE
         scheduled = NodeEvent.APPLY_SCHEDULED if in_place else NodeEvent.REPLACE_SCHEDULED
         for node in stage:
@@ -197,7 +197,7 @@
             self.apply_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
 
     def _schedule_rollbacks(self) -> None:
-        """Roll back unavailable nodes first, then as many others as may be unavailable."""
+        """Roll back unavailable nodes first, then others up to the limit of unavailable ones."""
         changed = [
             node
             for node, state in enumerate(self.state.nodes)
@@ -205,8 +205,8 @@
         ]
         unavailable = unavailable_nodes(self.state)
         for node in sorted(changed, key=lambda node: (node not in unavailable, node)):
-            # An unchanged node that was lost for good may delay a change, but never a rollback: it does not
-            # count here.
+            # Unchanged nodes without a process do not count here: one that never returns may delay the change
+            # of further nodes, but must not delay a rollback.
             counted = {
                 other
                 for other in unavailable_nodes(self.state)
--- a/myrtlehub/rollout/rollout_state.py
+++ b/myrtlehub/rollout/rollout_state.py
@@ -16,7 +16,7 @@
 )
 from myrtlehub.state.state_machine import TransitionTable
 
-FLEET = -1  # in place of a node's index: the whole rollout; the journal omits it as the default
+FLEET = -1  # stands for the whole rollout instead of a node's index; the journal omits it as the default
 BEFORE_FIRST_STAGE = -1  # in place of a stage's index; the next one is 0
 
 
@@ -65,7 +65,7 @@
     nodes: tuple[NodeState, ...]
     absent: frozenset[int] = frozenset()  # nodes without a process at the last observation
     unexpected_exits: tuple[int, ...] = ()  # by node: processes that exited unexpectedly since the change
-    stages_passed: int = 0  # by a verdict
+    stages_passed: int = 0  # number of stages that a verdict has passed
 
 
 def initial_state(plan: RolloutPlan) -> RolloutState:
@@ -88,7 +88,7 @@
 
 
 def unavailable_nodes(state: RolloutState) -> set[int]:
-    """Return the nodes that may not be serving at present."""
+    """Return the nodes that are possibly not serving at present."""
     changing = {node for node, node_state in enumerate(state.nodes) if node_state in CHANGING_STATES}
     return changing | state.absent
 
--- a/myrtlehub/rollout/samples.py
+++ b/myrtlehub/rollout/samples.py
@@ -8,7 +8,7 @@
 import numpy as np
 import numpy.typing as npt
 
-ALL_TRAFFIC = ""  # in place of a traffic type: the sum over all types; stored in journals
+ALL_TRAFFIC = ""  # stands for the sum over all traffic types; stored in journals
 
 FloatArray = npt.NDArray[np.float64]
 IntArray = npt.NDArray[np.int_]
--- a/myrtlehub/rollout/stage_plan.py
+++ b/myrtlehub/rollout/stage_plan.py
@@ -16,7 +16,7 @@
     """Return the indices of the nodes of each stage.
 
     The first `single_zone_stages` stages change nodes of the largest zone only, so that a change that breaks
-    a zone breaks only that one. Later stages take nodes from all zones in proportion.
+    a zone breaks only that one. Later stages take nodes from all zones in proportion to their sizes.
 
     Args:
         zones: the zone of each node.
--- a/myrtlehub/rollout/statistics.py
+++ b/myrtlehub/rollout/statistics.py
@@ -1,9 +1,9 @@
 """Statistics of the canary analysis: the difference of a metric between changed and unchanged nodes.
 
 The requests of one node are not independent and nodes differ from each other, so the sampling unit is the
-node, not the request. For each node and sample window, the metric is compared with that of the unchanged
-nodes of the same zone, minus the node's own offset from them before the change. Engine failures and bursts
-affect both groups alike and cancel out.
+node, not the request. For each node and sample window, the offset of the metric from that of the unchanged
+nodes of the same zone is computed. The node's own offset before the change is subtracted from it. Engine
+failures and bursts affect both groups alike and cancel out.
 
 The result may be evaluated after every window: the bounds form a confidence sequence of a normal mixture
 (Robbins 1970; Howard, Ramdas, McAuliffe, Sekhon 2021, "Time-uniform, nonparametric, nonasymptotic confidence
@@ -27,7 +27,7 @@
 # Fraction of the permitted false-alarm rate for which the bounds are computed. Noise and variance are
 # estimates; with the full rate, 1.2 to 1.4 of 100 equal versions were stopped where 1 was permitted.
 FALSE_ALARM_RATE_USED = 0.5
-# Ratio of the observation length to the mixture's rho; with 8 the bounds are tightest near the end of it.
+# Ratio of the observation length to the mixture's rho; 8 makes the bounds tightest near an observation's end.
 OBSERVATION_OVER_RHO = 8.0
 EPSILON = 1e-12  # keeps divisors above zero
 
@@ -65,7 +65,7 @@
 class ErrorBudget(NamedTuple):
     """The false-alarm rate that the bounds of one stage are computed for."""
 
-    false_alarm_rate: float  # fraction of equal versions that may be stopped, over all guards and evaluations
+    false_alarm_rate: float  # probability of stopping a version that is no worse, over all evaluations
     guards: int  # number of guards
     observation_windows: int  # number of windows for which a stage is observed
 
@@ -78,7 +78,7 @@
 
 
 class _BaselineOffsets(NamedTuple):
-    """The differences between nodes before the change."""
+    """The offset of each node from the unchanged nodes of its zone before the change."""
 
     mean: FloatArray
     variance: float  # between nodes
@@ -115,9 +115,9 @@
 
 
 def noise_variance(tally: MetricTally) -> float:
-    """Return the variance within nodes of a window's metric, times its weight.
+    """Return the variance of a node's metric between windows, for a window of weight 1.
 
-    It is increased by the autocorrelation of consecutive windows.
+    A window of weight w has this variance divided by w. Autocorrelation of consecutive windows increases it.
     """
     sums = tally.sums
     mean, weight = _means(sums[TallySum.OFFSET], sums[TallySum.WEIGHT])
@@ -153,7 +153,7 @@
 
 
 def _corrected_means(tally: MetricTally, changed: BoolArray, baseline: _BaselineOffsets) -> _Means:
-    """Return each node's mean since the change, minus its own offset before the change."""
+    """Return each node's mean offset since the change, minus the trusted part of its offset before it."""
     sums = tally.sums
     of_changed = _means(sums[TallySum.CHANGED_OFFSET], sums[TallySum.CHANGED_WEIGHT])
     of_unchanged = _means(sums[TallySum.UNCHANGED_OFFSET], sums[TallySum.UNCHANGED_WEIGHT])
@@ -189,10 +189,10 @@
 
     Args:
         means: the nodes' means.
-        noise: the variance within nodes, times the weight.
+        noise: the variance within a node for weight 1, as returned by `noise_variance`.
         prior: the variance that is expected.
         prior_nodes: the weight of the prior, in nodes.
-        known: by node, a further part of the variance that is explained already.
+        known: by node, a further part of the variance that has a known cause.
     """
     mean, weight = means
     has_weight = weight > 0
--- a/myrtlehub/rollout/window_sampler.py
+++ b/myrtlehub/rollout/window_sampler.py
@@ -1,4 +1,4 @@
-"""Computes sample windows from the counters of successive polls."""
+"""Computes sample windows from the counters at their two ends."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 )
 from myrtlehub.rollout.states import COMPARED_STATES, NodeState
 
-TAIL_QUANTILE = 0.95  # of the baseline's times to first token; later first tokens are the slow tail
+TAIL_QUANTILE = 0.95  # of the baseline's times to first token; longer times are in the slow tail
 BYTES_PER_MEGABYTE = 1e6
 SECONDS_PER_MINUTE = 60.0
 
@@ -32,7 +32,7 @@
 
 
 class WindowSampler:
-    """Computes sample windows from the counters of successive polls."""
+    """Computes each sample window from the counters at its two ends."""
 
     def __init__(self, node_count: int) -> None:
         """Start without samples.
@@ -41,7 +41,8 @@
             node_count: number of nodes in the fleet.
         """
         self.node_count = node_count
-        # Microseconds; later first tokens are in the slow tail. 0.0, as stored in journals: not measured yet.
+        # Microseconds; first tokens that took longer are in the slow tail. 0.0 stands for "not measured yet",
+        # as in journals.
         self.slow_first_token_us = 0.0
         self._last_counters: list[NodeCounters | None] = [None] * node_count
         self._last_states: list[NodeState | None] = [None] * node_count
@@ -54,14 +55,14 @@
         seconds: float,
         is_baseline: bool,
     ) -> SampleWindow:
-        """Return the sample window between the previous poll and this one.
+        """Return the sample window between the previous call and this one.
 
-        A node is available in the window if both polls saw the same process in the same state.
+        A node is available in the window if it had the same process and the same state at both ends.
 
         Args:
-            counters: the counters of each node at this poll; None for a node that did not answer.
-            states: the state of each node at this poll.
-            seconds: time since the previous poll.
+            counters: the counters of each node at the last poll; None for a node that did not answer.
+            states: the state of each node now.
+            seconds: time since the previous call.
             is_baseline: whether no node is changed yet.
         """
         roles = np.full(self.node_count, NodeRole.UNAVAILABLE)
