--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -37,7 +37,7 @@
 from myrtlehub.rpc.channel import Dialer
 
 OPERATOR_REQUEST = "the operator asked for it"  # reason of a rollback that the operator requested
-CONTROLLER_ID_LENGTH = 12  # hexadecimal digits, which make identifiers of two controllers differ
+CONTROLLER_ID_LENGTH = 12  # hexadecimal digits; enough that identifiers of two controllers do not collide
 
 
 class RolloutController:
@@ -64,7 +64,7 @@
             dial: returns the connect function of an address.
             log: logs the progress of the rollout.
             on_boundary: called before and after each write, sync and action.
-            supervisor: of the nodes' processes; None: the one that the plan states.
+            supervisor: starts and kills the nodes' processes; None for the one that the plan configures.
 
         Raises:
             RolloutError: the plan's stages do not fit the fleet.
@@ -131,9 +131,9 @@
         if roll_back:
             self.apply_event(FLEET, RolloutEvent.ROLL_BACK, OPERATOR_REQUEST)
         elif self.state.phase in (RolloutPhase.OBSERVING, RolloutPhase.ON_HOLD):
-            # The previous controller may have ended after it wrote an event and before it executed the
-            # actions. The polls show such nodes in the same state, so their events and actions are repeated.
-            # Windows of the previous observation are lost, so the stage is observed again
+            # The windows of the previous controller's observation are lost, so the stage is observed again.
+            # Actions that the previous controller wrote to the journal and did not execute need no treatment
+            # here: the next polls show the nodes as before, and the same events require the actions again
             # (test_a_controller_killed_at_any_boundary_is_resumed_to_the_same_end).
             self.record.analysis.restart_observation()
         self._schedule_poll()
@@ -189,7 +189,7 @@
             timeouts = node_timeouts(self.config, tracked.is_unreachable)
             event = timer_event(self.state.nodes[node], now - tracked.state_since, node in absent, timeouts)
             if event:
-                tracked.state_since = now  # an action without success is repeated after the same time
+                tracked.state_since = now  # if the action has no effect, it is repeated after the same time
                 self.apply_event(node, event)
 
     def _apply_decision(self, decision: Decision | None) -> None:
@@ -304,7 +304,7 @@
         self._clock.callLater(0, self.done.callback, code)
 
     def abandon(self) -> None:
-        """Ignore all further events, without an end of the rollout."""
+        """Ignore all further events; the journal and the channels stay open, and no end is logged."""
         self._is_over = True
 
 
--- a/myrtlehub/rollout_controller/journal_store.py
+++ b/myrtlehub/rollout_controller/journal_store.py
@@ -22,7 +22,7 @@
 
 
 def no_boundary_hook(boundary: str) -> None:
-    """Do nothing; the default outside tests, which stop the controller at a boundary."""
+    """Do nothing. Tests pass another hook, which stops the controller at a boundary."""
 
 
 class JournalStore:
@@ -46,7 +46,7 @@
 
         Args:
             header: the header of this rollout.
-            resume: whether the journal has to exist; otherwise, it must not.
+            resume: whether the journal has to exist already; if False, it must not exist yet.
 
         Returns:
             The size in bytes of an incomplete last line that was dropped.
--- a/myrtlehub/rollout_controller/node_actions.py
+++ b/myrtlehub/rollout_controller/node_actions.py
@@ -18,9 +18,9 @@
 from myrtlehub.rpc.status import Code, RpcError
 
 # Status codes by which a node rejects the content of an order. An order of a superseded controller is
-# rejected with PERMISSION_DENIED; the next poll shows the other controller.
+# rejected with PERMISSION_DENIED, which is not handled here: the next poll shows the other controller.
 REJECTION_CODES = (Code.FAILED_PRECONDITION, Code.INVALID_ARGUMENT)
-START_ORDER = "begin"  # name of a start in a rejection
+START_ORDER = "begin"  # stands for the start of a process in a `Rejection`
 
 
 class Rejection(NamedTuple):
--- a/myrtlehub/rollout_controller/node_tracker.py
+++ b/myrtlehub/rollout_controller/node_tracker.py
@@ -15,8 +15,8 @@
 # Consecutive polls without a process until it counts as missing. At a single poll, a node may be between its
 # old process and its new one.
 MISSED_POLLS_UNTIL_MISSING = 2
-# Seconds after the start of a controller or a change of state in which a process that was started before may
-# still begin to answer.
+# Seconds after the start of the controller, or after a node's change of state, in which the node does not
+# count as missing: a process that a previous controller started may not answer yet.
 ADOPTION_TIME = 5.0
 
 
@@ -59,7 +59,7 @@
         self._started_at = 0.0  # when `start` was called, in seconds of the clock
 
     def start(self) -> None:
-        """Load the processes recorded in the journal, and measure the time in each node's state from now."""
+        """Load the processes recorded in the journal, and start the time in each node's state at zero."""
         self._started_at = self._clock.seconds()
         for node, known in self._record.known_processes.items():
             status = NodeStatus(Revision("", ""), known.incarnation, known.identity.pid)
@@ -180,8 +180,8 @@
         tracked = self.nodes[node]
         state = self._record.state.nodes[node]
         if state in SERVING_STATES and node in self._record.state.absent:
-            # The process has been restarted after an exit that was counted. Until the new process exits, its
-            # absence is the same exit and must not be counted again.
+            # The exit of the previous process has been counted, and a new one was started. Until the new one
+            # has exited as well, no answer still means the first exit, which must not be counted again.
             is_new_exit = self._supervisor.has_exited(node) and not tracked.is_exit_handled
             tracked.is_exit_handled = tracked.is_exit_handled or is_new_exit
             return NodeEvent.PROCESS_EXITED if is_new_exit else None
--- a/myrtlehub/rollout_controller/plan_files.py
+++ b/myrtlehub/rollout_controller/plan_files.py
@@ -22,7 +22,7 @@
 from myrtlehub.rollout.statistics import MIN_WINDOWS, Guard
 from myrtlehub.rollout_controller.errors import RolloutError
 
-DEFAULT_JOURNAL = "roll.journal"  # file name, beside the plan
+DEFAULT_JOURNAL = "roll.journal"  # file name in the folder of the plan
 EACH_TRAFFIC_TYPE = "each"  # value of a guard's `traffic` in a plan: one guard for each traffic type
 LOWER_IS_WORSE = frozenset({Metric.SERVED})  # all other metrics are worse when higher
 
--- a/myrtlehub/rollout_controller/process_supervisor.py
+++ b/myrtlehub/rollout_controller/process_supervisor.py
@@ -12,11 +12,11 @@
 from myrtlehub.node.admin.orders import GENERATION_VARIABLE
 from myrtlehub.rollout.journal_details import UNKNOWN_START
 
-STAT_START_TIME = 19  # index of the start time among the fields after the program's name in /proc/PID/stat
+STAT_START_TIME = 19  # index of the start time among the fields that follow the name in /proc/PID/stat
 
 
 class ProcessIdentity(NamedTuple):
-    """A process, identified by its number and start time, as numbers are reused."""
+    """A process, identified by its PID and start time, because PIDs are reused."""
 
     pid: int
     start_ticks: int  # clock ticks from the start of the machine; UNKNOWN_START: not known
@@ -62,7 +62,7 @@
         if known is None or (child is not None and child.pid == known.pid):
             return False
         try:
-            # The node may have exited and its number been given to a process that started later
+            # The node may have exited, and its PID may be that of another process by now
             # (test_a_process_is_identified_by_its_start_time_even_if_the_clock_is_set).
             is_same = not known.start_ticks or self.start_ticks(known.pid) == known.start_ticks
             return is_same and psutil.Process(known.pid).status() != psutil.STATUS_ZOMBIE
--- a/myrtlehub/rollout_controller/progress_log.py
+++ b/myrtlehub/rollout_controller/progress_log.py
@@ -8,7 +8,7 @@
 from myrtlehub.rollout_controller.errors import ExitCode
 from myrtlehub.rollout_controller.node_actions import Rejection
 
-# Phases whose reason explains how the rollout ends.
+# On entry to one of these phases, the event's reason is retained: it explains the end of the rollout.
 REASON_PHASES = frozenset({RolloutPhase.ROLLING_BACK, RolloutPhase.ON_HOLD})
 
 
--- a/myrtlehub/rollout_controller/rollout_record.py
+++ b/myrtlehub/rollout_controller/rollout_record.py
@@ -97,7 +97,10 @@
             self.known_processes[entry.node] = KnownProcess(process.incarnation, identity)
 
     def _restore_analysis(self, stored: StoredAnalysis) -> None:
-        """Restore the analysis as of the last passed stage; if that fails, bounds are wider."""
+        """Restore the analysis that was stored after the baseline or after the last passed stage.
+
+        If that fails, data are missing from the analysis, and its bounds are wider.
+        """
         try:
             self.analysis.restore(stored)
             self.sampler.slow_first_token_us = float(stored["slow"])
@@ -116,7 +119,7 @@
         reason: str = "",
         details: JsonObject | None = None,
     ) -> StepResult | None:
-        """Append an event to the journal and apply it; return None if it has no effect.
+        """Append an event to the journal and apply it; if it has no effect, append nothing and return None.
 
         Args:
             node: index of the node, or FLEET.
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -45,7 +45,7 @@
         self._quiet_windows = 0  # consecutive baseline windows without a disturbance
 
     def start(self, now: float) -> None:
-        """Start the time of the phase and of the first window."""
+        """Measure the time of the phase and of the first window from now on."""
         self.phase_since = now
         self._window_since = now
 
@@ -123,8 +123,8 @@
     def _observation_decision(self) -> Decision | None:
         silent = self._silent_nodes()
         if silent:
-            # A node that does not answer is not compared, so the stage could pass without it: it is put on
-            # hold (test_an_unreachable_node_is_left_unchanged_until_it_is_reachable).
+            # A node that does not answer is not compared, so the stage could pass without it: the
+            # stage is put on hold (test_an_unreachable_node_is_left_unchanged_until_it_is_reachable).
             return Decision(RolloutEvent.DISTURBANCE, f"no contact with {', '.join(silent)}")
         if self.verdict.outcome is Outcome.DISTURBANCE:
             return Decision(RolloutEvent.DISTURBANCE, self.verdict.reason)
