--- a/myrtlehub/emulator/batch_stage.py
+++ b/myrtlehub/emulator/batch_stage.py
@@ -56,7 +56,7 @@
         return min(batch.ready_at for batch in self.running.values())
 
     def advance(self, now: float, stream_count: int, events: list[ModelEvent[KeyT]]) -> None:
-        """Complete and start batches by the present time; concurrent streams make a batch slower."""
+        """Complete the batches that are due, then start queued ones; concurrent streams slow these down."""
         for key, batch in list(self.running.items()):
             if batch.ready_at <= now + TIME_TOLERANCE:
                 del self.running[key]
--- a/myrtlehub/emulator/claims.py
+++ b/myrtlehub/emulator/claims.py
@@ -24,7 +24,7 @@
     """The attempts that a claim may still report, and the fences of their sequences."""
 
     def __init__(self, engine: EngineContext, stream_bound: float) -> None:
-        """Make an empty table; a stream without a reader continues for `stream_bound` seconds."""
+        """Make an empty table; `stream_bound` is how long a stream continues without a reader, in seconds."""
         self._engine = engine
         self._stream_bound = stream_bound
         self.fences = FenceTable(MAX_FENCES, engine.clock.seconds())
@@ -35,7 +35,7 @@
         return self._stream_bound > 0.0 and job.ownership.epoch > 0
 
     def admit(self, job: Job) -> None:
-        """Admit an attempt if its owner still owns the sequence; attempts without an owner always are.
+        """Admit an attempt if its owner still owns the sequence, or if it has no owner.
 
         Raises:
             RpcError: the sequence has an owner of a higher epoch, or is closed.
@@ -56,7 +56,7 @@
         )
 
     def job_ended(self, job: Job) -> None:
-        """Retain a job that ended for as long as a claim may ask for it."""
+        """Retain a job that ended for `stream_bound` seconds, so that a claim reports it."""
         if self.may_outlive_node(job):
             self._engine.clock.callLater(self._stream_bound, self._forget, job)
 
--- a/myrtlehub/emulator/decode_stage.py
+++ b/myrtlehub/emulator/decode_stage.py
@@ -93,7 +93,7 @@
         return min(self._step_at, *preparing) if preparing else self._step_at
 
     def advance(self, now: float, events: list[ModelEvent[KeyT]]) -> None:
-        """Fill free slots, and do the step if its time has come."""
+        """Fill free slots, and run the next decode step if it is due."""
         self._fill_slots(now, events)
         if now >= self._step_at - TIME_TOLERANCE:
             self._step(now, events)
@@ -159,7 +159,7 @@
                 events.append(AnswerDone(stream.key, stream.cached_tokens, stream.generated))
 
     def _preempt_newest(self) -> None:
-        """Queue the newest streams again while memory is exceeded; their prompts will be read again."""
+        """Return the newest streams to the queue while memory is exceeded; their prompts are read again."""
         while self._resources.used_memory > self._resources.machine.memory and len(self.running) > 1:
             newest = next(reversed(self.running.values()))
             self._drop(newest)
--- a/myrtlehub/emulator/engine_context.py
+++ b/myrtlehub/emulator/engine_context.py
@@ -18,7 +18,7 @@
     """The engine, as its services and event handlers see it.
 
     Attributes:
-        random: draws for faults by chance; the model has a generator of its own.
+        random: decides whether a random fault occurs; the model has a generator of its own.
         jobs: the writes and batches that are being served.
         model_name: version of the model that computes batches.
     """
--- a/myrtlehub/emulator/events.py
+++ b/myrtlehub/emulator/events.py
@@ -1,4 +1,4 @@
-"""The events that an engine model reports, one type for each; `KeyT` is the type that names an attempt."""
+"""The events that an engine model reports, one type for each; a `KeyT` identifies an attempt."""
 
 from enum import StrEnum
 from typing import Generic, NamedTuple, TypeAlias
@@ -31,19 +31,19 @@
 
 
 class FetchNeeded(NamedTuple, Generic[KeyT]):
-    """An attempt to write has a slot and memory; its read state must be fetched, then `fetched` called."""
+    """A write has a slot and memory; its read state must be fetched, then `EngineModel.fetched` called."""
 
     key: KeyT
 
 
 class Started(NamedTuple, Generic[KeyT]):
-    """An answer or a batch has begun to be computed; from now on the attempt has had its effect."""
+    """An answer or a batch has begun to be computed; from now on the attempt counts as executed."""
 
     key: KeyT
 
 
 class TokensGenerated(NamedTuple, Generic[KeyT]):
-    """A stream has further tokens."""
+    """A stream has generated further tokens."""
 
     key: KeyT
     token_count: int
--- a/myrtlehub/emulator/fault_service.py
+++ b/myrtlehub/emulator/fault_service.py
@@ -1,4 +1,4 @@
-"""The service `Stand.Misbehave`, by which tests inject faults into an emulated engine."""
+"""The RPC method `Stand.Misbehave`, by which tests inject faults into an emulated engine."""
 
 from h2.errors import ErrorCodes
 
@@ -16,7 +16,7 @@
         self._engine = engine
 
     def inject(self, call: ServerCall, data: bytes) -> bytes:
-        """Serve one call.
+        """Serve `Stand.Misbehave`.
 
         Raises:
             RpcError: the engine does not have this fault.
--- a/myrtlehub/emulator/job.py
+++ b/myrtlehub/emulator/job.py
@@ -60,7 +60,7 @@
     Attributes:
         call: the call by which the stream is read; None if it has no reader.
         fetch: the call that fetches the read state of a write, while it runs.
-        has_run: whether the attempt has had its effect.
+        has_run: whether its computation has started, so that it counts as executed.
         tokens_until_break: tokens until an injected fault breaks the stream; None without such a fault.
         attempt_state: the state that is reported to a node that claims the sequence.
     """
--- a/myrtlehub/emulator/model.py
+++ b/myrtlehub/emulator/model.py
@@ -18,8 +18,8 @@
 from myrtlehub.emulator.resources import Resources
 
 EXPECTED_OUTPUT_SHARE = 0.25  # part of the maximum output that an estimate of work assumes
-LEAST_OUTPUT_SHARE = 0.1  # part of the maximum output that the shortest answer has
-OUTPUT_SHARE_SPREAD = 0.4  # added to the least part, times a random number from 0 to 1
+LEAST_OUTPUT_SHARE = 0.1  # length of the shortest answer, as a part of the maximum output
+OUTPUT_SHARE_SPREAD = 0.4  # range of the random part that is added to LEAST_OUTPUT_SHARE
 
 
 class ModelLoad(NamedTuple):
@@ -36,7 +36,7 @@
         """Make an engine.
 
         Args:
-            machine: the figures of the machine.
+            machine: the parameters of the machine.
             seed: for the random choices of the model.
             started: time of a cold start; None for an engine that is warm.
         """
@@ -78,7 +78,7 @@
             self.resources.faults.inject(now, kind, factor, seconds)
 
     def work(self, task: Task, is_read: bool, fetches_state: bool) -> float:
-        """Return the slot-seconds of an attempt on a warm engine without cached prefixes."""
+        """Estimate the slot-seconds of an attempt on a warm engine without cached prefixes."""
         read = 0.0 if fetches_state else task.prompt / self.machine.read_rate
         return read if is_read else read + EXPECTED_OUTPUT_SHARE * task.max_output * self.machine.step
 
@@ -119,7 +119,7 @@
         return self.tick(now)
 
     def _events_of_faults(self, now: float, key: KeyT, work: float) -> list[ModelEvent[KeyT]] | None:
-        """Count the work of an attempt; return its events if a crash or fault decides it, otherwise None."""
+        """Count the work of an attempt; return the events if a crash or fault prevents it, else None."""
         if self.has_crashed:
             return []
         if self.resources.warm_up.is_overloaded_by(now, work):
--- a/myrtlehub/emulator/prefill_stage.py
+++ b/myrtlehub/emulator/prefill_stage.py
@@ -105,7 +105,7 @@
             if read.ready_at > now + TIME_TOLERANCE:
                 continue
             del self.running[key]
-            self.drop_state(read.task.sequence_id)  # an earlier attempt may have stored one
+            self.drop_state(read.task.sequence_id)  # an earlier attempt of the sequence may have stored one
             self.read_states[read.task.sequence_id] = ReadState(read.task.prompt, now)
             self._resources.prefix_cache.store(read.task)
             events.append(PromptRead(key, read.cached_tokens, read.task.prompt))
--- a/myrtlehub/emulator/prefix_cache.py
+++ b/myrtlehub/emulator/prefix_cache.py
@@ -14,7 +14,7 @@
         self._tokens: OrderedDict[str, float] = OrderedDict()
 
     def find(self, task: Task) -> float:
-        """Return the cached tokens of a prompt; at least one token is never cached."""
+        """Return how many tokens of a prompt are cached; at least one token always has to be read."""
         longest = 0.0
         for name, usable in _prefixes_of(task):
             if name in self._tokens:
--- a/myrtlehub/emulator/resources.py
+++ b/myrtlehub/emulator/resources.py
@@ -16,7 +16,7 @@
 
 
 class WarmUp:
-    """The slow start of a machine: its capacity after a cold start, and whether received work exceeds it."""
+    """The slow start of a machine: its capacity after a cold start, and the work that crashes it."""
 
     def __init__(self, machine: Machine, started: float | None) -> None:
         """Begin with a cold start at this time; None stands for a machine that is warm."""
--- a/myrtlehub/emulator/timer.py
+++ b/myrtlehub/emulator/timer.py
@@ -1,4 +1,4 @@
-"""The timer that wakes an engine model up, on sockets and in-process."""
+"""The timer that wakes an engine model up, for engines on sockets and for in-process experiments."""
 
 from collections.abc import Callable
 
--- a/myrtlehub/emulator/tokens.py
+++ b/myrtlehub/emulator/tokens.py
@@ -7,7 +7,7 @@
 
 
 def token_id(writer: str, sequence_id: str, attempt: int, index: int) -> int:
-    """Return the id of a token; ids differ by writer and attempt, so that a mix of answers is detected."""
+    """Return the id of a token; it depends on writer and attempt, so a mix of answers is detectable."""
     return crc32(f"{writer} {sequence_id} {attempt} {index}".encode()) % VOCABULARY + 1
 
 
