--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -1,7 +1,7 @@
 """Overload: goodput by load, with admission policies and without, on a driven clock. Simulated.
 
 `python benchmarks/admission_policies.py` runs each load with each policy on the same draws; goodput is the
-utility answered within the latency SLO, against the most that any load and policy reached.
+utility of answers within the latency SLO, relative to the highest of all loads and policies.
 """
 
 from collections import defaultdict
@@ -49,12 +49,12 @@
     "writer": Machine(slots=12, memory=60_000.0, read_rate=12000.0, step=0.02),
 }
 INITIAL_LIMIT = 10.0
-SETTLE_SECONDS = 12.0  # that a run goes on after the last arrival
-CAPACITY = 26.0  # sequences a second of this mix that the fleet below just keeps up with
+SETTLE_SECONDS = 12.0  # from the last arrival to the end of a run, so that answers arrive
+CAPACITY = 26.0  # sequences per second of this mix that the fleet below can just sustain
 
 
 class Unlimited:
-    """No limit: everything goes to the router."""
+    """No limit: the router receives every request."""
 
     limit: float = MAX_LIMIT
 
@@ -63,9 +63,9 @@
 
 
 class Gradient:
-    """The limit follows the gradient of latency, long over short term.
+    """The limit follows the latency gradient: the long-term mean over the short-term one.
 
-    It leaves room for a queue of its root, as Netflix's concurrency-limits describes its Gradient2.
+    The limit includes a queue allowance of its square root, as in Gradient2 of Netflix's concurrency-limits.
     """
 
     def __init__(self) -> None:
@@ -86,13 +86,13 @@
 
 
 class Aimd:
-    """Additive increase, multiplicative decrease, with a slow start (Jacobson 1988): late counts as lost."""
+    """AIMD with slow start (Jacobson 1988), where a late start counts as a loss."""
 
     def __init__(self) -> None:
         self.limit, self._cut_at = INITIAL_LIMIT, -NEVER
 
     def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
-        """Adjust the limit after a start; `latency_share` of the SLO that it took, None if it never came."""
+        """Adjust the limit after a start; `latency_share`: latency over SLO, None without a first token."""
         if latency_share is None or latency_share > 1.0:
             if now > self._cut_at + 0.2:
                 self.limit, self._cut_at = max(MIN_LIMIT, self.limit * 0.9), now
@@ -102,9 +102,9 @@
 
 
 class Target:
-    """The limit moves so that starts take a stated share of the latency SLO.
+    """A controller that holds the mean first-token latency at a fixed fraction of the latency SLO.
 
-    What an answer is worth is stated by the SLO, not by the least latency ever seen; so the set point is too.
+    The SLO decides the utility of an answer, so it also gives the set point, not the lowest latency seen.
     """
 
     TARGET_SHARE = 0.5  # of the latency SLO
@@ -134,11 +134,11 @@
 
 
 class RunResult(NamedTuple):
-    """What one run answered."""
+    """The goodput of one run of a policy at a load."""
 
     policy: str
     load: float
-    goodput: float  # utility a second that was answered within the latency SLO
+    goodput: float  # utility per second of answers within the latency SLO
 
 
 class QueuedRequest(NamedTuple):
@@ -167,7 +167,7 @@
         self.utility_in_time = 0.0
 
     def run(self) -> float:
-        """Run it; return the utility a second within the latency SLO."""
+        """Play the run; return the utility per second of answers within the latency SLO."""
         self._arrive()
         self.fleet.run(self.started_at + self.seconds + SETTLE_SECONDS)
         return self.utility_in_time / self.seconds
@@ -192,12 +192,12 @@
         self._shed(node)
 
     def _admit(self, node: int) -> None:
-        """Send what the node's controller admits now."""
+        """Send the queued requests that the node's controller admits now."""
         while (item := self.controllers[node].admit_next()) is not None:
             self._send(node, item.request, item.arrived_at)
 
     def _shed(self, node: int) -> None:
-        """Drop what waited too long, and come again when the next is due."""
+        """Shed the requests that waited too long, and schedule the next check."""
         now = self.fleet.clock.seconds()
         for _ in self.controllers[node].take_shed(now):
             pass
@@ -224,7 +224,7 @@
         self.fleet.send_request(node, request._replace(time_left=time_left), ended, started)
 
     def _ended(self, node: int, waited: float, client: InProcessClient) -> None:
-        """Count an answer."""
+        """Add the utility of an answer, if it came in time, and record a failure if no token came."""
         name = client.request.traffic_type
         if client.answer == "generated" and waited + (client.first_token_latency or 0.0) <= SLO[name]:
             self.utility_in_time += UTILITY[name]
--- a/benchmarks/canary_methods.py
+++ b/benchmarks/canary_methods.py
@@ -2,11 +2,10 @@
 
     python benchmarks/canary_methods.py [--seeds 1000] [--out docs/charts]
 
-False stops, detection and lost utility in `lab/fleet_model`, sample windows of 5 s. Each cell plays whole
-rollouts: measuring 24 blocks, four stages (2,
-10, 40, 100 per cent), each changed at 8 per cent of the fleet at a time, warmed for 2 blocks and watched for
-12. With trouble, an engine failure of one zone and a burst over all come at moments drawn by chance. Prints
-Markdown; writes charts.
+Measures false stops, detection and lost utility in `lab/fleet_model`, with sample windows of 5 s. Each cell
+plays complete rollouts: a baseline of 24 windows, then four stages (2, 10, 40, 100 per cent). A stage changes
+8 per cent of the fleet at a time, warms up for 2 windows and is observed for 12. Disturbed rollouts also have
+an engine failure in one zone and a burst over all zones, at random times. Prints Markdown; writes charts.
 """
 
 import argparse
@@ -17,7 +16,7 @@
 from statistics import median
 from typing import NamedTuple, Protocol
 
-os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")  # one process a core is enough
+os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")  # the process pool already uses every core
 import numpy as np
 from scipy.stats import ttest_ind  # type: ignore[import-untyped] # no stubs are installed
 
@@ -53,8 +52,8 @@
 
     stopped: bool
     stage: int
-    blocks: int  # from the first changed node
-    lost: float  # utility that the change took, over what the fleet asks in a block
+    blocks: int  # sample windows since the first changed node
+    lost: float  # utility lost to the change, as a multiple of the utility offered in one sample window
 
 
 class Cell(NamedTuple):
@@ -71,13 +70,13 @@
     """Judges a rollout by its sample windows."""
 
     def __init__(self, zones: list[str]) -> None:
-        """Make it for a fleet with these zones."""
+        """Create the judge of a rollout in a fleet with these zones."""
 
     def add(self, block: SampleWindow) -> None:
-        """Take the next sample window."""
+        """Add the next sample window."""
 
     def restart_observation(self) -> None:
-        """Judge only by the windows from here on."""
+        """Begin an observation, which covers only the sample windows added from now on."""
 
     def start_stage(self) -> None:
         """Begin a stage."""
@@ -87,22 +86,22 @@
 
 
 class ThresholdBeforeAfter:
-    """Changed nodes now against the same nodes before, by a threshold, at the end of each observation."""
+    """Compares changed nodes with the baseline before the change, by a threshold, after an observation."""
 
     def __init__(self, zones: list[str]) -> None:
         self.blocks: list[SampleWindow] = []
         self.since = 0
 
     def add(self, block: SampleWindow) -> None:
-        """Take the next sample window."""
+        """Add the next sample window."""
         self.blocks.append(block)
 
     def restart_observation(self) -> None:
-        """Judge only by the windows from here on."""
+        """Begin an observation, which covers only the sample windows added from now on."""
         self.since = len(self.blocks)
 
     def start_stage(self) -> None:
-        """Do nothing: the method has no state by stage."""
+        """Do nothing: the method keeps no state for a stage."""
 
     def verdict(self) -> Outcome:
         """Return the outcome of the present observation."""
@@ -112,13 +111,13 @@
         return Outcome.WORSE if any(self.worse(guard, watched) for guard in GUARDS) else Outcome.PASS
 
     def worse(self, guard: Guard, watched: list[SampleWindow]) -> bool:
-        """Whether the changed nodes are worse by this guard."""
+        """Whether the guard's metric is worse on the changed nodes."""
         now = self.share(guard, watched, NodeRole.CHANGED)
         before = self.share(guard, [b for b in self.blocks if b.is_baseline], NodeRole.UNCHANGED)
         return guard.sign * (now - before) >= guard.margin
 
     def share(self, guard: Guard, blocks: list[SampleWindow], role: int) -> float:
-        """Return the guard's figure over the nodes of a role."""
+        """Return the guard's metric over all nodes of a role."""
         above = sum(
             b.metrics[MetricKey(guard.metric, guard.traffic)][0][b.roles == role].sum() for b in blocks
         )
@@ -129,10 +128,10 @@
 
 
 class ThresholdConcurrent(ThresholdBeforeAfter):
-    """Changed against unchanged nodes in the same time, by a threshold."""
+    """Compares changed with unchanged nodes over the same time, by a threshold."""
 
     def worse(self, guard: Guard, watched: list[SampleWindow]) -> bool:
-        """Whether the changed nodes are worse by this guard."""
+        """Whether the guard's metric is worse on the changed nodes."""
         if not (watched[-1].roles == NodeRole.UNCHANGED).any():
             return False
         return (
@@ -143,10 +142,10 @@
 
 
 class WelchTest(ThresholdBeforeAfter):
-    """Welch's t over nodes, once, at the end of each watch; 0.01 over all guards."""
+    """Welch's t-test over nodes, once after each observation, at a level of 0.01 over all guards."""
 
     def worse(self, guard: Guard, watched: list[SampleWindow]) -> bool:
-        """Whether the changed nodes are worse by this guard."""
+        """Whether the guard's metric is worse on the changed nodes."""
         key = MetricKey(guard.metric, guard.traffic)
         above = reduce(np.add, (b.metrics[key][0] for b in watched))
         below = reduce(np.add, (b.metrics[key][1] for b in watched))
@@ -172,11 +171,11 @@
         self.judge = CanaryAnalysis(GUARDS, zones, WATCH)
 
     def add(self, block: SampleWindow) -> None:
-        """Take the next sample window."""
+        """Add the next sample window."""
         self.judge.add(block)
 
     def restart_observation(self) -> None:
-        """Judge only by the windows from here on."""
+        """Begin an observation, which covers only the sample windows added from now on."""
         self.judge.restart_observation()
 
     def start_stage(self) -> None:
@@ -197,7 +196,7 @@
 
 
 def troubles_of(seed: int, zones: int) -> tuple[Disturbance, ...]:
-    """An engine failure of one zone and a burst, somewhere in the change."""
+    """Draw an engine failure in one zone and a burst over all zones, at random times of the rollout."""
     r = np.random.default_rng(seed + 10**6)
     return (
         Disturbance(int(r.integers(30, 90)), int(r.integers(4, 12)), int(r.integers(zones)), 0.2, 0.35),
@@ -220,7 +219,7 @@
         while done < until:
             judge.add(fleet.advance(roles_of(nodes, done, min(step, until - done))))
             done += min(step, until - done)
-        for _ in range(WARM):  # warming nodes are not compared, though what they lose counts
+        for _ in range(WARM):  # warming nodes are not compared, but their lost utility counts
             block = fleet.advance(roles_of(nodes, done))
             block.roles[:done] = 0
             judge.add(block)
@@ -238,14 +237,14 @@
 
 
 def unguarded(harm: str, nodes: int) -> float:
-    """Return the utility lost by a change without analysis, over what the fleet asks in a block."""
+    """Return the utility lost to an unanalysed change, as a multiple of that offered in one window."""
     h = HARMS[harm]
     lost = h.served * (0.3 if h.one_type else 1.0) * 0.93
     return lost * (HOUR + 1.0 / AWAY_SHARE / 2)
 
 
 def main() -> None:
-    """Play all cells and print them."""
+    """Run all cells, print the table and write the charts."""
     ask = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     ask.add_argument("--seeds", type=int, default=1000)
     ask.add_argument("--out", type=Path, default=Path("docs/charts"))
@@ -281,7 +280,7 @@
 
 
 def line(name: str, harm: str, nodes: int, ends: list[RolloutResult]) -> str:
-    """One row of the table."""
+    """Return one row of the table."""
     stops = [e for e in ends if e.stopped]
     passes = [e for e in ends if not e.stopped]
     lost = sum(e.lost for e in ends) / len(ends)
@@ -296,7 +295,7 @@
 
 
 def chart(rows: list[Cell], out: Path) -> None:
-    """Share of changes stopped, by judge and version, a panel a fleet."""
+    """Plot the fraction of changes that each method stopped, by version, with one panel for each fleet."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/compare_settings.py
+++ b/benchmarks/compare_settings.py
@@ -2,9 +2,9 @@
 
     python benchmarks/compare_settings.py cc6ab61
 
-Compared are the `.proto` files and the code generated from them, byte for byte; the JSON schemas of all
-settings models, without titles, descriptions and the names of the models; and `deploy/balancer.toml` without
-paths and module names. Exit 0: no difference; 1: each one is shown.
+Compares the `.proto` files and the code generated from them, byte for byte; the JSON schemas of all settings
+models, without titles, descriptions and names of models; and `deploy/balancer.toml` without paths and module
+names. Exits with 0 if nothing differs, else with 1, and prints each difference.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 MODULE = re.compile(r"myrtlehub(?:\.\w+)+")
-DEPLOYMENT_PATHS = ("policy", "node")  # lists of our files
+DEPLOYMENT_PATHS = ("policy", "node")  # repository paths; only their presence is compared
 
 
 def settings_schemas() -> list[str]:
@@ -45,7 +45,7 @@
 
 
 def inlined(schema: dict[str, Any]) -> Any:  # noqa: ANN401 - JSON
-    """The schema with its references replaced by what they name, so that names of models do not count."""
+    """The schema with its references resolved inline, so that names of models do not matter."""
     definitions = schema.get("$defs", {})
 
     def without_names(value: Any) -> Any:  # noqa: ANN401 - JSON
@@ -66,7 +66,7 @@
 
 
 def schemas_of(tree: Path) -> list[str]:
-    """The schemas of a tree, taken in a process of its own."""
+    """The settings schemas of a tree, computed in a separate process."""
     out = subprocess.run(
         [sys.executable, __file__, "--schemas"],
         check=True,
@@ -91,7 +91,7 @@
 
 
 def differences(before: list[str], after: list[str]) -> list[str]:
-    """What only one of two lists has."""
+    """Return the items that only one of the two lists has."""
     removed, added = list(before), []
     for schema in after:
         if schema in removed:
@@ -102,12 +102,12 @@
 
 
 def compare(commit: str) -> list[str]:
-    """All differences between a commit and the working tree, a line each."""
+    """All differences between a commit and the working tree, one line for each."""
     with tempfile.TemporaryDirectory() as folder:
         base = tree_of(commit, Path(folder))
         wire, wire_now = wire_files(base), wire_files(ROOT)
         schemas, schemas_now = schemas_of(base), schemas_of(ROOT)
-    generated = {"__init__.py"}  # a docstring may be added to it
+    generated = {"__init__.py"}  # not compared: its docstring may differ
     found = [
         f"{name}: not the same bytes"
         for name in sorted((wire.keys() | wire_now.keys()) - generated)
--- a/benchmarks/compare_speed.py
+++ b/benchmarks/compare_speed.py
@@ -1,11 +1,11 @@
-"""Speed of the working tree compared with a commit's, in one run and alternately. Simulated, on loopback.
+"""Compares the speed of the working tree with that of a commit, in alternate rounds. Simulated, on loopback.
 
     python benchmarks/compare_speed.py cc6ab61 [--rounds 7] [--only decision]
 
-Three figures, each the median of some rounds with its lowest and highest: processor time of a sequence's
-decisions among 200 engines; processor time that the relay's program takes to be imported; processor time
-of a node for each token that it relays. All are costs: a ratio over 1 means that the working tree is slower.
-Exit 1 where a ratio is over the bound. It wants a quiet machine.
+Measures three costs, each as the median, minimum and maximum of several rounds: CPU time of the decisions
+for a sequence among 200 engines; CPU time to import the relay's program; node CPU time per relayed token.
+A ratio over 1 means that the working tree is slower; exits with 1 if a ratio exceeds the bound. Other load on
+the machine distorts the figures.
 """
 
 import argparse
@@ -27,11 +27,11 @@
 RELAY_SECONDS = 6.0
 IMPORT = "import time, myrtlehub.relay.__main__; print(time.process_time())"
 
-Samples = dict[str, list[float]]  # by tree: the rounds
+Samples = dict[str, list[float]]  # a figure for each round, by tree
 
 
 def output_of(tree: Path, *command: str) -> float:
-    """The number that a program prints, run with the modules of a tree."""
+    """Run a program with the modules of a tree, and return the number that it prints."""
     environment = {**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "1"}
     done = subprocess.run(
         [sys.executable, *command], check=True, stdout=subprocess.PIPE, text=True, env=environment, cwd=tree
@@ -40,17 +40,17 @@
 
 
 def decision_cost(tree: Path) -> float:
-    """Seconds of processor a sequence."""
+    """CPU seconds of the decisions for one sequence."""
     return output_of(tree, str(HERE / "decision_speed.py"), str(tree))
 
 
 def import_cost(tree: Path) -> float:
-    """Seconds of processor until the relay's program is imported."""
+    """CPU seconds to import the relay's program."""
     return output_of(tree, "-c", IMPORT)
 
 
 def alternate(trees: dict[str, Path], rounds: int, measure: Callable[[Path], float]) -> Samples:
-    """Measure the trees by turns, each first in every other round, after one round that does not count."""
+    """Measure both trees in each round, with alternating order, after one warm-up round."""
     samples: Samples = {name: [] for name in trees}
     for number in range(rounds + 1):
         order = list(trees) if number % 2 else list(trees)[::-1]
@@ -62,7 +62,7 @@
 
 
 def relay_costs(trees: dict[str, Path], rounds: int) -> Samples:
-    """Seconds of a node's processor a token, by turns; engines and clients are those of the working tree."""
+    """CPU seconds of a node per token, in alternate rounds; engines and clients run from the working tree."""
     from bench_processes import Steps, run_reactor
     from relay import SingleNodeFleet, measure_throughput
 
@@ -85,7 +85,7 @@
 
 
 def table_row(title: str, samples: Samples) -> tuple[str, float]:
-    """A line of the table, and the ratio of the medians."""
+    """Return a row of the table, and the ratio of the medians."""
     base, present = samples["commit"], samples["present"]
     ratio = median(present) / median(base)
     cells = "  ".join(
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Measure, print the table, and say whether all is within the bound."""
+    """Measure, print the table, and return the exit code: 1 if a ratio exceeds the bound."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/endpoint_changes.py
+++ b/benchmarks/endpoint_changes.py
@@ -1,4 +1,4 @@
-"""What happens to the fleet of a driven scenario, and what the endpoint list says of it."""
+"""Random changes to the fleet of a driven scenario, and the endpoint list updates that follow them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from driven_fleet import Scenario
 
-SPAN_BETWEEN_CHANGES = 0.7  # seconds, of the fleet
+SPAN_BETWEEN_CHANGES = 0.7  # seconds between changes of the fleet
 
 
 class EndpointChanges:
-    """The engines of a scenario: drains, losses, cold returns, indices that are used again."""
+    """Changes the engines of a scenario: drains, losses, cold restarts, reused indices."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -24,13 +24,13 @@
         ]
 
     def start(self) -> None:
-        """Tell the first list, and plan the first change."""
+        """Send the router the first endpoint list, and schedule the first change of the fleet."""
         self.tell_list(self.engines, is_complete=True, new=True)
         if self.shape.changes:
             self.scenario.at(SPAN_BETWEEN_CHANGES, self.change_fleet)
 
     def tell_list(self, engines: list[Engine], is_complete: bool, new: bool = False) -> None:
-        """Tell the router of these engines."""
+        """Send the router an endpoint list of these engines: the complete list, or only changes."""
         updates = [
             self.scenario.dialect.make(
                 "EndpointUpdate",
@@ -49,7 +49,7 @@
         self.scenario.call("update_endpoints", updates, is_complete)
 
     def change_fleet(self) -> None:
-        """Make one change, and plan the next."""
+        """Make one random change of the fleet, and schedule the next."""
         draw = self.random
         change = draw.choice(
             ("drain", "die", "return", "reuse", "add", "resend", "fail", "mend", "cell", "omit", "other")
@@ -71,7 +71,7 @@
             self.tell_list([engine], is_complete=False)
 
     def _change_die(self, engine: Engine) -> None:
-        engine.state = GONE  # the list tells of it later
+        engine.state = GONE  # the endpoint list shows it only later
         self.scenario.at(self.random.random() * 3.0, self._return_cold, engine)
 
     def _return_cold(self, engine: Engine) -> None:
--- a/benchmarks/fleet_shape.py
+++ b/benchmarks/fleet_shape.py
@@ -11,12 +11,12 @@
 WRITES = (False, True, True, False)
 ENGINE_COUNTS = (1, 2, 3, 6, 12, 12, 24, 24, 60, 200)
 NODE_COUNTS = (1, 2, 2, 40, 200)
-TIME_LEFT = (0.05, 0.5, 1.5, *9 * (0.0,))  # seconds; 0: all that the traffic type has
+TIME_LEFT = (0.05, 0.5, 1.5, *9 * (0.0,))  # seconds; 0 stands for the timeout of the traffic type
 
 
 @dataclass(slots=True)
 class Engine:
-    """One modelled engine, with what the endpoint list says of it."""
+    """One modelled engine, with its fields in the endpoint list."""
 
     index: int
     kind: int
@@ -29,24 +29,24 @@
     full_share: float = 0.0
     slowness: float = 1.0
     is_silent: bool = False
-    work: float = 0.0  # prompt tokens that wait
+    work: float = 0.0  # queued prompt tokens
     work_at: float = 0.0
     streams: int = 0
 
 
 @dataclass(slots=True)
 class Sequence:
-    """One client request, as its client and the engines see it."""
+    """One client request, with its state at the client and at engines."""
 
     ident: int
     fields: dict[str, Any]
-    attempts: list[int] = field(default_factory=list)  # engines
+    attempts: list[int] = field(default_factory=list)  # indices of the engines
     running: set[int] = field(default_factory=set)
     is_over: bool = False
 
 
 class FleetShape:
-    """What one scenario is like: its fleet, its configuration, its requests."""
+    """The random parameters of one scenario: its fleet, configuration and requests."""
 
     def __init__(self, dialect: Dialect, random: Random) -> None:
         self.dialect = dialect
@@ -64,10 +64,10 @@
         self.reports = draw.choice(("all", "memory", "unread", "waiting", "none"))
         self.fault_share = draw.choice((0.0, 0.01, 0.05, 0.2))
         self.full_share = draw.choice((0.0, 0.02, 0.2))
-        self.changes = draw.choice((0.0, 0.3, 1.0))  # how lively the fleet is
+        self.changes = draw.choice((0.0, 0.3, 1.0))  # how often the fleet changes; 0: never
         self.tenants = draw.choice((0, 1, 4))
         self.resumed_share = draw.choice((0.0, 0.05))
-        self.rate = self.engine_count * draw.choice((0.1, 0.3, 1.0, 4.0))  # sequences a second
+        self.rate = self.engine_count * draw.choice((0.1, 0.3, 1.0, 4.0))  # sequences per second
         self.memory = draw.choice((20000.0, 100000.0, 250000.0))
 
     def _traffic_types(self) -> tuple[Any, ...]:
@@ -134,7 +134,7 @@
         )
 
     def new_engine(self, index: int, now: float) -> Engine:
-        """Draw an engine; the first one writes, so that something can be answered."""
+        """Draw an engine; the first one always writes, so that answers are possible."""
         draw = self.random
         engine = Engine(
             index=index,
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
-"""Added latency, tokens relayed and memory per in-flight sequence of one node. Simulated.
+"""Added latency, token throughput and memory per in-flight sequence of one node. Simulated.
 
 `python benchmarks/relay.py` starts emulated engines and one node as processes on loopback and sends sequences
-in turn straight to an engine and through the node, so that both meet the same state of the machine.
+alternately to an engine directly and through the node, so that both run under the same load of the machine.
 """
 
 import json
@@ -58,15 +58,15 @@
         return {"node": node, "traffic": [traffic], **writer_pool_settings(self.engines)}
 
     def node_cpu(self) -> float:
-        """Seconds of processor that the node has used."""
+        """CPU seconds that the node has used."""
         return cpu_seconds(self.node_process.pid)
 
     def node_memory(self) -> int:
-        """Bytes of the node that are resident."""
+        """Resident memory of the node in bytes."""
         return resident_bytes(self.node_process.pid)
 
     def stop(self) -> None:
-        """End the processes."""
+        """Stop the processes."""
         self.processes.stop()
 
 
@@ -103,7 +103,7 @@
     name: str,
     idempotency_key: str = "",
 ) -> ClientCall:
-    """Start a sequence, straight at an engine under a name or through a node with an idempotency key."""
+    """Start a sequence: directly at an engine under a name, or through a node with an idempotency key."""
     request: engine_pb2.WriteRequest | chat_pb2.GenerateRequest
     if straight:
         request = engine_pb2.WriteRequest(
@@ -132,28 +132,28 @@
 
 
 class Percentiles(NamedTuple):
-    """Seconds."""
+    """Percentiles of a latency, in seconds."""
 
     p50: float
     p99: float
 
 
 class LatencyResult(NamedTuple):
-    """Time to the first token, straight at an engine and through the node."""
+    """Time to the first token, directly from an engine and through the node."""
 
     straight: Percentiles
     through: Percentiles
     rate: float  # sequences per second through the node
-    ended: dict[str, int]  # by status; and the tokens
-    node_processor: float  # seconds of processor per second
+    ended: dict[str, int]  # calls by status, and the number of tokens
+    node_processor: float  # CPU seconds of the node per second
 
     @property
     def added(self) -> Percentiles:
-        """What the node adds."""
+        """The latency that the node adds."""
         return Percentiles(self.through.p50 - self.straight.p50, self.through.p99 - self.straight.p99)
 
     def as_json(self) -> dict[str, object]:
-        """Return the keys of `--json`."""
+        """Return the result in the form that `--json` prints."""
         return {
             "straight": self.straight._asdict(),
             "through": self.through._asdict(),
@@ -169,7 +169,7 @@
 
     streams: int
     tokens_a_second: float
-    node_processor: float  # seconds of processor per second
+    node_processor: float  # CPU seconds of the node per second
     tokens_a_processor_second: float
 
 
@@ -189,7 +189,7 @@
     held: MemoryResult
 
     def as_json(self) -> dict[str, object]:
-        """Return the keys of `--json`."""
+        """Return the result in the form that `--json` prints."""
         return {
             "latency": self.latency.as_json(),
             "relay": [row._asdict() for row in self.relay],
@@ -205,7 +205,7 @@
 
 @inlineCallbacks
 def run_background_load(address: str, rate: float, seconds: float) -> Steps[None]:
-    """Send unmeasured sequences through the node, in a process of its own."""
+    """Send unmeasured sequences through the node, from a separate process."""
     channel, tally = open_channel(address), Counter[str]()
     schedule_open_loop(
         rate,
@@ -221,9 +221,9 @@
 def measure_latency(
     fleet: SingleNodeFleet, rate: float, measured: float, seconds: float, random: Random
 ) -> Steps[LatencyResult]:
-    """Run an open loop at `rate` through the node, `measured` of it from here, and as many straight.
+    """Run an open loop at `rate` through the node; this process sends `measured` of it, and as many directly.
 
-    The rest comes from another process: its tokens would queue in this one ahead of those that are timed.
+    Another process sends the rest, whose tokens would delay the measured ones in this event loop.
     """
     through = open_channel(fleet.node)
     direct = [open_channel(address) for address in fleet.engines]
@@ -267,7 +267,7 @@
 
 @inlineCallbacks
 def measure_throughput(fleet: SingleNodeFleet, streams: int, seconds: float) -> Steps[ThroughputResult]:
-    """Run many streams through the node; tokens per second, and per second of its processor."""
+    """Run many streams through the node; return tokens per second and per CPU second of the node."""
     channels = [open_channel(fleet.node) for _ in range(4)]
     tally: Counter[str] = Counter()
     calls = [
@@ -288,7 +288,7 @@
 
 @inlineCallbacks
 def measure_memory(fleet: SingleNodeFleet, count: int) -> Steps[MemoryResult]:
-    """Bytes per in-flight sequence: the node's growth with many that wait for hung engines."""
+    """Return bytes per in-flight sequence: the node's memory growth while many wait for hung engines."""
     for address in fleet.engines:
         yield open_channel(address).unary(
             "/myrtlehub.v1.Stand/Misbehave", engine_pb2.Misbehaviour(how="hang").SerializeToString()
@@ -356,7 +356,7 @@
 @click.option("--load", "address", hidden=True)
 @click.option("--rate", default=100.0, hidden=True)
 def main(seconds: float, as_json: bool, address: str | None, rate: float) -> None:
-    """Measure one node beside direct calls to engines."""
+    """Compare calls through one node with direct calls to engines, and print the results."""
     if address:
         run_reactor(lambda: run_background_load(address, rate, seconds))
         return
--- a/benchmarks/router_dialects.py
+++ b/benchmarks/router_dialects.py
@@ -2,7 +2,7 @@
 
 Up to dbd88ee the router was `myrtlehub/decide.py`, with its types in `myrtlehub/interface.py` and actions
 as plain tuples; since then it is in `myrtlehub/routing`, with typed actions. `open_dialect` imports whichever
-the tree on `sys.path` has. Actions of both come out as (name of the action's class, fields...).
+of them is on `sys.path`. Actions of both are returned as (name of the action's class, fields...).
 """
 
 import importlib
@@ -74,9 +74,9 @@
     },
     "LoadReport": {},
 }
-# Present field: its name in the typed contract before it was renamed.
+# Present field name: earlier name in the typed interface.
 FORMER_FIELDS = {"Arrival": {"state_engine": "state_held_by"}}
-# Fields whose values are enumerations in the typed contract; the older one takes the bare values.
+# Fields whose values are enumerations in the typed interface; the older interface takes plain values.
 ENUMERATIONS = {
     "retry_semantics": "RetrySemantics",
     "dedup_group": "DedupGroup",
@@ -89,7 +89,7 @@
 
 
 class Dialect:
-    """The router and the contract of one tree."""
+    """Adapts the router of one tree, and the types of its interface, to the present names."""
 
     def __init__(self, router: ModuleType, contract: ModuleType) -> None:
         self._router_class = router.Router
@@ -99,7 +99,7 @@
         self._absent_index = -1 if -1 in contract.Arrival._field_defaults.values() else None
 
     def make(self, type_name: str, **fields: Any) -> Any:  # noqa: ANN401 - of whichever tree
-        """Build a value of the contract from present names."""
+        """Build a value of a type of the router's interface, given by present names."""
         if type_name == "Arrival" and fields["tenant"] is None:
             fields["tenant"] = self._absent_index
         if self.is_typed:
@@ -120,7 +120,7 @@
         }
 
     def outcome(self, word: str) -> str:
-        """Return an outcome as the tree has it."""
+        """Return the tree's own value for an outcome."""
         return self._contract.Outcome(word) if self.is_typed else word
 
     def router(self, config: Any) -> Any:  # noqa: ANN401 - of whichever tree
@@ -128,7 +128,7 @@
         return self._router_class(config)
 
     def call(self, router: Any, name: str, *arguments: Any) -> list[tuple[Any, ...]]:  # noqa: ANN401
-        """Call the router by the present name, and return its actions in one form."""
+        """Call a method of the router by its present name; return actions in the common form."""
         method = getattr(router, name if self.is_typed else CALLS.get(name, name))
         return [self._normalised(action) for action in method(*arguments)]
 
--- a/benchmarks/router_restart.py
+++ b/benchmarks/router_restart.py
@@ -1,10 +1,10 @@
-"""What replacing the routers of a fleet costs: new ones have no estimates of their engines.
+"""The cost of replacing all routers of a fleet: new routers have no estimates of their engines.
 
     python benchmarks/router_restart.py [--seeds 40]
 
-Simulated, on a driven clock: modelled nodes and engines. After 40 s all routers of the fleet are replaced by
-new ones at once, as a change of settings in place would at worst; beside it the same seed with nothing
-replaced. Figures are of sequences sent in the stated seconds after it.
+Simulated, on a driven clock: modelled nodes and engines. After 40 s all routers of the fleet are replaced at
+once, the worst case of a settings change in place; the control is the same seed without replacement. Figures
+cover the sequences sent within the stated time spans after the replacement.
 """
 
 import argparse
@@ -37,8 +37,8 @@
 list: {{engines: []}}
 """
 REPLACED_AT = 40.0  # seconds
-SPANS = ((0.0, 2.0), (2.0, 5.0), (5.0, 15.0))  # seconds after it
-SETTLE_SECONDS = 8.0  # that a run continues after the last arrival
+SPANS = ((0.0, 2.0), (2.0, 5.0), (5.0, 15.0))  # seconds after the replacement
+SETTLE_SECONDS = 8.0  # from the last arrival to the end of a run, so that answers arrive
 NODES = 8
 LATENCY_SLO = 1.0  # seconds, as in the settings above
 RATES = {"half load": 22.0, "near capacity": 40.0}  # sequences per second
@@ -51,7 +51,7 @@
 class Answer(NamedTuple):
     """A sequence that was sent after the replacement."""
 
-    sent_at: float  # seconds after it
+    sent_at: float  # seconds after the replacement
     first_token: float  # seconds; 0.0 if there was none
 
     @property
@@ -79,7 +79,7 @@
         self.answers: list[Answer] = []
 
     def run(self, is_replaced: bool) -> list[Answer]:
-        """Run it; return what was sent after the time of the replacement."""
+        """Play the run; return the sequences that were sent after the replacement."""
         started_at = self.fleet.clock.seconds()
         last_arrival = REPLACED_AT + SPANS[-1][1]
         at = 0.0
@@ -120,7 +120,7 @@
 
 
 class _RouterHandover:
-    """A new router for new sequences; the old one completes its own. Both receive wake-ups and the list."""
+    """Sends new sequences to a new router; the old one completes its own. Both get wake-ups and lists."""
 
     def __init__(self, new: Router, old: Router) -> None:
         self.new, self.old = new, old
@@ -162,14 +162,14 @@
 
 
 class SpanFigures(NamedTuple):
-    """The cells of one span of time."""
+    """The figures of one time span: a row of the table."""
 
     first_token: str
     share_in_time: str
 
 
 def figures_of(answers: list[Answer], start: float, end: float) -> SpanFigures:
-    """Return the figures of what was sent in a span of seconds."""
+    """Return the figures of the sequences that were sent in a time span, in seconds."""
     sent = [answer for answer in answers if start <= answer.sent_at < end]
     cuts = quantiles([answer.first_token for answer in sent if answer.first_token], n=100)
     return SpanFigures(
@@ -179,7 +179,7 @@
 
 
 def main() -> None:
-    """Run all and print a row for each span."""
+    """Run all fleets and print a row for each time span."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=40)
     seeds = range(parser.parse_args().seeds)
--- a/myrtlehub/lab/endpoint_list_writer.py
+++ b/myrtlehub/lab/endpoint_list_writer.py
@@ -19,7 +19,7 @@
 from myrtlehub.membership.list_version import make_version
 from myrtlehub.records import Recorder
 
-DIGEST_LETTERS = 16  # of a version's digest; as many as attempts carry
+DIGEST_LETTERS = 16  # characters of a version's digest that attempts carry
 END_MARK = "end: yes\n"
 MAX_BURST_DELAY = 0.02  # seconds between writes of a burst
 RENAME_SHARE = 0.5  # fraction of versions that are renamed into place; the others are written in place
@@ -43,7 +43,7 @@
 
 
 def invalid_list_text(rows: list[EndpointRow], fault: InvalidList) -> str:
-    """Return the text of the same list with a fault."""
+    """Return the text of the list with a fault that makes it invalid."""
     if fault == InvalidList.NO_WRITERS:
         return list_text([row for row in rows if row["kind"] != "writer"])
     first = rows[0]
@@ -55,7 +55,7 @@
 
 
 class EndpointListWriter:
-    """Writes one node's file; `rows()` returns the present list."""
+    """Writes the list file of one node; `rows()` returns the present list."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         self._clock.callLater(self._draw_interval(), self._start_burst)
 
     def stop(self) -> None:
-        """Write one more version, and then no more."""
+        """Write a last version; writes that are still scheduled then do nothing."""
         self._is_stopped = True
         self._write_version(by_rename=False)
 
--- a/myrtlehub/lab/fault_soak/attempt_checks.py
+++ b/myrtlehub/lab/fault_soak/attempt_checks.py
@@ -1,4 +1,4 @@
-"""The rules of attempts: none late, none that could execute a request twice, none to a draining engine."""
+"""Checks of attempts: none starts late, risks a forbidden second execution, or goes to a draining engine."""
 
 import math
 from collections.abc import Iterator
@@ -14,13 +14,13 @@
     TrafficType,
 )
 
-MAX_START_AFTER_DISCONNECT_S = 0.1  # in which an attempt may start after its client has disconnected
-MAX_EXCESS_REMAINING_TIME_S = 0.15  # by which an engine may be sent more time than is left
-DRAIN_TOLERANCE_S = 0.05  # in addition to the grace time of a draining engine
+MAX_START_AFTER_DISCONNECT_S = 0.1  # after the client disconnected, an attempt may still start for this long
+MAX_EXCESS_REMAINING_TIME_S = 0.15  # by which the remaining time sent to an engine may exceed the real one
+DRAIN_TOLERANCE_S = 0.05  # added to the grace time of a draining engine
 
 
 def check_attempts(index: RecordIndex, request: RequestRecord, terms: RuleTerms) -> Iterator[Finding]:
-    """Yield breaches by the attempts of a request."""
+    """Yield a finding for each attempt of a request that breaks a rule."""
     attempts = sorted(index.attempts(request.request_id), key=lambda attempt: attempt.arrived_at)
     allowance = index.stopped_time(request) + index.tolerance
     for attempt in attempts:
@@ -54,7 +54,7 @@
 
 
 def _has_not_run(index: RecordIndex, write: AttemptRecord, before: float) -> bool:
-    """Return whether a node could know at the time `before` that a write has not run."""
+    """Return whether a node could know at the time `before` that the engine rejected a write unexecuted."""
     return write.end == AttemptEnd.REJECTED and write.running_until <= before + index.tolerance
 
 
--- a/myrtlehub/lab/fault_soak/client_connection.py
+++ b/myrtlehub/lab/fault_soak/client_connection.py
@@ -20,8 +20,8 @@
 from myrtlehub.lab.fault_soak.tcp_peer import TcpPeer
 from myrtlehub.lab.interfaces import Reactor
 
-PATIENCE_S = 8.0  # from the deadline until a client closes the connection by itself
-MAX_DISCONNECT_DELAY_S = 0.6  # from the connection until a disconnecting client closes it
+PATIENCE_S = 8.0  # a client closes its connection this long after the deadline of an unanswered request
+MAX_DISCONNECT_DELAY_S = 0.6  # from connecting until a disconnecting client closes its connection
 IDLE_PERIOD_S = (0.0, 5.5)  # from a response to the next request; nodes close idle connections after 5 s
 INCOMPLETE_REQUEST_PATIENCE_S = 6.0  # until the client of an incomplete request closes the connection
 INCOMPLETE_REQUEST_TIME_LEFT_MS = 2000
@@ -34,7 +34,7 @@
     """How a client behaves on its connection."""
 
     PATIENT = "patient"  # waits for each answer, idles, and sends the next request
-    DISCONNECTING = "disconnecting"  # closes the connection before or within the answer
+    DISCONNECTING = "disconnecting"  # closes the connection before or during the answer
     PIPELINING = "pipelining"  # sends several requests at once
     INCOMPLETE = "incomplete"  # sends a part of a request, and waits
     SILENT = "silent"  # sends nothing
@@ -48,7 +48,7 @@
 
 
 class Population(Protocol):
-    """What a connection needs of the population that its client belongs to."""
+    """The interface of the set of simulated clients that a connection uses."""
 
     reactor: Reactor
     records: RunRecords
@@ -80,7 +80,7 @@
         self._incomplete_sent_at: float | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send what the behavior says."""
+        """Start the client's behavior: send its first requests, or a part of one, or nothing."""
         super().connectionMade()
         draw = self.population.random
         match self.behavior:
@@ -139,13 +139,13 @@
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read responses; each belongs to the oldest open request."""
+        """Parse responses; each belongs to the oldest open request, as HTTP/1.1 pipelining requires."""
         if self.has_closed or not self.open_requests:
             return
         self._http.receive_data(data)
         while self.open_requests:
             if self._http.our_state is h11.IDLE:
-                # h11 has to know of a request, which was sent without it, before it reads the response.
+                # The request was sent without h11, which must see it before it can parse the response.
                 self._http.send(h11.Request(method="POST", target="/", headers=[("Host", "s")]))
                 self._http.send(h11.EndOfMessage())
             try:
@@ -188,7 +188,7 @@
             self._end_open_requests(now, None)
 
     def _end_open_requests(self, now: float, end: ResponseEnd | None) -> None:
-        """Record the end of all open requests; without `end`, each by whether its response had begun."""
+        """Record the end of all open requests; `end` of None means a lost connection."""
         for record in self.open_requests:
             has_begun = record.status is not None
             record.ended_at = now
--- a/myrtlehub/lab/fault_soak/discovery_agent.py
+++ b/myrtlehub/lab/fault_soak/discovery_agent.py
@@ -12,13 +12,13 @@
 from myrtlehub.lab.fault_soak.tcp_peer import listen_on_loopback
 from myrtlehub.lab.interfaces import Reactor
 
-NOTICE_S = 6.0  # within which a node has to know of a change although its agent had a fault
+NOTICE_S = 6.0  # a node must have a change within this time even if its agent had a fault
 SLOW_RESPONSE_S = 0.7
-ADDRESS_COUNT = 2  # so that a node can be moved from one to the other
+ADDRESS_COUNT = 2  # a settings change can then point a node to the other address of its agent
 
 
 class Watch(NamedTuple):
-    """A request that is answered at the next change or at its timeout."""
+    """A long-poll request, answered at the next change of the list or at its timeout."""
 
     connection: AgentConnection
     since: int
@@ -53,9 +53,9 @@
         return AgentConnection(self._handle_request)
 
     def known_at(self, now: float) -> float:
-        """Return the time from which the node has to know of a change that is made now.
+        """Return the time by which the node must have received a change that is made now.
 
-        Infinite while the agent is silent; `end_silence` sets the time then.
+        Infinite while the agent is silent; `end_silence` then sets the time.
         """
         if self._is_silent:
             return math.inf
@@ -64,7 +64,7 @@
         return max(now, self._watches_lost_at + NOTICE_S)
 
     def lose_watches(self) -> None:
-        """Never answer the watches that are open."""
+        """Drop the open watches without an answer."""
         self._watches = []
         self._watches_lost_at = time.monotonic()
 
@@ -74,7 +74,7 @@
         self.lose_watches()
 
     def end_silence(self) -> None:
-        """Answer requests again; from now on the node has to know of all changes that were made meanwhile."""
+        """Answer requests again; set the time by which the node must have the changes missed meanwhile."""
         self._is_silent = False
         self._watches_lost_at = -math.inf
         now = time.monotonic()
--- a/myrtlehub/lab/fault_soak/engine.py
+++ b/myrtlehub/lab/fault_soak/engine.py
@@ -15,11 +15,11 @@
 
 
 class Engine(Factory):
-    """An engine that reads prompts or writes answers, as its name says.
+    """An engine that reads prompts (prefill) or writes answers (decode), by the first letter of its name.
 
     Attributes:
         faults: The faults that are active.
-        started_at_ms: Unix time of the last restart in milliseconds; before, 0, which is unknown on the wire.
+        started_at_ms: Unix time of the last restart in milliseconds; 0 (unknown) before the first one.
         proxy: The proxy that nodes connect to.
         connections: Open connections.
     """
@@ -41,7 +41,7 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether the engine reads prompts; otherwise it writes answers."""
+        """Whether the engine reads prompts (prefill); otherwise it writes answers (decode)."""
         return self.name.startswith(READER)
 
     def buildProtocol(self, addr: object) -> EngineConnection:  # noqa: N802
@@ -49,7 +49,7 @@
         return EngineConnection(self)
 
     def stop(self) -> None:
-        """Stop as a process does: attempts and states are lost, and new connections are closed."""
+        """Stop like a killed process: attempts and read states are lost, and new connections are closed."""
         self.proxy.cut()
         self.reset_connections()
         self.store.free_engine(self.name)
@@ -60,6 +60,6 @@
             connection.transport.abortConnection()
 
     def start(self) -> None:
-        """Start again after `stop`, cold."""
+        """Start again after `stop`, without read states."""
         self.started_at_ms = time.time() * 1000
         self.proxy.restore()
--- a/myrtlehub/lab/fault_soak/fleet_settings.py
+++ b/myrtlehub/lab/fault_soak/fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the nodes in a soak, in the platform's format, and the terms of the rules."""
+"""The settings of the nodes in a soak, in the platform's format, and the time limits that the rules apply."""
 
 from typing import TypeAlias
 
@@ -12,8 +12,8 @@
 DRAIN_GRACE_MS = 250.0
 STATE_TIMEOUT_MS = 600.0
 DEDUP_WINDOW_MS = 900.0
-SHORT_PROMPT_TOKENS = 100  # the writer reads it
-LONG_PROMPT_TOKENS = 2000  # a reader reads it
+SHORT_PROMPT_TOKENS = 100  # tokens; short enough that the writer computes the prompt itself
+LONG_PROMPT_TOKENS = 2000  # tokens; long enough that a reader computes the prompt first
 TERMS = RuleTerms(DRAIN_GRACE_MS / 1e3, STATE_TIMEOUT_MS / 1e3, DEDUP_WINDOW_MS / 1e3)
 
 PlatformSettings: TypeAlias = dict[str, object]  # the platform's JSON object
--- a/myrtlehub/lab/fault_soak/records.py
+++ b/myrtlehub/lab/fault_soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, engines, discovery agents and the driver recorded of one run.
+"""The records that clients, engines, discovery agents and the driver make during one run.
 
 All times are seconds of the monotonic clock of the driver's process, which also runs clients and engines.
 """
@@ -15,7 +15,7 @@
 
     IDEMPOTENT = "ask"
     AT_MOST_ONCE = "post"
-    DEDUPLICATED = "keep"  # by its idempotency key, within the dedup window
+    DEDUPLICATED = "keep"  # engines deduplicate by the idempotency key within the dedup window
 
 
 class EngineHealth(StrEnum):
@@ -29,9 +29,9 @@
 class ResponseEnd(StrEnum):
     """How a client's request ended, as the client saw it. The values are printed."""
 
-    OPEN = "open"  # it has not ended
-    COMPLETE = "complete"  # by its own framing
-    CUT = "cut"  # the connection was lost within the response
+    OPEN = "open"  # still in flight
+    COMPLETE = "complete"  # the response ended as its framing declares
+    CUT = "cut"  # the connection was lost during the response
     UNANSWERED = "unanswered"  # the connection was lost before the response
     CLIENT_DISCONNECTED = "client left"  # the client closed the connection first
 
@@ -40,7 +40,7 @@
     """How an attempt ended, as the engine saw it."""
 
     RUNNING = "running"
-    REJECTED = "rejected"  # with the statement that it did not run
+    REJECTED = "rejected"  # the engine answered that it had not executed the request
     COMPLETE = "complete"
     FAILED = "failed"  # the response was an error
     LOST = "lost"  # the connection was lost
@@ -55,7 +55,7 @@
         node: Number of the node that it was sent to.
         traffic: Its traffic type.
         sent_at: Time at which its last byte was written.
-        time_left_s: Time to the first event that the client allowed, in seconds.
+        time_left_s: Timeout of the client for the first event, in seconds after `sent_at`.
         is_first_on_connection: No request was sent before it on its connection.
         previous: The request before it on its connection, if that was open when this one was sent.
         disconnected_at: Time at which the client closed the connection, if it did so before the answer.
@@ -101,7 +101,7 @@
     Attributes:
         request_id: Id of the client's request.
         engine: Name of the engine.
-        is_read: The engine reads the prompt; otherwise it writes the answer.
+        is_read: The engine reads the prompt (prefill); otherwise it writes the answer (decode).
         first_byte_at: Time at which the first byte arrived.
         arrived_at: Time at which the last byte arrived.
         remaining_ms: Remaining time that the node stated, in milliseconds.
@@ -149,7 +149,7 @@
         engine: Name of the engine.
         health: Its new state.
         at: Time of the change.
-        known_at: By node, the time from which the node has to know of the change; infinite while its agent
+        known_at: By node, the time by which the node must have received the change; infinite while its agent
             cannot be reached.
     """
 
@@ -215,13 +215,13 @@
         attempts: Attempts in the order of their arrival at the engines.
         states: Read states that readers held.
         changes: Changes of the endpoint list.
-        node_faults: Faults that were injected into nodes and excuse them from some rules.
+        node_faults: Faults that were injected into nodes; some rules do not apply to a node during its fault.
         cuts: Losses of bytes between engines and nodes.
         exits: Exits of nodes' processes, except for those that were killed and wrote nothing.
         incomplete_requests: Requests whose clients sent only the beginning.
         node_violations: Invariant violations by the nodes' own logs, one entry for each.
-        withheld: Withheld sends by the nodes' own counters, by invariant.
-        unrecovered: Nodes that did not answer or exit after all faults, with what was wrong.
+        withheld: Sends that nodes withheld to keep an invariant, by invariant, from the nodes' own counters.
+        unrecovered: Nodes that did not answer or did not exit after all faults had ended, with the reason.
         driver_lag: Largest event loop lag of the driver in seconds, by which recorded times may be late.
     """
 
--- a/myrtlehub/lab/fault_soak/schedule.py
+++ b/myrtlehub/lab/fault_soak/schedule.py
@@ -8,15 +8,15 @@
 
 from myrtlehub.lab.fault_soak.faults import Fault, FaultKind, FaultTarget
 
-QUIET_BEGIN_S = 2.0  # no faults at first, so that all nodes are ready and have traffic
-QUIET_END_S = 8.0  # no faults at last, so that all nodes recover
-MAX_OVERLAP = 3  # faults at a time
-# Each run has only some kinds, so that the same kinds overlap often: that is where defects are found.
+QUIET_BEGIN_S = 2.0  # without faults at the start, until all nodes are ready and have traffic
+QUIET_END_S = 8.0  # without faults at the end, so that all nodes can recover
+MAX_OVERLAP = 3  # faults that may be active at the same time
+# Each run draws only some kinds of fault, so that the same kinds overlap often, which exposes defects.
 KINDS_PER_RUN = 7
 MEAN_FAULT_INTERVAL_S = 0.9  # from the start of one fault to the start of the next
 FAULT_DURATIONS_S = (0.3, 0.7, 1.5, 3.0)
-AGENT_FAULT_DURATIONS_S = (1.0, 2.5, 5.0)  # longer: a node notices a silent agent only after seconds
-FAILURE_SHARES = (0.3, 1.0)  # of the system calls
+AGENT_FAULT_DURATIONS_S = (1.0, 2.5, 5.0)  # longer: a node detects a silent agent only after seconds
+FAILURE_SHARES = (0.3, 1.0)  # fraction of system calls that fail
 CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
 ERRORS = {
     FaultKind.CONNECT_FAILS: ("EADDRNOTAVAIL", "ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "ENETUNREACH"),
@@ -28,7 +28,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """The plan of one run; the field names of the stored form are fixed.
+    """The plan of one run, stored as JSON under fixed field names.
 
     Attributes:
         seed: Seed of the schedule, and of the behavior of clients and engines.
--- a/myrtlehub/lab/rule_checker/checker.py
+++ b/myrtlehub/lab/rule_checker/checker.py
@@ -14,7 +14,7 @@
 
 
 class RuleChecker:
-    """Checks records one by one, in order of time; `breaches` has the broken rules."""
+    """Checks records one by one, in order of time, and collects the breaches of rules."""
 
     def __init__(self) -> None:
         self.now = 0.0  # seconds: the time of the last record
@@ -27,7 +27,7 @@
         drains = DrainRule(self._findings, facts)
         cold_engines = ColdEngineRule(self._findings)
         self._handlers: dict[str, list[Callable[[Record], None]]] = {}
-        # Facts and calls come first, as the rules read them.
+        # Facts and calls handle each record before the rules, which read them.
         sources = (facts, calls, drains, cold_engines, self._read_states)
         for source in (*sources, self._single_effects, self._final_answers):
             for kind, handler in source.handlers.items():
@@ -35,7 +35,7 @@
 
     @property
     def breaches(self) -> list[Breach]:
-        """All broken rules so far."""
+        """All breaches found so far."""
         return self._findings.breaches
 
     @property
@@ -45,7 +45,7 @@
 
     @property
     def excused(self) -> int:
-        """How many late answers are not judged, as the client's own process may have read them late."""
+        """How many late answers were excused because the client's own process may have read them late."""
         return self._final_answers.excused
 
     def check(self, record: Record) -> None:
@@ -59,7 +59,7 @@
             handler(record)
 
     def finish(self) -> list[Breach]:
-        """Check what only all records together show; return all breaches, by time."""
+        """Run the checks that need all records; return all breaches in order of time."""
         self._final_answers.finish(self.now)
         self._single_effects.finish()
         self._read_states.finish(self.now)
--- a/myrtlehub/lab/rule_checker/client_calls.py
+++ b/myrtlehub/lab/rule_checker/client_calls.py
@@ -17,26 +17,26 @@
 
 @dataclass(slots=True)
 class ClientCall:
-    """One call with which a client requests a sequence, or resumes one."""
+    """One call in which a client requests a sequence or resumes one."""
 
     name: str
     requested_at: float
     node: str
     traffic: str
     idempotency_key: str
-    first_token_timeout: float  # seconds from the request to the first token, or to another answer
+    first_token_timeout: float  # seconds to the first token, or to a final answer without tokens
     answer_timeout: float  # seconds from the request to the final answer
     sequence_id: str | None = None  # None until a node accepted the request
     answer: str | None = None  # the final answer
     answered_at: float | None = None
-    status_code: str | None = None  # of the call's end
+    status_code: str | None = None  # gRPC status with which the call ended
     has_first_token: bool = False
     has_disconnected: bool = False  # the client cancelled the call
     was_resumed: bool = False  # by a call to another node
 
 
 class ClientCalls:
-    """All calls, by name and by the sequence that a node made of them."""
+    """All calls, by name and by the sequence id that a node assigned."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, ClientCall] = {}
@@ -51,7 +51,7 @@
         }
 
     def of(self, record: Record) -> ClientCall:
-        """Return the call that a client's record is about."""
+        """Return the call that a client's record refers to."""
         return self.by_name[fields_of(record, CallFields).call]
 
     def _on_request_sent(self, record: Record) -> None:
--- a/myrtlehub/lab/rule_checker/final_answer_rule.py
+++ b/myrtlehub/lab/rule_checker/final_answer_rule.py
@@ -1,4 +1,4 @@
-"""Rule 1: each call gets one final answer, in time, of the tokens that a writer generated."""
+"""Rule 1: each call gets exactly one final answer, in time, with the tokens that an engine generated."""
 
 from typing import NamedTuple
 
@@ -19,11 +19,11 @@
 from myrtlehub.records import Record
 
 INVALID_ARGUMENT = "INVALID_ARGUMENT"
-MAX_KILL_TO_REQUEST = 1.0  # seconds by which the kill of a node may precede a call that it excuses
+MAX_KILL_TO_REQUEST = 1.0  # seconds; a node killed at most this long before a call excuses the missing answer
 
 
 class _GeneratedAnswer(NamedTuple):
-    """A complete answer, as its writer or its client recorded it."""
+    """A complete answer, as recorded by the engine that wrote it or by the client."""
 
     tokens: int
     checksum: int
@@ -37,7 +37,7 @@
 
 
 class _NodePause(NamedTuple):
-    """A time span in which a node's process was stopped."""
+    """A time span in which a node's process was suspended by SIGSTOP."""
 
     node: str
     since: float
@@ -48,7 +48,7 @@
     """Follows each call to its final answer."""
 
     def __init__(self, findings: Findings, facts: ScenarioFacts, calls: ClientCalls) -> None:
-        self.excused = 0  # answers whose lateness can be that of the client's own process
+        self.excused = 0  # late answers that the client's own event loop may have read late
         self._findings = findings
         self._facts = facts
         self._calls = calls
@@ -88,7 +88,7 @@
         self._findings.count(Rule.FINAL_ANSWER)
 
     def _on_request_resumed(self, record: Record) -> None:
-        """Follow a client that resumes, at another node, what it had requested."""
+        """Mark the earlier call as resumed: the client requests the rest of its sequence at another node."""
         fields = fields_of(record, ResumptionFields)
         call = self._calls.by_name[fields.call]
         previous = self._calls.by_name[fields.previous_call]
@@ -124,7 +124,7 @@
         self._check_time(record.at, call, str(fields.answer), timeout, fields.max_client_lag)
 
     def _check_tokens(self, record: Record, call: ClientCall) -> None:
-        """Check that the client received the tokens that a writer generated."""
+        """Check that the client received exactly the tokens that an engine generated."""
         fields = fields_of(record, CountedTokensFields)
         received = _GeneratedAnswer(fields.token_count, fields.checksum)
         generated = self._generated.get(fields.sequence_id, [])
@@ -145,7 +145,7 @@
         if late <= allowed:
             return
         if late <= allowed + max_client_lag:
-            self.excused += 1  # it may have arrived in time and been read late
+            self.excused += 1  # it may have arrived in time and waited for the client's event loop
         else:
             self._add_breach(at, f"{call.name}: {what} {late:.3f} s late")
 
@@ -163,7 +163,7 @@
             or self._was_node_killed(call, record.at)
         )
         if call.answer is None and not is_excused:
-            # Only the records that follow show whether the client resumed it.
+            # Later records show whether the client resumed the sequence, so the check waits for `finish`.
             self._unanswered.append(_UnansweredEnd(record.at, call))
 
     def _was_node_killed(self, call: ClientCall, now: float) -> bool:
@@ -191,7 +191,7 @@
         )
 
     def _was_lost_at_paused_node(self, end: _UnansweredEnd) -> bool:
-        """Return whether a paused node never accepted the call: its client then has nothing to resume."""
+        """Return whether a paused node never accepted the call, so that its client has nothing to resume."""
         call = end.call
         return call.sequence_id is None and any(
             pause.node == call.node and pause.since <= end.at and call.requested_at <= pause.until
--- a/myrtlehub/lab/rule_checker/single_effect_rule.py
+++ b/myrtlehub/lab/rule_checker/single_effect_rule.py
@@ -1,4 +1,4 @@
-"""Rule 2: what must not run twice is not sent twice, and what was rejected did not run."""
+"""Rule 2: a request that must not run twice is not sent twice, and a rejected request has not run."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 )
 from myrtlehub.records import Record
 
-ATTEMPT_ENDS = (  # beside a rejection, which has a handler of its own
+ATTEMPT_ENDS = (  # without rejections, which have a handler of their own
     RecordKind.ATTEMPT_CANCELLED,
     RecordKind.ATTEMPT_FAILED,
     RecordKind.STREAM_BROKEN,
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class _WriteAttempt:
-    """One attempt to write that an engine received."""
+    """An attempt to write an answer (decode), as the engine that received it recorded it."""
 
     sequence_id: str
     engine: str
     at: float
     has_run: bool = False
     has_ended: bool = False
-    never_runs: bool = False  # the engine rejected it, or granted a claim after its end
+    never_runs: bool = False  # rejected, or ended before the engine granted a claim to the sequence
 
 
 class SingleEffectRule:
@@ -54,7 +54,7 @@
         self._findings = findings
         self._facts = facts
         self._calls = calls
-        self._by_idempotency_key: dict[str, list[_WriteAttempt]] = {}  # by sequence id if it has none
+        self._by_idempotency_key: dict[str, list[_WriteAttempt]] = {}  # or by sequence id without a key
         self._by_attempt: dict[_AttemptKey, _WriteAttempt] = {}
 
     @property
@@ -69,7 +69,7 @@
         }
 
     def finish(self) -> None:
-        """Check the rejected calls."""
+        """Check that no rejected call ran."""
         for call in self._calls.by_name.values():
             if call.answer == FinalAnswer.REJECTED and call.answered_at is not None:
                 self._check_rejected(call, call.answered_at)
@@ -124,7 +124,7 @@
             self._add_breach(record.at, f"once-only {fields.idempotency_key} ran {runs} times")
 
     def _on_ownership_claimed(self, record: Record) -> None:
-        """Record that an attempt which ended here without running never runs, once a claim is granted."""
+        """Mark attempts that ended here unexecuted: after a granted claim they can no longer run."""
         fields = fields_of(record, ClaimFields)
         if not fields.is_granted:
             return
@@ -145,7 +145,7 @@
             write.has_ended = True
 
     def _write_of(self, record: Record) -> _WriteAttempt | None:
-        """Return the attempt to write that an engine's record is about; None for an attempt to read."""
+        """Return the attempt to write that an engine's record refers to; None for a read attempt."""
         fields = fields_of(record, AttemptFields)
         return self._by_attempt.get(_AttemptKey(fields.sequence_id, fields.attempt))
 
--- a/myrtlehub/lab/rule_checker/stored_records.py
+++ b/myrtlehub/lab/rule_checker/stored_records.py
@@ -1,8 +1,8 @@
 """The stored form of the records that clients, engines and scenarios write and the rules read.
 
-The names of records and of their fields are stored in record files and keep their form. Here each kind of
-record has a constant, and the fields that the rules use have a type whose attributes have the glossary's
-terms. A record may have more fields than its type names.
+Record files hold the names of records and fields, so these names are fixed. This module has a constant for
+each kind of record, and a type for the fields that the rules use, with attributes named by the glossary. A
+record may have further fields, which are ignored.
 """
 
 from enum import StrEnum
@@ -27,7 +27,7 @@
     REQUEST_SENT = "ask"
     SEQUENCE_NAMED = "seq"
     REQUEST_RESUMED = "goes on"
-    FIRST_TOKEN = "token"  # or a token after the final answer
+    FIRST_TOKEN = "token"  # also used for a token that arrives after the final answer
     FINAL_ANSWER = "final"
     STREAM_MIGRATED = "moved"
     CLIENT_DISCONNECTED = "left"
@@ -49,16 +49,16 @@
 
 
 class FinalAnswer(StrEnum):
-    """The final answers to a client, by the names that the protocol and the records have."""
+    """The kinds of final answer to a client, by their names in the protocol and in records."""
 
     GENERATED = "generated"
     REJECTED = "rejected"
     ABORTED = "aborted"
-    MISSING = "nothing"  # a reply of the chat front with none of the known contents
+    MISSING = "nothing"  # a chat reply that has neither tokens nor a known final answer
 
 
 class RetrySemantics(StrEnum):
-    """What a second execution does, by the words of traffic types."""
+    """The retry semantics of a traffic type, by their stored names."""
 
     IDEMPOTENT = "repeatable"
     KEYED = "tokened"
@@ -66,7 +66,7 @@
 
 
 class DedupGroup(StrEnum):
-    """Engines that share a memory of idempotency keys, by the words of traffic types."""
+    """The scope in which engines deduplicate idempotency keys together, by its stored name."""
 
     ALL = "all"
     CELL = "cell"
@@ -95,7 +95,7 @@
 
 
 class TrafficTerms(msgspec.Struct, frozen=True):
-    """What the terms say of a traffic type."""
+    """The retry semantics and the deduplication of a traffic type in a scenario."""
 
     name: str
     retry_semantics: RetrySemantics = msgspec.field(name="repeats")
@@ -122,7 +122,7 @@
 
 
 class EngineStateFields(msgspec.Struct, frozen=True):
-    """Which engine state a node was notified of."""
+    """A notification to a node that an engine has entered a state."""
 
     node: str
     engine: str
@@ -147,7 +147,7 @@
 
 
 class CallFields(msgspec.Struct, frozen=True):
-    """Which call a client's record is about."""
+    """The call that a client's record refers to."""
 
     call: str
 
@@ -183,7 +183,7 @@
 
     call: str
     answer: str | None = None
-    max_client_lag: float = msgspec.field(name="behind", default=0.0)  # seconds that the client may be late
+    max_client_lag: float = msgspec.field(name="behind", default=0.0)  # seconds by which it was read late
     checksum: int | None = msgspec.field(name="sum", default=None)  # None if the client counted no tokens
 
 
@@ -218,7 +218,7 @@
 
 
 class AttemptFields(msgspec.Struct, frozen=True):
-    """Which attempt an engine's record is about."""
+    """The attempt that an engine's record refers to."""
 
     sequence_id: str = msgspec.field(name="seq")
     attempt: int
@@ -233,7 +233,7 @@
     traffic: str
     idempotency_key: str = msgspec.field(name="mark")  # empty if the client gave none
     is_read: bool = msgspec.field(name="reads")
-    work: float  # slot-seconds
+    work: float  # slot-seconds of the engine
 
 
 class ExecutionFields(msgspec.Struct, frozen=True):
--- a/myrtlehub/lab/simulated_clients/batch_call.py
+++ b/myrtlehub/lab/simulated_clients/batch_call.py
@@ -10,11 +10,11 @@
 from myrtlehub.proto import items_pb2 as pb
 from myrtlehub.rpc.status import Status
 
-DEADLINE_GRACE = 5.0  # seconds from the time for the answer to the call's deadline, so that late answers show
+DEADLINE_GRACE = 5.0  # seconds from the answer timeout to the gRPC deadline, to record late answers
 
 
 class BatchCallOwner(CallOwner, Protocol):
-    """The clients that make the call, as the call sees them."""
+    """The interface of the client group that makes the call."""
 
     @property
     def models(self) -> tuple[str, ...]:
@@ -25,7 +25,7 @@
         """The counts and faults of all batches."""
 
     def call_ended(self, call: "BatchCall", status: Status, /) -> None:
-        """Count the call, or retry."""
+        """Count a call that ended, or retry it."""
 
 
 class BatchCall(RecordedCall):
@@ -39,7 +39,7 @@
         self._is_streamed = plan.is_streamed and plan.top is None
         self._items: dict[int, BatchItem] = {}
         self._order: list[int] = []  # indices in the order in which items arrived
-        self._model: str | None = None  # of a generated batch
+        self._model: str | None = None  # version that generated the batch
 
     def start(self) -> None:
         """Make the call."""
@@ -115,7 +115,7 @@
         return item.value == self._front.right_value(self.plan, index, model)
 
     def _check_order(self) -> None:
-        """Check that a generated batch is complete and in order, and that another has no items."""
+        """Check that a generated batch is complete and in order; any other unstreamed answer has no items."""
         if self.answer == FinalAnswer.GENERATED:
             expected = self._front.expected_order(self.plan, self._model or "")
             if (sorted(self._order) if self._is_streamed else self._order) != expected:
--- a/myrtlehub/lab/simulated_clients/batch_clients.py
+++ b/myrtlehub/lab/simulated_clients/batch_clients.py
@@ -1,4 +1,4 @@
-"""The clients of the batch fronts: requests at planned times, and retries as answers allow."""
+"""The clients of the batch fronts: they send requests at planned times, and retry where that is safe."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -41,7 +41,7 @@
             recorder: The recorder of clients.
             random: The source of the plan and of retry delays.
             rate: Batches per second.
-            behind: Returns a bound on how late, in seconds, this process reads what it reads at a time.
+            behind: Returns an upper bound, in seconds, on the lag of this process's event loop at a time.
             models: Versions of the model that engines have during the scenario.
         """
         super().__init__(scenario, clock, dial_by_node, recorder, random)
@@ -52,11 +52,11 @@
 
     @property
     def faults(self) -> list[str]:
-        """What was wrong with answers."""
+        """Descriptions of the faults found in answers."""
         return self.tally.faults
 
     def start(self) -> None:
-        """Schedule the request of each batch at its time, independently of other answers."""
+        """Schedule each batch at its planned time (open loop: no request waits for an answer)."""
         self.open = len(self.planned)
         for plan in self.planned:
             self.clock.callLater(plan.at, self._start_call, plan, 0)
@@ -86,5 +86,5 @@
 
 
 def _end_without_answer(call: BatchCall, status: Status) -> str:
-    """Return the word of a verdict's answer counts for a call without a final answer."""
+    """Return the key under which a verdict counts a call without a final answer."""
     return DISCONNECTED if call.has_disconnected else status.code.name.lower()
--- a/myrtlehub/lab/simulated_clients/batch_fronts.py
+++ b/myrtlehub/lab/simulated_clients/batch_fronts.py
@@ -1,7 +1,7 @@
-"""The two fronts for batches: their requests, their replies, and the right value of each item.
+"""The two fronts for batches: their requests, their replies, and the expected value of each item.
 
-What an emulated engine answers is a function of the input and the model's version, so a client knows the
-right value.
+An emulated engine computes each value from the input and the model's version, so a client can compute the
+expected value itself.
 """
 
 from collections.abc import Sequence
@@ -33,7 +33,7 @@
 
 
 class BatchFront(Protocol):
-    """One front for batches, as its clients see it."""
+    """The interface of a batch front that clients need."""
 
     @property
     def method(self) -> str:
@@ -46,14 +46,14 @@
         """Parse a reply message."""
 
     def right_value(self, plan: PlannedBatch, index: int, model: str) -> bytes | float:
-        """Return the value that a version of the model has for an input."""
+        """Return the value that a version of the model must give for an input."""
 
     def expected_order(self, plan: PlannedBatch, model: str) -> list[int]:
-        """Return the indices of the items of a complete answer, in their order."""
+        """Return the indices that the items of a complete answer must have, in order."""
 
 
 class EmbedFront:
-    """Vectors of texts."""
+    """The front for embeddings: a vector for each text."""
 
     method = "/myrtlehub.v1.Embeddings/Embed"
 
@@ -68,16 +68,16 @@
         return BatchReply(items, reply.final if reply.HasField("final") else None)
 
     def right_value(self, plan: PlannedBatch, index: int, model: str) -> bytes:
-        """Return the vector that a version of the model has for an input."""
+        """Return the embedding vector that a version of the model must give for an input."""
         return vector_of(plan.inputs[index].text, model, DIMENSIONS, False)
 
     def expected_order(self, plan: PlannedBatch, model: str) -> list[int]:
-        """Return the indices in the order of the inputs."""
+        """Return the indices of all inputs, in the order of the request."""
         return list(range(len(plan.inputs)))
 
 
 class RankFront:
-    """Scores of documents; the query's text is the idempotency key."""
+    """The front for reranking: a score for each document; the query's text is the idempotency key."""
 
     method = "/myrtlehub.v1.Rerank/Rank"
 
@@ -93,11 +93,11 @@
         return BatchReply(items, reply.final if reply.HasField("final") else None)
 
     def right_value(self, plan: PlannedBatch, index: int, model: str) -> float:
-        """Return the score that a version of the model has for a document."""
+        """Return the score that a version of the model must give to a document."""
         return score_of(_query(plan), plan.inputs[index].text, model)
 
     def expected_order(self, plan: PlannedBatch, model: str) -> list[int]:
-        """Return the indices in the order of the inputs, or those of the best documents, the best first."""
+        """Return the indices of all documents as requested; with `top`, those of the best, the best first."""
         indices = list(range(len(plan.inputs)))
         if plan.top is None:
             return indices
--- a/myrtlehub/lab/simulated_clients/batch_plan.py
+++ b/myrtlehub/lab/simulated_clients/batch_plan.py
@@ -6,13 +6,13 @@
 from myrtlehub.lab.scenario_file import Scenario, TrafficMix
 from myrtlehub.lab.simulated_clients.traffic import CHAT_FRONT, RANK_FRONT, is_idempotent
 
-MAX_UNDIVIDED = 200  # items of a batch that is not idempotent: it is sent as a whole to one engine
-INPUT_SKEW = 0.6  # shape of the Pareto distribution of inputs: a few of them occur again and again
-MAX_INPUT = 10**7  # the largest number of an input
+MAX_UNDIVIDED = 200  # items of a batch that is not idempotent, which one engine must process undivided
+INPUT_SKEW = 0.6  # shape of the Pareto distribution of inputs: a few of them are very frequent
+MAX_INPUT = 10**7  # highest index of a distinct input
 STREAMED_SHARE = 0.4
-TOP_SHARE = 0.3  # of rerank batches, whose clients want only the best documents
+TOP_SHARE = 0.3  # fraction of rerank batches that request only the best documents
 MAX_TOP = 10
-MAX_DISCONNECT_DELAY = 0.3  # seconds from the request until a client that disconnects does so
+MAX_DISCONNECT_DELAY = 0.3  # seconds from the request to the disconnect
 
 
 class _Size(NamedTuple):
@@ -92,5 +92,5 @@
     """Draw a text; its number of tokens is a function of the text."""
     text = f"{traffic.name}-{min(int(random.paretovariate(INPUT_SKEW)), MAX_INPUT)}".encode()
     fewest, most = traffic.prompt
-    random.randint(fewest, most)  # not used: without this draw, a seed would give another load than before
+    random.randint(fewest, most)  # unused draw; without it, stored seeds would give another load
     return BatchInput(text, fewest + sum(text) % (most - fewest + 1))
--- a/myrtlehub/lab/simulated_clients/chat_clients.py
+++ b/myrtlehub/lab/simulated_clients/chat_clients.py
@@ -1,4 +1,4 @@
-"""The clients of the chat front: requests at planned times, retries and resumes as answers allow."""
+"""The clients of the chat front: they send requests at planned times, retry and resume where that is safe."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -20,8 +20,8 @@
 from myrtlehub.rpc.status import Code, Status
 
 MAX_RESUMES = 12  # of one sequence
-RESUME_BACKOFF = 0.15  # seconds per earlier call, at most, before a sequence of a lost node is resumed
-RESUME_UNPROCESSED_BACKOFF = 0.1  # seconds per earlier call, after a node that did not process a resume
+RESUME_BACKOFF = 0.15  # seconds per earlier call, at most, before a resume after the loss of a node
+RESUME_UNPROCESSED_BACKOFF = 0.1  # seconds for each earlier call, after a node that left a resume unprocessed
 UNPROCESSED_RETRIES = 2  # beyond the scenario's retries, for calls that no node processed
 
 
@@ -29,7 +29,7 @@
 
 
 class LostStage(StrEnum):
-    """What a node did with a sequence when it was lost."""
+    """The stage of a sequence at the loss of its node."""
 
     WAITING = "waiting"
     STREAMING = "streaming"
@@ -72,17 +72,17 @@
         self._lag_timer: Timer | None = None
 
     def behind(self, now: float) -> float:
-        """Return a bound on how late, in seconds, this process reads what it reads now."""
+        """Return an upper bound, in seconds, on the present lag of this process's event loop."""
         return round(self.lag.age(now), 4)
 
     def start(self) -> None:
-        """Schedule the request of each sequence at its time, independently of other answers."""
+        """Schedule each sequence at its planned time (open loop: no request waits for an answer)."""
         self._measure_lag()
         for plan in self._planned:
             self.clock.callLater(plan.at, self._request, plan)
 
     def stop(self) -> None:
-        """Request nothing more; open sequences continue."""
+        """Send no more requests; open sequences continue."""
         self._is_stopped = True
 
     def close(self) -> None:
@@ -109,11 +109,11 @@
         ChatCall(self, plan, attempt, node).start()
 
     def _resume(self, call: ChatCall, node: str) -> None:
-        """Call again for the rest of a sequence whose node was lost."""
+        """Request the rest of a sequence whose node was lost."""
         ChatCall(self, call.plan, call.attempt + 1, node, call).start()
 
     def _other_nodes(self, node: str) -> list[str]:
-        """Return the nodes without this one, or this one if there is no other."""
+        """Return all nodes except this one, or just this one if there is no other."""
         return [other for other in self.nodes if other != node] or self.nodes
 
     # -- the end of a call ------------------------------------------------------------------------
@@ -128,7 +128,7 @@
         self._finish(call, status)
 
     def _resume_later(self, call: ChatCall, status: Status) -> bool:
-        """Schedule a call that resumes a lost sequence, if it may be resumed; return whether it may."""
+        """Schedule a call that resumes a lost sequence, if possible; return whether it was scheduled."""
         if call.attempt >= MAX_RESUMES:
             return False
         if self.can_resume and _is_lost(call, status) and status.code != Code.ABORTED:
@@ -152,7 +152,7 @@
         self.lost[LostSequence(call.plan.traffic.repeats, stage, call.answer or LOST)] += 1
 
     def _retry_unprocessed(self, call: ChatCall, status: Status) -> bool:
-        """Call another node at once if no node processed the call; return whether that was so."""
+        """Call another node at once if the call was unprocessed and retries remain; return whether it did."""
         most = UNPROCESSED_RETRIES + self.scenario.clients.retries
         if call.answer is not None or not status.unprocessed or call.attempt >= most:
             return False
@@ -191,7 +191,7 @@
 
 
 def _end_without_answer(call: ChatCall, status: Status) -> str:
-    """Return the word of a verdict's answer counts for a call without a final answer."""
+    """Return the key under which a verdict counts a call without a final answer."""
     if call.has_disconnected:
         return DISCONNECTED
     return "node lost" if status.code == Code.UNAVAILABLE else status.code.name.lower()
--- a/myrtlehub/lab/simulated_clients/recorded_call.py
+++ b/myrtlehub/lab/simulated_clients/recorded_call.py
@@ -24,11 +24,11 @@
 
     @property
     def idempotency_key(self) -> str:
-        """The key that all calls for this request have."""
+        """The idempotency key, common to all calls for this request."""
 
 
 class CallOwner(Protocol):
-    """The group of clients that makes a call, as the call sees it."""
+    """The interface of the client group that makes a call."""
 
     @property
     def clock(self) -> Clock:
@@ -43,7 +43,7 @@
         """A channel to each node."""
 
     def behind(self, now: float, /) -> float:
-        """Return a bound on how late, in seconds, this process reads what it reads now."""
+        """Return an upper bound, in seconds, on the present lag of this process's event loop."""
 
 
 class RecordedCall(CallWatcher):
@@ -54,7 +54,7 @@
         self.node = node
         self.name = f"{plan.idempotency_key}.{attempt}"
         self.answer: FinalAnswer | None = None
-        self.retry_after = 0.0  # seconds that the final answer asks to wait; 0 for none, as on the wire
+        self.retry_after = 0.0  # seconds before a retry, by the final answer; 0 for none, as on the wire
         self.requested_at = owner.clock.seconds()
         self.has_disconnected = False
         self._clock = owner.clock
@@ -64,7 +64,7 @@
         self._call: ClientCall | None = None
 
     def _record_request(self, first_token_timeout: float, answer_timeout: float) -> None:
-        """Record the request; seconds within which the first token, and the final answer, must arrive."""
+        """Record the request with its timeouts for the first token and the final answer, in seconds."""
         plan = self._plan
         self._records.request_sent(
             self.node, plan.traffic.name, plan.idempotency_key, first_token_timeout, answer_timeout
@@ -82,7 +82,7 @@
         self._clock.callLater(seconds, self.disconnect)
 
     def disconnect(self) -> None:
-        """Cancel the call, as a client does that closes its connection."""
+        """Cancel the call, as when a client closes its connection."""
         if self._call is not None and not self._call.over:
             self.has_disconnected = True
             self._records.client_disconnected()
--- a/myrtlehub/lab/simulated_clients/sequence_plan.py
+++ b/myrtlehub/lab/simulated_clients/sequence_plan.py
@@ -6,13 +6,13 @@
 from myrtlehub.lab.scenario_file import ClientsConfig, Scenario, TrafficMix
 from myrtlehub.lab.simulated_clients.traffic import CHAT_FRONT
 
-PREFIX_SKEW = 0.7  # rate of the exponential distribution of shared prefixes: the first ones are the most used
-MAX_OPEN_SESSIONS = 40  # of a traffic type; only these can have a further turn
-ANSWER_IN_NEXT_PROMPT = 4  # a quarter of the longest output is in the next turn's prompt
-LAST_TOKEN_WITH_DISCONNECT = 4  # clients that disconnect on a token do so on one of the first four
-MAX_DELAY_AFTER_TOKEN = 0.015  # seconds from that token until they disconnect
+PREFIX_SKEW = 0.7  # rate of the exponential distribution over shared prefixes: the first ones are used most
+MAX_OPEN_SESSIONS = 40  # of a traffic type; older sessions get no further turn
+ANSWER_IN_NEXT_PROMPT = 4  # divisor: a quarter of the longest output is added to the next turn's prompt
+LAST_TOKEN_WITH_DISCONNECT = 4  # highest number of the token on which a client disconnects
+MAX_DELAY_AFTER_TOKEN = 0.015  # seconds from that token to the disconnect
 SHORTEST_HURRY = 0.1  # seconds that the most impatient client waits for the first token
-HURRY_SPREAD = 0.5  # seconds that another impatient client waits longer, at most
+HURRY_SPREAD = 0.5  # seconds; range of the random time that is added to it
 HASH_FACTOR = 2654435761  # of Knuth's multiplicative hash
 HASH_RANGE = 2**32
 
@@ -30,9 +30,9 @@
     output: int  # tokens
     tenant: str | None
     disconnects_after: float | None  # from the request; None: the client waits for its answer
-    is_silent: bool  # it reads nothing, and disconnects after the time for the first token
+    is_silent: bool  # it reads nothing, and disconnects after the first-token timeout
     disconnects_on_token: int | None  # number of the token on which the client disconnects
-    delay_after_token: float  # from that token until it does
+    delay_after_token: float  # seconds from that token to the disconnect
     first_token_timeout: float
 
 
@@ -124,5 +124,5 @@
 
 
 def _hash_of(text: str) -> int:
-    """Return a number of a text, the same in every process."""
+    """Return a hash of a text that is the same in every process, unlike `hash`."""
     return sum((index + 1) * ord(letter) for index, letter in enumerate(text)) * HASH_FACTOR % HASH_RANGE
--- a/tests/support/router_bench.py
+++ b/tests/support/router_bench.py
@@ -39,12 +39,12 @@
     contract.WatchEndpoints: "watch",
     contract.Forget: "done",
 }
-TRACE_FIELDS = {"started_at": "started"}  # names of the fields of an endpoint update there, if different
+TRACE_FIELDS = {"started_at": "started"}  # names of an endpoint update's fields in those files, if different
 ACTION_MARK = "         -> "
 
 
 class TakeoverFields(TypedDict, total=False):
-    """Fields of an arrival that is taken over from another node."""
+    """Fields of the arrival of a sequence that this node takes over from another."""
 
     is_resumed: bool
     is_retry: bool
@@ -54,7 +54,7 @@
 
 
 class ArrivalFields(TakeoverFields, total=False):
-    """The optional arguments of `arrival`, but for the first two."""
+    """The optional arguments of `arrival`, without the first two."""
 
     time_left: float
     session: int
@@ -132,7 +132,7 @@
 
 
 class RouterBench:
-    """Calls a router, and records each call and each action on a line."""
+    """Calls a router, and records each call and each action as a line of a trace."""
 
     def __init__(self, engines: str = "R0 R0 W0 R1 W1", **changes: Unpack[ConfigChanges]) -> None:
         self.router = Router(CONFIG._replace(**changes))
@@ -157,7 +157,7 @@
     def arrive(
         self, traffic: int = IDEMPOTENT, prompt: float = 3000.0, **fields: Unpack[ArrivalFields]
     ) -> int:
-        """Have a sequence arrive, and return its number."""
+        """Pass a new sequence to the router, and return its number."""
         sequence_id = self.count
         self.count += 1
         actions = self.router.arrive(self.now, sequence_id, arrival(traffic, prompt, **fields))
@@ -175,7 +175,7 @@
         load: contract.LoadReport | None = None,
         latency: float = 0.1,
     ) -> None:
-        """End an attempt."""
+        """Notify the router that an attempt has ended."""
         memory = f" {load.memory_share:g} of memory held" if load else ""
         actions = self.router.ended(
             self.now, sequence_id, attempt, outcome, latency, is_answered, cached, load
@@ -183,7 +183,7 @@
         self.record(f"seq {sequence_id} attempt {attempt} {outcome} kept {cached:g}{memory}", actions)
 
     def probe_ended(self, engine: int, load: contract.LoadReport | None) -> None:
-        """End a probe; a load of None means that it timed out."""
+        """Notify the router of the end of a health check; a load of None means that it timed out."""
         is_answered = load is not None
         latency = 0.001 if is_answered else 0.25
         actions = self.router.probe_ended(self.now, engine, is_answered, latency, load)
@@ -203,7 +203,7 @@
         return self.router.sequences[sequence_id]
 
     def began(self, sequence_id: int, attempt: int) -> None:
-        """Start an answer."""
+        """Notify the router that an answer has begun."""
         actions = self.router.began(self.now, sequence_id, attempt, 0.05)
         self.record(f"seq {sequence_id} attempt {attempt} began", actions)
 
@@ -217,11 +217,11 @@
         self.record(f"engine {engine} {named}", self.router.update_endpoints(self.now, [update], False))
 
     def client_left(self, sequence_id: int) -> None:
-        """Disconnect a client."""
+        """Notify the router that a client has disconnected."""
         self.record(f"seq {sequence_id} client left", self.router.client_left(self.now, sequence_id))
 
     def send_and_answer(self, **fields: Unpack[SequenceFields]) -> int | None:
-        """Have a sequence arrive and answer it, and return its engine; None if it was not sent."""
+        """Pass a new sequence to the router, answer it, and return its engine; None if it was not sent."""
         sequence_id = self.arrive(**fields)
         attempts = self.sequence(sequence_id).attempts
         if not attempts:
@@ -233,7 +233,7 @@
         return engine
 
     def wait(self, seconds: float, step: float = 0.025) -> None:
-        """Advance the clock in steps, and wake the router at each."""
+        """Advance the clock in steps, and wake up the router at each."""
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now = min(until, self.now + step)
--- a/tests/support/socketrig.py
+++ b/tests/support/socketrig.py
@@ -1,7 +1,7 @@
 """The relay as a process on loopback, between scripted peers on real sockets.
 
-Gates are events, never times: whatever a test waits for is waited for until it is there, and `TIMEOUT_S` only
-bounds a wait in vain.
+Tests synchronize on events, never on elapsed time: each wait ends when its condition holds, and `TIMEOUT_S`
+only limits a wait that would fail.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 
 class Client:
-    """A client's connection. `window`: bytes that its system takes unread, where it is to be a slow one."""
+    """A client's connection. For a slow client, `window` sets the socket's receive buffer in bytes."""
 
     def __init__(self, address: str, window: int = 0) -> None:
         host, port = address.rsplit(":", 1)
@@ -50,7 +50,7 @@
         return self
 
     def read_until(self, mark: bytes, max_bytes: int = 65536) -> bytes:
-        """Wait for `mark`; returns what came up to and with it."""
+        """Wait for `mark`; return the bytes received up to its end."""
         while mark not in self.received:
             data = self.sock.recv(max_bytes)
             if not data:
@@ -61,11 +61,11 @@
         return read
 
     def read_status(self) -> int:
-        """Return the status of the next response, whose body is left."""
+        """Return the status of the next response; its body stays unread."""
         return int(self.read_until(b"\r\n\r\n").split()[1])
 
     def read_rest(self, keep_open: bool = False) -> bytes:
-        """Return all up to the end, and close too; ConnectionResetError where it is no clean end."""
+        """Return all bytes up to the end of the stream, and close; a reset raises ConnectionResetError."""
         while data := self.sock.recv(65536):
             self.received += data
         if not keep_open:
@@ -74,7 +74,7 @@
         return read
 
     def socket_error(self) -> int:
-        """Return the error of the socket, such as a reset that came after the end; 0 for none."""
+        """Return the pending errno of the socket, such as a reset after the end of data; 0 for none."""
         return self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def close(self) -> None:
@@ -83,7 +83,7 @@
 
 
 class SilentClients:
-    """So many clients that send nothing, and connect again whenever they are closed."""
+    """`count` clients that send nothing, and reconnect whenever the node closes their connections."""
 
     def __init__(self, address: str, count: int) -> None:
         self.stopped = False
@@ -109,7 +109,7 @@
                 self.sockets.append(self._connect())
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all connections, and reconnect no more."""
         self.stopped = True
         self.thread.join()
         for sock in self.sockets:
@@ -117,7 +117,7 @@
 
 
 class RelayProcess:
-    """The program. `descriptors` is its limit, set for the child alone and stated in its settings."""
+    """The relay's process. `descriptors` is its limit of open files, set by rlimit and in its settings."""
 
     def __init__(
         self,
@@ -160,7 +160,7 @@
             threading.Thread(target=self._read_log, daemon=True).start()
 
     def write_config(self, **fields: Any) -> None:  # noqa: ANN401
-        """Write its settings file, with some of it changed."""
+        """Write the settings file, with these fields replaced."""
         self.config.update(fields)
         self.path.write_text(json.dumps(self.config))
 
@@ -174,7 +174,7 @@
             self.log_changed.notify_all()
 
     def find_logged(self, event: str, **fields: Any) -> list[dict[str, Any]]:  # noqa: ANN401
-        """Return the lines of its log with that event and these fields."""
+        """Return the entries of the log with this event and these fields."""
         return [
             line
             for line in list(self.logged)
@@ -182,7 +182,7 @@
         ]
 
     def wait_for_log(self, event: str, **fields: Any) -> dict[str, Any]:  # noqa: ANN401
-        """Wait for a line of its log, and return it."""
+        """Wait for an entry of the log with this event and these fields, and return it."""
         with self.log_changed:
             is_there = self.log_changed.wait_for(
                 lambda: self.find_logged(event, **fields) or self.find_logged("no more"), TIMEOUT_S
@@ -192,44 +192,44 @@
         return found[0]
 
     def error_output(self) -> str:
-        """Return what it wrote to standard error: tracebacks of whatever was not caught."""
+        """Return its standard error output, which has the tracebacks of uncaught exceptions."""
         self.error_file.seek(0)
         return self.error_file.read().decode()
 
     def signal(self, *names: str) -> None:
-        """Send signals, by their names without SIG."""
+        """Send signals in order, given by their names without SIG."""
         for name in names:
             self.process.send_signal(signal.Signals[f"SIG{name}"])
 
     def stop(self) -> None:
-        """Stop the process: what comes meanwhile lies in the kernel."""
+        """Suspend the process by SIGSTOP; data that arrives stays in the kernel's buffers."""
         self.signal("STOP")
         wait_for_file(
             lambda: f"/proc/{self.process.pid}/stat", lambda text: text.rpartition(")")[2].split()[0] == "T"
         )
 
     def go_on(self) -> None:
-        """Let a stopped process go on."""
+        """Resume a suspended process."""
         self.signal("CONT")
 
     def exit_code(self, timeout: float = TIMEOUT_S) -> int | None:
-        """Wait for its exit code; None where it has not exited within that time."""
+        """Wait for the exit code; return None if the process is still running after `timeout` seconds."""
         try:
             return self.process.wait(timeout)
         except subprocess.TimeoutExpired:
             return None
 
     def assert_clean_exit(self) -> None:
-        """After SIGTERM: it exits with 0, and nothing was left uncaught."""
+        """Check that the process, after SIGTERM, exits with 0 and without uncaught exceptions."""
         assert self.exit_code() == 0
         assert self.error_output() == ""
 
     def descriptor_count(self) -> int:
-        """Return how many file descriptors it has open."""
+        """Return the number of open file descriptors of the process."""
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
     def wait_for_unread(self, client: Client, count: int) -> None:
-        """Wait until so many bytes of a client lie unread at the node's machine."""
+        """Wait until exactly `count` bytes of a client are unread in the node's receive buffer."""
         here = f":{int(self.address.rpartition(':')[2]):04X}"
         there = f":{client.port:04X}"
 
@@ -245,11 +245,11 @@
         wait_for_file(lambda: "/proc/net/tcp", is_unread)
 
     def wait_for_closed_port(self) -> None:
-        """Wait until nobody listens at its address any more."""
+        """Wait until the address refuses connections."""
         self._wait_for_port(is_open=False)
 
     def wait_for_open_port(self) -> None:
-        """Wait until it listens at its address."""
+        """Wait until the address accepts connections."""
         self._wait_for_port(is_open=True)
 
     def _wait_for_port(self, is_open: bool) -> None:
@@ -262,23 +262,23 @@
         raise AssertionError("it still listens" if not is_open else "it never listens")
 
     def memory_mb(self) -> float:
-        """Return the MB that it has in use."""
+        """Return the resident memory of the process in MB."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * PAGE_BYTES / 1e6
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process, and wait for its exit."""
         self.process.kill()
         self.process.wait()
 
 
 def stay_stopped(seconds: float) -> None:
-    """Let the time pass for which a process is stopped: what is tried, not what is waited for."""
+    """Sleep while a process is suspended: the duration is the test's input, not a wait for an event."""
     time.sleep(seconds)
 
 
 def wait_for_file(path: Callable[[], str], holds: Callable[[str], bool]) -> None:
-    """Read a file of the system's until its text holds."""
+    """Read a file of /proc repeatedly until `holds` returns true for its text."""
     end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         if holds(Path(path()).read_text()):
@@ -288,20 +288,20 @@
 
 
 def free_address() -> str:
-    """Return an address of loopback that is free at present."""
+    """Return a loopback address whose port is free at present."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return f"{HOST}:{sock.getsockname()[1]}"
 
 
 def deployed_argv() -> list[str]:
-    """Return `run` of the deploy file, as the platform starts it."""
+    """Return the start command (`run` in the deploy file) in the form that the platform executes."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return ["/bin/sh", "-c", run.replace(".venv/bin/python", shlex.quote(sys.executable))]
 
 
 class SocketRig:
-    """Engines, discovery and nodes of one test; all ended with it."""
+    """Engines, discovery and nodes of one test; `close` stops all of them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -334,7 +334,7 @@
         return made
 
     def close(self) -> None:
-        """End all of it."""
+        """Stop all nodes, engines and discovery."""
         for relay in self.relays:
             if relay.process.poll() is None:
                 relay.kill()
@@ -345,7 +345,7 @@
 
 @pytest.fixture(name="rig")
 def socket_rig(tmp_path: Path) -> Iterator[SocketRig]:
-    """A rig of the test's own."""
+    """A new rig for each test."""
     made = SocketRig(tmp_path)
     yield made
     made.close()
