--- a/benchmarks/batch_throughput.py
+++ b/benchmarks/batch_throughput.py
@@ -1,7 +1,7 @@
 """Batches: split or undivided, merged or one by one, and chat during a flood of embeddings. Simulated.
 
-`python benchmarks/batch_throughput.py` starts emulated engines and nodes as processes on loopback; what is
-compared runs in turn in one run, so that both meet the same state of the machine.
+`python benchmarks/batch_throughput.py` starts emulated engines and nodes as processes on loopback. The two
+sides of a comparison alternate within one run, so that both run under the same load of the machine.
 """
 
 import json
@@ -31,7 +31,7 @@
     def __init__(self, is_chat: bool) -> None:
         self.is_chat = is_chat
         self.started_at = CLOCK.seconds()
-        self.first_reply_at = 0.0  # so that a call without a reply gives a negative latency
+        self.first_reply_at = 0.0  # stays 0 without a reply, which makes the latency negative
         self.done: Deferred[CallResult] = Deferred()
         self.answer: str | None = None
 
@@ -40,7 +40,7 @@
         return self.first_reply_at - self.started_at
 
     def message(self, data: bytes) -> None:
-        """Take a reply: the first token, or the final answer."""
+        """Record the time of the first reply, and the final answer."""
         self.first_reply_at = self.first_reply_at or CLOCK.seconds()
         if self.is_chat:
             self.answer = chat_pb2.GenerateReply.FromString(data).WhichOneof("reply")
@@ -150,12 +150,12 @@
         return address
 
     def texts(self, count: int) -> list[bytes]:
-        """Return inputs that no other batch has."""
+        """Return inputs that occur in no other batch."""
         return [self.random.randbytes(12) for _ in range(count)]
 
     @inlineCallbacks
     def compare_splitting(self) -> Steps[None]:
-        """Compare 2,048 inputs split over four engines with all of them at one."""
+        """Compare a batch of 2,048 inputs split over four engines with the same batch at one engine."""
         engines = {self.engine("embedder", batch_rate=120000, batch_queue=64): "embedder" for _ in range(4)}
         channels = {
             "cut over four engines": self.node("cut", engines, {"gather": "0ms", "keep": "0B"}),
@@ -181,7 +181,7 @@
 
     @inlineCallbacks
     def compare_merging(self) -> Steps[None]:
-        """Compare 300 small requests per second that are merged with those sent one by one."""
+        """Compare 300 small requests per second, merged into batches, with the same requests sent singly."""
         engines = {self.engine("embedder", batch_rate=120000, batch_queue=64): "embedder" for _ in range(2)}
         channels = {
             "gathered within 4 ms": self.node("g", engines, {"keep": "0B"}),
@@ -198,13 +198,13 @@
             )
 
     def small(self, channel: Channel, i: int) -> "Deferred[CallResult]":
-        """Send one small request of an open loop at its time."""
+        """Send one small request at its scheduled time (open loop)."""
         started = deferLater(reactor, i / 300, embed, channel, self.texts(2), 30)
         return started.addCallback(_done_of)
 
     @inlineCallbacks
     def compare_flood(self, seconds: float) -> Steps[None]:
-        """Compare chat at 70% of its engines' capacity, alone and during a flood of embeddings."""
+        """Compare chat traffic at 70% of its engines' capacity, alone and during a flood of embeddings."""
         engines = {self.engine("reader", slots=8, read_rate=20000): "reader" for _ in range(2)}
         engines |= {
             self.engine(
@@ -228,7 +228,7 @@
             flooded = bool(i % 2)
             loop = LoopingCall(lambda: floods.append(embed(flood_channel, self.texts(200), 60)))
             if flooded:
-                loop.start(0.05)  # 240k tokens a second, over what all that embed can do
+                loop.start(0.05)  # 240k tokens per second, more than all embedding engines can process
             chats: list[CallResult] = []
             asking = LoopingCall(
                 lambda chats=chats: chats.append(chat(channel, self.random.choice([300, 400, 2000]), 120))
--- a/benchmarks/bench_processes.py
+++ b/benchmarks/bench_processes.py
@@ -1,4 +1,4 @@
-"""Shared by benchmarks: engines and nodes as processes on loopback, channels, and a run of the reactor."""
+"""Helpers for benchmarks: engines and nodes as processes on loopback, channels, and a run of the reactor."""
 
 import os
 import subprocess
@@ -25,7 +25,7 @@
 
 Result = TypeVar("Result")
 Steps: TypeAlias = Generator["Deferred[Any]", Any, Result]  # the body of an `inlineCallbacks` function
-Connect: TypeAlias = Callable[[Factory], "Deferred[Any]"]  # of an address
+Connect: TypeAlias = Callable[[Factory], "Deferred[Any]"]  # connects a protocol factory to one address
 Settings: TypeAlias = dict[str, Any]  # of a program, with the keys of its YAML
 
 NODE_RULES = {
@@ -67,7 +67,7 @@
         return process
 
     def stop(self) -> None:
-        """End all processes, the last started first."""
+        """Stop all processes in reverse order of their start."""
         for process in reversed(self.running):
             process.terminate()
             process.wait(STOP_TIMEOUT)
@@ -104,7 +104,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the seconds of processor time that a process has used."""
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     user_ticks, system_ticks = int(fields[11]), int(fields[12])
     return (user_ticks + system_ticks) / CLOCK_TICKS_PER_SECOND
--- a/benchmarks/compare_decisions.py
+++ b/benchmarks/compare_decisions.py
@@ -2,9 +2,10 @@
 
     python benchmarks/compare_decisions.py cc6ab61 [--sequences 100000] [--seed 1] [--plant threshold]
 
-Both are driven by the same seeded fleet (`driven_fleet.py`), each in a process of its own, and their actions
-are compared one by one. Exit 0: no difference; 1: the first one is shown. `--plant` puts a small fault into a
-copy of the working tree, so that a difference has to be found. The commit `.` is the working tree itself.
+The same seeded fleet (`driven_fleet.py`) drives each router in a separate process, and their actions are
+compared one by one. Exits with 0 if nothing differs, else with 1, and prints the first difference. `--plant`
+puts a small fault into a copy of the working tree, which the comparison must find. The commit `.` is the
+working tree itself.
 """
 
 import argparse
@@ -25,7 +26,7 @@
 DRIVER = Path(__file__).resolve().with_name("driven_fleet.py")
 THRESHOLD = re.compile(r"^(\s*\w*split\w*\s*(?::\s*\w+\s*)?=\s*)600\.0\b", re.IGNORECASE | re.MULTILINE)
 PLANTED_THRESHOLD = r"\g<1>615.0"
-PLANTED_DRAW = "40"  # number of the draw that each router's generator loses
+PLANTED_DRAW = "40"  # number of the draw that each random generator skips
 
 
 class PlantError(Exception):
@@ -48,7 +49,7 @@
 
 
 def plant_threshold(tree: Path) -> None:
-    """Change one tuned value, the uncached tokens from which a prompt is split."""
+    """Change one constant: the number of uncached tokens from which a sequence is disaggregated."""
     places = [path for path in tree.glob("myrtlehub/routing/**/*.py") if THRESHOLD.search(path.read_text())]
     if len(places) != 1:
         raise PlantError(f"the split threshold stands in {len(places)} files")
--- a/benchmarks/decision_speed.py
+++ b/benchmarks/decision_speed.py
@@ -1,7 +1,8 @@
-"""Processor time in seconds that a router takes to decide one sequence among 200 engines.
+"""CPU seconds that a router takes for the decisions of one sequence among 200 engines.
 
 `python benchmarks/decision_speed.py TREE` prints it for the router of a tree; `compare_speed.py` calls it for
-both of its trees. Each sequence arrives, starts its answer and ends; a split one has a read before.
+both of its trees. Each sequence arrives, starts its answer and ends; a disaggregated one is first read by a
+reader (prefill).
 """
 
 import sys
@@ -95,7 +96,7 @@
 
 
 def main() -> None:
-    """Print the seconds of processor time per sequence."""
+    """Print the CPU seconds per sequence."""
     sys.path.insert(0, sys.argv[1])
     dialect = open_dialect()
     router = make_router(dialect)
--- a/benchmarks/driven_fleet.py
+++ b/benchmarks/driven_fleet.py
@@ -1,8 +1,8 @@
 """A seeded fleet of modelled engines and clients that drives one router on a simulated clock.
 
 `python benchmarks/driven_fleet.py TREE --seed S --sequences N` plays scenarios against the router of the tree
-and prints each of its actions on a line. All draws come from the seed and all events follow from the actions,
-so two routers that decide alike print the same lines, and a difference shows itself from there on.
+and prints each of its actions on a line. All random draws come from the seed, and all events follow from the
+actions, so two routers that decide alike print the same lines; the first difference shows where they diverge.
 """
 
 import argparse
@@ -20,14 +20,14 @@
 from router_dialects import Dialect, open_dialect
 
 START = 100.0  # seconds on the clock
-SEQUENCES_EACH = (200, 500)  # a scenario, from and to
+SEQUENCES_EACH = (200, 500)  # lowest and highest number of sequences of a scenario
 FAULTS = ("error", "reset", "timeout", "unreached", "full", "unsent")
-LONGEST_SEQUENCE = 60.0  # seconds that are played after the last arrival
-READ_RATE = 12000.0  # tokens a second
+LONGEST_SEQUENCE = 60.0  # seconds from the last arrival to the end of a scenario
+READ_RATE = 12000.0  # tokens per second
 
 
 class Scenario:
-    """One configuration, played for some sequences."""
+    """One random fleet and configuration, run for a number of sequences."""
 
     def __init__(self, dialect: Dialect, seed: str, sequences: int, emit: Callable[[str], Any]) -> None:
         self.dialect = dialect
@@ -50,7 +50,7 @@
     # -- the clock and the router -----------------------------------------------------------------
 
     def at(self, delay: float, what: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401
-        """Plan a call of ours after a delay."""
+        """Schedule a call after a delay in simulated seconds."""
         self.queued += 1
         heapq.heappush(self.queue, (self.now + delay, self.queued, what, arguments))
 
@@ -64,7 +64,7 @@
             self._execute(*action)
 
     def play(self) -> None:
-        """Run until nothing is owed any more."""
+        """Run events until all sequences have ended, or LONGEST_SEQUENCE seconds after the last arrival."""
         self.call("start")
         self.changes.start()
         self.at(0.0, self._arrive)
@@ -203,7 +203,7 @@
         if outcome in ("generated", "read"):
             cached = float(int(sequence.fields["prompt_tokens"] * draw.choice((0.0, 0.3, 1.0))))
         elif outcome == "full" and draw.random() < 0.2:
-            cached = 1.0  # the state is there no more
+            cached = 1.0  # the engine no longer has the read state
         load = None
         if outcome in ("generated", "read", "full", "error") and not self.shape.load_by_probe_only:
             load = self._load(engine)
@@ -218,7 +218,7 @@
             cached,
             load,
         )
-        if draw.random() < 0.01:  # what comes twice, or for an attempt that was never made
+        if draw.random() < 0.01:  # a duplicate, or an event of an attempt that does not exist
             self.call("began", sequence.ident, attempt + draw.randrange(3), latency)
 
     def _load(self, engine: Engine, by_probe: bool = False) -> Any:  # noqa: ANN401
@@ -236,7 +236,7 @@
 
 
 def _skip_draw(number: int) -> None:
-    """Plant a fault: each generator made from here on loses its draw of this number."""
+    """Plant a fault: each random generator created from now on skips the draw of this number."""
 
     class Skipping(Random):
         drawn = 0
@@ -247,11 +247,11 @@
                 super().random()
             return super().random()
 
-    random_module.Random = Skipping  # type: ignore[misc] # the fault that is planted
+    random_module.Random = Skipping  # type: ignore[misc] # the planted fault
 
 
 def main() -> None:
-    """Play scenarios until that many sequences have arrived."""
+    """Run scenarios until the requested number of sequences has arrived."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("tree", type=Path)
     parser.add_argument("--seed", type=int, required=True)
--- a/benchmarks/event_relay_cost.py
+++ b/benchmarks/event_relay_cost.py
@@ -1,4 +1,4 @@
-"""What h11 costs a relayed event: a chunk read from an engine, parsed and written to a client."""
+"""The cost of h11 per relayed event: a chunk is read from an engine, parsed and written to a client."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Print microseconds an event for each step."""
+    """Print the microseconds per event of each step."""
     chunk = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
     engine, client = h11.Connection(h11.CLIENT), h11.Connection(h11.SERVER)
     engine.send(h11.Request(method="POST", target="/", headers=[("Host", "a")]))
--- a/benchmarks/list_propagation.py
+++ b/benchmarks/list_propagation.py
@@ -1,4 +1,4 @@
-"""How soon a node routes by a changed list file, and its longest event loop turn, by number of engines.
+"""Delay until a node routes by a changed list file, and its longest event loop turn, by number of engines.
 
 Simulated: all in one process over loopback, at 10, 200 and 2,000 engines; every address of the list leads to
 one of four emulated engines. `python benchmarks/list_propagation.py`.
@@ -74,7 +74,7 @@
 
 
 class SilentRecorder(Recorder):
-    """A recorder that keeps nothing."""
+    """A recorder that discards all records."""
 
     def note(self, what: str, **more: object) -> None:
         """Drop the record."""
@@ -99,7 +99,7 @@
         self._loop.stop()
 
     def restart(self) -> None:
-        """Measure from now on."""
+        """Discard the longest turn so far, and measure from now on."""
         self._last_at, self.longest = CLOCK.seconds(), 0.0
 
     def record_to(self, histogram: HdrHistogram) -> None:
@@ -125,7 +125,7 @@
         node.transport.start = self._started  # type: ignore[method-assign] # to see each attempt
 
     def expect_new_version(self) -> "Deferred[float]":
-        """Return what fires with the time of the first attempt that was decided by a new list version."""
+        """Return a Deferred of the time of the first attempt that was routed by a new list version."""
         self.last_sent_to_drained = None
         self.first_by_new_version = Deferred()
         return self.first_by_new_version
@@ -147,14 +147,14 @@
 
     def __init__(self, count: int, folder: Path, rounds: int, rate: float) -> None:
         self.count, self.path, self.rounds = count, folder / "engines.yaml", rounds
-        self.rate = min(rate, 8000 / count)  # a decision considers every engine
+        self.rate = min(rate, 8000 / count)  # a decision costs more with more engines
         self.first, self.last, self.turns, self.calm = (HdrHistogram(1, 600_000_000, 3) for _ in range(4))
         self.node_port, *self.engine_ports = free_ports(5)
         self.heartbeat = Heartbeat()
         self.listening: list[IListeningPort] = []
 
     def dial(self, engine: str) -> Connect:
-        """Return what connects to the emulated engine that stands for an address of the list."""
+        """Return the function that connects to the emulated engine behind an address of the list."""
         return connect_to(f"{HOST}:{self.engine_ports[int(engine[1:-2]) % 4]}")
 
     def _listen(self, port: int, server: Server) -> None:
@@ -205,19 +205,19 @@
 
     @inlineCallbacks
     def _play_round(self, number: int, watcher: AttemptWatcher) -> Steps[None]:
-        """Change the list file once."""
+        """Change the list file once, and measure its propagation."""
         expected = watcher.expect_new_version()
         self.heartbeat.restart()
         yield deferLater(reactor, 0.6, lambda: None)
         self.heartbeat.record_to(self.calm)
-        # The engine that drains is the one that was just sent to: the worst case.
+        # Drain the engine that got the last attempt: the worst case.
         watcher.drained_engine = watcher.latest_engine
         row = watcher.node.executor.decoder.engines.rows[watcher.latest_engine]
         started_at = CLOCK.seconds()
         new = self.path.with_name("new")
         new.write_text(list_text(self.count, 2 + number, int(row.address[1:-2])))
         new.rename(self.path)
-        self.heartbeat.restart()  # writing the file is not work of the node
+        self.heartbeat.restart()  # excludes the time to write the file, which is not work of the node
         routed_at = yield expected
         self.first.record_value(int((routed_at - started_at) * 1e6))
         yield deferLater(reactor, 0.6, lambda: None)
--- a/benchmarks/list_update_cost.py
+++ b/benchmarks/list_update_cost.py
@@ -1,6 +1,6 @@
-"""What an endpoint list costs a node: reading, validating, applying it; memory per version. Simulated fleet.
+"""Cost of an endpoint list to a node: time to read, validate and apply it; memory per version. Simulated.
 
-Reading is done by a process of its own; validating and applying are turns of the node, one each.
+A separate process reads the list; validation and application each take one turn of the node's event loop.
 """
 
 import tempfile
@@ -24,18 +24,18 @@
 
 LIST_FILE = "a.yaml"
 OTHER_KINDS = ("embedder", "ranker")  # of examples/node.yaml
-MAX_REMOVED = 1.0  # share of the endpoints that one update may remove without confirmation
+MAX_REMOVED = 1.0  # fraction of endpoints that one update may remove without confirmation
 
 
 class Durations(NamedTuple):
-    """Seconds of one update."""
+    """Duration of each step of one update, in seconds."""
 
     read: float
     validated: float
     applied: float
 
     def __str__(self) -> str:
-        """Return them in milliseconds."""
+        """Return the durations as text, in milliseconds."""
         return (
             f"{self.read * 1e3:.1f} ms read, {self.validated * 1e3:.1f} ms validated, "
             f"{self.applied * 1e3:.1f} ms applied"
@@ -52,12 +52,12 @@
         self.validator = ListValidator(ValidationConfig(MAX_REMOVED), kinds, config.zones)
 
     def update(self, now: float, text: str) -> Durations:
-        """Write a list file and take it over."""
+        """Write a list file, then read, validate and apply it."""
         (self.folder / LIST_FILE).write_text(text)
         started_at = time.perf_counter()
         snapshot = read_snapshot((LIST_FILE,), self.folder)
         read_at = time.perf_counter()
-        digest = content_digest(snapshot.endpoints)  # as the reading process hands it over
+        digest = content_digest(snapshot.endpoints)  # the reading process passes it on with the list
         validation_started_at = time.perf_counter()
         verdict = self.validator.validate(now, snapshot.endpoints, "files", digest=digest)
         validated_at = time.perf_counter()
@@ -73,7 +73,7 @@
         )
 
     def version_bytes(self, now: float) -> int:
-        """Return the memory that a version with one engine less takes."""
+        """Return the memory in use by one more version of the list, with one engine fewer."""
         tracemalloc.start()
         self.validator.validate(now, read_snapshot((LIST_FILE,), self.folder).endpoints[:-1], "files")
         size = tracemalloc.get_traced_memory()[0]
@@ -82,14 +82,14 @@
 
 
 def _never_connect(factory: Factory) -> "Deferred[ClientProtocol]":
-    """Connect to an engine; no answer ever comes, and none is needed."""
+    """Stand in for connecting to an engine: never completes, as this benchmark sends no requests."""
     return Deferred()
 
 
 def list_text(count: int, first_cell: int) -> str:
-    """Return a list file; another `first_cell` changes every engine.
+    """Return the text of a list file; a different `first_cell` changes every engine.
 
-    Readers and writers take turns after one engine of each other kind, which the settings require.
+    One engine of each other kind comes first, as the settings require; then readers and writers alternate.
     """
     kinds = [*OTHER_KINDS, *("writer" if i % 2 else "reader" for i in range(count - len(OTHER_KINDS)))]
     return "engines:\n" + "".join(
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,10 +1,10 @@
-"""Scenario over a fleet of two versions: every second node runs an earlier checkout. Simulated.
+"""Plays a scenario with a fleet of two versions: every other node runs an earlier checkout. Simulated.
 
     git worktree add /tmp/earlier COMMIT
     python benchmarks/mixed_versions.py /tmp/earlier [--scenario bad-day] [--seeds 3]
 
-Engines are of this version. The verdict is that of the scenario: the five rules, checked on what passed on
-sockets. Exit 1 if one was broken.
+Engines run this version. The verdict is that of the scenario: the five rules, checked on the observed
+traffic. Exits with 1 if a rule was broken.
 """
 
 import sys
@@ -46,7 +46,7 @@
 @click.option("--scenario", default="bad-day")
 @click.option("--seeds", default=3)
 def main(earlier: str, scenario: str, seeds: int) -> None:
-    """Run scenarios with every second node of EARLIER, a checkout."""
+    """Run scenarios in which every other node runs the checkout EARLIER."""
     verdicts: list[bool] = []
     run_reactor(lambda: run_scenarios(scenario, earlier, seeds).addCallback(verdicts.append))
     sys.exit(0 if verdicts == [True] else 1)
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -1,4 +1,4 @@
-"""Check a larger model of a sequence than the tests do; print its extent and any violation."""
+"""Checks a larger model of a sequence than the tests do; prints the number of states and any violation."""
 
 import sys
 import time
--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -1,10 +1,10 @@
-"""What a controller's polling costs a node, in time windows with and without polls. Simulated.
+"""The cost of a controller's polls to a node, in time windows with and without polls. Simulated.
 
     python benchmarks/observation_cost.py [--windows 24] [--each 60] [--interval 1]
 
-One node as a process on loopback, some thirty sequences a second; in every second window it is polled for
-`Show` and `Figures` as often as a controller does. Beside it: what updating the counters costs an answer, in
-this process. Prints processor time per sequence, and the share of a core that polls take.
+One node runs as a process on loopback with some thirty sequences per second; in every other window it is
+polled for `Show` and `Figures` at the rate of a controller. Also measures, in this process, the cost of
+updating the counters for an answer. Prints CPU time per sequence, and the fraction of a core that polls take.
 """
 
 import statistics
@@ -53,11 +53,11 @@
             watcher = ReplyWatcher(None, Counter())
             start_sequence(channel, False, watcher, 200, 20, "")
             done.append(watcher.done)
-            yield deferLater(reactor, 0.03, lambda: None)  # some thirty a second, as a node sees them
+            yield deferLater(reactor, 0.03, lambda: None)  # some thirty sequences per second
         yield DeferredList(done)
         if polls.running:
             polls.stop()
-        if window >= 2:  # the first of each kind warms up
+        if window >= 2:  # the first window of each kind is a warm-up
             cost[bool(window % 2)].append(WindowCost(fleet.node_cpu() - before, CLOCK.seconds() - began))
     channel.close()
     admin.close()
@@ -65,7 +65,7 @@
 
 
 def counter_update_cost(times: int = 20000) -> float:
-    """Return the seconds that updating the counters takes for one answer."""
+    """Return the seconds that it takes to update the counters for one answer."""
     from types import SimpleNamespace
 
     from myrtlehub.node.traffic_counters import TrafficCounters
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -1,9 +1,9 @@
-"""What replication of sequence records costs: the same fleet with takeover and without. Simulated.
+"""The cost of replicating sequence records: the same fleet with and without takeover. Simulated.
 
     python benchmarks/replication_cost.py [--rounds 21] [--each 90] [--repeats once-only]
 
-Two fleets of three nodes and two engines each, all processes on loopback, with sequences in turn. Prints
-processor time of all three nodes per sequence, time to the first token, and memory per node.
+Two fleets of three nodes and two engines each, all processes on loopback; rounds of sequences alternate
+between them. Prints CPU time of all three nodes per sequence, time to the first token, and memory per node.
 """
 
 import statistics
@@ -76,24 +76,24 @@
         return settings
 
     def cpu(self) -> float:
-        """Seconds of processor that all nodes have used."""
+        """CPU seconds that all nodes have used."""
         return sum(cpu_seconds(process.pid) for process in self.running)
 
     def memory(self) -> float:
-        """Resident megabytes, the mean of the nodes."""
+        """Mean resident memory of a node in megabytes."""
         return statistics.mean(resident_bytes(process.pid) / 2**20 for process in self.running)
 
 
 class FleetCost(NamedTuple):
-    """What the sequences of one fleet took."""
+    """CPU time and latency of the sequences of one fleet."""
 
-    processor_s: list[float]  # by round: seconds of all nodes per sequence
+    processor_s: list[float]  # CPU seconds of all nodes per sequence, for each round
     first_token: HdrHistogram  # microseconds
 
 
 @inlineCallbacks
 def measure_rounds(fleets: dict[str, ReplicatedFleet], rounds: int, each: int) -> Steps[dict[str, FleetCost]]:
-    """Run rounds of sequences at each fleet in turn."""
+    """Run rounds of sequences, alternately at each fleet."""
     channels = {name: [open_channel(address) for address in fleet.nodes] for name, fleet in fleets.items()}
     first = {name: HdrHistogram(1, 60_000_000, 3) for name in fleets}
     used: dict[str, list[float]] = {name: [] for name in fleets}
@@ -108,7 +108,7 @@
                 done.append(watcher.done)
                 yield deferLater(reactor, 0.008, lambda: None)
             yield DeferredList(done)
-            if round_index:  # the first round warms both up
+            if round_index:  # the first round is a warm-up
                 used[name].append((fleet.cpu() - before) / each)
     for some in channels.values():
         for channel in some:
--- a/benchmarks/result_cache_policies.py
+++ b/benchmarks/result_cache_policies.py
@@ -1,6 +1,6 @@
-"""Result cache: hit share and cost of three published policies on the same draws. Simulated.
+"""Result cache: hit rate and CPU cost of three published policies on the same draws. Simulated.
 
-S3-FIFO is what the node uses (`batching/result_cache.py`). LRU and W-TinyLFU (Einziger, Friedman, Manes,
+The node uses S3-FIFO (`batching/result_cache.py`). LRU and W-TinyLFU (Einziger, Friedman, Manes,
 "TinyLFU: a highly efficient cache admission policy", 2017; a window of one per cent, a segmented main part, a
 count-min sketch that is halved as it ages) are written here for the comparison.
 
@@ -17,7 +17,7 @@
 
 from myrtlehub.batching.result_cache import S3FifoCache
 
-CAPACITY = 2000  # entries, all of one size
+CAPACITY = 2000  # entries of equal size
 
 
 class Policy(Protocol):
@@ -74,7 +74,7 @@
 
 
 class TinyLfu:
-    """A window, then admission by frequency into a segmented main part."""
+    """W-TinyLFU: an LRU window, then admission by frequency into a segmented main part."""
 
     def __init__(self) -> None:
         self.window: OrderedDict[int, None] = OrderedDict()
@@ -130,7 +130,7 @@
 
 
 def draws(kind: str, count: int, random: Random) -> list[tuple[int, bool]]:
-    """Draw keys, each with whether its lookup counts: those of a flood do not."""
+    """Draw keys, and whether the lookup of each counts in the hit rate: those of a flood do not."""
     zipf = [1.0 / (i + 1) ** 0.9 for i in range(40_000)]
     keys = random.choices(range(len(zipf)), zipf, k=count)
     if kind == "zipf":
@@ -151,7 +151,7 @@
 @click.option("--count", default=150_000)
 @click.option("--seeds", default=3)
 def main(count: int, seeds: int) -> None:
-    """Print hit shares and microseconds per lookup."""
+    """Print hit rates and microseconds per lookup."""
     click.echo(f"room for {CAPACITY} of 40,000 keys, {count:,} lookups, mean of {seeds} seeds (simulated)")
     for kind in ("zipf", "flood, four for one", "flood in one go, at half", "drift"):
         columns = []
--- a/benchmarks/rollout_outcomes.py
+++ b/benchmarks/rollout_outcomes.py
@@ -1,9 +1,10 @@
-"""Rollouts of real processes: equal programs have to be kept, bad ones rolled back.
+"""Rollouts of real processes: an equal program must be rolled out, a bad one rolled back.
 
     python benchmarks/rollout_outcomes.py [--each 20] [--at-once 2] [--kinds equal slow ...]
 
 Simulated: `scenarios/rolling.yaml` (eight nodes, nine emulated engines on loopback) with the program of
-each kind, a seed a rollout. Prints Markdown: how many ended as expected, by which stage, and their seconds.
+each kind, and a new seed for each rollout. Prints Markdown: how many ended as expected, the stage in which
+they ended, and their duration in seconds.
 A rollout also fails here if a rule was broken or a process ended unexpectedly.
 """
 
@@ -80,7 +81,7 @@
 
 
 def main() -> None:
-    """Play them and print a row a kind."""
+    """Play the rollouts and print one row for each kind."""
     ask = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     ask.add_argument("--each", type=int, default=20)
     ask.add_argument("--at-once", type=int, default=2)
--- a/benchmarks/sequence_cost.py
+++ b/benchmarks/sequence_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of a node per sequence, beside that of another checkout, in turn in one run. Simulated.
+"""CPU time of a node per sequence, compared with that of another checkout in alternate rounds. Simulated.
 
 `python benchmarks/sequence_cost.py DIR` with DIR a checkout of an earlier commit.
 """
@@ -15,7 +15,7 @@
 
 @inlineCallbacks
 def cpu_per_sequence(fleets: dict[str, SingleNodeFleet], rounds: int, each: int) -> Steps[dict[str, float]]:
-    """Run rounds of sequences at each node in turn, so that both meet the same state of the machine."""
+    """Run rounds of sequences at both nodes alternately, so that both see the same load of the machine."""
     channels = {name: open_channel(fleet.node) for name, fleet in fleets.items()}
     used = dict.fromkeys(fleets, 0.0)
     for round_index in range(rounds):
@@ -27,7 +27,7 @@
                 start_sequence(channels[name], False, watcher, 200, 20, "")
                 done.append(watcher.done)
             yield DeferredList(done)
-            if round_index:  # the first round warms both up
+            if round_index:  # the first round is a warm-up
                 used[name] += fleet.node_cpu() - before
     for channel in channels.values():
         channel.close()
@@ -39,7 +39,7 @@
 @click.option("--rounds", default=21)
 @click.option("--each", default=100)
 def main(other: str, rounds: int, each: int) -> None:
-    """Compare the processor time of a sequence with that in OTHER."""
+    """Compare the CPU time per sequence with that of the other checkout."""
 
     @inlineCallbacks
     def run() -> Steps[None]:
--- a/benchmarks/takeovers.py
+++ b/benchmarks/takeovers.py
@@ -1,11 +1,11 @@
-"""The outcome of in-flight sequences when nodes are lost, with takeover and without. Simulated.
+"""The outcome of in-flight sequences when nodes are lost, with and without takeover. Simulated.
 
     python benchmarks/takeovers.py [--seeds 3] [--scenario takeover] [--at-once 2]
         [--chart docs/charts/takeover.png]
 
-Scenarios of real processes on loopback by `hub-scenario`. Prints Markdown: by retry semantics and by where a
-sequence stood when its node was lost, how many there were and the share that ended generated; the pause that
-clients saw.
+Scenarios of real processes on loopback by `hub-scenario`. Prints Markdown: the number of lost sequences and
+the fraction whose answer was completed, by retry semantics and by stage at the loss of the node; and the
+interruption of the stream that clients saw.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 
 def play(scenario: str, seed: int, on: bool, folder: Path) -> dict[str, Any]:
-    """Play a scenario with takeover or without; return its verdict."""
+    """Play a scenario with or without takeover; return its verdict."""
     with (ROOT / "scenarios" / f"{scenario}.yaml").open() as file:
         tree = YAML(typ="safe").load(file)
     tree["takeover"]["on"] = on
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Play them and print the table."""
+    """Play the scenarios and print the table."""
     ask = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     ask.add_argument("--seeds", type=int, default=3)
     ask.add_argument("--at-once", type=int, default=2)
@@ -93,7 +93,7 @@
 
 
 def chart(tables: dict[bool, dict[str, Counter[str]]], path: Path) -> None:
-    """Draw the share of lost sequences that ended generated, with takeover and without."""
+    """Plot the fraction of lost sequences whose answer was completed, with and without takeover."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/myrtlehub/lab/client_load.py
+++ b/myrtlehub/lab/client_load.py
@@ -18,7 +18,7 @@
     """The clients of all fronts, and their records."""
 
     def __init__(self, context: ScenarioContext, dial_by_node: Mapping[str, Connect], rate: float) -> None:
-        """Make the clients; chat clients send `rate` sequences a second."""
+        """Create the clients; chat clients send `rate` sequences per second."""
         self._context = context
         self._recorder = Recorder("client", context.clock, context.folder / "client.rec")
         self.chat = ChatClients(
@@ -35,7 +35,7 @@
         )
 
     def start(self) -> None:
-        """Start to send requests."""
+        """Start sending requests."""
         self.chat.start()
         self.batches.start()
 
--- a/myrtlehub/lab/endpoint_list_checker.py
+++ b/myrtlehub/lab/endpoint_list_checker.py
@@ -70,7 +70,7 @@
         self._until_last_send = LatencyHistogram(MAX_PROPAGATION_SECONDS)
 
     def see(self, record: Record) -> list[Record]:
-        """Check one record; return a record "told" for each change that its node has now read."""
+        """Check one record; return a record of kind "told" for each change that its node has just read."""
         if record.what == "wrote":
             self._on_written(record)
         elif record.what == "unwrote":
--- a/myrtlehub/lab/fault_proxy.py
+++ b/myrtlehub/lab/fault_proxy.py
@@ -13,7 +13,7 @@
 from myrtlehub.lab.interfaces import ListeningPort, Reactor
 
 HOST = "127.0.0.1"
-LISTEN_BACKLOG = 50  # connections that wait to be accepted
+LISTEN_BACKLOG = 50  # connections in the accept queue
 
 
 class NotListeningError(Exception):
@@ -46,7 +46,7 @@
 
 
 class _ProxiedConnection(TcpProtocol):
-    """One of the two connections of a proxied one; `peer` is the other."""
+    """One side of a proxied connection; `peer` is the other side."""
 
     transport: _ClosableTransport
 
@@ -67,7 +67,7 @@
             self.peer.join(self)
 
     def join(self, peer: "_ProxiedConnection") -> None:
-        """Forward to the connection to the target, which was made."""
+        """Begin to forward to the connection to the target, which is now established."""
         self.peer = peer
         self.flush()
 
@@ -80,7 +80,7 @@
             self.flush()
 
     def flush(self, max_pieces: int | None = None) -> None:
-        """Forward what is buffered: all of it, or at most so many of the pieces that were received."""
+        """Forward buffered data: all of it, or at most the given number of received chunks."""
         if self.direction.is_stalled or self.peer is None or self.peer.is_lost:
             return
         self.peer.transport.write(b"".join(self.buffered[:max_pieces]))
--- a/myrtlehub/lab/fault_soak/endpoint_list.py
+++ b/myrtlehub/lab/fault_soak/endpoint_list.py
@@ -34,12 +34,12 @@
 
 
 class EndpointListObserver(Protocol):
-    """A discovery agent as the endpoint list sees it."""
+    """The interface of a discovery agent that the endpoint list notifies."""
 
     node: int
 
     def known_at(self, now: float) -> float:
-        """Return the time from which the agent's node has to know of a change that is made now."""
+        """Return the time by which the agent's node must have received a change that is made now."""
 
     def list_changed(self) -> None:
         """Handle a change of the list."""
--- a/myrtlehub/lab/fault_soak/fault_launcher.py
+++ b/myrtlehub/lab/fault_soak/fault_launcher.py
@@ -29,7 +29,7 @@
     from _typeshed import ReadableBuffer
 
 SHORT_CALL_BYTES = 64
-FILENO_POSITION = 3  # of `fileno` among a socket's arguments; with it, no system call makes a socket
+FILENO_POSITION = 3  # position of `fileno` in a socket's arguments; with it, no socket system call is made
 SEED_VARIABLE = "FAULT_SEED"
 STANDARD_STREAMS = (1, 2)
 _real_time = time.time
@@ -69,7 +69,7 @@
         return self.faults
 
     def draw(self, call: str) -> str | None:
-        """Return the errno name or SHORT_CALL if this call is to fail."""
+        """Draw whether this call fails; return the errno name or SHORT_CALL, or None if it succeeds."""
         error: str | None = getattr(self.read(), call)
         if error is None or self._random.random() >= self.faults.share:
             return None
@@ -77,7 +77,7 @@
         return error
 
     def raise_fault(self, call: str) -> None:
-        """Raise OSError if this call is to fail."""
+        """Draw whether this call fails; if so, raise OSError."""
         error = self.draw(call)
         if error is not None:
             raise _os_error(error)
--- a/myrtlehub/lab/fault_soak/faults.py
+++ b/myrtlehub/lab/fault_soak/faults.py
@@ -14,7 +14,7 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults. Their order and values are fixed: schedules are drawn by them and stored with them."""
+    """Kinds of faults. Their order and values are fixed, since seeds and stored schedules depend on them."""
 
     NODE_TERM = "node term"  # SIGTERM, and a new process once the old one has exited
     NODE_KILL = "node kill"  # SIGKILL, and a new process
@@ -30,7 +30,7 @@
     ENGINE_DRAIN = "engine drain"  # drains, is removed, and restarts cold
     ENGINE_RESTART = "engine restart"
     ENGINE_CUT = "engine cut"  # no byte passes, then all connections are reset
-    ENGINE_RESETS = "engine resets"  # connections are reset within responses
+    ENGINE_RESETS = "engine resets"  # connections are reset during responses
     ENGINE_FULL = "engine full"  # rejects all requests
     ENGINE_ERRORS = "engine errors"
     ENGINE_HANGS = "engine hangs"  # accepts requests, and does not respond
@@ -38,7 +38,7 @@
     DISCOVERY_SILENT = "discovery silent"
     DISCOVERY_SLOW = "discovery slow"
     DISCOVERY_TRUNCATES = "discovery torn"
-    WATCH_SILENT = "watch silent"  # open watches are never answered, new ones are
+    WATCH_SILENT = "watch silent"  # open watches are never answered; later ones are
 
     @property
     def target(self) -> FaultTarget:
--- a/myrtlehub/lab/fault_soak/findings.py
+++ b/myrtlehub/lab/fault_soak/findings.py
@@ -1,4 +1,4 @@
-"""Findings: breaches of the rules that a run is judged by."""
+"""The rules of a soak run, and the findings: breaches of them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,8 +7,8 @@
 class Rule(StrEnum):
     """The rules. The values are printed, and name the rule to `hub-soak shrink`."""
 
-    FINAL_ANSWER = "lost"  # each request gets a final answer in time, and all of a complete stream
-    UNCHANGED_STREAM = "spoilt"  # a complete answer is the stream of one engine
+    FINAL_ANSWER = "lost"  # each request gets a final answer in time, and a complete stream in full
+    UNCHANGED_STREAM = "spoilt"  # a complete answer is the unaltered stream of one engine
     SINGLE_EXECUTION = "twice"  # retries respect the retry semantics of the traffic type
     CLIENT_PRESENT = "after the client"  # no attempt starts after the client has disconnected
     REMAINING_TIME = "time told"  # engines are not sent more time than the client has left
--- a/myrtlehub/lab/fault_soak/runner.py
+++ b/myrtlehub/lab/fault_soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays a schedule: runs fleet and clients, has the faults injected, and has the records judged."""
+"""Plays a schedule: runs the fleet and the clients, injects the faults, and checks the records."""
 
 import os
 import shutil
@@ -25,10 +25,10 @@
 
 CLIENT_RATE = 3.0  # new clients per second and node
 LAG_INTERVAL_S = 0.02  # of the measurements of the driver's event loop lag
-RECOVERY_CHECK_S = 2.0  # before the end of the run
+RECOVERY_CHECK_S = 2.0  # the check starts this long before the end of the run
 EXIT_TIMEOUT_S = 16.0  # for all nodes to exit after SIGTERM
 EXIT_POLL_INTERVAL_S = 0.1
-LAST_RECORDS_S = 0.3  # from the exit of the nodes until their connections' ends are recorded
+LAST_RECORDS_S = 0.3  # after the nodes exit, for the ends of their connections to be recorded
 EXIT_NO_RESULT = 3
 
 
@@ -45,7 +45,7 @@
         self._done: Deferred[SoakResult] = Deferred()
 
     def start(self) -> Deferred[SoakResult]:
-        """Start the nodes and the clients, and schedule all else; fires with the result."""
+        """Start the nodes and the clients, and schedule the rest of the run; fires with the result."""
         self._measure_lag(time.monotonic())
         for node in self._fleet.nodes:
             node.start()
@@ -100,7 +100,7 @@
     """The reactor that Twisted has installed."""
 
     def callWhenRunning(self, call: object, /) -> object:  # noqa: N802
-        """Make a call once the reactor runs."""
+        """Call a function once the reactor runs."""
 
     def run(self) -> None:
         """Run until `stop`."""
--- a/myrtlehub/lab/fault_soak/state_store.py
+++ b/myrtlehub/lab/fault_soak/state_store.py
@@ -27,7 +27,7 @@
             state.freed_at = time.monotonic()
 
     def free_engine(self, engine: str) -> None:
-        """Free the states of all requests that an engine which has ended holds one of."""
+        """Free all states of each request that has a state at a stopped engine."""
         for request_id, held in list(self._held.items()):
             if any(state.engine == engine for state in held):
                 self.free(request_id)
--- a/myrtlehub/lab/fleet_model.py
+++ b/myrtlehub/lab/fleet_model.py
@@ -29,7 +29,7 @@
 MAX_SERVED = 0.998
 ENGINES_PER_ZONE = 30
 
-MEAN_RATE = 15.0  # sequences a second of one node
+MEAN_RATE = 15.0  # sequences per second of one node
 RATE_SPREAD = 0.6  # standard deviation between nodes, of the logarithm
 MAX_RATE = 60.0
 LEVEL_SPREAD = 0.01  # standard deviation between nodes, of the fraction served
@@ -102,8 +102,8 @@
         self._latency_drift = np.zeros(nodes)
         self._zone_drift = np.zeros(zones)
         self.step = 0
-        self.lost = 0.0  # utility that was lost by the change
-        self.offered = 0.0  # utility
+        self.lost = 0.0  # utility lost to the change
+        self.offered = 0.0  # utility of the requests that clients sent
 
     def advance(self, roles: IntArray, measuring: bool = False) -> SampleWindow:
         """Simulate one step, in which UNAVAILABLE nodes have no traffic."""
@@ -195,12 +195,12 @@
 
 
 def stages(nodes: int) -> list[int]:
-    """Return how many nodes have the change after each stage."""
+    """Return the number of changed nodes after each stage."""
     return sorted({max(1, round(nodes * share)) for share in STAGE_SHARES})
 
 
 def roles_of(nodes: int, changed: int, unavailable: int = 0) -> IntArray:
-    """Return roles: the first so many changed, the next so many unavailable."""
+    """Return the role of each node: the first ones are changed, the next ones unavailable."""
     roles = np.full(nodes, NodeRole.UNCHANGED)
     roles[:changed] = NodeRole.CHANGED
     roles[changed : changed + unavailable] = NodeRole.UNAVAILABLE
--- a/myrtlehub/lab/in_process_engine.py
+++ b/myrtlehub/lab/in_process_engine.py
@@ -28,7 +28,7 @@
 from myrtlehub.routing import contract
 
 LINK_DELAY = 0.0004  # seconds, one way
-FETCH_RATE = 250_000.0  # tokens a second
+FETCH_RATE = 250_000.0  # tokens per second
 
 
 class UnclaimedFetchError(RuntimeError):
--- a/myrtlehub/lab/rule_checker/findings.py
+++ b/myrtlehub/lab/rule_checker/findings.py
@@ -1,4 +1,4 @@
-"""The rules, the breaches that were found, and the form in which a rule asks for records."""
+"""The rules, the breaches that were found, and the type in which a rule registers its handlers of records."""
 
 from collections.abc import Callable
 from enum import IntEnum
@@ -19,7 +19,7 @@
     READ_STATE = 5
 
 
-# The names that verdicts have and results pages quote; a verdict is stored, so they keep their form.
+# The names of rules in stored verdicts and on results pages are fixed.
 RULE_NAMES = {
     Rule.FINAL_ANSWER: "one final answer",
     Rule.SINGLE_EFFECT: "no effect twice",
--- a/myrtlehub/lab/rule_checker/single_effect_rule.py
+++ b/myrtlehub/lab/rule_checker/single_effect_rule.py
@@ -54,7 +54,7 @@
         self._findings = findings
         self._facts = facts
         self._calls = calls
-        self._by_idempotency_key: dict[str, list[_WriteAttempt]] = {}  # or by sequence id without a key
+        self._by_idempotency_key: dict[str, list[_WriteAttempt]] = {}  # by sequence id if there is no key
         self._by_attempt: dict[_AttemptKey, _WriteAttempt] = {}
 
     @property
--- a/myrtlehub/lab/scenario_file.py
+++ b/myrtlehub/lab/scenario_file.py
@@ -36,7 +36,7 @@
 
 
 class MachineConfig(ConfigModel):
-    """The machine that an engine emulates: rates in tokens a second, memory in tokens, times in seconds."""
+    """The machine that an engine emulates: rates in tokens per second, memory in tokens, times in seconds."""
 
     slots: Count = 8
     queue: Annotated[int, Field(ge=0)] = 32
@@ -195,12 +195,12 @@
     about: str = ""
     seed: int = 1
     length: Duration
-    rate: Annotated[float, Field(gt=0)]  # sequences a second
+    rate: Annotated[float, Field(gt=0)]  # sequences per second
     fleet: FleetConfig
     reader: MachineConfig = MachineConfig()
     writer: MachineConfig = MachineConfig()
     batcher: MachineConfig = MachineConfig()  # embedders and rankers
-    batch_rate: Annotated[float, Field(ge=0)] = 0.0  # batches a second, in addition to `rate`
+    batch_rate: Annotated[float, Field(ge=0)] = 0.0  # batches per second, in addition to `rate`
     traffic: Annotated[list[TrafficMix], Field(min_length=1)]
     tenants: list[TenantConfig] = Field(default_factory=list)
     clients: ClientsConfig = ClientsConfig()
--- a/tests/support/batch_calls.py
+++ b/tests/support/batch_calls.py
@@ -25,7 +25,7 @@
 
 
 class BatchCallWatcher(CallWatcher, Generic[Request, Item]):
-    """One call of a batch front."""
+    """Records the replies and the status of one call of a batch front."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.call.half_close()
 
     def message(self, data: bytes) -> None:
-        """Take a reply."""
+        """Record a reply."""
         reply = self._read_reply(data)
         assert not self.final, "nothing comes after the final answer"
         for item in reply.items:
@@ -66,7 +66,7 @@
             self.retry_after = reply.final.rejected.wait_ms / 1000.0
 
     def ended(self, status: Status) -> None:
-        """Take the status."""
+        """Record the status."""
         self.status = status
 
 
@@ -130,7 +130,7 @@
 
 
 def assert_vectors(call: EmbedCall, model: str = "m1", only: set[int] | None = None) -> None:
-    """Check that every vector has its value, at its place; with `only`, that just these came."""
+    """Check the value and the index of every vector; with `only`, that just these arrived."""
     inputs = call.request.inputs
     assert set(call.items) == (set(range(len(inputs))) if only is None else only)
     for i, vector in call.items.items():
@@ -140,7 +140,7 @@
 
 
 def assert_nothing_in_flight(fleet: Fleet) -> None:
-    """Check that neither nodes nor engines have anything left of a batch or a sequence."""
+    """Check that neither nodes nor engines still hold state of a batch or a sequence."""
     assert_nothing_left(fleet)
     for node in fleet.nodes.values():
         batches = node.batches
--- a/tests/support/endpointlists.py
+++ b/tests/support/endpointlists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists for tests: endpoints named for what they do, validators, and files of lists."""
+"""Endpoint lists for tests: endpoints whose names state their kind, validators, and list files."""
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.engines import EngineKindConfig
@@ -19,7 +19,7 @@
 
 
 def make_endpoints(names: str, **fields: object) -> list[EndpointConfig]:
-    """Make endpoints of space-separated names."""
+    """Make endpoints from space-separated names."""
     return [make_endpoint(name, **fields) for name in names.split()]
 
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -76,7 +76,7 @@
         self, fleet: "Fleet", name: str, node: str, traffic: str, mark: str, time_left: float
     ) -> None:
         self.fleet, self.name, self.node, self.mark = fleet, name, node, mark
-        self.tokens, self.wait = 0, -1  # messages of tokens; Retry-After in milliseconds, -1: no final answer
+        self.tokens, self.wait = 0, -1  # token messages; Retry-After in ms, -1 without a final answer
         self.answer: str | None = ""
         self.status: Status | None = None
         self.call: ClientCall
@@ -111,7 +111,7 @@
 class Fleet:
     """Nodes, engines and clients.
 
-    Engines are written "R0 W1", a letter of `KIND_OF_LETTER` and the cell, and named in order: R0a, W1b.
+    Engines are given as "R0 W1" (a letter of `KIND_OF_LETTER` and the cell), and named in order: R0a, W1b.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         """Start the fleet.
 
         Args:
-            engines: as above.
+            engines: in the notation of the class.
             nodes: number of nodes.
             executor_class: of each node.
             list_folder: holds a folder list-n0 of list files for node n0, and so on; None: lists are pushed.
@@ -144,7 +144,7 @@
         self.list_folder, self.list_options = list_folder, list_options
         self.more_settings, self.node_options = more_settings, node_options
         self.has_batch_fronts = any(word[0] in "EKM" for word in engines.split())
-        self.log: list[Record] = []  # of all participants, in the order in which it happened
+        self.log: list[Record] = []  # records of all participants, in order of time
         self.scenario_recorder, self.client_recorder = self.recorder("day"), self.recorder("client")
         self.engines: dict[str, EmulatedEngine] = {}
         self.endpoints: dict[str, EndpointRow] = {}
@@ -170,7 +170,7 @@
         return recorder
 
     def start_engine(self, name: str, cold: bool = False) -> None:
-        """Start an engine, or start it again."""
+        """Start or restart an engine."""
         config = EmulatedEngineConfig.model_validate(
             {
                 "name": name,
@@ -244,7 +244,7 @@
         text: bytes = b"",
         **fields: Unpack[RequestFields],
     ) -> ChatCallWatcher:
-        """Call Generate at a node, with a prompt and at most an output of so many tokens."""
+        """Call Generate at a node, with a prompt and a maximum output, both in tokens."""
         name = f"c{len(self.calls)}"
         mark = mark or f"m{len(self.calls)}"
         recorded_time = time_left if timeout is None else min(time_left, timeout)
@@ -295,7 +295,7 @@
         self.scenario_recorder.note("told", node=node, engine=address, state=state, grace=0.25)
 
     def inject_fault(self, engine: str, how: str, factor: float = 0.0, seconds: float = 0.0) -> None:
-        """Have an engine misbehave in a way of `Misbehaviour`."""
+        """Make an engine misbehave in one of the ways of `Misbehaviour`."""
         channel = Channel(self.clock, self.net.dialer(f"{engine}:1"), engine)
         channel.unary(
             "/myrtlehub.v1.Stand/Misbehave",
@@ -311,7 +311,7 @@
         else:
             self.net.kill(f"{name}:2")
             node = self.nodes.pop(name)
-            # A dead process calls no router; here its timers would.
+            # The timers of a killed node still fire in this process; they must not call its router.
             node.executor._call_router = lambda *args: None  # type: ignore[method-assign] # a stub
             node.transport.close()
 
--- a/tests/support/fleet_checks.py
+++ b/tests/support/fleet_checks.py
@@ -1,4 +1,4 @@
-"""Checks of an in-process fleet: the five rules, and that nothing is left behind."""
+"""Checks of an in-process fleet: the five rules, and the release of all resources."""
 
 from fleet import Fleet
 
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests that fail for a fault that is not fixed yet, one a line: test id | cause | issue.
+"""KNOWN-RED.txt: tests that fail because of an open defect, one per line: test id | cause | issue.
 
 They run; only these may fail, and each is printed with its outcome. A malformed line, more than three lines
 or a line that names no test end the run, so that the list stays short and does not outlive its tests. A file
@@ -12,7 +12,7 @@
 
 import pytest
 
-MAX_LINES = 3  # tests; each is a fault that the test run no longer guards against
+MAX_LINES = 3  # lines; each listed test no longer guards against regressions
 MadeItems = pytest.Item | pytest.Collector | list[pytest.Item | pytest.Collector] | None
 
 
@@ -88,7 +88,7 @@
             self.outcomes[report.nodeid] = "failed" if report.outcome == "skipped" else report.outcome
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print the outcomes."""
+        """Print the outcome of each listed test."""
         for name, outcome in self.outcomes.items():
             line = self.known[name]
             terminalreporter.write_line(f"KNOWN-RED {outcome}: {name} | {line.cause} | {line.issue}")
--- a/tests/support/object_counter.py
+++ b/tests/support/object_counter.py
@@ -1,4 +1,4 @@
-"""Runs the relay without the garbage collector; SIGUSR1 has it log how many objects of a class there are."""
+"""Runs the relay without the garbage collector; on SIGUSR1 it logs the number of live objects of a class."""
 
 import gc
 import json
@@ -8,7 +8,7 @@
 
 
 def log_objects(*_: object) -> None:
-    """Write a line as the relay's log has them."""
+    """Write an entry in the format of the relay's log."""
     counts = Counter(type(item).__qualname__ for item in gc.get_objects())
     os.write(1, json.dumps({"event": "objects", "counts": counts}).encode() + b"\n")
 
--- a/tests/support/program_groups.py
+++ b/tests/support/program_groups.py
@@ -1,8 +1,7 @@
 """Groups of tests that start programs: a group's tests run one after another, on one worker of pytest-xdist.
 
-So at most as many of them run at once as there are groups, however many workers there are: they are bound to
-real time, and programs of two tests neither take one another's ports nor all cores. All other tests go to
-whichever worker is free.
+The number of groups thus bounds how many of these tests run in parallel, for any number of workers. They
+depend on real time, and must not compete for ports or take all cores. All other tests go to any free worker.
 """
 
 from pathlib import Path
@@ -24,12 +23,12 @@
 
 
 def group_of(node_id: str) -> str:
-    """Return the group of a test; a test that starts no program is a group of its own."""
+    """Return the group of a test; a test that starts no program forms a group by itself."""
     return GROUP_OF_FILE.get(Path(node_id.partition("::")[0]).name, node_id)
 
 
 class ProgramGroupPlugin:
-    """Has pytest-xdist schedule by these groups."""
+    """Makes pytest-xdist schedule tests by these groups."""
 
     @pytest.hookimpl
     def pytest_xdist_make_scheduler(self, config: pytest.Config, log: object) -> object:
@@ -44,7 +43,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Refuse to run where a file of the table is missing, as its tests would run in no group.
+    """Abort the run if a file of the table is missing, since its tests would be in no group.
 
     Raises:
         pytest.UsageError: a file is missing.
--- a/tests/support/rpc_rig.py
+++ b/tests/support/rpc_rig.py
@@ -106,7 +106,7 @@
 class RawClient:
     """A client that may violate the protocol; the rig's channel is a correct client of the same server."""
 
-    transport: Pipe  # set by the network
+    transport: Pipe  # the in-memory network sets it
 
     def __init__(self, rig: RpcRig, sends_preface: bool = True) -> None:
         self.rig = rig
--- a/tests/support/socketpeers.py
+++ b/tests/support/socketpeers.py
@@ -15,11 +15,11 @@
 from relaymessages import COMPLETE_STREAM, READ_RESPONSE, RELEASE_RESPONSE
 
 HOST = "127.0.0.1"
-TIMEOUT_S = 15.0  # for what has to come
+TIMEOUT_S = 15.0  # limit for each wait
 
 
 class ReceivedRequest(NamedTuple):
-    """A complete request, as a peer read it."""
+    """A complete request that a peer received."""
 
     method: bytes
     target: bytes
@@ -40,7 +40,7 @@
     def __init__(self, peer: "ScriptedPeer", sock: socket.socket) -> None:
         self.peer = peer
         self.sock = sock
-        self.closed = threading.Event()  # its other end closed or reset it
+        self.closed = threading.Event()  # set once the other end has closed or reset it
 
     def send(self, data: bytes) -> None:
         """Send raw bytes."""
@@ -50,12 +50,12 @@
             self.closed.set()
 
     def reset(self) -> None:
-        """Break it: the other end sees a reset."""
+        """Reset the connection."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
 
     def close(self) -> None:
-        """Close it, whatever its state."""
+        """Close the connection, in any state."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
@@ -94,7 +94,7 @@
 
 
 class ScriptedPeer:
-    """Listens, with a thread a connection; `script(connection, request)` is called with each request."""
+    """Listens, with one thread per connection; calls `script(connection, request)` for each request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -116,7 +116,7 @@
             threading.Thread(target=self.connections[-1].serve, daemon=True).start()
 
     def next_request(self, method: bytes = b"") -> ReceivedRequest:
-        """Wait for the next request (of that method)."""
+        """Return the next request, of this method if one is given; wait until it arrives."""
         while True:
             try:
                 request = self.unread_requests.get(timeout=TIMEOUT_S)
@@ -126,7 +126,7 @@
                 return request
 
     def sequence_ids(self, method: bytes = b"POST") -> list[str]:
-        """Return the ids of the requests that came, of attempts or of releases."""
+        """Return the sequence ids of the received requests, either attempts or releases."""
         return [
             request.sequence_id or request.target.decode().rpartition("/")[2]
             for request in list(self.all_requests)
@@ -134,7 +134,7 @@
         ]
 
     def close(self) -> None:
-        """Refuse connections from now on, and break those that are there."""
+        """Stop listening, and reset the open connections."""
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -143,14 +143,14 @@
 
 
 class Engine(ScriptedPeer):
-    """Writes complete streams, or reads where its name begins with r; frees state when told."""
+    """Writes complete streams, or reads prompts if its name begins with r; frees states on request."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         super().__init__(self.default_script)
 
     def default_script(self, connection: PeerConnection, request: ReceivedRequest) -> None:
-        """Be a sound engine."""
+        """Respond as a faultless engine."""
         if request.method == b"DELETE":
             connection.send(RELEASE_RESPONSE)
         else:
@@ -158,18 +158,18 @@
 
 
 class Discovery(ScriptedPeer):
-    """The endpoint list. `silent`: requests that come meanwhile are never answered."""
+    """A discovery service with an endpoint list. While `silent`, requests that arrive are never answered."""
 
     def __init__(self, *engines: Engine, silent: bool = False) -> None:
         self.changed = threading.Condition()
         self.silent = silent
         self.version = 1
         self.entries = {engine.name: entry_of(engine) for engine in engines}
-        self.version_of = dict.fromkeys(self.entries, 1)  # by engine: of its last change
+        self.version_of = dict.fromkeys(self.entries, 1)  # list version of the last change, by engine
         super().__init__(self._answer)
 
     def change(self, **health: str) -> float:
-        """Change engines' health; returns when."""
+        """Change the health of engines; return the time of the change."""
         with self.changed:
             self.version += 1
             for name, value in health.items():
@@ -179,13 +179,13 @@
         return time.monotonic()
 
     def fall_silent(self) -> None:
-        """Answer nothing from now on."""
+        """Leave requests unanswered from now on."""
         with self.changed:
             self.silent = True
             self.changed.notify_all()
 
     def come_back(self) -> float:
-        """Answer again; returns since when."""
+        """Answer requests again; return the time of this."""
         with self.changed:
             self.silent = False
         return time.monotonic()
@@ -230,4 +230,4 @@
 
 
 def never_respond(connection: PeerConnection, request: ReceivedRequest) -> None:
-    """Be an engine that takes all and responds to nothing."""
+    """Act as an engine that accepts requests and never responds."""
