--- a/tests/lab/test_simulated_clients.py
+++ b/tests/lab/test_simulated_clients.py
@@ -47,7 +47,7 @@
         self.fleet = Fleet("R0 W0 W0 E0 K0 M0", nodes=2)
         random = Random(SEED)
         dials = {name: self.fleet.net.dialer(f"{name}:1") for name in self.fleet.nodes}
-        common = (self.scenario, self.fleet.clock, dials, self.fleet.client, random)
+        common = (self.scenario, self.fleet.clock, dials, self.fleet.client_recorder, random)
         self.chats = ChatClients(*common, self.scenario.rate)
         self.batches = BatchClients(*common, self.scenario.batch_rate, self.chats.behind)
         self.quiet: list[str] = []
@@ -92,11 +92,11 @@
 
 
 def test_clients_that_disconnect_cancel_their_call_and_do_not_retry(load: Load) -> None:
-    disconnected = {record.more["call"] for record in load.fleet.what("left")}
+    disconnected = {record.more["call"] for record in load.fleet.records("left")}
     assert disconnected
-    ends = {record.more["call"]: record.more["code"] for record in load.fleet.what("over")}
+    ends = {record.more["call"]: record.more["code"] for record in load.fleet.records("over")}
     assert {ends[call] for call in disconnected} == {"CANCELLED"}
-    requests = {record.more["call"] for record in load.fleet.what("ask")}
+    requests = {record.more["call"] for record in load.fleet.records("ask")}
     assert not {_next_call(call) for call in disconnected} & requests
 
 
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -130,9 +130,8 @@
 def test_sigterm_before_the_first_list_answers_waiting_clients(rig: SocketRig) -> None:
     """No client was accepted yet, as discovery is silent."""
     node = rig.start("w1", silent=True)
-    wait_for_file(
-        lambda: "/proc/net/tcp", lambda text: f":{int(node.address.rpartition(':')[2]):04X} " in text
-    )
+    listening = f":{int(node.address.rpartition(':')[2]):04X} 00000000:0000 0A "  # 0A is the state LISTEN
+    wait_for_file(lambda: "/proc/net/tcp", lambda text: listening in text)
     client = Client(node.address).send(chat_request("a1", remaining_ms=1500))
     rig.discovery.next_request()
     node.signal("TERM")
