--- a/tests/relay/test_relay_local_failures.py
+++ b/tests/relay/test_relay_local_failures.py
@@ -9,7 +9,7 @@
 from faultcontrol import FaultControlFile
 from relaymessages import LONG_PROMPT, READ_RESPONSE, RELEASE_RESPONSE, chat_request
 from socketpeers import PeerConnection, ReceivedRequest, never_respond
-from socketrig import Client, RelayProcess, SocketRig, stay_stopped
+from socketrig import Client, RelayProcess, SocketRig, let_time_pass
 
 from myrtlehub.log_events import LogEvent
 
@@ -110,9 +110,9 @@
     with Path("/dev/full").open("wb") as full:
         node = rig.start("w1", stdout=full.fileno())
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
-    rig.discovery.fall_silent()
-    rig.discovery.come_back()
-    wait_for_watch(rig, rig.discovery.change(w1="leaving"))
+    rig.discovery.stop_responding()
+    rig.discovery.resume_responding()
+    wait_for_watch(rig, rig.discovery.change_health(w1="leaving"))
     assert Client(node.address).send(chat_request("a2", remaining_ms=500)).read_status() == 503
     node.signal("TERM")
     assert node.exit_code() == 0
@@ -158,7 +158,7 @@
     faults.set(accept="ENFILE")
     client = Client(node.address).send(chat_request("a1", remaining_ms=4000))
     faults.wait_for_injected("accept", 1)
-    stay_stopped(1.0)
+    let_time_pass(1.0)
     faults.set()
     assert client.read_status() == 200
     assert int(rig.engines["w1"].next_request(b"POST").headers[b"x-remaining-ms"]) <= 3150
--- a/tests/relay/test_relay_memory_process.py
+++ b/tests/relay/test_relay_memory_process.py
@@ -37,7 +37,7 @@
         client.read_until(LAST_CHUNK)
         client.close()
         if number % 10 == 0:
-            rig.discovery.change(w2="leaving" if number % 20 else "active")
+            rig.discovery.change_health(w2="leaving" if number % 20 else "active")
     node.signal("USR1")
     counts = node.wait_for_log("objects")["counts"]
     left = {name: counts.get(name, 0) for name in (*REQUEST_CLASSES, *CONNECTION_CLASSES)}
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -22,7 +22,7 @@
     chunk,
 )
 from socketpeers import ReceivedRequest, entry_of, never_respond
-from socketrig import ROOT, Client, SilentClients, SocketRig, deployed_argv, stay_stopped, wait_for_file
+from socketrig import ROOT, Client, SilentClients, SocketRig, deployed_argv, let_time_pass, wait_for_file
 
 from myrtlehub.log_events import LogEvent
 
@@ -50,10 +50,10 @@
     node.signal("TERM")
     assert first.read_rest() == b""
     first.close()
-    node.stop()
+    node.suspend()
     late = [Client(node.address).send(chat_request(f"b{i}")) for i in range(5)]
-    stay_stopped(0.7)
-    node.go_on()
+    let_time_pass(0.7)
+    node.resume()
     assert [client.read_status() for client in late] == [200] * 5
     node.assert_clean_exit()
 
@@ -179,7 +179,7 @@
     assert line["discovery"] == rig.discovery.address and line["not_applied"] == ["limits", "settings"]
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="serving")
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w1", engine_state="gone")
-    former_discovery.change(w1="active")
+    former_discovery.change_health(w1="active")
     client = Client(node.address)
     assert client.send(chat_request("a1")).read_status() == 200
     assert rig.engines["w2"].sequence_ids() == ["a1"]
@@ -233,13 +233,13 @@
 def test_the_return_of_discovery_is_noticed_while_idle_clients_fill_the_descriptors(rig: SocketRig) -> None:
     """Silent connections use all descriptors of the process, and more of them wait to be accepted."""
     node = rig.start("w1 w2", descriptors=128)
-    rig.discovery.fall_silent()
+    rig.discovery.stop_responding()
     node.wait_for_log(LogEvent.DISCOVERY_UNREACHABLE)
     silent_clients = SilentClients(node.address, 300)
     wait_for_file(lambda: f"/proc/{node.process.pid}/stat", lambda text: node.descriptor_count() > 60)
     rig.discovery.entries["w1"] = entry_of(rig.engines["w1"], "leaving")
     rig.discovery.version += 1
-    back = rig.discovery.come_back()
+    back = rig.discovery.resume_responding()
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w1", engine_state="draining")
     assert time.monotonic() - back < 6.0
     ids = [f"a{i}" for i in range(10)]
--- a/tests/relay/test_relay_races.py
+++ b/tests/relay/test_relay_races.py
@@ -4,7 +4,7 @@
 
 from relaymessages import LAST_CHUNK, STREAM_HEAD, chat_request, chunk
 from socketpeers import TIMEOUT_S, never_respond
-from socketrig import Client, SocketRig, stay_stopped, wait_for_file
+from socketrig import Client, SocketRig, let_time_pass, wait_for_file
 
 from myrtlehub.log_events import LogEvent
 
@@ -12,11 +12,11 @@
 def test_a_disconnect_behind_a_flood_of_bytes_is_noticed(rig: SocketRig) -> None:
     """Its FIN arrives behind bytes that are buffered for an open request."""
     node = rig.start("w1 w2")
-    rig.discovery.change(w1="leaving", w2="leaving")
+    rig.discovery.change_health(w1="leaving", w2="leaving")
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="draining")
     Client(node.address).send(chat_request("a1", remaining_ms=12000) + b"x" * 400_000).close()
     node.wait_for_log(LogEvent.SEQUENCE_ANSWERED, sequence_id="a1", answer="left")
-    rig.discovery.change(w1="active", w2="active")
+    rig.discovery.change_health(w1="active", w2="active")
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="serving")
     assert Client(node.address).send(chat_request("a2")).read_status() == 200
     assert rig.engines["w1"].sequence_ids() + rig.engines["w2"].sequence_ids() == ["a2"]
@@ -25,12 +25,12 @@
 def test_pipelined_requests_are_answered_in_turn_and_a_flood_behind_them_with_413(rig: SocketRig) -> None:
     node = rig.start("w1")
     client = Client(node.address)
-    node.stop()
+    node.suspend()
     client.send(
         chat_request("a1") + chat_request("a2") + b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
         b"Content-Length: 200000\r\n\r\n" + b"x" * 60_000
     )
-    node.go_on()
+    node.resume()
     assert client.read_status() == 200
     client.read_until(LAST_CHUNK)
     client.send(b"x" * 140_000 + b"y" * 600_000)
@@ -46,12 +46,12 @@
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0"))
     first.read_until(LAST_CHUNK)
-    node.stop()
+    node.suspend()
     gone = [Client(node.address).send(chat_request(f"b{i}")) for i in range(8)]
     for client in gone:
         client.close()
-    stay_stopped(0.2)
-    node.go_on()
+    let_time_pass(0.2)
+    node.resume()
     for i in range(8):
         node.wait_for_log(LogEvent.SEQUENCE_ANSWERED, sequence_id=f"b{i}", answer="left")
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
@@ -63,11 +63,11 @@
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a0"))
     client.read_until(LAST_CHUNK)
-    node.stop()
+    node.suspend()
     client.send(chat_request("a1", remaining_ms=1500))
-    rig.discovery.change(w1="leaving")
-    stay_stopped(0.4)
-    node.go_on()
+    rig.discovery.change_health(w1="leaving")
+    let_time_pass(0.4)
+    node.resume()
     assert client.read_status() == 503
     assert rig.engines["w1"].sequence_ids() == ["a0"]
 
@@ -78,10 +78,10 @@
     rig.engines["w1"].script = never_respond
     client = Client(node.address).send(chat_request("a1", remaining_ms=600))
     rig.engines["w1"].next_request(b"POST")
-    node.stop()
-    stay_stopped(0.8)
+    node.suspend()
+    let_time_pass(0.8)
     at = time.monotonic()
-    node.go_on()
+    node.resume()
     assert client.read_status() == 503
     assert time.monotonic() - at < 0.5  # the client gives up 0.5 s after its deadline
 
@@ -90,11 +90,11 @@
     """There are unread bytes, and more arrive, while the connection is closed."""
     node = rig.start("w1")
     client = Client(node.address)
-    node.stop()
+    node.suspend()
     client.send(
         b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 200_000
     )
-    node.go_on()
+    node.resume()
     assert client.read_status() == 413
     client.send(b"x" * 100_000)
     assert client.read_rest(keep_open=True) == b""  # a FIN, not a reset
@@ -149,11 +149,11 @@
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0"))
     first.read_until(LAST_CHUNK)
-    node.stop()
+    node.suspend()
     rig.engines["w1"].connections[0].send(STREAM_HEAD + chunk(b"data: other\n\n") + LAST_CHUNK)
     second = Client(node.address).send(chat_request("a1"))
-    stay_stopped(0.1)
-    node.go_on()
+    let_time_pass(0.1)
+    node.resume()
     assert b"other" not in second.read_until(LAST_CHUNK)
     assert rig.engines["w1"].sequence_ids() == ["a0", "a1"] and len(rig.engines["w1"].connections) == 2
 
--- a/tests/support/relayrig.py
+++ b/tests/support/relayrig.py
@@ -2,11 +2,11 @@
 
 import json
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import h11
-from memnet import Net
+from memnet import Net, Pipe
 from relaymessages import COMPLETE_STREAM, READ_RESPONSE, RELEASE_RESPONSE, SETTINGS, chat_request
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import Clock
@@ -31,17 +31,20 @@
     """An event that the node has logged."""
 
     event: LogEvent
-    fields: dict[str, Any]
+    fields: dict[str, object]
 
 
 class PeerConnection(Protocol):
     """A connection to a scripted peer, which parses requests with h11 and sends raw bytes."""
 
+    transport: Pipe  # type: ignore[assignment]  # zope's ITransport declares methods without `self`
+    head: h11.Request  # of the request being received; h11 returns it before the body and the end
+    last_headers: list[tuple[bytes, bytes]]  # of the last complete request
+
     def __init__(self, peer: "ScriptedPeer") -> None:
         self.peer = peer
         self.http = h11.Connection(h11.SERVER)
         self.lost = False
-        self.head: h11.Request | None = None
         self.body = b""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -61,7 +64,8 @@
                 return
 
     def _complete(self) -> None:
-        # A new parser for the next request, as h11 does not know of the raw response.
+        # The script responds with raw bytes, which h11 does not see. This parser would therefore wait for a
+        # response and parse no further request.
         self.http = h11.Connection(h11.SERVER)
         head = self.head
         self.last_headers = list(head.headers)
@@ -74,8 +78,8 @@
         """Send raw bytes."""
         self.transport.write(data)
 
-    def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Record the loss."""
+    def connectionLost(self, reason: object = None) -> None:  # noqa: N802
+        """Record that the connection is lost."""
         self.lost = True
 
 
@@ -83,7 +87,7 @@
 
 
 class ScriptedPeer(Factory):
-    """A peer of the node; `script(connection, head, body)` is called for each complete request."""
+    """An engine or discovery; it calls `script(connection, head, body)` for each complete request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -96,22 +100,24 @@
         return self.connections[-1]
 
     def chat_requests(self) -> list[ReceivedRequest]:
-        """Return the attempts received."""
+        """Return the received requests that are attempts."""
         return [request for request in self.requests if request.method == b"POST"]
 
     def released_paths(self) -> list[bytes]:
-        """Return the paths of the releases received."""
+        """Return the paths of the received releases, each of which names a state."""
         return [request.target for request in self.requests if request.method == b"DELETE"]
 
 
 def never_respond(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
-    """Script of an engine that accepts attempts and never responds to them."""
+    """Act as an engine that never responds to attempts, but confirms releases."""
     if head.method == b"DELETE":
         connection.send(RELEASE_RESPONSE)
 
 
 class RawClient(Protocol):
-    """A connection of a client, which stores the received bytes."""
+    """A client's connection, which stores the received bytes."""
+
+    transport: Pipe  # type: ignore[assignment]  # zope's ITransport declares methods without `self`
 
     def __init__(self) -> None:
         self.received = b""
@@ -121,8 +127,8 @@
         """Store the bytes."""
         self.received += data
 
-    def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Record the loss."""
+    def connectionLost(self, reason: object = None) -> None:  # noqa: N802
+        """Record that the connection is lost."""
         self.lost = True
 
     def send(self, data: bytes) -> None:
@@ -131,12 +137,12 @@
 
     @property
     def statuses(self) -> list[int]:
-        """The statuses of the responses received."""
+        """The status codes of the received responses."""
         return [int(part[:3]) for part in self.received.split(b"HTTP/1.1 ")[1:]]
 
 
 class RawClientFactory(Factory):
-    """Factory of clients' connections."""
+    """Factory of `RawClient` connections."""
 
     def buildProtocol(self, addr: object) -> RawClient:  # noqa: N802
         """Return the protocol of a new connection."""
@@ -146,7 +152,18 @@
 class RelayRig:
     """A relay node and its peers.
 
-    Engines are named by kind and number, such as r1, w1 and m1, and listen at "NAME:1".
+    Args:
+        engines: Names of the engines, separated by spaces. The first letter is the engine's kind: r reads
+            prompts, w writes outputs, and m does both. Each engine listens at "NAME:1".
+        descriptors: Number of file descriptors that the node may use.
+        with_fallback_list: Whether the node's settings have the endpoint list as its fallback list.
+        silent_discovery: Whether discovery answers nothing until `resume_discovery`.
+        settings: Platform settings that replace those of `SETTINGS`.
+
+    Attributes:
+        version: Version of discovery's endpoint list.
+        open_watches: Connections to discovery with a request that it has not answered.
+        logged: The events that the node has logged, in order.
     """
 
     def __init__(
@@ -155,7 +172,7 @@
         descriptors: int = 200,
         with_fallback_list: bool = True,
         silent_discovery: bool = False,
-        **settings: Any,  # noqa: ANN401
+        **settings: object,
     ) -> None:
         self.clock = Clock()
         self.clock.advance(1000.0)
@@ -184,14 +201,17 @@
             self.clock,
             lambda address, timeout: self.net.dialer(address),
             0.0,
-            lambda event, **fields: self.logged.append(LoggedEvent(event, fields)),
+            self._log,
         )
         self.net.listen("node", self.node.listener)
         self.node.start()
         self.run(0.05)
 
-    def entry(self, name: str, health: str = "active", **fields: Any) -> dict[str, Any]:  # noqa: ANN401
-        """Return an engine's entry of the endpoint list."""
+    def _log(self, event: LogEvent, /, **fields: object) -> None:
+        self.logged.append(LoggedEvent(event, fields))
+
+    def entry(self, name: str, health: str = "active", **fields: object) -> dict[str, object]:
+        """Return an engine's entry of the endpoint list; `fields` are added to it or replace its own."""
         return {
             "host": name,
             "dial": f"{name}:1",
@@ -204,8 +224,8 @@
             **fields,
         }
 
-    def complete_list(self) -> dict[str, Any]:
-        """Return the complete endpoint list, as version 1."""
+    def complete_list(self) -> dict[str, object]:
+        """Return the complete endpoint list, with version 1."""
         return {"seq": 1, "whole": True, "hosts": list(self.entries.values())}
 
     def _discovery_script(self, connection: PeerConnection, head: h11.Request, body: bytes) -> None:
@@ -215,13 +235,13 @@
         else:
             self.send_list(connection, {**self.complete_list(), "seq": self.version})
 
-    def send_list(self, connection: PeerConnection, message: dict[str, Any]) -> None:
-        """Respond to a request of the discovery client."""
+    def send_list(self, connection: PeerConnection, message: dict[str, object]) -> None:
+        """Respond to a request of the node's discovery client with a message."""
         body = json.dumps(message).encode()
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
-    def update_list(self, **entries: dict[str, Any]) -> None:
-        """Respond to the open watch with changed entries."""
+    def update_list(self, **entries: dict[str, object]) -> None:
+        """Change entries of the endpoint list, and send them as the response to the open watch."""
         self.entries.update(entries)
         self.version += 1
         changes = {"seq": self.version, "whole": False, "hosts": list(entries.values())}
@@ -229,7 +249,7 @@
         self.run(0.02)
 
     def resume_discovery(self) -> None:
-        """Make discovery respond again, with the complete list also to the requests that are still open."""
+        """Make discovery respond again; requests that are still open get the complete list."""
         self.discovery_is_silent = False
         watches, self.open_watches = self.open_watches, []
         for connection in watches:
@@ -237,7 +257,7 @@
                 self.send_list(connection, {**self.complete_list(), "seq": self.version})
 
     def default_script(self, connection: PeerConnection, head: h11.Request, body: bytes) -> None:
-        """Script of an engine without faults."""
+        """Act as an engine without faults."""
         if head.method == b"DELETE":
             connection.send(RELEASE_RESPONSE)
         else:
@@ -245,15 +265,15 @@
             connection.send(READ_RESPONSE if name[0] == "r" else COMPLETE_STREAM)
 
     def run(self, seconds: float = 0.1) -> None:
-        """Advance the clock and deliver what is due."""
+        """Advance the clock, deliver queued data, and run the timers that become due."""
         self.net.run(seconds)
 
     def client(self) -> RawClient:
         """Connect a new client and return its connection."""
-        made: list[RawClient] = []
-        self.net.dialer("node")(RawClientFactory()).addCallback(made.append)
+        connected: list[RawClient] = []
+        self.net.dialer("node")(RawClientFactory()).addCallback(connected.append)
         self.run(0.0)
-        return made[0]
+        return connected[0]
 
     def request(
         self,
@@ -264,7 +284,7 @@
         client: RawClient | None = None,
         headers: bytes = b"",
     ) -> RawClient:
-        """Send a request and return the client's connection."""
+        """Send a chat request, on a new connection unless `client` is given; return its connection."""
         client = client or self.client()
         client.send(chat_request(sequence_id, prompt, traffic, remaining_ms, headers))
         self.run(0.02)
--- a/tests/support/socketpeers.py
+++ b/tests/support/socketpeers.py
@@ -8,18 +8,18 @@
 import time
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any, NamedTuple
+from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import h11
 from relaymessages import COMPLETE_STREAM, READ_RESPONSE, RELEASE_RESPONSE
 
 HOST = "127.0.0.1"
-TIMEOUT_S = 15.0  # limit for each wait
+TIMEOUT_S = 15.0  # limit of each wait, reached only by tests that fail
 
 
 class ReceivedRequest(NamedTuple):
-    """A complete request that a peer received."""
+    """A complete request that a scripted peer received, at a time in seconds of the monotonic clock."""
 
     method: bytes
     target: bytes
@@ -30,12 +30,12 @@
 
     @property
     def sequence_id(self) -> str:
-        """The client's id of the request."""
+        """The sequence id that the client gave the request, or an empty string."""
         return self.headers.get(b"x-txn", b"").decode()
 
 
 class PeerConnection:
-    """One connection to a peer."""
+    """A connection to a scripted peer."""
 
     def __init__(self, peer: "ScriptedPeer", sock: socket.socket) -> None:
         self.peer = peer
@@ -50,12 +50,12 @@
             self.closed.set()
 
     def reset(self) -> None:
-        """Reset the connection."""
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
 
     def close(self) -> None:
-        """Close the connection, in any state."""
+        """Close the connection, whether or not it is still open."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
@@ -71,7 +71,7 @@
 
     def _read(self) -> ReceivedRequest | None:
         http = h11.Connection(h11.SERVER)
-        head: h11.Request | None = None
+        head: h11.Request  # h11 returns it before the body and the end
         body = b""
         while True:
             event = http.next_event()
@@ -94,7 +94,7 @@
 
 
 class ScriptedPeer:
-    """Listens, with one thread per connection; calls `script(connection, request)` for each request."""
+    """A server, with one thread per connection, that calls `script(connection, request)` for each request."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -116,17 +116,17 @@
             threading.Thread(target=self.connections[-1].serve, daemon=True).start()
 
     def next_request(self, method: bytes = b"") -> ReceivedRequest:
-        """Return the next request, of this method if one is given; wait until it arrives."""
+        """Wait for the next unread request, and return it; if `method` is given, skip those of others."""
         while True:
             try:
                 request = self.unread_requests.get(timeout=TIMEOUT_S)
             except queue.Empty:
-                raise AssertionError("no request came") from None
+                raise AssertionError(f"no request arrived within {TIMEOUT_S} s") from None
             if request.method == method or not method:
                 return request
 
     def sequence_ids(self, method: bytes = b"POST") -> list[str]:
-        """Return the sequence ids of the received requests, either attempts or releases."""
+        """Return the sequence ids of the received attempts (POST) or releases (DELETE)."""
         return [
             request.sequence_id or request.target.decode().rpartition("/")[2]
             for request in list(self.all_requests)
@@ -134,7 +134,7 @@
         ]
 
     def close(self) -> None:
-        """Stop listening, and reset the open connections."""
+        """Stop listening, and close the connections."""
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -143,14 +143,14 @@
 
 
 class Engine(ScriptedPeer):
-    """Writes complete streams, or reads prompts if its name begins with r; frees states on request."""
+    """An engine: a reader if its name begins with r, else a writer of complete streams. Confirms releases."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         super().__init__(self.default_script)
 
     def default_script(self, connection: PeerConnection, request: ReceivedRequest) -> None:
-        """Respond as a faultless engine."""
+        """Act as an engine without faults."""
         if request.method == b"DELETE":
             connection.send(RELEASE_RESPONSE)
         else:
@@ -158,7 +158,7 @@
 
 
 class Discovery(ScriptedPeer):
-    """A discovery service with an endpoint list. While `silent`, requests that arrive are never answered."""
+    """A discovery service with an endpoint list. Requests that arrive while it is `silent` get no answer."""
 
     def __init__(self, *engines: Engine, silent: bool = False) -> None:
         self.changed = threading.Condition()
@@ -166,10 +166,10 @@
         self.version = 1
         self.entries = {engine.name: entry_of(engine) for engine in engines}
         self.version_of = dict.fromkeys(self.entries, 1)  # list version of the last change, by engine
-        super().__init__(self._answer)
+        super().__init__(self._respond)
 
-    def change(self, **health: str) -> float:
-        """Change the health of engines; return the time of the change."""
+    def change_health(self, **health: str) -> float:
+        """Change the health of engines; return the time of the change, in seconds of the monotonic clock."""
         with self.changed:
             self.version += 1
             for name, value in health.items():
@@ -178,44 +178,44 @@
             self.changed.notify_all()
         return time.monotonic()
 
-    def fall_silent(self) -> None:
-        """Leave requests unanswered from now on."""
+    def stop_responding(self) -> None:
+        """Respond neither to open watches nor to requests that arrive from now on."""
         with self.changed:
             self.silent = True
             self.changed.notify_all()
 
-    def come_back(self) -> float:
-        """Answer requests again; return the time of this."""
+    def resume_responding(self) -> float:
+        """Answer new requests again; return the present time, in seconds of the monotonic clock."""
         with self.changed:
             self.silent = False
         return time.monotonic()
 
-    def complete_list(self) -> dict[str, Any]:
-        """Return the complete list."""
+    def complete_list(self) -> dict[str, object]:
+        """Return the complete endpoint list."""
         return {"seq": self.version, "whole": True, "hosts": list(self.entries.values())}
 
-    def _answer(self, connection: PeerConnection, request: ReceivedRequest) -> None:
+    def _changes_since(self, version: int) -> dict[str, object]:
+        """Return the entries that have changed after this version of the list."""
+        changed = [entry for name, entry in self.entries.items() if self.version_of[name] > version]
+        return {"seq": self.version, "whole": False, "hosts": changed}
+
+    def _respond(self, connection: PeerConnection, request: ReceivedRequest) -> None:
         query = parse_qs(urlsplit(request.target.decode()).query)
         with self.changed:
-            if self.silent:
-                return
-            message = self.complete_list()
             if "since" in query:
                 since = int(query["since"][0])
                 timeout = int(query["timeout_ms"][0]) / 1e3
                 self.changed.wait_for(lambda: self.version > since or self.silent, timeout)
-                if self.silent:
-                    return
-                message = {
-                    "seq": self.version,
-                    "whole": False,
-                    "hosts": [entry for name, entry in self.entries.items() if self.version_of[name] > since],
-                }
+                message = self._changes_since(since)
+            else:
+                message = self.complete_list()
+            if self.silent:
+                return
         body = json.dumps(message).encode()
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-def entry_of(engine: Engine, health: str = "active") -> dict[str, Any]:
+def entry_of(engine: Engine, health: str = "active") -> dict[str, object]:
     """Return an engine's entry of the endpoint list."""
     return {
         "host": engine.name,
@@ -230,4 +230,4 @@
 
 
 def never_respond(connection: PeerConnection, request: ReceivedRequest) -> None:
-    """Act as an engine that accepts requests and never responds."""
+    """Act as a peer that accepts requests and never responds."""
--- a/tests/support/socketrig.py
+++ b/tests/support/socketrig.py
@@ -1,7 +1,7 @@
-"""The relay as a process on loopback, between scripted peers on real sockets.
+"""The relay as a process on the loopback interface, with scripted peers on real sockets.
 
-Tests synchronize on events, never on elapsed time: each wait ends when its condition holds, and `TIMEOUT_S`
-only limits a wait that would fail.
+Tests wait for events, not for time to pass: each wait ends as soon as its condition is true. `TIMEOUT_S` only
+limits the waits of tests that fail.
 """
 
 import json
@@ -18,7 +18,7 @@
 import tomllib
 from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any
+from typing import IO, Any
 
 import pytest
 from paths import ROOT
@@ -27,7 +27,8 @@
 
 from myrtlehub.log_events import LogEvent
 
-PAGE_BYTES = 4096
+PAGE_BYTES = 4096  # unit of the sizes in /proc/PID/statm
+END_OF_LOG = "end of log"  # event that the rig appends when the process has closed its standard output
 
 
 class Client:
@@ -49,23 +50,27 @@
         self.sock.sendall(data)
         return self
 
-    def read_until(self, mark: bytes, max_bytes: int = 65536) -> bytes:
-        """Wait for `mark`; return the bytes received up to its end."""
-        while mark not in self.received:
+    def read_until(self, delimiter: bytes, max_bytes: int = 65536) -> bytes:
+        """Wait for `delimiter`, reading at most `max_bytes` at a time; return the bytes up to its end."""
+        while delimiter not in self.received:
             data = self.sock.recv(max_bytes)
             if not data:
-                raise AssertionError(f"closed before {mark!r}: {self.received[-300:]!r}")
+                raise AssertionError(f"closed before {delimiter!r}: {self.received[-300:]!r}")
             self.received += data
-        end = self.received.index(mark) + len(mark)
+        end = self.received.index(delimiter) + len(delimiter)
         read, self.received = self.received[:end], self.received[end:]
         return read
 
     def read_status(self) -> int:
-        """Return the status of the next response; its body stays unread."""
+        """Wait for the head of the next response, and return its status; the body stays unread."""
         return int(self.read_until(b"\r\n\r\n").split()[1])
 
     def read_rest(self, keep_open: bool = False) -> bytes:
-        """Return all bytes up to the end of the stream, and close; a reset raises ConnectionResetError."""
+        """Return all bytes up to the end of the stream, then close unless `keep_open`.
+
+        Raises:
+            ConnectionResetError: The node reset the connection.
+        """
         while data := self.sock.recv(65536):
             self.received += data
         if not keep_open:
@@ -74,7 +79,7 @@
         return read
 
     def socket_error(self) -> int:
-        """Return the pending errno of the socket, such as a reset after the end of data; 0 for none."""
+        """Return and clear the pending error of the socket: an errno, such as ECONNRESET, or 0."""
         return self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def close(self) -> None:
@@ -98,18 +103,19 @@
         sock.setblocking(False)
         host, port = self.address.rsplit(":", 1)
         sock.connect_ex((host, int(port)))
-        self.selector.register(sock, selectors.EVENT_READ)
+        self.selector.register(sock, selectors.EVENT_READ, data=sock)
         return sock
 
     def _reconnect(self) -> None:
         while not self.stopped:
             for key, _ in self.selector.select(0.05):
-                self.selector.unregister(key.fileobj)
-                key.fileobj.close()
+                sock: socket.socket = key.data
+                self.selector.unregister(sock)
+                sock.close()
                 self.sockets.append(self._connect())
 
     def close(self) -> None:
-        """Close all connections, and reconnect no more."""
+        """Stop reconnecting, and close all connections."""
         self.stopped = True
         self.thread.join()
         for sock in self.sockets:
@@ -117,7 +123,21 @@
 
 
 class RelayProcess:
-    """The relay's process. `descriptors` is its limit of open files, set by rlimit and in its settings."""
+    """A process that runs the relay.
+
+    Args:
+        folder: Folder of its settings file and its error output; created if it is missing.
+        discovery: HOST:PORT of the discovery service.
+        descriptors: Its limit of open file descriptors, set in its settings and by `setrlimit`.
+        argv: Command that starts it; None for `python -m myrtlehub.relay`.
+        fallback_list: Endpoint list to use if discovery does not answer at the start, or None.
+        listen: HOST:PORT at which it listens; empty for a port that is free.
+        stdout: Its standard output, as for `Popen`; the log is read only if this is `PIPE`.
+        settings: Platform settings that replace those of `SETTINGS`.
+
+    Attributes:
+        logged: The log lines read so far.
+    """
 
     def __init__(
         self,
@@ -125,15 +145,15 @@
         discovery: str,
         descriptors: int = 256,
         argv: list[str] | None = None,
-        fallback_list: dict[str, Any] | None = None,
+        fallback_list: dict[str, object] | None = None,
         listen: str = "",
         stdout: int = subprocess.PIPE,
-        **settings: Any,  # noqa: ANN401
+        **settings: object,
     ) -> None:
         folder.mkdir(exist_ok=True)
         self.path = folder / "config.json"
         self.address = listen or free_address()
-        self.config: dict[str, Any] = {
+        self.config: dict[str, object] = {
             "name": "n0",
             "listen": self.address,
             "discovery": discovery,
@@ -144,7 +164,7 @@
         if fallback_list is not None:
             self.config["known"] = fallback_list
         self.write_config()
-        self.logged: list[dict[str, Any]] = []
+        self.logged: list[dict[str, object]] = []
         self.log_changed = threading.Condition()
         self.error_file = (folder / "errors").open("w+b")
         env = {**os.environ, "RELAY_CONFIG": str(self.path), "RELAY_LOG": "all", "PYTHONPATH": str(ROOT)}
@@ -156,43 +176,43 @@
             stderr=self.error_file,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
         )
-        if stdout == subprocess.PIPE:
-            threading.Thread(target=self._read_log, daemon=True).start()
+        if self.process.stdout is not None:
+            threading.Thread(target=self._read_log, args=(self.process.stdout,), daemon=True).start()
 
-    def write_config(self, **fields: Any) -> None:  # noqa: ANN401
-        """Write the settings file, with these fields replaced."""
+    def write_config(self, **fields: object) -> None:
+        """Replace these fields of the settings, and write the settings file."""
         self.config.update(fields)
         self.path.write_text(json.dumps(self.config))
 
-    def _read_log(self) -> None:
-        for line in self.process.stdout:
+    def _read_log(self, stdout: IO[bytes]) -> None:
+        for line in stdout:
             with self.log_changed:
                 self.logged.append(json.loads(line))
                 self.log_changed.notify_all()
         with self.log_changed:
-            self.logged.append({"event": "no more"})
+            self.logged.append({"event": END_OF_LOG})
             self.log_changed.notify_all()
 
-    def find_logged(self, event: str, **fields: Any) -> list[dict[str, Any]]:  # noqa: ANN401
-        """Return the entries of the log with this event and these fields."""
+    def find_logged(self, event: str, **fields: object) -> list[dict[str, object]]:
+        """Return the log lines read so far that have this event and these fields."""
         return [
             line
             for line in list(self.logged)
             if line["event"] == event and all(line.get(name) == value for name, value in fields.items())
         ]
 
-    def wait_for_log(self, event: str, **fields: Any) -> dict[str, Any]:  # noqa: ANN401
-        """Wait for an entry of the log with this event and these fields, and return it."""
+    def wait_for_log(self, event: str, **fields: object) -> dict[str, object]:
+        """Wait for a log line with this event and these fields, and return the first one."""
         with self.log_changed:
-            is_there = self.log_changed.wait_for(
-                lambda: self.find_logged(event, **fields) or self.find_logged("no more"), TIMEOUT_S
+            in_time = self.log_changed.wait_for(
+                lambda: self.find_logged(event, **fields) or self.find_logged(END_OF_LOG), TIMEOUT_S
             )
         found = self.find_logged(event, **fields)
-        assert is_there and found, f"never logged: {event} {fields}: {self.logged[-5:]} {self.error_output()}"
+        assert in_time and found, f"never logged: {event} {fields}: {self.logged[-5:]} {self.error_output()}"
         return found[0]
 
     def error_output(self) -> str:
-        """Return its standard error output, which has the tracebacks of uncaught exceptions."""
+        """Return the standard error output of the process, such as tracebacks of uncaught exceptions."""
         self.error_file.seek(0)
         return self.error_file.read().decode()
 
@@ -201,14 +221,14 @@
         for name in names:
             self.process.send_signal(signal.Signals[f"SIG{name}"])
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         """Suspend the process by SIGSTOP; data that arrives stays in the kernel's buffers."""
         self.signal("STOP")
         wait_for_file(
             lambda: f"/proc/{self.process.pid}/stat", lambda text: text.rpartition(")")[2].split()[0] == "T"
         )
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume a suspended process."""
         self.signal("CONT")
 
@@ -220,7 +240,7 @@
             return None
 
     def assert_clean_exit(self) -> None:
-        """Check that the process, after SIGTERM, exits with 0 and without uncaught exceptions."""
+        """Check that the process, which got SIGTERM, exits with 0 and without error output."""
         assert self.exit_code() == 0
         assert self.error_output() == ""
 
@@ -229,15 +249,15 @@
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
     def wait_for_unread(self, client: Client, count: int) -> None:
-        """Wait until exactly `count` bytes of a client are unread in the node's receive buffer."""
-        here = f":{int(self.address.rpartition(':')[2]):04X}"
-        there = f":{client.port:04X}"
+        """Wait until exactly `count` bytes from a client are unread in the node's receive buffer."""
+        node_port = f":{int(self.address.rpartition(':')[2]):04X}"
+        client_port = f":{client.port:04X}"
 
         def is_unread(text: str) -> bool:
             rows = [line.split() for line in text.splitlines()[1:]]
             return any(
-                row[1].endswith(here)
-                and row[2].endswith(there)
+                row[1].endswith(node_port)
+                and row[2].endswith(client_port)
                 and int(row[4].partition(":")[2], 16) == count
                 for row in rows
             )
@@ -254,12 +274,12 @@
 
     def _wait_for_port(self, is_open: bool) -> None:
         host, port = self.address.rsplit(":", 1)
-        end = time.monotonic() + TIMEOUT_S
-        while time.monotonic() < end:
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             with socket.socket() as sock:
                 if (sock.connect_ex((host, int(port))) == 0) == is_open:
                     return
-        raise AssertionError("it still listens" if not is_open else "it never listens")
+        raise AssertionError(f"{self.address} never accepts" if is_open else f"{self.address} still accepts")
 
     def memory_mb(self) -> float:
         """Return the resident memory of the process in MB."""
@@ -272,30 +292,30 @@
         self.process.wait()
 
 
-def stay_stopped(seconds: float) -> None:
-    """Sleep while a process is suspended: the duration is the test's input, not a wait for an event."""
+def let_time_pass(seconds: float) -> None:
+    """Sleep. Only for a duration that is an input of the test, such as how long a process is suspended."""
     time.sleep(seconds)
 
 
-def wait_for_file(path: Callable[[], str], holds: Callable[[str], bool]) -> None:
-    """Read a file of /proc repeatedly until `holds` returns true for its text."""
-    end = time.monotonic() + TIMEOUT_S
-    while time.monotonic() < end:
-        if holds(Path(path()).read_text()):
+def wait_for_file(path: Callable[[], str], condition: Callable[[str], bool]) -> None:
+    """Read a file, such as one of /proc, repeatedly until `condition` is true for its text."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
+        if condition(Path(path()).read_text()):
             return
         time.sleep(0.001)
-    raise AssertionError(f"the text of {path()} never held")
+    raise AssertionError(f"the condition never became true for the text of {path()}")
 
 
 def free_address() -> str:
-    """Return a loopback address whose port is free at present."""
+    """Return HOST:PORT of the loopback interface, with a port that is free at present."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return f"{HOST}:{sock.getsockname()[1]}"
 
 
 def deployed_argv() -> list[str]:
-    """Return the start command (`run` in the deploy file) in the form that the platform executes."""
+    """Return the command by which the platform starts the relay: `run` of the deploy file, by a shell."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return ["/bin/sh", "-c", run.replace(".venv/bin/python", shlex.quote(sys.executable))]
 
@@ -303,20 +323,21 @@
 class SocketRig:
     """Engines, discovery and nodes of one test; `close` stops all of them."""
 
+    discovery: Discovery  # assigned by `start`
+
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.relays: list[RelayProcess] = []
         self.peers: list[ScriptedPeer] = []
         self.engines: dict[str, Engine] = {}
-        self.discovery: Discovery | None = None
 
     def start(
         self,
         engines: str = "w1",
         silent: bool = False,
-        **relay: Any,  # noqa: ANN401
+        **relay: Any,  # noqa: ANN401 (arguments of RelayProcess)
     ) -> RelayProcess:
-        """Start engines by name, discovery, and a node that is ready unless discovery is silent."""
+        """Start engines by name, discovery and a node; wait until it is ready, unless discovery is silent."""
         self.engines = {name: Engine(name) for name in engines.split()}
         self.discovery = Discovery(*self.engines.values(), silent=silent)
         self.peers += [*self.engines.values(), self.discovery]
@@ -327,11 +348,11 @@
             node.wait_for_log(LogEvent.READY)
         return node
 
-    def start_relay(self, **relay: Any) -> RelayProcess:  # noqa: ANN401
-        """Start one more node."""
-        made = RelayProcess(self.folder / f"n{len(self.relays)}", self.discovery.address, **relay)
-        self.relays.append(made)
-        return made
+    def start_relay(self, **relay: Any) -> RelayProcess:  # noqa: ANN401 (arguments of RelayProcess)
+        """Start another node, with the same discovery."""
+        node = RelayProcess(self.folder / f"n{len(self.relays)}", self.discovery.address, **relay)
+        self.relays.append(node)
+        return node
 
     def close(self) -> None:
         """Stop all nodes, engines and discovery."""
@@ -345,7 +366,7 @@
 
 @pytest.fixture(name="rig")
 def socket_rig(tmp_path: Path) -> Iterator[SocketRig]:
-    """A new rig for each test."""
-    made = SocketRig(tmp_path)
-    yield made
-    made.close()
+    """Yield a new rig for each test, and close it after the test."""
+    rig = SocketRig(tmp_path)
+    yield rig
+    rig.close()
