--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -69,13 +69,24 @@
     from types import SimpleNamespace
 
     from myrtlehub.node.traffic_counters import TrafficCounters
+    from myrtlehub.routing.contract import Arrival
 
     row = SimpleNamespace(name="ask", utility=1.0, latency_slo=1.0, slo_per_1000_tokens=0.0, late_share=0.0)
     observers: list[Any] = []
     # A stub, of which only these two attributes are used: an executor needs a node with its servers.
     executor: Any = SimpleNamespace(decoder=SimpleNamespace(rows=[row]), add_observer=observers.append)
     sequence = SimpleNamespace(
-        arrival=SimpleNamespace(traffic=0, prompt=500.0),
+        arrival=Arrival(
+            traffic=0,
+            tenant=None,
+            prompt_tokens=500.0,
+            time_left=10.0,
+            session=0,
+            prefix=0,
+            shared_tokens=0.0,
+            max_output_tokens=400.0,
+            expected_seconds=0.0,
+        ),
         attempts=[1, 2],
         accepted_at=1.0,
         answer=SimpleNamespace(state="generated"),
