--- a/benchmarks/endpoint_changes.py
+++ b/benchmarks/endpoint_changes.py
@@ -1,21 +1,38 @@
 """Random changes to the fleet of a driven scenario, and the endpoint list updates that follow them."""
 
-from __future__ import annotations
+from collections import Counter
+from collections.abc import Callable
+from random import Random
+from typing import Any, Protocol
 
-from typing import TYPE_CHECKING
+from fleet_shape import DRAINING, GONE, SERVING, Engine, FleetShape, Sequence
+from router_dialects import Dialect
 
-from fleet_shape import DRAINING, GONE, SERVING, Engine
+SPAN_BETWEEN_CHANGES = 0.7  # seconds between changes of the fleet
 
-if TYPE_CHECKING:
-    from driven_fleet import Scenario
 
-SPAN_BETWEEN_CHANGES = 0.7  # seconds between changes of the fleet
+class ChangedScenario(Protocol):
+    """The scenario whose fleet changes: its clock, its router and what it counts."""
+
+    dialect: Dialect
+    random: Random
+    shape: FleetShape
+    now: float
+    left_to_arrive: int
+    sequences: dict[int, Sequence]  # in flight, by number
+    counts: Counter[str]
+
+    def at(self, delay: float, what: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401
+        """Schedule a call after a delay in simulated seconds."""
+
+    def call(self, name: str, *arguments: Any) -> None:  # noqa: ANN401
+        """Call the router, and execute its actions."""
 
 
 class EndpointChanges:
     """Changes the engines of a scenario: drains, losses, cold restarts, reused indices."""
 
-    def __init__(self, scenario: Scenario) -> None:
+    def __init__(self, scenario: ChangedScenario) -> None:
         self.scenario = scenario
         self.shape = scenario.shape
         self.random = scenario.random
@@ -25,17 +42,17 @@
 
     def start(self) -> None:
         """Send the router the first endpoint list, and schedule the first change of the fleet."""
-        self.tell_list(self.engines, is_complete=True, new=True)
+        self.send_list(self.engines, is_complete=True, is_new=True)
         if self.shape.changes:
             self.scenario.at(SPAN_BETWEEN_CHANGES, self.change_fleet)
 
-    def tell_list(self, engines: list[Engine], is_complete: bool, new: bool = False) -> None:
+    def send_list(self, engines: list[Engine], is_complete: bool, is_new: bool = False) -> None:
         """Send the router an endpoint list of these engines: the complete list, or only changes."""
         updates = [
             self.scenario.dialect.make(
                 "EndpointUpdate",
                 engine=engine.index,
-                is_new=new,
+                is_new=is_new,
                 state=engine.state,
                 kind=engine.kind,
                 zone=engine.zone,
@@ -62,13 +79,13 @@
     def _change_drain(self, engine: Engine) -> None:
         if engine.state == SERVING:
             engine.state = DRAINING
-            self.tell_list([engine], is_complete=False)
+            self.send_list([engine], is_complete=False)
             self.scenario.at(self.random.expovariate(0.5), self._gone, engine)
 
     def _gone(self, engine: Engine) -> None:
         if engine.state == DRAINING:
             engine.state = GONE
-            self.tell_list([engine], is_complete=False)
+            self.send_list([engine], is_complete=False)
 
     def _change_die(self, engine: Engine) -> None:
         engine.state = GONE  # the endpoint list shows it only later
@@ -82,7 +99,7 @@
             self.scenario.now,
         )
         engine.is_silent = False
-        self.tell_list([engine], is_complete=False)
+        self.send_list([engine], is_complete=False)
 
     def _change_return(self, engine: Engine) -> None:
         gone = [one for one in self.engines if one.state != SERVING]
@@ -97,21 +114,21 @@
                 new = self.shape.new_engine(old.index, self.scenario.now)
                 new.started_at = self.random.choice((0.0, self.scenario.now))
                 self.engines[old.index] = new
-                self.tell_list([new], is_complete=False, new=True)
+                self.send_list([new], is_complete=False, is_new=True)
 
     def _change_add(self, engine: Engine) -> None:
         if len(self.engines) < 2 * self.shape.engine_count:
             new = self.shape.new_engine(len(self.engines), self.scenario.now)
             new.started_at = self.scenario.now
             self.engines.append(new)
-            self.tell_list([new], is_complete=False, new=True)
+            self.send_list([new], is_complete=False, is_new=True)
 
     def _change_resend(self, engine: Engine) -> None:
-        self.tell_list(self.engines, is_complete=True)
+        self.send_list(self.engines, is_complete=True)
 
     def _change_omit(self, engine: Engine) -> None:
         if self.random.random() < 0.3:
-            self.tell_list([one for one in self.engines if one is not engine], is_complete=True)
+            self.send_list([one for one in self.engines if one is not engine], is_complete=True)
 
     def _change_fail(self, engine: Engine) -> None:
         engine.fault_share = self.random.choice((0.5, 1.0))
