--- a/benchmarks/rollout_outcomes.py
+++ b/benchmarks/rollout_outcomes.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from statistics import median
-from typing import Any
+from typing import Any, NamedTuple
 
 from ruamel.yaml import YAML
 
@@ -37,79 +37,114 @@
 }
 
 
-def play(kind: str, seed: int, folder: Path) -> dict[str, Any]:
-    """Play a scenario; return the verdict of `hub-scenario --json` and what the controller logged."""
+class RolloutRun(NamedTuple):
+    """One rollout that was played to its end."""
+
+    verdict: dict[str, Any]  # of `hub-scenario --json`
+    rollback_stage: int  # 0 without a rollback
+    rollback_reason: str
+    holds: int  # how often the controller held the rollout
+
+    @property
+    def is_as_expected(self) -> bool:
+        """Whether the rollout ended as the scenario says."""
+        return bool(self.verdict["roll"]["as_stated"])
+
+
+class FailedRun(NamedTuple):
+    """A scenario that could not be played."""
+
+    error: str  # the end of what it wrote to standard error
+
+
+def scenario_of(kind: str) -> dict[str, Any]:
+    """Return the scenario with the program of this kind and its expected end."""
     with (ROOT / "scenarios" / "rolling.yaml").open() as file:
-        tree = YAML(typ="safe").load(file)
-    roll = tree["roll"]
-    roll["now"], roll["ends"] = kind, ENDS[kind]
+        scenario: dict[str, Any] = YAML(typ="safe").load(file)
+    rollout = scenario["roll"]
+    rollout["now"], rollout["ends"] = kind, ENDS[kind]
     if kind == "settings":
-        roll["now"], roll["settings"] = "", {"node.max_wait": "1s"}
-    where = folder / f"{kind}-{seed}"
-    where.mkdir()
-    (where / "day.json").write_text(json.dumps(tree))
+        rollout["now"], rollout["settings"] = "", {"node.max_wait": "1s"}
+    return scenario
+
+
+def phase_changes(folder: Path) -> list[dict[str, Any]]:
+    """Return the log events of the controllers' phases, from the logs in a folder."""
+    events = [
+        json.loads(line)
+        for path in sorted(folder.glob("controller-*.log"))
+        for line in path.read_text().splitlines()
+        if line.startswith("{")
+    ]
+    return [event for event in events if event["event"] == LogEvent.PHASE_CHANGED]
+
+
+def play(kind: str, seed: int, folder: Path) -> RolloutRun | FailedRun:
+    """Play a scenario in a folder of its own; return its verdict and what the controller logged."""
+    run_folder = folder / f"{kind}-{seed}"
+    run_folder.mkdir()
+    scenario, logs = run_folder / "day.json", run_folder / "kept"
+    scenario.write_text(json.dumps(scenario_of(kind)))
+    options = ["--seed", str(seed), "--json", "--quiet", "--keep", str(logs)]
     done = subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "myrtlehub.cli.scenario",
-            str(where / "day.json"),
-            "--seed",
-            str(seed),
-            "--json",
-            "--quiet",
-            "--keep",
-            str(where / "kept"),
-        ],
+        [sys.executable, "-m", "myrtlehub.cli.scenario", str(scenario), *options],
         capture_output=True,
         text=True,
     )
     if done.returncode not in (0, 1):
-        return {"failed": done.stderr[-500:]}
-    verdict: dict[str, Any] = json.loads(done.stdout)
-    lines = [
-        json.loads(line)
-        for path in sorted((where / "kept").glob("controller-*.log"))
-        for line in path.read_text().splitlines()
-        if line.startswith("{")
-    ]
-    changes = [line for line in lines if line["event"] == LogEvent.PHASE_CHANGED]
-    verdict["stage"] = next((c["stage"] for c in changes if c["phase"] == "undoing"), 0)
-    verdict["why"] = next((c["reason"] for c in changes if c["phase"] == "undoing"), "")
-    verdict["held"] = sum(c["phase"] == "holding" for c in changes)
-    return verdict
+        return FailedRun(done.stderr[-500:])
+    changes = phase_changes(logs)
+    rollback = next((c for c in changes if c["phase"] == "undoing"), None)
+    return RolloutRun(
+        verdict=json.loads(done.stdout),
+        rollback_stage=rollback["stage"] if rollback else 0,
+        rollback_reason=rollback["reason"] if rollback else "",
+        holds=sum(c["phase"] == "holding" for c in changes),
+    )
+
+
+def print_row(kind: str, runs: list[RolloutRun | FailedRun]) -> None:
+    """Print the row of one kind of program."""
+    complete = [run for run in runs if isinstance(run, RolloutRun)]
+    good = [run for run in complete if run.is_as_expected]
+    durations = [run.verdict["roll"]["seconds"] for run in complete]
+    broken = sum(bool(rule["breaches"]) for run in complete for rule in run.verdict["rules"])
+    traffic = [row for run in complete for row in run.verdict["traffic"].values()]
+    goodput = [row["goodput"] for row in traffic if row["goodput"] is not None]
+    print(
+        f"| {kind} | {len(runs)} | {len(good)} | {sum(run.rollback_stage <= 2 for run in good)} | {broken} | "
+        f"{sum(run.holds for run in complete)} | {median(durations):.0f}, {max(durations):.0f} | "
+        f"{sum(goodput) / len(goodput):.3f} |",
+        flush=True,
+    )
+
+
+def print_faults(kind: str, runs: list[RolloutRun | FailedRun]) -> None:
+    """Print to standard error the runs that failed, ended unexpectedly or did not clean up."""
+    for run in runs:
+        fault: object = None
+        if isinstance(run, FailedRun):
+            fault = run.error
+        elif not run.is_as_expected or run.verdict.get("unclean"):
+            fault = (run.verdict["roll"], run.rollback_reason[:200], run.verdict["unclean"][:3])
+        if fault is not None:
+            print(f"    {kind}: {fault}", file=sys.stderr, flush=True)
 
 
 def main() -> None:
     """Play the rollouts and print one row for each kind."""
-    ask = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    ask.add_argument("--each", type=int, default=20)
-    ask.add_argument("--at-once", type=int, default=2)
-    ask.add_argument("--kinds", nargs="*", default=list(ENDS))
-    args = ask.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--each", type=int, default=20)
+    parser.add_argument("--at-once", type=int, default=2)
+    parser.add_argument("--kinds", nargs="*", default=list(ENDS))
+    options = parser.parse_args()
     print("| program | rolls | as stated | by stage 2 | rules broken | held | s, p50 and max | goodput |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    with tempfile.TemporaryDirectory() as name, ThreadPoolExecutor(args.at_once) as pool:
-        for kind in args.kinds:
-            days = list(pool.map(lambda seed, kind=kind: play(kind, seed, Path(name)), range(args.each)))
-            whole = [d for d in days if "failed" not in d]
-            good = [d for d in whole if d["roll"]["as_stated"]]
-            took = [d["roll"]["seconds"] for d in whole]
-            broken = sum(bool(r["breaches"]) for d in whole for r in d["rules"])
-            goodput = [t["goodput"] for d in whole for t in d["traffic"].values() if t["goodput"] is not None]
-            print(
-                f"| {kind} | {len(days)} | {len(good)} | {sum(d['stage'] <= 2 for d in good)} | {broken} | "
-                f"{sum(d['held'] for d in whole)} | {median(took):.0f}, {max(took):.0f} | "
-                f"{sum(goodput) / len(goodput):.3f} |",
-                flush=True,
-            )
-            for d in days:
-                if d not in good or d.get("unclean"):
-                    print(
-                        f"    {kind}: {d.get('failed') or (d['roll'], d['why'][:200], d['unclean'][:3])}",
-                        file=sys.stderr,
-                        flush=True,
-                    )
+    with tempfile.TemporaryDirectory() as name, ThreadPoolExecutor(options.at_once) as pool:
+        for kind in options.kinds:
+            runs = list(pool.map(lambda seed, kind=kind: play(kind, seed, Path(name)), range(options.each)))
+            print_row(kind, runs)
+            print_faults(kind, runs)
 
 
 if __name__ == "__main__":
