--- a/benchmarks/batch_throughput.py
+++ b/benchmarks/batch_throughput.py
@@ -24,6 +24,51 @@
 from myrtlehub.rpc.client_call import CallWatcher
 from myrtlehub.rpc.status import Status
 
+KINDS: tuple[Settings, ...] = (
+    {"name": "reader", "reads": True, "memory": "300k tokens"},
+    {"name": "mixed", "writes": True, "embeds": True, "memory": "200k tokens", "batch": "2k tokens"},
+    {"name": "embedder", "embeds": True, "memory": "200k tokens", "batch": "16k tokens"},
+)
+EMBEDDING_TRAFFIC: Settings = {
+    "name": "vec",
+    "front": "embed",
+    "repeats": "repeatable",
+    "latency_slo": "40s",
+    "abandon_time": "60s",
+    "utility": 1,
+}
+CHAT_TRAFFIC: Settings = {
+    "name": "ask",
+    "repeats": "repeatable",
+    "latency_slo": "2s",
+    "abandon_time": "10s",
+    "utility": 3,
+}
+CHAT_RATE = 30.0  # sequences per second
+FLOOD_INTERVAL = 0.05  # seconds; 240k tokens per second, more than all embedding engines can process
+
+
+def fleet_settings(engines: dict[str, str], kind_settings: dict[str, Settings]) -> Settings:
+    """Return the part of a node's settings that describes its engines (address: kind) and their traffic.
+
+    Args:
+        engines: the kind of each engine, by its address.
+        kind_settings: further settings of a kind, by its name.
+    """
+    used_kinds = set(engines.values())
+    return {
+        "traffic": [EMBEDDING_TRAFFIC, *([CHAT_TRAFFIC] if "mixed" in used_kinds else [])],
+        "kinds": [{**k, **kind_settings.get(k["name"], {})} for k in KINDS if k["name"] in used_kinds],
+        "zones": ["z"],
+        "rules": NODE_RULES,
+        "list": {
+            "engines": [
+                {"address": a, "kind": k, "zone": "z", **({"model": "m1"} if k != "reader" else {})}
+                for a, k in engines.items()
+            ]
+        },
+    }
+
 
 class CallResult(CallWatcher):
     """One call: when its first reply came, and its final answer."""
@@ -90,50 +135,9 @@
     ) -> Channel:
         """Start a node for these engines (address: kind), and return a channel to it."""
         listen, admin = (f"127.0.0.1:{p}" for p in free_ports(2))
-        kinds: list[Settings] = [
-            {"name": "reader", "reads": True, "memory": "300k tokens"},
-            {"name": "mixed", "writes": True, "embeds": True, "memory": "200k tokens", "batch": "2k tokens"},
-            {"name": "embedder", "embeds": True, "memory": "200k tokens", "batch": "16k tokens"},
-        ]
-        used = set(engines.values())
-        traffic: list[Settings] = [
-            {
-                "name": "vec",
-                "front": "embed",
-                "repeats": "repeatable",
-                "latency_slo": "40s",
-                "abandon_time": "60s",
-                "utility": 1,
-            }
-        ]
-        if "mixed" in used:
-            traffic.append(
-                {
-                    "name": "ask",
-                    "repeats": "repeatable",
-                    "latency_slo": "2s",
-                    "abandon_time": "10s",
-                    "utility": 3,
-                }
-            )
-        self.processes.start(
-            "node",
-            name,
-            {
-                "node": {"name": name, "listen": listen, "admin": admin, "zone": "z"},
-                "traffic": traffic,
-                "kinds": [{**k, **kind_settings.get(k["name"], {})} for k in kinds if k["name"] in used],
-                "zones": ["z"],
-                "rules": NODE_RULES,
-                "batches": batches,
-                "list": {
-                    "engines": [
-                        {"address": a, "kind": k, "zone": "z", **({"model": "m1"} if k != "reader" else {})}
-                        for a, k in engines.items()
-                    ]
-                },
-            },
-        )
+        addresses = {"name": name, "listen": listen, "admin": admin, "zone": "z"}
+        fleet = fleet_settings(engines, kind_settings)
+        self.processes.start("node", name, {"node": addresses, "batches": batches, **fleet})
         return open_channel(listen)
 
     def engine(self, kind: str, **settings: object) -> str:
@@ -205,6 +209,27 @@
     @inlineCallbacks
     def compare_flood(self, seconds: float) -> Steps[None]:
         """Compare chat traffic at 70% of its engines' capacity, alone and during a flood of embeddings."""
+        channel = self.node("chat", self.chat_and_embedding_engines(), {"keep": "0B"})
+        flood_channel = Channel(CLOCK, channel.dial, "flood")
+        figures = {False: ChatFigures(), True: ChatFigures()}
+        floods: list[CallResult] = []
+        for i in range(2 * self.rounds):
+            is_flooded = bool(i % 2)
+            flood = LoopingCall(lambda: floods.append(embed(flood_channel, self.texts(200), 60)))
+            if is_flooded:
+                flood.start(FLOOD_INTERVAL)
+            chats = yield self.send_chats(channel, seconds)
+            if is_flooded:
+                flood.stop()
+            yield DeferredList([c.done for c in chats])
+            if i > 1:  # the first round of each kind is a warm-up
+                figures[is_flooded].add(chats)
+            if is_flooded:
+                yield DeferredList([f.done for f in floods])
+        print_flood(figures[False], figures[True], floods)
+
+    def chat_and_embedding_engines(self) -> dict[str, str]:
+        """Start readers, writers that also embed, and embedders; return their kinds by address."""
         engines = {self.engine("reader", slots=8, read_rate=20000): "reader" for _ in range(2)}
         engines |= {
             self.engine(
@@ -219,42 +244,45 @@
             for _ in range(3)
         }
         engines |= {self.engine("embedder", batch_rate=60000, batch_queue=64): "embedder" for _ in range(2)}
-        channel = self.node("chat", engines, {"keep": "0B"})
-        flood_channel = Channel(CLOCK, channel.dial, "flood")
-        seen = {False: HdrHistogram(1, 60_000_000, 3), True: HdrHistogram(1, 60_000_000, 3)}
-        good = {False: 0, True: 0}
-        floods: list[CallResult] = []
-        for i in range(2 * self.rounds):
-            flooded = bool(i % 2)
-            loop = LoopingCall(lambda: floods.append(embed(flood_channel, self.texts(200), 60)))
-            if flooded:
-                loop.start(0.05)  # 240k tokens per second, more than all embedding engines can process
-            chats: list[CallResult] = []
-            asking = LoopingCall(
-                lambda chats=chats: chats.append(chat(channel, self.random.choice([300, 400, 2000]), 120))
-            )
-            asking.start(1.0 / 30)
-            yield deferLater(reactor, seconds, lambda: None)
-            asking.stop()
-            if flooded:
-                loop.stop()
-            yield DeferredList([c.done for c in chats])
-            if i > 1:
-                for c in chats:
-                    good[flooded] += c.answer == "generated"
-                    seen[flooded].record_value(int(c.latency() * 1e6))
-            if flooded:
-                yield DeferredList([f.done for f in floods])
-        for flooded, h in seen.items():
-            p50, p99 = (h.get_value_at_percentile(p) / 1e3 for p in (50, 99))
-            click.echo(
-                f"chat {'beside a flood of embeddings' if flooded else 'alone'}: first token p50 "
-                f"{p50:.0f}, p99 {p99:.0f} ms, {good[flooded]} of {h.total_count} generated"
-            )
-        done = sum(f.answer == "generated" for f in floods)
-        click.echo(f"of the flood {done} of {len(floods)} batches were generated")
-        ratio = seen[True].get_value_at_percentile(99) / seen[False].get_value_at_percentile(99)
-        click.echo(json.dumps({"chat_p99_beside_to_alone": round(ratio, 3)}))
+        return engines
+
+    @inlineCallbacks
+    def send_chats(self, channel: Channel, seconds: float) -> Steps[list[CallResult]]:
+        """Send chat requests for this time; return the calls, some of which still run."""
+        chats: list[CallResult] = []
+        arrivals = LoopingCall(lambda: chats.append(chat(channel, self.random.choice([300, 400, 2000]), 120)))
+        arrivals.start(1.0 / CHAT_RATE)
+        yield deferLater(reactor, seconds, lambda: None)
+        arrivals.stop()
+        return chats
+
+
+class ChatFigures:
+    """Latencies and answers of chat requests."""
+
+    def __init__(self) -> None:
+        self.latencies = HdrHistogram(1, 60_000_000, 3)  # microseconds
+        self.generated = 0
+
+    def add(self, chats: list[CallResult]) -> None:
+        """Add calls that have ended."""
+        for call in chats:
+            self.generated += call.answer == "generated"
+            self.latencies.record_value(int(call.latency() * 1e6))
+
+
+def print_flood(alone: ChatFigures, flooded: ChatFigures, floods: list[CallResult]) -> None:
+    """Print the chat figures without and during the flood, and how much of the flood was answered."""
+    for name, figures in (("alone", alone), ("beside a flood of embeddings", flooded)):
+        p50, p99 = (figures.latencies.get_value_at_percentile(p) / 1e3 for p in (50, 99))
+        click.echo(
+            f"chat {name}: first token p50 {p50:.0f}, p99 {p99:.0f} ms, "
+            f"{figures.generated} of {figures.latencies.total_count} generated"
+        )
+    done = sum(f.answer == "generated" for f in floods)
+    click.echo(f"of the flood {done} of {len(floods)} batches were generated")
+    ratio = flooded.latencies.get_value_at_percentile(99) / alone.latencies.get_value_at_percentile(99)
+    click.echo(json.dumps({"chat_p99_beside_to_alone": round(ratio, 3)}))
 
 
 def _done_of(watcher: CallResult) -> "Deferred[CallResult]":
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -217,6 +217,12 @@
     channel.close()
 
 
+def start_background_load(address: str, rate: float, seconds: float) -> subprocess.Popen[bytes]:
+    """Start the process that runs `run_background_load`."""
+    options = ["--load", address, "--rate", str(rate), "--seconds", str(seconds)]
+    return subprocess.Popen([sys.executable, __file__, *options])
+
+
 @inlineCallbacks
 def measure_latency(
     fleet: SingleNodeFleet, rate: float, measured: float, seconds: float, random: Random
@@ -229,18 +235,7 @@
     direct = [open_channel(address) for address in fleet.engines]
     first = {True: HdrHistogram(1, 60_000_000, 3), False: HdrHistogram(1, 60_000_000, 3)}
     tally: Counter[str] = Counter()
-    other = subprocess.Popen(
-        [
-            sys.executable,
-            __file__,
-            "--load",
-            fleet.node,
-            "--rate",
-            str(rate - measured),
-            "--seconds",
-            str(seconds + 2.0),
-        ]
-    )
+    background_load = start_background_load(fleet.node, rate - measured, seconds + 2.0)
     yield deferLater(reactor, 2.0, lambda: None)
 
     def start_measured(count: int) -> None:
@@ -259,7 +254,7 @@
     yield deferLater(reactor, seconds, lambda: None)
     cpu = (fleet.node_cpu() - cpu) / seconds
     yield deferLater(reactor, 1.5, lambda: None)
-    other.wait(30)
+    background_load.wait(30)
     for channel in (through, *direct):
         channel.close()
     return LatencyResult(percentiles_of(first[True]), percentiles_of(first[False]), rate, dict(tally), cpu)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -149,20 +149,25 @@
         self.engines: dict[str, EmulatedEngine] = {}
         self.endpoints: dict[str, EndpointRow] = {}
         for i, word in enumerate(engines.split()):
-            name = f"{word}{chr(97 + i)}"
-            self.endpoints[name] = {
-                "address": f"{name}:1",
-                "kind": KIND_OF_LETTER[word[0]],
-                "zone": "north",
-                "cell": int(word[1]),
-            }
-            if word[0] in "EKM":
-                self.endpoints[name]["model"] = "m1"
-            self.start_engine(name)
+            self._add_engine(f"{word}{chr(97 + i)}")
         self.nodes = {f"n{i}": self.start_node(i) for i in range(nodes)}
         self.channels = {name: Channel(self.clock, self.net.dialer(f"{name}:1"), name) for name in self.nodes}
         self.calls: list[ChatCallWatcher] = []
 
+    def _add_engine(self, name: str) -> None:
+        """Add an engine to the endpoint list, and start it."""
+        letter, cell = name[0], int(name[1])
+        row: EndpointRow = {
+            "address": f"{name}:1",
+            "kind": KIND_OF_LETTER[letter],
+            "zone": "north",
+            "cell": cell,
+        }
+        if letter in "EKM":
+            row["model"] = "m1"
+        self.endpoints[name] = row
+        self.start_engine(name)
+
     def recorder(self, source: str) -> Recorder:
         """Return a recorder whose records go to the fleet's log."""
         recorder = Recorder(source, self.clock)
