--- a/benchmarks/decision_speed.py
+++ b/benchmarks/decision_speed.py
@@ -9,58 +9,53 @@
 import time
 from random import Random
 
-from fleet_shape import READS, WRITES
+from fleet_shape import READS, SERVING, WRITES
 from router_dialects import Dialect, open_dialect
-from router_settings import ROUTER_SETTINGS
+from router_settings import KIND_MEMORY, ROUTER_SETTINGS, TRAFFIC_SETTINGS, new_endpoint
 
 ENGINES = 200
 NODES = 40
 WARM_UP = 300  # sequences before the measurement
 SEQUENCES = 2000
 ANSWER_SECONDS = 0.4
+SECOND_READER_MEMORY = 100000.0  # tokens; of the fourth kind of engine
 
 
 def make_router(dialect: Dialect) -> object:
     """Return a router of a fleet of 40 nodes, with 200 engines in its endpoint list."""
+    router = dialect.router(make_config(dialect))
+    dialect.call(router, "start", 100.0)
+    updates = [
+        dialect.make(
+            "EndpointUpdate",
+            **new_endpoint(index, kind=index % 2, zone=index % 3, cell=index % 8),
+            state=SERVING,
+        )
+        for index in range(ENGINES)
+    ]
+    dialect.call(router, "update_endpoints", 100.0, updates, True)
+    return router
+
+
+def make_config(dialect: Dialect) -> object:
+    """Return the configuration of a router, with one traffic type."""
     traffic = dialect.make(
         "TrafficType",
+        **TRAFFIC_SETTINGS,
         retry_semantics="repeatable",
-        latency_slo=2.0,
-        slo_per_token=4e-5,
-        abandon_time=10.0,
         seconds_per_token=0.05,
         utility=1.0,
-        late_share=0.3,
     )
-    config = dialect.make(
+    return dialect.make(
         "RouterConfig",
         **ROUTER_SETTINGS,
         node_count=NODES,
         traffic=(traffic,),
         reads=READS,
         writes=WRITES,
-        memory=(200000.0, 100000.0, 150000.0, 100000.0),
+        memory=(*KIND_MEMORY, SECOND_READER_MEMORY),
         may_hedge=False,
     )
-    router = dialect.router(config)
-    dialect.call(router, "start", 100.0)
-    updates = [
-        dialect.make(
-            "EndpointUpdate",
-            engine=index,
-            is_new=True,
-            state=0,
-            kind=index % 2,
-            zone=index % 3,
-            cell=index % 8,
-            started_at=0.0,
-            weight=1.0,
-            hash_seed=index * 2654435761 % 2**32,
-        )
-        for index in range(ENGINES)
-    ]
-    dialect.call(router, "update_endpoints", 100.0, updates, True)
-    return router
 
 
 def play(dialect: Dialect, router: object, first: int, count: int) -> None:
--- a/tests/support/router_bench.py
+++ b/tests/support/router_bench.py
@@ -4,17 +4,24 @@
 from typing import TypedDict, Unpack
 
 from paths import TESTS
-from router_settings import ROUTER_SETTINGS
+from router_settings import KIND_MEMORY, ROUTER_SETTINGS, TRAFFIC_SETTINGS, new_endpoint
 
 from myrtlehub.routing import contract
 from myrtlehub.routing.contract import Outcome
 from myrtlehub.routing.policy.router import Router
 from myrtlehub.routing.records import Sequence
 
-CHAT = contract.TrafficType(contract.RetrySemantics.IDEMPOTENT, 2.0, 4e-5, 10.0, 0.07, 1.0, 0.3)
-BOOKING = contract.TrafficType(contract.RetrySemantics.AT_MOST_ONCE, 2.0, 4e-5, 10.0, 0.07, 3.0, 0.3)
-KEYED = contract.TrafficType(
-    contract.RetrySemantics.IDEMPOTENCY_KEY, 2.0, 4e-5, 10.0, 0.07, 1.0, 0.3, contract.DedupGroup.CELL, 5.0
+CHAT = contract.TrafficType(
+    **TRAFFIC_SETTINGS,
+    retry_semantics=contract.RetrySemantics.IDEMPOTENT,
+    seconds_per_token=0.07,
+    utility=1.0,
+)
+BOOKING = CHAT._replace(retry_semantics=contract.RetrySemantics.AT_MOST_ONCE, utility=3.0)
+KEYED = CHAT._replace(
+    retry_semantics=contract.RetrySemantics.IDEMPOTENCY_KEY,
+    dedup_group=contract.DedupGroup.CELL,
+    dedup_window=5.0,
 )
 IDEMPOTENT, AT_MOST_ONCE, IDEMPOTENCY_KEY = 0, 1, 2  # indices of these traffic types
 READER, WRITER, BOTH = 0, 1, 2  # kinds of engines
@@ -25,7 +32,7 @@
     traffic=(CHAT, BOOKING, KEYED),
     reads=(True, False, True),
     writes=(False, True, True),
-    memory=(200000.0, 100000.0, 150000.0),
+    memory=KIND_MEMORY,
     may_hedge=True,
 )
 TRACE_VERBS = {  # names of the actions in the files under tests/traces
@@ -126,9 +133,10 @@
 
 def endpoint(index: int, kind: int, place: int = 0, started_at: float = 0.0) -> contract.EndpointUpdate:
     """Return a new engine of the endpoint list, whose zone and cell have the same number."""
-    serving = contract.EngineState.SERVING
-    hash_seed = index * 2654435761 % 2**32
-    return contract.EndpointUpdate(index, True, serving, kind, place, place, started_at, 1.0, hash_seed)
+    update = contract.EndpointUpdate(
+        **new_endpoint(index, kind, zone=place, cell=place), state=contract.EngineState.SERVING
+    )
+    return update._replace(started_at=started_at)
 
 
 class RouterBench:
