--- a/tests/lab/test_fault_soak_rules.py
+++ b/tests/lab/test_fault_soak_rules.py
@@ -133,7 +133,7 @@
     assert broken_rules(records) == []
 
 
-def test_a_state_held_for_long_with_no_attempt_in_flight_is_a_breach() -> None:
+def test_a_state_retained_for_long_with_no_attempt_in_flight_is_a_breach() -> None:
     records = sound_records()
     records.states = [ReadStateRecord("a", "r0", 10.2, 11.9)]
     assert broken_rules(records) == []  # 0.9 s after the write ended
--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -182,7 +182,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_batch_that_is_not_idempotent_is_sent_whole_and_not_retried() -> None:
+def test_a_batch_that_is_not_idempotent_is_not_split_and_not_retried() -> None:
     fleet = Fleet("R0 W0 E0 E0", batch_rate=1000.0)
     lost, fine = embed(fleet, texts(30), "vec1", mark="a"), embed(fleet, texts(20, 1), "vec1", mark="b")
     fleet.run(0.2)
@@ -215,7 +215,7 @@
         ),
     ],
 )
-def test_an_invalid_request_is_refused_with_its_field(request_: pb.EmbedRequest, message: str) -> None:
+def test_an_invalid_request_is_rejected_with_its_field(request_: pb.EmbedRequest, message: str) -> None:
     fleet = Fleet("R0 W0 E0")
     call = BatchCallWatcher(fleet, "/myrtlehub.v1.Embeddings/Embed", request_, pb.EmbedReply, False, None)
     fleet.run(0.1)
--- a/tests/node/test_engine_pools.py
+++ b/tests/node/test_engine_pools.py
@@ -138,7 +138,7 @@
     return contract.Arrival(traffic, None, 100.0, 4.0, 0, 0, 0.0, 10.0, 0.0)
 
 
-def test_each_pool_is_told_of_its_own_engines_and_of_those_it_loses() -> None:
+def test_each_pool_is_notified_of_its_own_engines_and_of_those_it_loses() -> None:
     pools = two_pools()
     pools.update_endpoints(0.0, [update(0, 0, True), update(1, 1, True), update(2, 2, True)], True)
     first, second = (r.updates for r in pools.routers)
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -50,7 +50,7 @@
     return text.replace(was, now)
 
 
-def test_sequences_in_hand_end_by_the_settings_that_they_began_with() -> None:
+def test_in_flight_sequences_end_by_the_settings_that_they_began_with() -> None:
     fleet = Fleet()
     admin, node = Admin(fleet), fleet.nodes["n0"]
     before = admin.show()
@@ -76,7 +76,7 @@
     assert not pb.OrderTaken.FromString(again).changed
 
 
-def test_a_change_in_place_makes_no_new_connections_and_news_reach_both() -> None:
+def test_a_change_in_place_makes_no_new_connections_and_list_updates_reach_both() -> None:
     fleet = Fleet("R0 W0 W0")
     admin, node = Admin(fleet), fleet.nodes["n0"]
     for _ in range(4):
@@ -107,7 +107,7 @@
         ("{pushed: yes", "{pushed: no", "where the list comes from cannot change in place"),
     ],
 )
-def test_what_cannot_be_routed_by_is_refused_where_it_is_staged(was: str, now: str, said: str) -> None:
+def test_settings_that_the_router_cannot_use_are_rejected_when_staged(was: str, now: str, said: str) -> None:
     fleet = Fleet()
     admin = Admin(fleet)
     before = admin.show().settings
@@ -119,7 +119,7 @@
     assert caller.answer == "generated"
 
 
-def test_settings_staged_while_a_writer_served_are_refused_once_the_list_has_none_of_their_kind() -> None:
+def test_settings_staged_while_a_writer_served_are_rejected_once_the_list_has_none_of_their_kind() -> None:
     fleet = Fleet()
     admin = Admin(fleet)
     digest = pb.OrderTaken.FromString(admin.stage(new_text(fleet))).settings
@@ -130,7 +130,7 @@
     assert code == Code.FAILED_PRECONDITION and "could end a sequence" in text
 
 
-def test_an_older_controller_is_refused_and_a_newer_one_obeyed() -> None:
+def test_an_older_controller_is_rejected_and_a_newer_one_accepted() -> None:
     fleet = Fleet()
     old, new = Admin(fleet), Admin(fleet, controller="c2")
     assert isinstance(old.stage(new_text(fleet), 1), bytes)
@@ -145,7 +145,7 @@
     assert (new.show().generation, new.show().controller) == (2, "c2")
 
 
-def test_an_order_to_leave_and_sigterm_at_once_drain_once_with_old_settings_in_hand() -> None:
+def test_a_leave_call_and_sigterm_at_once_drain_once_with_old_settings_in_use() -> None:
     fleet = Fleet()
     admin, node = Admin(fleet), fleet.nodes["n0"]
     early = fleet.generate("ask", output=60)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -284,7 +284,7 @@
     assert decide(IDEMPOTENT, tail_only, 10).action == RecoveryAction.ATTACH
 
 
-def test_fences_refuse_lower_ownership_and_forget_the_oldest() -> None:
+def test_fences_reject_lower_ownership_and_forget_the_oldest() -> None:
     table = FenceTable(2, 0.0)
     first, second = Ownership(1, "a"), Ownership(2, "b")
     assert table.admit("s", first) and table.claim("s", second) and not table.admit("s", first)
--- a/tests/relay/test_relay_discovery.py
+++ b/tests/relay/test_relay_discovery.py
@@ -25,7 +25,7 @@
     assert b"since=2" in rig.discovery.requests[-1].target
 
 
-def test_an_engine_that_moved_is_reached_at_its_new_address() -> None:
+def test_an_engine_whose_address_changed_is_reached_at_the_new_one() -> None:
     rig = RelayRig("w1")
     rig.request("a0")
     rig.net.listen("new:1", rig.engines["w1"])
--- a/tests/relay/test_relay_releases.py
+++ b/tests/relay/test_relay_releases.py
@@ -127,7 +127,7 @@
     return hosts
 
 
-def test_a_release_that_all_engines_refuse_for_a_moment_is_sent_again() -> None:
+def test_a_release_that_all_engines_reject_for_a_moment_is_sent_again() -> None:
     """The client disconnects while all engines restart and refuse each connection at once."""
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
@@ -159,7 +159,7 @@
     assert b"/state/a1" in rig.engines["r1"].released_paths()
 
 
-def test_a_release_that_all_engines_refuse_expires_after_10_s() -> None:
+def test_a_release_that_all_engines_reject_expires_after_10_s() -> None:
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
--- a/tests/repository/test_stored_data.py
+++ b/tests/repository/test_stored_data.py
@@ -24,7 +24,7 @@
     return Path(shutil.copy(DATA / name, folder))
 
 
-def test_the_newest_endpoint_list_version_is_read_whole(tmp_path: Path) -> None:
+def test_the_newest_endpoint_list_version_is_read_completely(tmp_path: Path) -> None:
     store = VersionStore(stored("endpoint_versions.db", tmp_path))
     number, source, endpoints = store.load_latest()
     store.close()
@@ -37,7 +37,7 @@
     ]
 
 
-def test_a_rollout_journal_is_read_whole_and_written_with_the_same_bytes() -> None:
+def test_a_rollout_journal_is_read_completely_and_written_with_the_same_bytes() -> None:
     data = (DATA / "rollout_journal.log").read_bytes()
     header, entries, intact_size = decode_journal(data)
     assert header == JournalHeader(1, "a1b2c3", ["n0", "n1", "n2"])
@@ -60,7 +60,7 @@
 ]
 
 
-def test_records_of_two_processes_in_one_file_are_read_whole() -> None:
+def test_records_of_two_processes_in_one_file_are_read_completely() -> None:
     assert list(read_records(DATA / "scenario_records.rec")) == RECORDS
 
 
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -130,13 +130,13 @@
         (SOUND.replace("hold: no}", "hold: no, probe: yes}") + "reports: {how: probe}\n", "reports.how"),
     ],
 )
-def test_contradictory_probe_settings_are_refused_with_their_key(text: str, key: str) -> None:
+def test_contradictory_probe_settings_are_rejected_with_their_key(text: str, key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse_config(text, NodeConfig, "n.yaml")
     assert len(caught.value.lines) == 1 and f"file: {key}: " in caught.value.lines[0]
 
 
-def test_rejection_asks_for_no_wait_where_max_wait_is_zero() -> None:
+def test_a_rejection_has_no_retry_after_if_max_wait_is_zero() -> None:
     fleet = Fleet("R0 W0", more_settings="", node_options="max_wait: 0s")
     for name in ("R0a", "W0b"):
         fleet.push_list_event(name, "draining")
