--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -177,7 +177,7 @@
     for call in all_gone:
         call.call.cancel()
     fleet.run(0.5)
-    assert len(fleet.records("stopped")) > stops  # nobody waits: the engine is told to stop
+    assert len(fleet.records("stopped")) > stops  # no client waits: the attempt is cancelled
     fleet.run(3.0)
     assert_nothing_in_flight(fleet)
 
@@ -263,7 +263,7 @@
     host, batches = fleet.nodes["n0"].executor, fleet.nodes["n0"].batches
     alone = embed(fleet, texts(600), is_stream=True)
     fleet.run(0.1)
-    assert batches.shares.common_tokens["embed"] > 0.0  # nobody else asks: it may use all
+    assert batches.shares.common_tokens["embed"] > 0.0  # no other front has demand: it may use all
     fleet.run(2.0)
     assert alone.final == "generated"
     chats, flood, most = [], [], 0.0
@@ -278,7 +278,7 @@
     assert "E0d:1" in seen and any(batches.shares.is_excluded.values())
     fleet.run(6.0)
     assert all(c.answer == "generated" for c in chats)
-    fleet.run(90.0)  # nobody asks any more
+    fleet.run(90.0)  # no front has demand any more
     late = embed(fleet, texts(5, 999))
     fleet.run(1.0)
     assert late.final == "generated" and not any(batches.shares.is_excluded.values())
