--- a/myrtlehub/lab/processes.py
+++ b/myrtlehub/lab/processes.py
@@ -243,16 +243,36 @@
 _CANDIDATES = _port_candidates()
 
 
+_RESERVATIONS: list[socket.socket] = []  # UDP sockets, open until this process ends
+
+
 def free_ports(count: int) -> list[int]:
-    """Return loopback ports that were free a moment ago.
+    """Return free loopback ports that no other process gets from this function while this one runs.
 
-    They are below the ports of outgoing connections, and a process returns each port of the range once before
-    it returns one again. So neither a connection nor another run uses a port before its program listens.
+    They are below the ports of outgoing connections. So neither a connection nor another run uses a port
+    before its program listens.
     """
     ports: list[int] = []
     while len(ports) < count:
         port = next(_CANDIDATES)
-        with socket.socket() as candidate, contextlib.suppress(OSError):
-            candidate.bind((HOST, port))
+        if _reserve(port):
             ports.append(port)
     return ports
+
+
+def _reserve(port: int) -> bool:
+    """Reserve a port by a UDP socket of the same number; return whether it was free.
+
+    The searches of two processes may meet at a port before either of their programs listens.
+    Test: `test_a_port_that_another_process_has_reserved_is_not_returned`.
+    """
+    reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    try:
+        reservation.bind((HOST, port))
+        with socket.socket() as candidate:
+            candidate.bind((HOST, port))
+    except OSError:
+        reservation.close()
+        return False
+    _RESERVATIONS.append(reservation)
+    return True
