--- a/myrtlehub/lab/latency_histogram.py
+++ b/myrtlehub/lab/latency_histogram.py
@@ -2,17 +2,17 @@
 
 from hdrh.histogram import HdrHistogram
 
-MICROSECONDS = 1e6  # in a second; histograms count whole microseconds
-HISTOGRAM_DIGITS = 3
+MICROSECONDS_PER_SECOND = 1e6  # the histograms count whole microseconds
+HISTOGRAM_DIGITS = 3  # significant digits to which a duration is counted
 PERCENTILES = (50, 99)
-DECIMALS = 4  # of the seconds in a verdict
+DECIMALS = 4  # digits after the decimal point of a verdict's seconds
 
 
 class LatencyHistogram:
     """Counts durations from one microsecond to a maximum; longer ones are left out."""
 
     def __init__(self, max_seconds: float) -> None:
-        self._histogram = HdrHistogram(1, int(max_seconds * MICROSECONDS), HISTOGRAM_DIGITS)
+        self._histogram = HdrHistogram(1, int(max_seconds * MICROSECONDS_PER_SECOND), HISTOGRAM_DIGITS)
 
     @property
     def count(self) -> int:
@@ -22,13 +22,18 @@
 
     def record(self, seconds: float) -> None:
         """Record one duration."""
-        self._histogram.record_value(max(1, int(seconds * MICROSECONDS)))
+        self._histogram.record_value(max(1, int(seconds * MICROSECONDS_PER_SECOND)))
 
     def figures(self) -> dict[str, float]:
         """Return the count, and seconds at percentiles if there are any durations."""
-        figures: dict[str, float] = {"count": self.count}
-        if self.count:
-            for percentile in PERCENTILES:
-                seconds = self._histogram.get_value_at_percentile(percentile) / MICROSECONDS
-                figures[f"p{percentile}"] = round(seconds, DECIMALS)
-        return figures
+        return {"count": self.count, **self.percentiles()}
+
+    def percentiles(self) -> dict[str, float]:
+        """Return seconds by percentile; nothing if there are no durations."""
+        if not self.count:
+            return {}
+        return {f"p{percentile}": self._seconds_at(percentile) for percentile in PERCENTILES}
+
+    def _seconds_at(self, percentile: int) -> float:
+        microseconds: int = self._histogram.get_value_at_percentile(percentile)
+        return round(microseconds / MICROSECONDS_PER_SECOND, DECIMALS)
--- a/myrtlehub/lab/simulated_clients/chat_tally.py
+++ b/myrtlehub/lab/simulated_clients/chat_tally.py
@@ -3,12 +3,9 @@
 from collections import Counter
 from typing import TypedDict
 
-from hdrh.histogram import HdrHistogram
+from myrtlehub.lab.latency_histogram import LatencyHistogram
 
-MICROSECONDS = 1e6  # in a second; histograms count whole microseconds
-MAX_MICROSECONDS = 120_000_000
-HISTOGRAM_DIGITS = 3  # significant decimal digits
-PERCENTILES = (50, 99)
+MAX_LATENCY_S = 120.0  # longer times are left out of the percentiles
 
 
 class ChatFigures(TypedDict):
@@ -31,16 +28,16 @@
         self.requested_utility = 0.0
         self.good_utility = 0.0  # of generated answers; less for those that miss the latency objective
         self.answers: Counter[str] = Counter()
-        self._first_token = _new_histogram()
-        self._token_gap = _new_histogram()
+        self._first_token = LatencyHistogram(MAX_LATENCY_S)
+        self._token_gap = LatencyHistogram(MAX_LATENCY_S)
 
     def add_first_token(self, seconds: float) -> None:
         """Add the time from the request to the first token."""
-        _add(self._first_token, seconds)
+        self._first_token.record(seconds)
 
     def add_token_gap(self, seconds: float) -> None:
         """Add the time from one token to the next."""
-        _add(self._token_gap, seconds)
+        self._token_gap.record(seconds)
 
     def figures(self) -> ChatFigures:
         """Return counts, seconds at percentiles, and goodput, for the verdict."""
@@ -49,25 +46,7 @@
             "sequences": self.requests,
             "tries": self.calls,
             "answers": dict(sorted(self.answers.items())),
-            "first_token": _percentiles(self._first_token),
-            "per_token": _percentiles(self._token_gap),
+            "first_token": self._first_token.percentiles(),
+            "per_token": self._token_gap.percentiles(),
             "goodput": goodput,
         }
-
-
-def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, MAX_MICROSECONDS, HISTOGRAM_DIGITS)
-
-
-def _add(histogram: HdrHistogram, seconds: float) -> None:
-    histogram.record_value(max(1, int(seconds * MICROSECONDS)))
-
-
-def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """Return seconds at percentiles; none for a histogram without values."""
-    if not histogram.total_count:
-        return {}
-    return {
-        f"p{percentile}": round(histogram.get_value_at_percentile(percentile) / MICROSECONDS, 4)
-        for percentile in PERCENTILES
-    }
--- a/myrtlehub/node/replication/wire.py
+++ b/myrtlehub/node/replication/wire.py
@@ -8,7 +8,7 @@
 
 PEERS_SERVICE = "/myrtlehub.v1.Peers/"
 FORMAT_VERSION = 1  # of the messages between nodes; a node rejects messages of a later format
-CALL_TIMEOUT = 0.5  # seconds for a peer's reply
+CALL_TIMEOUT = 0.5  # seconds within which a peer has to reply
 
 
 def encode_record(record: SequenceRecord, now: float, is_completed: bool = False) -> pb.Record:
