--- a/myrtlehub/lab/client_load.py
+++ b/myrtlehub/lab/client_load.py
@@ -52,13 +52,9 @@
                 quiet.callback(None)
 
         clients.on_quiet = fire
-        timeout = self._context.scenario.clients.whole + OPEN_CALL_GRACE
-        limit = self._context.clock.callLater(timeout, fire)
         if not clients.open:
             fire()
-        await quiet
-        if limit.active():
-            limit.cancel()
+        await self._context.wait_for(quiet, self._context.scenario.clients.whole + OPEN_CALL_GRACE)
 
     def close(self) -> None:
         """Close all channels and the records."""
--- a/myrtlehub/lab/scenario_context.py
+++ b/myrtlehub/lab/scenario_context.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
+from typing import TypeVar
 
 from twisted.internet.defer import Deferred
 
@@ -12,6 +13,8 @@
 from myrtlehub.node.clock import SteadyClock
 from myrtlehub.records import Recorder
 
+Result = TypeVar("Result")
+
 
 @dataclass(frozen=True, slots=True)
 class ScenarioContext:
@@ -35,6 +38,21 @@
     report: Callable[[str], None]
     failures: list[str] = field(default_factory=list)
 
+    async def wait_for(self, event: Deferred[Result], timeout: float) -> None:
+        """Wait until a Deferred has fired, at most `timeout` seconds; its result is not used."""
+        finished: Deferred[None] = Deferred()
+
+        def finish(result: Result | None = None) -> Result | None:
+            if not finished.called:
+                finished.callback(None)
+            return result
+
+        limit = self.clock.callLater(timeout, finish)
+        event.addCallback(finish)
+        await finished
+        if limit.active():
+            limit.cancel()
+
     def wait(self, seconds: float) -> Deferred[None]:
         """Return a Deferred that fires after some seconds."""
         done: Deferred[None] = Deferred()
--- a/myrtlehub/lab/scenario_fleet.py
+++ b/myrtlehub/lab/scenario_fleet.py
@@ -153,18 +153,8 @@
         A node may be restarted after a late fault. If it were ended meanwhile, the verdict would have a
         failed start. Test: `test_the_end_waits_for_a_process_that_is_being_restarted`.
         """
-        finished: Deferred[None] = Deferred()
-
-        def finish(_result: object = None) -> None:
-            if not finished.called:
-                finished.callback(None)
-
-        limit = self.context.clock.callLater(MAX_START_S, finish)
         starts = [process.ready for process in self.running.values() if process.is_running]
-        DeferredList(starts).addCallback(finish)
-        await finished
-        if limit.active():
-            limit.cancel()
+        await self.context.wait_for(DeferredList(starts), MAX_START_S)
 
     def _overdue(self, process: Process) -> None:
         self.context.failures.append(f"{process.name} did not end in time")
