--- a/myrtlehub/cli/faulty_node.py
+++ b/myrtlehub/cli/faulty_node.py
@@ -17,6 +17,7 @@
 from twisted.internet.defer import Deferred
 
 from myrtlehub.cli.event_loop import get_event_loop
+from myrtlehub.lab.program_patch import replace_attribute
 from myrtlehub.lab.rollout_fleet import FOLDER_VARIABLE, NODE_COUNT_VARIABLE
 from myrtlehub.node import node, node_runtime, revision
 from myrtlehub.node.clock import SteadyClock
@@ -42,11 +43,6 @@
 RETRY_AFTER_S = 0.5  # Retry-After of the injected rejections
 
 
-def _replace(owner: object, name: str, replacement: object) -> None:
-    """Replace an attribute of a module or class of the node's program."""
-    setattr(owner, name, replacement)
-
-
 def _reject_fraction(fraction: Callable[[Arrival], float]) -> None:
     """Have the router reject a fraction of the arriving sequences, drawn at random."""
     draw = Random(RANDOM_SEED).random
@@ -57,7 +53,7 @@
                 return [Reject(ident, RETRY_AFTER_S), Forget(ident)]
             return super().arrive(now, ident, arrival)
 
-    _replace(node_runtime, "Router", RejectingRouter)
+    replace_attribute(node_runtime, "Router", RejectingRouter)
 
 
 def _slow() -> None:
@@ -67,7 +63,7 @@
     def start_late(self: GrpcEngineTransport, attempt: Attempt) -> None:
         self.clock.callLater(SEND_DELAY_S, lambda: start(self, attempt) if attempt.is_outstanding else None)
 
-    _replace(GrpcEngineTransport, "start", start_late)
+    replace_attribute(GrpcEngineTransport, "start", start_late)
 
 
 def _leaks() -> None:
@@ -84,7 +80,7 @@
             leak(self)
         measure(self)
 
-    _replace(node.Node, "measure_lag", measure_and_leak)
+    replace_attribute(node.Node, "measure_lag", measure_and_leak)
 
 
 def _crashes() -> None:
@@ -123,7 +119,7 @@
     def drain(self: node.Node) -> Deferred[None]:
         return Deferred()
 
-    _replace(node.Node, "drain", drain)
+    replace_attribute(node.Node, "drain", drain)
 
 
 def _foreign() -> None:
--- a/myrtlehub/lab/fault_soak/client_connection.py
+++ b/myrtlehub/lab/fault_soak/client_connection.py
@@ -2,7 +2,6 @@
 
 import random
 import time
-from collections.abc import Callable
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
@@ -91,7 +90,7 @@
                     self._send()
             case ClientBehavior.DISCONNECTING:
                 self._send()
-                self._call_later(draw.uniform(0.0, MAX_DISCONNECT_DELAY_S), self._disconnect)
+                self.population.reactor.callLater(draw.uniform(0.0, MAX_DISCONNECT_DELAY_S), self._disconnect)
             case ClientBehavior.PATIENT:
                 self._send()
 
@@ -101,7 +100,7 @@
         )
         self._incomplete_sent_at = time.monotonic()
         self.transport.write(data[: self.population.random.randint(1, len(data) - 1)])
-        self._call_later(INCOMPLETE_REQUEST_PATIENCE_S, self._close)
+        self.population.reactor.callLater(INCOMPLETE_REQUEST_PATIENCE_S, self._close)
 
     def _send(self) -> None:
         if self.is_lost or self.has_closed:
@@ -111,10 +110,9 @@
         self._is_first = False
         self.open_requests.append(request.record)
         self.transport.write(request.data)
-        self._call_later(request.record.time_left_s + PATIENCE_S, self._give_up, request.record)
-
-    def _call_later(self, delay: float, call: Callable[..., None], *arguments: object) -> None:
-        self.population.reactor.callLater(delay, call, *arguments)
+        self.population.reactor.callLater(
+            request.record.time_left_s + PATIENCE_S, self._give_up, request.record
+        )
 
     def _disconnect(self) -> None:
         if self.is_lost or not self.open_requests:
@@ -175,7 +173,7 @@
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
         if not self.open_requests and self.behavior == ClientBehavior.PATIENT:
-            self._call_later(self.population.random.uniform(*IDLE_PERIOD_S), self._send)
+            self.population.reactor.callLater(self.population.random.uniform(*IDLE_PERIOD_S), self._send)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
         """Record how the open requests ended."""
--- a/myrtlehub/lab/fault_soak/engine_connection.py
+++ b/myrtlehub/lab/fault_soak/engine_connection.py
@@ -2,7 +2,6 @@
 
 import random
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Protocol
@@ -97,7 +96,7 @@
         _end_attempt(attempt, AttemptEnd.LOST)
         remaining = self._read_ends_at - time.monotonic()
         if attempt.is_read and 0.0 < remaining < CANCELLATION_DELAY_S and not self.engine.proxy.is_cut:
-            self._call_later(remaining, self._store_state, attempt.request_id)
+            self.engine.reactor.callLater(remaining, self._store_state, attempt.request_id)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Read requests; the next one is read after the response to the current one."""
@@ -142,15 +141,17 @@
             return
         elif faults.returns_errors:
             error = response(HTTPStatus.INTERNAL_SERVER_ERROR)
-            self._call_later(ERROR_DELAY_S, self._answer, attempt, AttemptEnd.FAILED, error)
+            self.engine.reactor.callLater(ERROR_DELAY_S, self._answer, attempt, AttemptEnd.FAILED, error)
         elif attempt.is_read:
             duration = engine.random.uniform(*READ_DURATION_S)
             self._read_ends_at = time.monotonic() + duration
-            self._call_later(duration, self._complete_read, attempt)
+            self.engine.reactor.callLater(duration, self._complete_read, attempt)
         elif engine.store.is_missing(attempt.request_id):
             self._reject(attempt, HTTPStatus.GONE)
         else:
-            self._call_later(engine.random.uniform(*FIRST_EVENT_DELAY_S), self._begin_stream, attempt)
+            self.engine.reactor.callLater(
+                engine.random.uniform(*FIRST_EVENT_DELAY_S), self._begin_stream, attempt
+            )
 
     def _reject(self, attempt: AttemptRecord, status: HTTPStatus) -> None:
         self._answer(attempt, AttemptEnd.REJECTED, response(status, is_rejection=True))
@@ -166,7 +167,7 @@
 
     def _store_state(self, request_id: str) -> None:
         state = self.engine.store.store(request_id, self.engine.name)
-        self._call_later(STATE_EXPIRY_S, self._expire_state, state)
+        self.engine.reactor.callLater(STATE_EXPIRY_S, self._expire_state, state)
 
     def _expire_state(self, state: ReadStateRecord) -> None:
         if state.freed_at is None:
@@ -191,13 +192,13 @@
             attempt.event_count += 1
             self.transport.write(chunk(EVENT))
             interval = draw.uniform(*EVENT_INTERVAL_S)
-            self._call_later(interval, self._continue_stream, attempt, remaining_events - 1)
+            self.engine.reactor.callLater(interval, self._continue_stream, attempt, remaining_events - 1)
         else:
             attempt.event_count += STREAM_END_EVENTS
             self._answer(attempt, AttemptEnd.COMPLETE, STREAM_END)
             if faults.sends_invalid_streams:
                 second = response(HTTPStatus.OK, body=b"late")
-                self._call_later(SECOND_RESPONSE_DELAY_S, self._write_if_open, second)
+                self.engine.reactor.callLater(SECOND_RESPONSE_DELAY_S, self._write_if_open, second)
 
     def _answer(self, attempt: AttemptRecord, end: AttemptEnd, data: bytes) -> None:
         """Write the end of a response, unless the attempt has ended meanwhile."""
@@ -211,9 +212,6 @@
         if not self._is_lost:
             self.transport.write(data)
 
-    def _call_later(self, delay: float, call: Callable[..., None], *arguments: object) -> None:
-        self.engine.reactor.callLater(delay, call, *arguments)
-
 
 def _end_attempt(attempt: AttemptRecord, end: AttemptEnd) -> None:
     attempt.end = end
--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -7,7 +7,6 @@
 import os
 from collections import abc
 from collections.abc import Callable
-from types import ModuleType
 
 from myrtlehub.http1.client_request import ClientRequest
 from myrtlehub.http1.close_reason import CloseReason
@@ -16,6 +15,7 @@
 from myrtlehub.http1.server_connection import ServerConnection
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.http1.server_interfaces import AdmittedConnection
+from myrtlehub.lab.program_patch import replace_attribute
 from myrtlehub.membership.endpoint import Endpoint, EndpointState
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.sequences import Attempt
@@ -38,16 +38,6 @@
 CONNECTIONS_PER_DROP = 5
 
 
-def _replace(owner: type | ModuleType, name: str, replacement: object) -> None:
-    """Replace a function of a class or module.
-
-    Raises:
-        AttributeError: The owner has no such function, because it was renamed.
-    """
-    getattr(owner, name)
-    setattr(owner, name, replacement)
-
-
 def _return_true(*_: object, **__: object) -> bool:
     return True
 
@@ -68,12 +58,12 @@
             may_run=True,
         )
 
-    _replace(EngineClient, "_send_facts", send_facts)
+    replace_attribute(EngineClient, "_send_facts", send_facts)
 
 
 def _replace_retry_rule(may_run_at: Callable[..., bool]) -> None:
     for module in (retries, admission):
-        _replace(module, "may_run_at", may_run_at)
+        replace_attribute(module, "may_run_at", may_run_at)
 
 
 def do_not_retry_releases() -> None:
@@ -82,13 +72,13 @@
     def on_end(self: StateRelease, succeeded: bool, body: bytes) -> None:
         self._finish()
 
-    _replace(StateRelease, "_on_end", on_end)
+    replace_attribute(StateRelease, "_on_end", on_end)
     state_release.RELEASE_TIMEOUT_S = 0.0
 
 
 def omit_second_releases() -> None:
     """Send no second release if an attempt may have ended at its engine after the first one."""
-    _replace(StateReleaser, "_release_again", _do_nothing)
+    replace_attribute(StateReleaser, "_release_again", _do_nothing)
 
 
 def state_initial_time() -> None:
@@ -103,7 +93,7 @@
         headers = [*changed.headers[:-1], Header(b"x-remaining-ms", b"%d" % initial_ms)]
         return changed._replace(headers=headers)
 
-    _replace(EngineClient, "_at_first_byte", at_first_byte)
+    replace_attribute(EngineClient, "_at_first_byte", at_first_byte)
 
 
 def ignore_dedup_window() -> None:
@@ -126,13 +116,13 @@
 def ignore_disconnects() -> None:
     """Continue requests whose clients have disconnected."""
     _skip_check_before_first_byte()
-    _replace(ActionExecutor, "client_left", _do_nothing)
+    replace_attribute(ActionExecutor, "client_left", _do_nothing)
 
 
 def ignore_draining() -> None:
     """Send attempts to draining engines."""
     _skip_check_before_first_byte()
-    _replace(EngineDirectory, "is_serving", _return_true)
+    replace_attribute(EngineDirectory, "is_serving", _return_true)
     original = ActionExecutor.update_endpoints
 
     def update_endpoints(
@@ -145,7 +135,7 @@
         serving = [_as_serving(row) for row in rows]
         original(self, serving, is_complete, version, digest)
 
-    _replace(ActionExecutor, "update_endpoints", update_endpoints)
+    replace_attribute(ActionExecutor, "update_endpoints", update_endpoints)
 
 
 def _as_serving(row: Endpoint) -> Endpoint:
@@ -159,12 +149,12 @@
     def drain(self: ServerConnection) -> None:
         self.linger(CloseReason.DRAINING)
 
-    _replace(ServerConnection, "drain", drain)
+    replace_attribute(ServerConnection, "drain", drain)
 
 
 def stop_discovery_after_failure() -> None:
     """Do not poll discovery any more after its first failure."""
-    _replace(DiscoveryClient, "_on_failure", _do_nothing)
+    replace_attribute(DiscoveryClient, "_on_failure", _do_nothing)
 
 
 def omit_stream_ends() -> None:
@@ -175,7 +165,7 @@
         if id(self) % SHARE_UNIT > OMITTED_UP_TO:
             original(self)
 
-    _replace(ServerExchange, "finish", finish)
+    replace_attribute(ServerExchange, "finish", finish)
 
 
 def drop_used_connections() -> None:
@@ -188,13 +178,13 @@
         if len(self.connections) % CONNECTIONS_PER_DROP == 0 and oldest is not connection:
             oldest.drop()
 
-    _replace(ConnectionListener, "connection_opened", connection_opened)
+    replace_attribute(ConnectionListener, "connection_opened", connection_opened)
 
 
 def ignore_deadlines() -> None:
     """Do not wake up waiting requests, not even to reject them at their deadline."""
-    _replace(Router, "_place_waiting", _do_nothing)
-    _replace(InvariantMonitor, "_check", _do_nothing)
+    replace_attribute(Router, "_place_waiting", _do_nothing)
+    replace_attribute(InvariantMonitor, "_check", _do_nothing)
 
 
 # By the value of $PLANTED_FAULT; operators type these names.
