--- a/myrtlehub/lab/rule_checker/stored_records.py
+++ b/myrtlehub/lab/rule_checker/stored_records.py
@@ -224,11 +224,9 @@
     attempt: int
 
 
-class ReceivedAttemptFields(msgspec.Struct, frozen=True):
+class ReceivedAttemptFields(AttemptFields, frozen=True):
     """An attempt that an engine received."""
 
-    sequence_id: str = msgspec.field(name="seq")
-    attempt: int
     node: str
     traffic: str
     idempotency_key: str = msgspec.field(name="mark")  # empty if the client gave none
@@ -236,11 +234,9 @@
     work: float  # slot-seconds of the engine
 
 
-class ExecutionFields(msgspec.Struct, frozen=True):
+class ExecutionFields(AttemptFields, frozen=True):
     """An attempt to write whose execution started."""
 
-    sequence_id: str = msgspec.field(name="seq")
-    attempt: int
     traffic: str
     idempotency_key: str = msgspec.field(name="mark")
 
