--- a/myrtlehub/clock.py
+++ b/myrtlehub/clock.py
@@ -1,11 +1,11 @@
-"""Interfaces of clocks and timers; Twisted's reactors and `twisted.internet.task.Clock` have them."""
+"""Interfaces of clocks and timers, implemented by Twisted's reactors and `twisted.internet.task.Clock`."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 
 class Timer(Protocol):
-    """A scheduled call; Twisted's is `IDelayedCall`."""
+    """A scheduled call, such as Twisted's `IDelayedCall`."""
 
     def active(self) -> bool:
         """Return whether the call is still scheduled."""
@@ -21,9 +21,9 @@
     """A monotonic clock with timers."""
 
     def seconds(self) -> float:
-        """Return the present time in seconds; it never goes back."""
+        """Return the current time in seconds; it never decreases."""
 
     def callLater(  # noqa: N802 - Twisted's name
-        self, delay: float, call: Callable[..., object], /, *args: object
+        self, delay: float, callback: Callable[..., object], /, *args: object
     ) -> Timer:
-        """Schedule a call `delay` seconds from now."""
+        """Schedule a call of `callback` with `args`, `delay` seconds from now."""
--- a/myrtlehub/log_events.py
+++ b/myrtlehub/log_events.py
@@ -1,8 +1,8 @@
-"""The registry of log events: all events that our programs log, and the protocol by which they are logged.
+"""The registry of all log events, and the interface of the function that logs them.
 
-`docs/oncall.md` explains each of them; `tests/repository/test_log_events.py` compares the two. Fields have
-the names of `docs/glossary.md`, with the unit as suffix where there is one (`duration_s`, `size_bytes`).
-Common fields are `sequence_id`, `reason`, `engine`, `peer` and `list_version`.
+`docs/oncall.md` explains each event; `tests/repository/test_log_events.py` checks that it lists all of them.
+Field names follow `docs/glossary.md` and end in the unit if there is one (`duration_s`, `size_bytes`). Common
+fields are `sequence_id`, `reason`, `engine`, `peer` and `list_version`.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class LogEvent(StrEnum):
-    """An event that a log line reports; the value is that of the line's field `event`."""
+    """A type of log line; the value is written to the line's field `event`."""
 
     # Programs
     READY = "ready"
@@ -20,7 +20,7 @@
     EVENT_LOOP_LAG = "event_loop_lag"
     UNEXPECTED_ERROR = "unexpected_error"
 
-    # Sequences, their attempts and the engines that run them
+    # Sequences, attempts and engines
     SEQUENCE_ANSWERED = "sequence_answered"
     BATCH_ANSWERED = "batch_answered"
     REQUEST_REJECTED = "request_rejected"
@@ -38,7 +38,7 @@
     ENGINE_STATE_CHANGED = "engine_state_changed"
     ENGINE_OVERLOADED = "engine_overloaded"
 
-    # Endpoint lists and their sources
+    # Endpoint lists and discovery
     ENDPOINT_LIST_ACCEPTED = "endpoint_list_accepted"
     ENDPOINT_LIST_REJECTED = "endpoint_list_rejected"
     ENDPOINT_LIST_DEFERRED = "endpoint_list_deferred"
@@ -61,14 +61,14 @@
     TAKEOVER_DECIDED = "takeover_decided"
     TAKEOVER_LIMITED = "takeover_limited"
 
-    # The relay's own checks, and its log
+    # The relay's monitoring and log writer
     COUNTERS = "counters"
     INVARIANT_VIOLATED = "invariant_violated"
     EVENT_RECORDED = "event_recorded"
     EVENT_NOT_ENCODABLE = "event_not_encodable"
     LOG_LINES_DROPPED = "log_lines_dropped"
 
-    # Rollouts, printed by their controller
+    # Rollouts, logged by the rollout controller
     CONTROLLER_STARTED = "controller_started"
     JOURNAL_TAIL_DROPPED = "journal_tail_dropped"
     SAMPLES_UNUSABLE = "samples_unusable"
@@ -81,11 +81,11 @@
 
 
 class Log(Protocol):
-    """Writes one log line; it never raises."""
+    """A function that writes one log line; it never raises."""
 
     def __call__(self, event: LogEvent, /, **fields: object) -> None:
-        """Log an event and its fields; the values of fields can be encoded as JSON."""
+        """Log an event with its fields, whose values must be encodable as JSON."""
 
 
 def no_log(event: LogEvent, /, **fields: object) -> None:
-    """Discard the event; the default of programs and tests that need no log."""
+    """Discard the event; the default for programs and tests that need no log."""
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -59,7 +59,7 @@
         sequence, engine, now = self.in_flight[action.sequence], action.engine, self.clock.seconds()
         attempt = self._new_attempt(sequence, engine, action.timeout, now)
         sequence.attempts.append(attempt)
-        self.decoder.engines.mark_used(engine)
+        self.decoder.engines.increment_use_count(engine)
         for observer in self._observers:
             observer.attempt_started(attempt)
         self._step_read_state(attempt)
@@ -167,7 +167,7 @@
             self._reject_action(action)
         # The engine may be removed before it responds, and its index must not name another engine until then
         # (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
-        self.decoder.engines.mark_used(action.engine)
+        self.decoder.engines.increment_use_count(action.engine)
         then = partial(self._probed, action.engine, self.clock.seconds())
         self.transport.probe(action.engine, self.probe_timeout, then)
 
@@ -176,4 +176,4 @@
     ) -> None:
         latency = self.clock.seconds() - sent_at
         self._call_router(lambda now: self.router.probe_ended(now, engine, is_answered, latency, load))
-        self._mark_unused(engine)
+        self._decrement_use_count(engine)
--- a/myrtlehub/node/clock.py
+++ b/myrtlehub/node/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a process: monotonic time, with the reactor's timers."""
+"""The monotonic clock of a process, with the reactor's timers."""
 
 import time
 from collections.abc import Callable
@@ -8,22 +8,22 @@
 
 
 class ReactorTime(Protocol):
-    """The part of a reactor that schedules calls; `seconds` is the time that its timers use."""
+    """The part of a reactor that schedules calls; its timers read the time from `seconds`."""
 
     seconds: Callable[[], float]
 
     def callLater(  # noqa: N802 - Twisted's name
-        self, delay: float, call: Callable[..., object], *args: object, **more: object
+        self, delay: float, call: Callable[..., object], *args: object, **kwargs: object
     ) -> Timer:
-        """Schedule a call `delay` seconds from now."""
+        """Schedule `call`, `delay` seconds from now."""
 
 
 class SteadyClock:
-    """A clock whose `seconds` is the machine's monotonic clock, which all processes on it share.
+    """A clock that returns the machine's monotonic time, which all of its processes share.
 
-    The reactor's timers use it too. By default Twisted's timers use the wall clock: if that is set back by an
-    hour, for example when a time server is reached again, no timer fires for an hour
-    (`test_timers_do_not_go_by_the_wall_clock`).
+    The reactor's timers are switched to it too. By default Twisted's timers use the wall clock: if that is
+    set back by an hour, for example when a time server is reachable again, no timer fires for an hour
+    (`test_timers_ignore_changes_of_the_wall_clock`).
     """
 
     def __init__(self, reactor: ReactorTime) -> None:
@@ -31,7 +31,7 @@
         self.seconds = reactor.seconds = time.monotonic
 
     def callLater(  # noqa: N802 - Twisted's name
-        self, delay: float, call: Callable[..., object], *args: object, **more: object
+        self, delay: float, callback: Callable[..., object], *args: object, **kwargs: object
     ) -> Timer:
-        """Schedule a call `delay` seconds from now."""
-        return self._reactor.callLater(delay, call, *args, **more)
+        """Schedule a call of `callback`, `delay` seconds from now."""
+        return self._reactor.callLater(delay, callback, *args, **kwargs)
--- a/myrtlehub/node/executor_observer.py
+++ b/myrtlehub/node/executor_observer.py
@@ -1,4 +1,4 @@
-"""The interface by which other parts of a node follow what its action executor does."""
+"""The interface by which other parts of a node are notified of events of its action executor."""
 
 from __future__ import annotations
 
@@ -9,37 +9,39 @@
 
 
 class ExecutorObserver:
-    """Is notified by an action executor of its attempts and sequences.
+    """Base class of observers of an action executor.
 
-    Every method does nothing here; an observer overrides those that it needs. Observers are called in the
-    order in which they were added, in the turn of the event loop in which the event happens.
+    All methods do nothing by default; a subclass overrides those that it needs. Observers are called in the
+    order in which they were added, in the iteration of the event loop in which the event happens.
     """
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """Called before the engine transport is given an attempt."""
+        """Called before an attempt is passed to the engine transport."""
 
     def attempt_ended(self, attempt: Attempt) -> None:
         """Called once for each started attempt, after its outcome was reported to the router.
 
-        The router may have ended the sequence: `sequence_forgotten` and `executor_idle` can come before this.
+        The router may have ended the sequence by then: `sequence_forgotten` and `executor_idle` may be called
+        before this.
         """
 
     def answer_started(self, sequence: InFlightSequence) -> None:
         """Called before the first tokens of a sequence are passed to its client."""
 
     def answered(self, sequence: InFlightSequence) -> None:
-        """Called once a sequence has its final answer, or its client has left."""
+        """Called when a sequence gets its final answer or its client disconnects."""
 
     def sequence_forgotten(self, sequence: InFlightSequence) -> None:
-        """Called when the router has released a sequence (`contract.Forget`): it is no longer in flight."""
+        """Called when the router has discarded a sequence (`contract.Forget`): it is no longer in flight."""
 
     def executor_idle(self) -> None:
-        """Called after each call of the router that leaves no sequence in flight."""
+        """Called after each router call that leaves no sequence in flight."""
 
     def arrival_check_requested(self, attempt: Attempt) -> None:
         """Called when the router asks whether an attempt has arrived (`contract.CheckArrival`).
 
-        If it has, `SequenceLifecycle.attempt_arrived` is to be called in a later turn; otherwise nothing.
+        If it has, `SequenceLifecycle.attempt_arrived` must be called in a later iteration of the event loop;
+        if not, nothing.
         """
 
     def endpoints_requested(self) -> None:
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -1,7 +1,7 @@
-"""The interfaces of what the action executor needs.
+"""The interfaces that the action executor depends on.
 
-The executor uses no sockets and no settings files: a program that runs it provides a clock, a log, a decoder,
-an engine transport, and a response sink for each sequence (`response_sink`).
+The executor uses no sockets and no settings files: a program that runs it provides a clock, a log, a request
+decoder, an engine transport, and a response sink for each sequence (`response_sink`).
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -12,23 +12,29 @@
 from myrtlehub.routing import contract
 
 
-class TrafficTypeRow(Protocol):
-    """What the executor reads of the settings of a traffic type."""
+class TrafficTypeSettings(Protocol):
+    """The settings of a traffic type that the executor reads."""
 
     @property
     def name(self) -> str:
-        """The name of the traffic type in the settings."""
+        """The name of the traffic type."""
 
     @property
     def front(self) -> str:
-        """The kind of front that serves it."""
+        """The name of the service whose requests have this traffic type, for example `chat`."""
 
 
 class Decoder(Protocol):
-    """Maps the names of engine kinds, zones and engines to dense indices."""
+    """The part of a request decoder that the executor uses: dense indices of names.
+
+    Attributes:
+        kinds: Indices of the engine kinds, by name.
+        zones: Indices of the zones, by name.
+        engines: The engines of the endpoint list, by address and by index.
+    """
 
     @property
-    def rows(self) -> Sequence[TrafficTypeRow]:
+    def rows(self) -> Sequence[TrafficTypeSettings]:
         """The traffic types, by index."""
 
     kinds: Mapping[str, int]
@@ -37,17 +43,17 @@
 
 
 class EngineTransport(Protocol):
-    """Sends attempts to engines and reports their tokens and ends to the executor."""
+    """Sends attempts to engines, and reports their tokens and outcomes to the executor."""
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt.
 
-        Within this call the transport may neither call the executor nor write to the network; it may do so
-        from the next turn of the event loop on.
+        During this call the transport may neither call the executor nor write to the network; both have to
+        wait for the next iteration of the event loop.
         """
 
     def cancel(self, attempt: Attempt) -> None:
-        """Reset an attempt at its engine, and report no further events of it."""
+        """Cancel an attempt at its engine, and report no further events of the attempt."""
 
     def release(self, engine: int, sequence_id: str) -> None:
         """Ask an engine to free the read state of a sequence."""
@@ -55,10 +61,17 @@
     def probe(
         self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
-        """Ask an engine for a load report; `then(is_answered, load)` is called once, in a later turn."""
+        """Ask an engine for a load report.
+
+        Args:
+            engine: Index of the engine.
+            timeout: Seconds until the probe fails.
+            then: Called once, in a later iteration of the event loop, with whether the engine answered and
+                with its load report.
+        """
 
     def close_idle(self, engine: int) -> None:
-        """Close an unused connection to an engine."""
+        """Close an idle connection to an engine."""
 
     def forget(self, address: str) -> None:
-        """Discard what is stored for an engine: it was removed from the list and has no attempts left."""
+        """Discard what is stored for an engine that was removed from the list and has no attempts left."""
--- a/myrtlehub/node/response_sink.py
+++ b/myrtlehub/node/response_sink.py
@@ -1,26 +1,31 @@
-"""The interface of the response to a sequence, and the types that the executor passes through."""
+"""The response sink: the interface to the client of a sequence, and the types of values passed through."""
 
 from typing import Any, Protocol, TypeAlias
 
-# Values that the executor passes on without looking into them. The transport and the response sinks of a
-# program agree on the type of its token messages; other types are narrowed by the one part that uses them.
+# Values that the action executor passes on unchanged. Each program defines their types: the code that uses
+# such a value narrows its type, except for token messages, which the transport and the response sinks
+# exchange directly.
 RequestPayload: TypeAlias = object  # what the transport sends to engines
-TokenMessage: TypeAlias = Any  # tokens as an engine sent them; transport and response sink agree on the type
-StateHandle: TypeAlias = object  # identifies a read state at its reader for the writer that fetches it
-TransportCall: TypeAlias = object  # the transport's own object for one attempt
+TokenMessage: TypeAlias = Any  # tokens as an engine sent them
+StateHandle: TypeAlias = object  # with it a writer fetches a read state from its reader
+TransportCall: TypeAlias = object  # the transport's object for one attempt
 
 
 class ResponseSink(Protocol):
-    """Takes the response to one sequence; at most one of the last three methods is called, once."""
+    """Receives the response to one sequence.
+
+    At most one of `generated`, `rejected` and `aborted` is called, and at most once. Nothing is called after
+    it.
+    """
 
     def tokens(self, message: TokenMessage) -> None:
         """Pass tokens to the client as the engine sent them."""
 
     def generated(self, tokens: int) -> None:
-        """End a complete answer; `tokens`: their number, as far as the engine reported it."""
+        """Complete the answer; `tokens` is the number of generated tokens that the engine reported."""
 
     def rejected(self, retry_after: float) -> None:
-        """Reject the request; `retry_after`: seconds after which a retry may succeed, 0 if not known."""
+        """Reject the request; a retry may succeed after `retry_after` seconds, 0 if unknown."""
 
     def aborted(self, reason: str) -> None:
-        """Abort the request, which may have run."""
+        """Abort the request; it may have run."""
--- a/myrtlehub/node/router_calls.py
+++ b/myrtlehub/node/router_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a router, made one after another, and the execution of the actions that they return."""
+"""A queue of router calls, which also executes the actions that each call returns."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
@@ -7,66 +7,66 @@
 from myrtlehub.clock import Clock
 from myrtlehub.routing import contract
 
-# A router call with all arguments bound except the current time, which is passed when the call is made: that
-# may be later than when it was queued.
+# A router call with all arguments bound except the current time. The time is passed when the call runs, which
+# may be later than when it was submitted.
 RouterCall: TypeAlias = Callable[[float], Iterable[contract.Action]]
-# Executes actions of the type under which it is registered; `Mapping` cannot express that dependency, so the
-# argument is `Any`.
+# Executes actions of the type under which it is registered. `Mapping` cannot express that the argument's type
+# depends on the key, so it is `Any`.
 ActionHandler: TypeAlias = Callable[[Any], None]
 ActionHandlers: TypeAlias = Mapping[type[contract.Action], ActionHandler]
 
 
 class RouterCallQueue:
-    """Makes router calls in their order and executes all actions of one before it makes the next.
+    """Runs router calls in order, and executes all actions of one call before it runs the next.
 
-    Executing an action may cause another call, for example because an attempt that could not be started has
-    ended. That call is queued, so calls of a router never nest.
+    Executing an action may submit another call, for example because an attempt could not be started. That
+    call is queued, so router calls are never nested.
     """
 
     def __init__(
-        self, clock: Clock, handlers: ActionHandlers, after_calls: Callable[[], None] = lambda: None
+        self, clock: Clock, handlers: ActionHandlers, on_idle: Callable[[], None] = lambda: None
     ) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
         Args:
-            clock: gives the time of each call.
-            handlers: execute the actions, by their type.
-            after_calls: called whenever the queue is empty again and nothing was raised.
+            clock: Gives the time of each call.
+            handlers: The functions that execute actions, by type of action.
+            on_idle: Called whenever the queue has become empty, unless a call or an action raised.
         """
         self._clock = clock
         self._handlers = handlers
-        self._after_calls = after_calls
+        self._on_idle = on_idle
         self._pending: deque[RouterCall] = deque()
-        self._is_calling = False
+        self._is_running = False
 
-    def make(self, call: RouterCall) -> None:
-        """Make a call now, or queue it if another one is being made."""
+    def submit(self, call: RouterCall) -> None:
+        """Run a call now, or queue it if another one is running."""
         self._pending.append(call)
-        if self._is_calling:
+        if self._is_running:
             return
-        self._is_calling = True
+        self._is_running = True
         try:
             while self._pending:
                 pending_call = self._pending.popleft()
-                self._execute(deque(pending_call(self._clock.seconds())))
+                self._execute_actions(deque(pending_call(self._clock.seconds())))
         finally:
-            self._is_calling = False
+            self._is_running = False
             if self._pending:
-                # A handler raised after it had queued further calls: the router still has to get those.
-                self._clock.callLater(0, self._make_pending)
-        self._after_calls()
+                # A handler raised after further calls were queued; the router must still receive those.
+                self._clock.callLater(0, self._run_pending)
+        self._on_idle()
 
-    def _make_pending(self) -> None:
-        """Make the calls that were queued when an exception ended `make`."""
-        if self._pending and not self._is_calling:
-            self.make(self._pending.popleft())
+    def _run_pending(self) -> None:
+        """Run the calls that were still queued when an exception ended `submit`."""
+        if self._pending and not self._is_running:
+            self.submit(self._pending.popleft())
 
-    def _execute(self, actions: deque[contract.Action]) -> None:
-        """Execute the actions of one call in their order.
+    def _execute_actions(self, actions: deque[contract.Action]) -> None:
+        """Execute the actions of one call in order.
 
-        If a handler raises, the actions after it are executed in the next turn of the event loop. The last
-        action of a call often schedules the router's next wake-up: without it, sequences would be neither
-        retried nor answered at their deadline
+        If a handler raises, the remaining actions are executed in the next iteration of the event loop. The
+        last action of a call often schedules the router's next wake-up: without it, sequences would be
+        neither retried nor answered at their deadline
         (`test_a_deadline_is_kept_although_an_action_before_its_wakeup_raised`).
         """
         while actions:
@@ -74,5 +74,5 @@
             try:
                 self._handlers[type(action)](action)
             except BaseException:
-                self._clock.callLater(0, self._execute, actions)
+                self._clock.callLater(0, self._execute_actions, actions)
                 raise
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -51,7 +51,7 @@
         self.accepted_count = 0
         self._next_number = 0
 
-    def _router_called(self) -> None:
+    def _router_calls_done(self) -> None:
         if not self.in_flight:
             for observer in self._observers:
                 observer.executor_idle()
@@ -226,7 +226,7 @@
         self._report_end(attempt, outcome, latency, cached_tokens, load)
         for observer in self._observers:
             observer.attempt_ended(attempt)
-        self._mark_unused(attempt.engine)
+        self._decrement_use_count(attempt.engine)
 
     def _report_end(
         self,
--- a/myrtlehub/records.py
+++ b/myrtlehub/records.py
@@ -1,8 +1,9 @@
-"""Records of what clients and engines sent and received, for the rule checker.
+"""Files of records of what clients and engines sent and received, for the rule checker.
 
-A record is a msgpack array: the time (seconds of the machine's monotonic clock, which all processes share),
-the process that wrote it, the event, and the details of the event by name. Records are compressed with
-zstandard and flushed one by one, so a process that is killed loses at most the record that it was writing.
+A record is a msgpack array of four elements: the time (seconds of the machine's monotonic clock, which all
+processes share), the name of the process that wrote it, the event, and the event's details by name. Each
+record is preceded by its length. Records are compressed with zstandard and flushed one by one, so a process
+that is killed loses at most the record that it was writing.
 """
 
 import os
@@ -15,20 +16,26 @@
 
 from myrtlehub.clock import Clock
 
-HEAD = b"myrtlehub-records-1\n"
+FILE_SIGNATURE = b"myrtlehub-records-1\n"
 
 
 class Record(NamedTuple):
-    """An event that a client or an engine observed; the module describes the fields."""
+    """An event that a process observed."""
 
-    at: float
-    who: str
-    what: str
-    more: dict[str, Any]
+    at: float  # seconds of the machine's monotonic clock
+    who: str  # the process that wrote the record
+    what: str  # the event
+    more: dict[str, Any]  # details of the event, by name
 
 
 class Recorder:
-    """Writes records to a file, or collects them in the list `kept` if there is no path."""
+    """Appends records to a file, or to a list if there is no path.
+
+    Attributes:
+        who: Name of the process, written to each record.
+        clock: Gives the time of each record.
+        kept: The records, if there is no path.
+    """
 
     def __init__(self, who: str, clock: Clock, path: str | Path = "") -> None:
         self.who, self.clock = who, clock
@@ -36,50 +43,50 @@
         self._file = -1
         if path:
             self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-            self._pack = zstandard.ZstdCompressor(level=1).compressobj()
-            os.write(self._file, HEAD if not os.fstat(self._file).st_size else b"")
+            self._compressor = zstandard.ZstdCompressor(level=1).compressobj()
+            os.write(self._file, FILE_SIGNATURE if not os.fstat(self._file).st_size else b"")
 
     def note(self, what: str, **more: object) -> None:
-        """Write one record."""
+        """Write one record of the event `what` with the details `more`."""
         record = Record(self.clock.seconds(), self.who, what, more)
         if self._file < 0:
             self.kept.append(record)
             return
-        packed = msgspec.msgpack.encode(record)
-        data = self._pack.compress(len(packed).to_bytes(4) + packed)
-        os.write(self._file, data + self._pack.flush(zstandard.COMPRESSOBJ_FLUSH_BLOCK))
+        encoded = msgspec.msgpack.encode(record)
+        data = self._compressor.compress(len(encoded).to_bytes(4) + encoded)
+        os.write(self._file, data + self._compressor.flush(zstandard.COMPRESSOBJ_FLUSH_BLOCK))
 
     def close(self) -> None:
-        """Write the end of the compressed data, and close the file."""
+        """End the compressed frame and close the file."""
         if self._file >= 0:
-            os.write(self._file, self._pack.flush())
+            os.write(self._file, self._compressor.flush())
             os.close(self._file)
             self._file = -1
 
 
 def read(path: str | Path) -> Iterator[Record]:
-    """Yield the records of a file, up to the first one that was not written completely.
+    """Yield the records of a file, up to the first one that is incomplete.
 
     Raises:
-        ValueError: the file does not begin like a file of records.
+        ValueError: The file does not begin with the signature of a record file.
     """
     data = Path(path).read_bytes()
-    if not data.startswith(HEAD):
-        raise ValueError(f"{path}: not a file of records")
-    data = data[len(HEAD) :]
-    raw = bytearray()
-    while data:  # a restarted process appends a compressed frame of its own
-        unpacker = zstandard.ZstdDecompressor().decompressobj()
+    if not data.startswith(FILE_SIGNATURE):
+        raise ValueError(f"{path}: not a record file: it does not begin with its signature")
+    data = data[len(FILE_SIGNATURE) :]
+    decompressed = bytearray()
+    while data:  # a restarted process appends a further compressed frame
+        decompressor = zstandard.ZstdDecompressor().decompressobj()
         try:
-            raw += unpacker.decompress(data)
+            decompressed += decompressor.decompress(data)
         except zstandard.ZstdError:
             break
-        data = unpacker.unused_data
-    unpack = msgspec.msgpack.Decoder(tuple[float, str, str, dict[str, Any]])
-    at = 0
-    while at + 4 <= len(raw):
-        size = int.from_bytes(raw[at : at + 4])
-        if at + 4 + size > len(raw):
+        data = decompressor.unused_data
+    decoder = msgspec.msgpack.Decoder(tuple[float, str, str, dict[str, Any]])
+    offset = 0
+    while offset + 4 <= len(decompressed):
+        size = int.from_bytes(decompressed[offset : offset + 4])
+        if offset + 4 + size > len(decompressed):
             return
-        yield Record(*unpack.decode(memoryview(raw)[at + 4 : at + 4 + size]))
-        at += 4 + size
+        yield Record(*decoder.decode(memoryview(decompressed)[offset + 4 : offset + 4 + size]))
+        offset += 4 + size
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -1,4 +1,4 @@
-"""Timers of a process whose wall clock is set while it runs."""
+"""Timers of a process whose wall clock is changed while it runs."""
 
 import subprocess
 import sys
@@ -7,28 +7,32 @@
 
 PROGRAM = """
 import time
-wall_time, offset = time.time, [0.0]
-time.time = lambda: wall_time() + offset[0]
+read_wall_clock, offset = time.time, [0.0]
+time.time = lambda: read_wall_clock() + offset[0]
 from twisted.internet import reactor
 from myrtlehub.node.clock import SteadyClock
 clock = SteadyClock(reactor)
 early_timers = []
-def end():
+def stop():
     print(round(clock.seconds() - started_at, 1), early_timers)
     reactor.stop()
 def fire_early():
     early_timers.append("too early")
 started_at = clock.seconds()
-far = clock.callLater(600.0, fire_early)
-clock.callLater(0.3, end)
+late_timer = clock.callLater(600.0, fire_early)
+clock.callLater(0.3, stop)
 offset[0] = {offset}
 reactor.run()
 """
 
 
 @pytest.mark.parametrize("offset", [-3600.0, 3600.0])
-def test_timers_do_not_go_by_the_wall_clock(offset: float) -> None:
-    """With the wall clock set back they would fire an hour late; with it set ahead, all at once."""
+def test_timers_ignore_changes_of_the_wall_clock(offset: float) -> None:
+    """Twisted's default clock is the wall clock.
+
+    Timers on it fire an hour late after the wall clock is set back by an hour, and all at once after it is
+    set ahead.
+    """
     run = subprocess.run(
         [sys.executable, "-c", PROGRAM.format(offset=offset)], capture_output=True, text=True, timeout=60
     )
