--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -1,7 +1,8 @@
-"""The action executor: executes the actions that a router returns, in their order.
+"""The action executor: executes the actions that a router returns, in order.
 
-It makes no decisions and uses no sockets: `protocols` has the interfaces of what it needs, `sequences` its
-data. It guarantees by itself that a client gets at most one final answer, and nothing after that.
+It makes no decisions and uses no sockets: `protocols` defines the interfaces that it depends on, and
+`sequences` its data. Independently of the router, it guarantees that a client gets at most one final answer
+and nothing after it.
 """
 
 from functools import partial
@@ -14,23 +15,23 @@
 from myrtlehub.state.answer import AnswerEffect, AnswerEvent, AnswerState
 from myrtlehub.state.read_state import ReadStateEffect, ReadStateEvent
 
-DEFAULT_PROBE_TIMEOUT = 0.25  # seconds; programs with settings for it replace it
-CHAT_FRONT = "chat"  # the front whose sequences are read and written at different engines
+DEFAULT_PROBE_TIMEOUT = 0.25  # seconds; used by programs that have no setting for it
+CHAT_FRONT = "chat"  # its sequences are read and written by different engines
 
 
 class ContractViolationError(Exception):
     """The router returned an action that its configuration does not allow."""
 
     def __init__(self, action: contract.Action) -> None:
-        super().__init__(f"the settings rule out an action that the router asked for: {action}")
+        super().__init__(f"the router returned an action that its configuration does not allow: {action}")
         self.action = action
 
 
 class ActionExecutor(SequenceLifecycle):
-    """Executes the decisions of a router, with one method for each type of action.
+    """Executes the actions of a router, with one method for each type of action.
 
     Attributes:
-        probe_timeout: Seconds after which an unanswered probe counts as failed.
+        probe_timeout: Seconds after which an unanswered probe has failed.
     """
 
     probe_timeout = DEFAULT_PROBE_TIMEOUT
@@ -50,9 +51,9 @@
             contract.LogNote: self._log_note,
             contract.Forget: self._forget,
             contract.Probe: self._probe,
-            contract.Reserve: self._reject_action,
-            contract.Migrate: self._reject_action,
-            contract.Gossip: self._reject_action,
+            contract.Reserve: self._raise_contract_violation,
+            contract.Migrate: self._raise_contract_violation,
+            contract.Gossip: self._raise_contract_violation,
         }
 
     def _send(self, action: contract.Send) -> None:
@@ -64,7 +65,7 @@
             observer.attempt_started(attempt)
         self._step_read_state(attempt)
         if sequence.answer.is_final:
-            # An earlier action gave the final answer, so no further attempt is sent for the sequence.
+            # An earlier action sent the final answer, so no further attempt is sent for this sequence.
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             return
         delay = max(0.0, attempt.times_out_at - now)
@@ -72,7 +73,7 @@
         try:
             self.transport.start(attempt)
         except BaseException:
-            # The transport writes nothing before a later turn, so the attempt has certainly not been sent
+            # The transport does not write in this iteration of the event loop, so the attempt was not sent
             # (`test_a_request_whose_send_raised_is_retried`).
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             raise
@@ -80,19 +81,20 @@
     def _new_attempt(self, sequence: InFlightSequence, engine: int, timeout: float, now: float) -> Attempt:
         kind = self.decoder.engines.rows[engine].kind
         is_chat = self.decoder.rows[sequence.arrival.traffic].front == CHAT_FRONT
-        # Embeddings and reranking have one stage only, also at engines that read prompts of chat.
+        # Embeddings and reranking have a single stage, even at engines that read the prompts of chat
+        # sequences.
         is_read = is_chat and not self.config.writes[self.decoder.kinds[kind]]
         times_out_at = min(sequence.deadline, now + timeout) if timeout else sequence.deadline
         return Attempt(sequence, len(sequence.attempts), engine, is_read, now, times_out_at, kind)
 
     def _step_read_state(self, attempt: Attempt) -> None:
-        """Record that an attempt reads, or claim the read state that it is to fetch."""
+        """Record that a read was sent, or claim the read state that a write has to fetch."""
         sequence = attempt.sequence
         if attempt.is_read:
             read_state = sequence.read_states.setdefault(attempt.engine, ReadState(attempt.engine))
             read_state.state_machine.step(ReadStateEvent.READ_SENT)
             return
-        attempt.claimed_state = sequence.claimable_state()
+        attempt.claimed_state = sequence.latest_claimable_state()
         if attempt.claimed_state is not None:
             attempt.claimed_state.state_machine.step(ReadStateEvent.CLAIM)
 
@@ -104,12 +106,12 @@
         for read_state in list(sequence.read_states.values()):
             effect = sequence.step_read_state(read_state, ReadStateEvent.RELEASE)
             if effect == ReadStateEffect.SEND_RELEASE:
-                read_state.handle = None  # no further write is to fetch it
+                read_state.handle = None  # no further write may fetch the read state
                 self.transport.release(read_state.engine, sequence.sequence_id)
 
     def _check_arrival(self, action: contract.CheckArrival) -> None:
         if not self.config.may_check_arrival:
-            self._reject_action(action)
+            self._raise_contract_violation(action)
         attempt = self.in_flight[action.sequence].attempts[action.attempt]
         if attempt.is_outstanding:
             for observer in self._observers:
@@ -118,15 +120,17 @@
     def _cancel(self, action: contract.CancelAttempt) -> None:
         attempt = self.in_flight[action.sequence].attempts[action.attempt]
         if not attempt.is_streaming:
-            self._stop(attempt)
+            self._stop_attempt(attempt)
 
     def _reject(self, action: contract.Reject) -> None:
-        self._answer(self.in_flight[action.sequence], AnswerEvent.REJECT, action.retry_after)
+        self._send_final_answer(self.in_flight[action.sequence], AnswerEvent.REJECT, action.retry_after)
 
     def _abort(self, action: contract.Abort) -> None:
-        self._answer(self.in_flight[action.sequence], AnswerEvent.ABORT)
+        self._send_final_answer(self.in_flight[action.sequence], AnswerEvent.ABORT)
 
-    def _answer(self, sequence: InFlightSequence, event: AnswerEvent, retry_after: float = 0.0) -> None:
+    def _send_final_answer(
+        self, sequence: InFlightSequence, event: AnswerEvent, retry_after: float = 0.0
+    ) -> None:
         if sequence.answer.step(event) != AnswerEffect.ANSWER:
             return
         self._report_answer(sequence)
@@ -142,7 +146,7 @@
         self.transport.close_idle(action.engine)
 
     def _watch_endpoints(self, action: contract.WatchEndpoints) -> None:
-        """Do nothing: the node follows the endpoint list whether the router asks for it or not."""
+        """Do nothing: the node watches the endpoint list regardless."""
 
     def _poll_endpoints(self, _action: contract.PollEndpoints) -> None:
         for observer in self._observers:
@@ -155,21 +159,22 @@
         sequence = self.in_flight.pop(action.sequence)
         for observer in self._observers:
             observer.sequence_forgotten(sequence)
-        # Attempts and sequence refer to each other; without this only the garbage collector would free them.
+        # The sequence and its attempts refer to each other; break the cycle so that reference counting frees
+        # them.
         sequence.attempts = []
         sequence.streaming_attempt = None
 
-    def _reject_action(self, action: contract.Action) -> None:
+    def _raise_contract_violation(self, action: contract.Action) -> None:
         raise ContractViolationError(action)
 
     def _probe(self, action: contract.Probe) -> None:
         if not self.config.may_probe:
-            self._reject_action(action)
-        # The engine may be removed before it responds, and its index must not name another engine until then
-        # (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
+            self._raise_contract_violation(action)
+        # The engine may be removed before it responds; until then its index must not be reused for another
+        # engine (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
         self.decoder.engines.increment_use_count(action.engine)
-        then = partial(self._probed, action.engine, self.clock.seconds())
-        self.transport.probe(action.engine, self.probe_timeout, then)
+        on_result = partial(self._probed, action.engine, self.clock.seconds())
+        self.transport.probe(action.engine, self.probe_timeout, on_result)
 
     def _probed(
         self, engine: int, sent_at: float, is_answered: bool, load: contract.LoadReport | None
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life cycle of in-flight sequences, from acceptance through attempts to the final answer."""
+"""The life cycle of in-flight sequences: acceptance, attempts and the final answer."""
 
 from collections import Counter
 
@@ -14,22 +14,22 @@
 from myrtlehub.state.read_state import ReadStateEvent
 from myrtlehub.state.state_machine import CommonEffect
 
-# Constants because they are used for each token message, and a member's look-up costs as much as a step of
-# the state machine.
+# Constants because they are used for each token message, and looking up an enum member costs as much as a
+# transition of the state machine.
 _MORE_TOKENS, _PASS = AnswerEvent.MORE_TOKENS, AnswerEffect.PASS
 _REJECTIONS = (AttemptEvent.FULL, AttemptEvent.UNREACHED, AttemptEvent.UNSENT)
 _EVENT_OF_OUTCOME = {outcome: AttemptEvent(outcome.value) for outcome in contract.Outcome}
 
 
 class SequenceLifecycle(RouterDriver):
-    """Owns the in-flight sequences and reports to the router what clients and engines do.
+    """Owns the in-flight sequences, and reports events of clients and engines to the router.
 
-    Sequences, their attempts and answers are changed here and by the execution of actions, nowhere else.
+    Only this class and the execution of actions change sequences, their attempts and answers.
 
     Attributes:
-        in_flight: Sequences that were accepted and not forgotten yet, by the number that the router has.
-        answer_counts: Final answers so far, by the value of their `AnswerState`.
-        accepted_count: Sequences accepted so far.
+        in_flight: Sequences that were accepted and not yet discarded, by the number that the router uses.
+        answer_counts: Number of final answers, by the value of their `AnswerState`.
+        accepted_count: Number of accepted sequences.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         id_prefix: str = "",
         log: Log = no_log,
     ) -> None:
-        """Make a life cycle without sequences; `id_prefix` starts the ids of its sequences."""
+        """Create a life cycle without sequences; `id_prefix` is the prefix of the ids of its sequences."""
         super().__init__(router, decoder, clock, transport, log)
         self.config = config
         self.id_prefix = id_prefix
@@ -59,7 +59,7 @@
     # -- clients ----------------------------------------------------------------------------------
 
     def next_sequence_id(self) -> str:
-        """Return the id that the next sequence will have for clients and engines."""
+        """Return the id that identifies the next sequence to clients and engines."""
         return f"{self.id_prefix}{self._next_number}"
 
     def accept(
@@ -71,15 +71,15 @@
         earlier_attempts: int = 0,
         handle: StateHandle | None = None,
     ) -> InFlightSequence:
-        """Accept a sequence: from now on its client has to get one final answer before the deadline.
+        """Accept a sequence, whose client must then get one final answer before the deadline.
 
         Args:
-            request: is sent to engines.
-            arrival: is reported to the router.
-            client: takes the response.
-            sequence_id: the id that its client or a former owner gave it; without one, the node gives it one.
-            earlier_attempts: number of attempts that former owners made.
-            handle: of the read state that `arrival.state_engine` holds for it.
+            request: What is sent to engines.
+            arrival: What is reported to the router.
+            client: Receives the response.
+            sequence_id: The id assigned by the client or a previous owner; None: a new id.
+            earlier_attempts: Number of attempts by previous owners.
+            handle: Handle of the read state that `arrival.state_engine` holds for the sequence.
         """
         accepted_at, number = self.clock.seconds(), self._next_number
         sequence_id = sequence_id or self.next_sequence_id()
@@ -89,24 +89,24 @@
         self.in_flight[number] = sequence
         reader = arrival.state_engine
         if handle is not None and reader is not None:
-            sequence.read_states[reader] = ReadState.read_for_former_owner(reader, handle)
+            sequence.read_states[reader] = ReadState.held_for_previous_owner(reader, handle)
         self.accepted_count += 1
         self._call_router(lambda now: self.router.arrive(now, number, arrival))
         return sequence
 
     def client_left(self, sequence: InFlightSequence) -> None:
-        """Handle a client's disconnect: it gets no answer, and outstanding attempts are stopped."""
+        """Handle a client's disconnection: it gets no answer, and outstanding attempts are stopped."""
         if sequence.answer.step(AnswerEvent.CLIENT_LEFT) != CommonEffect.LATE:
-            self._close_answer(sequence)
+            self._finish_without_router(sequence)
 
     def abort(self, sequence: InFlightSequence, reason: str) -> None:
-        """Abort a sequence that has no final answer; does nothing if it has one."""
+        """Abort a sequence, unless it already has a final answer."""
         if sequence.answer.step(AnswerEvent.DEADLINE_PASSED) == AnswerEffect.ANSWER:
             sequence.client.aborted(reason)
-            self._close_answer(sequence)
+            self._finish_without_router(sequence)
 
     def hand_over(self, sequence: InFlightSequence) -> None:
-        """Release a sequence to another node: send its client nothing more, and do not stop its stream."""
+        """Hand a sequence over to another node: send its client nothing more, but do not stop its stream."""
         stream, sequence.streaming_attempt = sequence.streaming_attempt, None
         if sequence.answer.step(AnswerEvent.CLIENT_LEFT) == CommonEffect.LATE:
             return
@@ -115,19 +115,19 @@
         if stream is not None and stream.is_outstanding:
             self.ended(stream, contract.Outcome.CANCELLED)
 
-    def _close_answer(self, sequence: InFlightSequence) -> None:
-        """Report an answer that was given without a decision of the router, and stop the stream."""
+    def _finish_without_router(self, sequence: InFlightSequence) -> None:
+        """Report the end of an answer that the router did not decide, and stop the stream."""
         self._report_answer(sequence)
         self._report_client_left(sequence)
         if sequence.streaming_attempt is not None:
-            self._stop(sequence.streaming_attempt)
+            self._stop_attempt(sequence.streaming_attempt)
 
     def _report_client_left(self, sequence: InFlightSequence) -> None:
         self._call_router(lambda now: self.router.client_left(now, sequence.number))
 
-    def _report_answer(self, sequence: InFlightSequence, **more: object) -> None:
+    def _report_answer(self, sequence: InFlightSequence, **extra_fields: object) -> None:
         """Count and log a final answer, and notify the observers."""
-        answer = str(sequence.answer.state)  # a plain string: it is counted and logged
+        answer = str(sequence.answer.state)  # plain string for counters and the log
         self.answer_counts[answer] += 1
         latency = sequence.first_token_latency
         self.log(
@@ -140,7 +140,7 @@
             time_left_s=round(sequence.deadline - self.clock.seconds(), 4),
             first_token_s=None if latency is None else round(latency, 4),
             duration_s=round(self.clock.seconds() - sequence.accepted_at, 4),
-            **more,
+            **extra_fields,
         )
         for observer in self._observers:
             observer.answered(sequence)
@@ -148,13 +148,13 @@
     # -- attempts ---------------------------------------------------------------------------------
 
     def outstanding_attempt_count(self) -> int:
-        """Count the attempts that have not ended."""
+        """Return the number of attempts that have not ended."""
         return sum(
             attempt.is_outstanding for sequence in self.in_flight.values() for attempt in sequence.attempts
         )
 
     def began(self, attempt: Attempt, message: TokenMessage) -> None:
-        """Handle the first tokens of an attempt: the client gets them unless another attempt was first."""
+        """Handle the first tokens of an attempt; the client gets them unless another attempt was first."""
         sequence = attempt.sequence
         if attempt.state_machine.step(AttemptEvent.TOKENS) != AttemptEffect.BEGIN:
             return
@@ -163,8 +163,8 @@
             sequence.step_read_state(attempt.claimed_state, ReadStateEvent.FETCHED)
             attempt.claimed_state = None
         if sequence.answer.step(AnswerEvent.FIRST_TOKENS) != AnswerEffect.PASS:
-            # Another attempt streams already, or the final answer was given before these tokens arrived.
-            self._stop(attempt)
+            # Another attempt is streaming, or the final answer was sent before these tokens arrived.
+            self._stop_attempt(attempt)
             return
         sequence.streaming_attempt = attempt
         first_token_at = self.clock.seconds()
@@ -177,14 +177,14 @@
         sequence.client.tokens(message)
 
     def attempt_arrived(self, attempt: Attempt) -> None:
-        """Report to the router that an attempt has arrived at its engine, unless it has ended or begun."""
+        """Report to the router that an attempt has arrived at its engine; ignored after tokens or its end."""
         if attempt.is_outstanding and not attempt.is_streaming:
             sequence = attempt.sequence
             sequence.unfetched_since = None
             self._call_router(lambda now: self.router.attempt_arrived(now, sequence.number, attempt.number))
 
     def tokens_received(self, attempt: Attempt, message: TokenMessage) -> None:
-        """Pass further tokens of an attempt to the client, unchanged."""
+        """Pass further tokens of the streaming attempt to the client unchanged."""
         sequence = attempt.sequence
         if sequence.streaming_attempt is attempt and sequence.answer.step(_MORE_TOKENS) is _PASS:
             sequence.token_count += 1
@@ -199,16 +199,16 @@
         handle: StateHandle | None = None,
         tokens: int = 0,
     ) -> None:
-        """Handle the end of an attempt; every report after the first is ignored.
+        """Handle the end of an attempt; only the first report for an attempt has an effect.
 
         Args:
-            attempt: the attempt.
-            outcome: how it ended.
-            cached_tokens: prompt tokens that the engine had cached; for a rejected write it is a flag
-                instead, nonzero if the reader had no state to fetch.
-            load: the load report that came with it.
-            handle: of the state that a reader holds now.
-            tokens: number of generated tokens.
+            attempt: The attempt.
+            outcome: How it ended.
+            cached_tokens: Prompt tokens that the engine had cached; for a rejected write instead a flag,
+                nonzero if the reader had no read state to fetch.
+            load: The load report in the engine's response, if any.
+            handle: Handle of the read state that a reader now holds.
+            tokens: Number of generated tokens.
         """
         was_streaming = attempt.is_streaming
         event = _EVENT_OF_OUTCOME[outcome]
@@ -218,10 +218,10 @@
         latency = now - attempt.sent_at
         attempt.stop_timer()
         if was_streaming and event in _REJECTIONS:
-            # A rejection after tokens must not count as one: the attempt has run.
+            # The attempt has run, so a rejection after the first tokens is treated as a reset.
             event, outcome, cached_tokens = AttemptEvent.RESET, contract.Outcome.RESET, 0.0
         attempt.outcome = outcome
-        sequence.resolve_read_state(attempt, event, bool(cached_tokens), handle, now)
+        sequence.apply_attempt_outcome(attempt, event, bool(cached_tokens), handle, now)
         self._resolve_answer(attempt, outcome, tokens)
         self._report_end(attempt, outcome, latency, cached_tokens, load)
         for observer in self._observers:
@@ -244,7 +244,7 @@
         )
 
     def _resolve_answer(self, attempt: Attempt, outcome: contract.Outcome, tokens: int) -> None:
-        """Give the client the final answer if the end of this attempt decides it."""
+        """Send the client the final answer if the end of this attempt determines it."""
         sequence, stream = attempt.sequence, attempt.sequence.streaming_attempt
         if outcome == contract.Outcome.GENERATED and (stream is None or stream is attempt):
             if sequence.answer.step(AnswerEvent.COMPLETED) == AnswerEffect.ANSWER:
@@ -255,9 +255,9 @@
             sequence.client.aborted(f"the stream broke: {outcome}")
 
     def _timed_out(self, attempt: Attempt) -> None:
-        self._stop(attempt, contract.Outcome.TIMEOUT)
+        self._stop_attempt(attempt, contract.Outcome.TIMEOUT)
 
-    def _stop(self, attempt: Attempt, outcome: contract.Outcome = contract.Outcome.CANCELLED) -> None:
+    def _stop_attempt(self, attempt: Attempt, outcome: contract.Outcome = contract.Outcome.CANCELLED) -> None:
         """Cancel an attempt at its engine unless it has ended."""
         if attempt.is_outstanding:
             self.transport.cancel(attempt)
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -1,4 +1,4 @@
-"""In-flight sequences with their attempts and the read states that engines hold for them."""
+"""In-flight sequences, with their attempts and the read states that engines hold for them."""
 
 from enum import StrEnum
 from typing import Self
@@ -18,15 +18,16 @@
 )
 from myrtlehub.state.state_machine import StateMachine
 
-NEVER = float("inf")  # seconds; the deadline of a sequence that has none
+NEVER = float("inf")  # seconds; the deadline of a sequence without one
 
-# Constants because they are used for each token message, and a member's look-up costs more than comparing it.
+# Constants because they are used for each token message, and looking up an enum member costs more than
+# comparing it.
 _STREAMING = AttemptState.STREAMING
 _NO_STATE = ReadStateStatus.NONE
 
 
 class Attempt:
-    """One attempt to run a sequence, or to read its prompt, on an engine."""
+    """One attempt to run a sequence on an engine, or to read its prompt there."""
 
     __slots__ = (
         "call",
@@ -55,39 +56,40 @@
         kind: str,
     ) -> None:
         self.sequence = sequence
-        self.number = number  # counts the attempts of this node from 0
+        self.number = number  # of this node for the sequence, from 0
         self.engine = engine
-        self.kind = kind  # the engine's kind at the time of sending, because the endpoint list may change it
+        self.kind = kind  # of the engine when the attempt was sent; the endpoint list may change it later
         self.is_read = is_read
         self.sent_at = sent_at
         self.times_out_at = times_out_at
         self.timer: Timer | None = None
         self.call: TransportCall | None = None
         self.state_machine = StateMachine(ATTEMPT, AttemptState.READING if is_read else AttemptState.WRITING)
-        self.claimed_state: ReadState | None = None  # the state that a write is to fetch
-        # The router released the read states although it is outstanding, as it may not have arrived.
+        self.claimed_state: ReadState | None = None  # the read state that this write fetches
+        # The router released the read states while the attempt was outstanding, since it may not have
+        # arrived.
         self.may_be_lost = False
-        self.outcome: contract.Outcome | None = None  # None until it has ended
+        self.outcome: contract.Outcome | None = None  # None while outstanding
 
     @property
     def is_outstanding(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the attempt has not ended."""
         return self.state_machine.state in OUTSTANDING_STATES
 
     @property
     def is_streaming(self) -> bool:
-        """Whether it has sent tokens and not ended."""
+        """Whether the attempt has sent tokens and has not ended."""
         return self.state_machine.state is _STREAMING
 
     def stop_timer(self) -> None:
-        """Cancel its timeout."""
+        """Cancel the timer of the attempt's timeout."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
 
 
 class ReadState:
-    """The read state that one reader holds for one sequence, and the handle by which writers fetch it."""
+    """The read state that a reader holds for a sequence, and the handle with which a writer fetches it."""
 
     __slots__ = ("engine", "handle", "state_machine")
 
@@ -97,8 +99,8 @@
         self.handle: StateHandle | None = None
 
     @classmethod
-    def read_for_former_owner(cls, engine: int, handle: StateHandle) -> Self:
-        """Return a state that a reader holds since a former owner of the sequence sent it the prompt."""
+    def held_for_previous_owner(cls, engine: int, handle: StateHandle) -> Self:
+        """Return the read state of a prompt that a previous owner of the sequence sent to the reader."""
         read_state = cls(engine)
         read_state.state_machine.step(ReadStateEvent.READ_SENT)
         read_state.state_machine.step(ReadStateEvent.READ_COMPLETED)
@@ -107,12 +109,12 @@
 
     @property
     def is_claimable(self) -> bool:
-        """Whether a write can be sent that fetches it."""
+        """Whether a write that fetches the read state can be sent."""
         return self.handle is not None and self.state_machine.state in CLAIMABLE_STATUSES
 
 
 class InFlightSequence:
-    """One sequence that a node has accepted and not forgotten yet."""
+    """A sequence that the node has accepted and not yet discarded."""
 
     __slots__ = (
         "accepted_at",
@@ -141,8 +143,8 @@
         client: ResponseSink,
         now: float,
     ) -> None:
-        self.number = number  # identifies it to the router
-        self.sequence_id = sequence_id  # identifies it to engines and clients
+        self.number = number  # identifies the sequence to the router
+        self.sequence_id = sequence_id  # identifies the sequence to engines and clients
         self.request = request
         self.arrival = arrival
         self.client = client
@@ -151,27 +153,27 @@
         self.answer = StateMachine(ANSWER)
         self.attempts: list[Attempt] = []
         self.read_states: dict[int, ReadState] = {}  # by engine
-        # Clock time in seconds since which an engine may have had a read state that was neither fetched nor
-        # released, with no attempt that is known to have arrived; None if there is no such time.
+        # The time in seconds since which an engine may have held a read state that was neither fetched nor
+        # released, without an attempt that is known to have arrived; None if this is not the case.
         self.unfetched_since: float | None = None
-        self.streaming_attempt: Attempt | None = None  # the attempt whose tokens the client gets
-        self.first_token_at: float | None = None  # None: no token has come yet
+        self.streaming_attempt: Attempt | None = None  # the attempt whose tokens are passed to the client
+        self.first_token_at: float | None = None  # seconds; None before the first token
         self.token_count = 0
-        self.earlier_attempts = 0  # number of attempts that former owners made
+        self.earlier_attempts = 0  # number of attempts by previous owners
 
     @property
     def first_token_latency(self) -> float | None:
-        """Seconds from acceptance to the first token; None if there is none yet."""
+        """Seconds from acceptance to the first token; None before the first token."""
         return None if self.first_token_at is None else self.first_token_at - self.accepted_at
 
     def step_read_state(self, read_state: ReadState, event: ReadStateEvent) -> StrEnum:
-        """Step a read state and return the effect; remove the read state if its reader holds nothing more."""
+        """Apply an event to a read state and return the effect; a read state no longer held is removed."""
         effect = read_state.state_machine.step(event)
         if read_state.state_machine.state is _NO_STATE:
             self.read_states.pop(read_state.engine, None)
         return effect
 
-    def resolve_read_state(
+    def apply_attempt_outcome(
         self,
         attempt: Attempt,
         outcome: AttemptEvent,
@@ -179,7 +181,15 @@
         handle: StateHandle | None,
         now: float,
     ) -> None:
-        """Step the read state that an attempt made or claimed, by the attempt's outcome at a time."""
+        """Apply the outcome of an attempt to the read state that it created or claimed.
+
+        Args:
+            attempt: The attempt, which has ended.
+            outcome: Its outcome.
+            is_state_missing: Whether a rejected write found no read state at the reader.
+            handle: With it a writer fetches the read state that a read created.
+            now: The current time in seconds.
+        """
         if attempt.is_read:
             read_state = self.read_states[attempt.engine]
             read_state.handle = handle
@@ -187,10 +197,10 @@
         elif attempt.claimed_state is not None:
             event = event_of_write_end(outcome, is_state_missing=is_state_missing)
             self.step_read_state(attempt.claimed_state, event)
-        if outcome not in (AttemptEvent.UNREACHED, AttemptEvent.UNSENT):  # these have not arrived
+        if outcome not in (AttemptEvent.UNREACHED, AttemptEvent.UNSENT):  # such attempts did not arrive
             self.unfetched_since = now if self.read_states else None
 
-    def claimable_state(self) -> ReadState | None:
-        """Return the read state that the next write is to fetch: the one that was made last."""
+    def latest_claimable_state(self) -> ReadState | None:
+        """Return the read state that the next write has to fetch: the one that was created last."""
         claimable = [state for state in self.read_states.values() if state.is_claimable]
         return claimable[-1] if claimable else None
--- a/tests/node/test_action_executor.py
+++ b/tests/node/test_action_executor.py
@@ -1,4 +1,4 @@
-"""The action executor: same actions as in the simulator, order of execution, observers."""
+"""The action executor: equivalence with the simulator, order of execution, observers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -16,15 +16,17 @@
 from myrtlehub.routing import contract
 from myrtlehub.routing.policy.router import Router
 
-OUTCOME_CODES = {ours: wire for wire, ours in simulator.OUTCOMES.items()}
-EFFECTS = {ours: wire for wire, ours in platform_settings.RETRY_SEMANTICS.items()}
-ENGINE_STATES = {ours: wire for wire, ours in simulator.STATES.items()}
-LOAD_UNITS = {ours: (wire, factor) for wire, (ours, factor) in platform_settings.LOAD_VALUES.items()}
-MS = 1e3
+WIRE_OUTCOMES = {internal: wire for wire, internal in simulator.OUTCOMES.items()}
+WIRE_RETRY_SEMANTICS = {internal: wire for wire, internal in platform_settings.RETRY_SEMANTICS.items()}
+WIRE_ENGINE_STATES = {internal: wire for wire, internal in simulator.STATES.items()}
+WIRE_LOAD_VALUES = {
+    internal: (wire, factor) for wire, (internal, factor) in platform_settings.LOAD_VALUES.items()
+}
+MS_PER_SECOND = 1e3
 
 
 class RecordedCall(NamedTuple):
-    """A call of a router, and the actions that it returned."""
+    """A router call and the actions that it returned."""
 
     now: float
     name: str
@@ -33,7 +35,7 @@
 
 
 class RecordingObserver(ExecutorObserver):
-    """An observer that records its notifications, with its name, in a list that several observers share."""
+    """An observer that appends its name and each notification to a list, which observers may share."""
 
     def __init__(self, name: str, notifications: list[tuple[str, str]]) -> None:
         self.name = name
@@ -81,26 +83,26 @@
         super().__init__(RecordingRouter(router), *arguments)
 
 
-def wire_settings_of(config: contract.RouterConfig) -> dict:
-    """A router's configuration as the platform's settings."""
+def platform_settings_of(config: contract.RouterConfig) -> dict:
+    """Return a router configuration as settings of the platform."""
     return {
         "Balancers": config.node_count,
         "Ordinal": config.node,
         "Zones": ["z"],
         "MyZone": "z",
-        "PeriodMs": config.tick * MS,
+        "PeriodMs": config.tick * MS_PER_SECOND,
         "MachineTypes": [f"k{i}" for i in range(len(config.reads))],
         "OverShareWorth": config.over_quota_utility,
         "Classes": [
             {
                 "Name": f"t{i}",
-                "Effect": EFFECTS[t.retry_semantics],
-                "AimMs": t.latency_slo * MS,
-                "GiveUpMs": t.abandon_time * MS,
+                "Effect": WIRE_RETRY_SEMANTICS[t.retry_semantics],
+                "AimMs": t.latency_slo * MS_PER_SECOND,
+                "GiveUpMs": t.abandon_time * MS_PER_SECOND,
                 "Credit": t.utility,
                 "LateWorth": t.late_share,
                 "DedupScope": t.dedup_group,
-                "WindowMs": t.dedup_window * MS,
+                "WindowMs": t.dedup_window * MS_PER_SECOND,
             }
             for i, t in enumerate(config.traffic)
         ],
@@ -108,38 +110,38 @@
             "Cancel": config.may_cancel,
             "MostTries": config.max_attempts,
             "RetryAfter": True,
-            "MaxRetryAfterMs": config.max_retry_after * MS,
+            "MaxRetryAfterMs": config.max_retry_after * MS_PER_SECOND,
         },
         "Invariants": {
-            "AnswerSlackMs": config.answer_slack * MS,
-            "ColdMs": config.cold_time * MS,
+            "AnswerSlackMs": config.answer_slack * MS_PER_SECOND,
+            "ColdMs": config.cold_time * MS_PER_SECOND,
             "ColdShare": config.cold_share,
-            "DrainGraceMs": config.drain_grace * MS,
-            "FallMs": config.overload_window * MS,
+            "DrainGraceMs": config.drain_grace * MS_PER_SECOND,
+            "FallMs": config.overload_window * MS_PER_SECOND,
             "FallMultiple": config.overload_multiple,
         },
         "Specifics": {
             "DutyByKind": ["read" if r else "write" for r in config.reads],
             "KvTokens": list(config.memory),
-            "LetGoByMs": config.state_timeout * MS,
+            "LetGoByMs": config.state_timeout * MS_PER_SECOND,
             "SelfPrefill": config.writers_can_read,
-            "TokenAimMs": [t.seconds_per_token * MS for t in config.traffic],
+            "TokenAimMs": [t.seconds_per_token * MS_PER_SECOND for t in config.traffic],
         },
     }
 
 
-def members_event(
+def endpoint_list_event(
     updates: list[contract.EndpointUpdate], is_complete: bool, engine_names: dict[int, str]
 ) -> dict:
-    """A change of the endpoint list in the wire format; gives new engines a name."""
+    """Return a change of the endpoint list in the wire format; new engines are given a name."""
     entries = [
         {
             "Engine": engine_names.setdefault(update.engine, f"e{update.engine}"),
             "Type": f"k{update.kind}",
-            "State": ENGINE_STATES[update.state],
+            "State": WIRE_ENGINE_STATES[update.state],
             "Dc": "z",
             "Cluster": update.cell,
-            "StartTimeMs": update.started_at * MS,
+            "StartTimeMs": update.started_at * MS_PER_SECOND,
             "Heft": update.weight,
         }
         for update in updates
@@ -148,11 +150,11 @@
 
 
 def request_event(arrival: contract.Arrival) -> dict:
-    """An arrival in the wire format."""
+    """Return an arrival in the wire format."""
     return {
         "verb": "REQ",
         "InputLen": arrival.prompt_tokens,
-        "TimeBudgetMs": arrival.time_left * MS,
+        "TimeBudgetMs": arrival.time_left * MS_PER_SECOND,
         "Chat": arrival.session,
         "Prefix": arrival.prefix,
         "SharedLen": arrival.shared_tokens,
@@ -170,16 +172,16 @@
     cached_tokens: float,
     load: contract.LoadReport | None,
 ) -> dict:
-    """The end of an attempt in the wire format."""
+    """Return the end of an attempt in the wire format."""
     report = None
     if load is not None:
         reported = {field: value for field, value in load._asdict().items() if value is not None}
-        report = {LOAD_UNITS[f][0]: value / LOAD_UNITS[f][1] for f, value in reported.items()}
+        report = {WIRE_LOAD_VALUES[f][0]: value / WIRE_LOAD_VALUES[f][1] for f, value in reported.items()}
     return {
         "verb": "RESPONSE",
         "Copy": attempt,
-        "StateCode": OUTCOME_CODES[outcome],
-        "LatencyMs": latency * MS,
+        "StateCode": WIRE_OUTCOMES[outcome],
+        "LatencyMs": latency * MS_PER_SECOND,
         "Settled": is_answered,
         "Info": cached_tokens,
         "Telemetry": report,
@@ -187,10 +189,10 @@
 
 
 def wire_event_of(call: RecordedCall, engine_names: dict[int, str]) -> dict:
-    """One of the executor's calls in the wire format."""
+    """Return one of the executor's router calls in the wire format."""
     name, arguments = call.name, call.arguments
     if name == "update_endpoints":
-        return members_event(*arguments, engine_names)
+        return endpoint_list_event(*arguments, engine_names)
     if name == "wake":
         return {"verb": "WAKEUP", "Name": str(arguments[0])}
     sequence, *rest = arguments
@@ -199,18 +201,18 @@
     elif name == "client_left":
         event = {"verb": "DROPPED"}
     elif name == "began":
-        event = {"verb": "ESTABLISHED", "Copy": rest[0], "LatencyMs": rest[1] * MS}
+        event = {"verb": "ESTABLISHED", "Copy": rest[0], "LatencyMs": rest[1] * MS_PER_SECOND}
     else:
         event = response_event(*rest)
     return {"Rid": f"r{sequence}", **event}
 
 
-def rounded(actions: list[contract.Action]) -> list[tuple]:
+def round_floats(actions: list[contract.Action]) -> list[tuple]:
     return [tuple(round(x, 6) if isinstance(x, float) else x for x in action) for action in actions]
 
 
 def run_with_faults() -> Fleet:
-    """Run a small fleet through rejections, a disconnect, a killed engine, a restart and a drain."""
+    """Run a small fleet through rejections, a disconnection, a killed engine, a restart and a drain."""
     fleet = Fleet("R0 R1 W0 W0 W1", executor_class=RecordingExecutor, slots=3)
     for i in range(60):
         fleet.generate(
@@ -226,9 +228,9 @@
         if i == 15:
             fleet.inject_fault("W0c", "refuse", 0.7, seconds=0.6)
         if i == 20:
-            leaver = fleet.generate(prompt=3000)
+            disconnecting_call = fleet.generate(prompt=3000)
             fleet.run(0.02)
-            fleet.cancel(leaver)
+            fleet.cancel(disconnecting_call)
             fleet.kill("W0d")
         if i == 30:
             fleet.push_list_event("W0d", "gone")
@@ -244,9 +246,10 @@
 
 
 def use_hash_seeds_of(calls: list[RecordedCall], router: Router) -> None:
-    """Give a router the hash seeds that another one got.
+    """Make a router use the hash seeds of recorded calls.
 
-    Seeds are made of the engines' addresses, and the simulator has other names for the engines.
+    The executor derives the seeds from the engines' addresses, and the simulator has other names for the
+    engines.
     """
     hash_seeds = {
         update.engine: update.hash_seed
@@ -259,8 +262,8 @@
     def with_hash_seeds(
         now: float, updates: list[contract.EndpointUpdate], is_complete: bool
     ) -> list[contract.Action]:
-        seeded = [update._replace(hash_seed=hash_seeds[update.engine]) for update in updates]
-        return update_endpoints(now, seeded, is_complete)
+        updates_with_seeds = [update._replace(hash_seed=hash_seeds[update.engine]) for update in updates]
+        return update_endpoints(now, updates_with_seeds, is_complete)
 
     router.update_endpoints = with_hash_seeds
 
@@ -269,7 +272,7 @@
     fleet = run_with_faults()
     calls = fleet.nodes["n0"].executor.router.calls
     config = router_config_of(fleet.nodes["n0"].sheet)
-    settings = wire_settings_of(config)
+    settings = platform_settings_of(config)
     assert platform_settings.router_config_from_settings(settings, config.seed) == config
     adapter = simulator.Node("n0", {"Settings": settings, "Entropy": config.seed}, calls[0].now)
     adapter.router = Router(config)
@@ -280,7 +283,7 @@
         event = wire_event_of(call, engine_names)
         if event["verb"] == "RESPONSE":
             event["Engine"] = engine_names[engine_of_attempt[call.arguments[0], call.arguments[1]]]
-        assert rounded(adapter.call(event, call.now)) == rounded(call.actions), call
+        assert round_floats(adapter.call(event, call.now)) == round_floats(call.actions), call
         for action in call.actions:
             adapter.encode(action)
             action_types.add(type(action))
@@ -312,37 +315,37 @@
     ids=lambda action: type(action).__name__,
 )
 def test_an_action_that_the_configuration_rules_out_raises(action: contract.Action) -> None:
-    host = Fleet().nodes["n0"].executor
-    host.router.wake = lambda now, token: [action]
-    with pytest.raises(ContractViolationError, match="rule out") as caught:
-        host.wake(0)
-    assert caught.value.action == action
+    executor = Fleet().nodes["n0"].executor
+    executor.router.wake = lambda now, token: [action]
+    with pytest.raises(ContractViolationError, match="its configuration does not allow") as raised:
+        executor.wake(0)
+    assert raised.value.action == action
 
 
 def test_actions_are_executed_in_order_and_router_calls_never_nest() -> None:
-    host, seen, depth = Fleet().nodes["n0"].executor, [], []
+    executor, events, active_calls = Fleet().nodes["n0"].executor, [], []
 
     class ScriptedRouter:
         def wake(self, now: float, token: int) -> list[contract.Action]:
-            assert not depth, "called while it is being called"
-            depth.append(1)
-            seen.append(token)
-            depth.pop()
+            assert not active_calls, "nested router call"
+            active_calls.append(1)
+            events.append(token)
+            active_calls.pop()
             return [contract.LogNote(f"{token}a"), contract.LogNote(f"{token}b")]
 
     def log(event: LogEvent, text: str) -> None:
         assert event is LogEvent.ROUTER_NOTE
-        seen.append(text)
+        events.append(text)
         if text == "1a":
-            host.wake(2)
+            executor.wake(2)
 
-    host.router = ScriptedRouter()
-    host.log = log
-    host.wake(1)
-    assert seen == [1, "1a", "1b", 2, "2a", "2b"]
+    executor.router = ScriptedRouter()
+    executor.log = log
+    executor.wake(1)
+    assert events == [1, "1a", "1b", 2, "2a", "2b"]
 
 
-def test_observers_are_notified_in_the_order_in_which_they_were_added_until_they_are_removed() -> None:
+def test_observers_are_notified_in_order_of_addition_until_removed() -> None:
     fleet = Fleet("R0 W0")
     executor = fleet.nodes["n0"].executor
     notifications: list[tuple[str, str]] = []
@@ -358,7 +361,7 @@
     assert events.count("attempt_started") == events.count("attempt_ended") >= 1
     assert all(events.count(event) == 1 for event in ("answer_started", "answered", "sequence_forgotten"))
     assert events.index("answer_started") < events.index("answered") < events.index("sequence_forgotten")
-    assert events[-2:] == ["executor_idle", "attempt_ended"]  # the router is called before the observers
+    assert events[-2:] == ["executor_idle", "attempt_ended"]  # the router is notified before the observers
     executor.remove_observer(first)
     del notifications[:]
     fleet.generate(prompt=100)
