--- a/myrtlehub/http1/bounds.py
+++ b/myrtlehub/http1/bounds.py
@@ -1,46 +1,47 @@
-"""Bounds of the HTTP/1.1 layer, each with its unit and its reason."""
+"""Size limits, timeouts and delays of the HTTP/1.1 layer."""
 
 # Sizes
 
-MAX_HEAD_BYTES = 16 * 1024  # of a head or of a chunk's size line; a usual limit of servers
-MAX_BODY_BYTES = 256 * 1024  # of a request's body; the platform guarantees it
-# Buffered behind an open request of one connection: the largest possible request.
+MAX_HEAD_BYTES = 16 * 1024  # of a message head or the size line of a chunk; a common limit of servers
+MAX_BODY_BYTES = 256 * 1024  # of a request body; the platform guarantees this maximum
+# Buffered on one connection after its open request: the largest possible request.
 MAX_READ_AHEAD_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES
-# Buffered behind the open requests of all connections: hundreds of clients may pipeline at once.
+# Buffered on all connections after their open requests: hundreds of clients may pipeline at once.
 MAX_TOTAL_READ_AHEAD_BYTES = 8 * 1024 * 1024
-# Read and discarded of one connection beyond the read-ahead, so that the end of the connection is noticed.
-# A client that sends more than this, which costs a third of a second of one core, is disconnected.
+# Read and discarded on one connection after its read-ahead is full, so that a disconnect is still detected.
+# Reading this much takes a third of a second of one core; a client that sends more is disconnected.
 MAX_DISCARDED_BYTES = 64 * 1024 * 1024
-MAX_SMALL_RESPONSE_BYTES = 64 * 1024  # of a response without a stream: a load report or a token count
-MAX_CHUNK_BYTES = 256 * 1024  # of one chunk of a stream; an event is far smaller
-MAX_INFORMATIONAL_RESPONSES = 8  # 1xx before a response; a peer that sends more is faulty
+MAX_SMALL_RESPONSE_BYTES = 64 * 1024  # of a response that is not streamed: a load report or a token count
+MAX_CHUNK_BYTES = 256 * 1024  # of one chunk of a stream; events are far smaller
+MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses before the final one; a peer that sends more is faulty
 
-# Timeouts of clients' connections, in seconds
+# Timeouts of client connections to the server, in seconds
 
-# For a request to become complete, and for a new connection to send its first one. The platform allows 3 s.
+# For receiving a complete request, and for the first request on a new connection. The platform allows 3 s.
 REQUEST_TIMEOUT_S = 2.0
-# For the client to read the last response and to close, before the connection is aborted.
+# For the client to read the last response and close the connection, before the server aborts it.
 LINGER_TIMEOUT_S = 3.0
-# For a new connection to send its first byte during a graceful shutdown; clients send once they connect.
+# For the first byte on a new connection during a graceful shutdown; clients send as soon as they connect.
 DRAINING_FIRST_BYTE_TIMEOUT_S = 0.3
-IDLE_TIMEOUT_S = 5.0  # for a connection without a request; each idle connection costs memory
-STALLED_WRITE_TIMEOUT_S = 20.0  # for a client that reads nothing of its stream
+IDLE_TIMEOUT_S = 5.0  # for a connection without an open request; each idle connection uses memory
+STALLED_WRITE_TIMEOUT_S = 20.0  # for a client that has stopped reading its stream
 
-# Admission of clients' connections, in seconds
+# Admission of client connections, in seconds
 
-# For a client to send its first request once it is connected, before its connection may be evicted. The
-# eviction also waits until the data that arrived within this time was read (`read_progress.py`).
-READ_GRACE_S = 0.05
-MIN_READ_GRACE_S = 0.02  # the same when the connection limit is exceeded: a few reactor turns
+# Time that a new connection gets to send its first request before it may be evicted. The eviction also waits
+# until the data that arrived within this time has been read (`read_progress.py`).
+FIRST_REQUEST_GRACE_S = 0.05
+# The same once the burst allowance above the connection limit is used up as well: a few reactor turns.
+MIN_FIRST_REQUEST_GRACE_S = 0.02
 
 # Connections to peers, in seconds
 
-# Rest of an idle connection before it is reused, in which surplus bytes behind its last response arrive.
+# Time that a connection stays idle before it is reused. Surplus data after its last response arrives by then.
 MIN_IDLE_BEFORE_REUSE_S = 0.05
-# Pause in the reuse of connections after one failed under its next request. A new connection costs its peer a
-# millisecond or two; a request that may have run costs an attempt.
+# Time without reuse of connections after a reused one failed. A new connection costs its peer a millisecond
+# or two; a request that may have been executed costs an attempt.
 REUSE_SUSPENSION_S = 30.0
-# Backoff before a connection attempt that failed for lack of a local resource is repeated; it doubles each
-# time. All retries together take 0.3 s, as long as a connection to a peer may take.
-LOCAL_RETRY_DELAY_S = 0.02
-MAX_LOCAL_RETRIES = 4
+# First backoff after a connection attempt failed for lack of a local resource; it doubles with each retry.
+# All retries together take 0.3 s, as long as establishing a connection to a peer may take.
+CONNECT_RETRY_DELAY_S = 0.02
+MAX_CONNECT_RETRIES = 4
--- a/myrtlehub/http1/close_reason.py
+++ b/myrtlehub/http1/close_reason.py
@@ -1,4 +1,4 @@
-"""Reasons for which connections are closed: those of clients, and those to peers such as engines."""
+"""Reasons for closing connections: those accepted from clients, and those to peers such as engines."""
 
 from enum import StrEnum
 
@@ -6,14 +6,14 @@
 class CloseReason(StrEnum):
     """Reason for which the server closes a client's connection; the values appear in the log."""
 
-    IDLE_TIMEOUT = "idle_timeout"  # no request data came within the idle or first-request timeout
+    IDLE_TIMEOUT = "idle_timeout"  # no request data arrived within the idle or first-request timeout
     LAST_RESPONSE = "last_response"  # the response announced the close, or ended during a graceful shutdown
-    MALFORMED_REQUEST = "malformed_request"  # after a response 400, 408, 413 or 431
-    STREAM_FAILED = "stream_failed"  # the node ended a response before it was complete
+    MALFORMED_REQUEST = "malformed_request"  # after a response with status 400, 408, 413 or 431
+    STREAM_FAILED = "stream_failed"  # the node aborted an incomplete response
     DRAINING = "draining"  # the connection was idle during a graceful shutdown
-    CONNECTION_LIMIT = "connection_limit"  # evicted: the limit was reached and a newer connection came
+    CONNECTION_LIMIT = "connection_limit"  # evicted for a newer connection after the limit was reached
     LINGER_TIMEOUT = "linger_timeout"  # the client did not read the last response and close in time
-    WRITE_TIMEOUT = "write_timeout"  # the client read nothing of a stream for too long
+    WRITE_TIMEOUT = "write_timeout"  # the client stopped reading a stream for too long
     PIPELINE_FLOOD = "pipeline_flood"  # the client sent too much data while its request was open
 
 
@@ -22,9 +22,9 @@
 
     LOST = "lost"  # the peer closed or reset it, or the network reported an error
     SURPLUS_DATA = "surplus_data"  # the peer sent data while no request was pending
-    NOT_REUSABLE = "not_reusable"  # its response was complete, and it cannot or may not carry another request
-    REQUEST_FAILED = "request_failed"  # its response could not be parsed
-    CANCELLED = "cancelled"  # the request on it, or the one that it was made for, was cancelled
+    NOT_REUSABLE = "not_reusable"  # the response was complete, but the connection must not be reused
+    REQUEST_FAILED = "request_failed"  # the response was malformed or exceeded a limit
+    CANCELLED = "cancelled"  # the request that was assigned to the connection was cancelled
     IDLE_TIMEOUT = "idle_timeout"
-    ROOM_NEEDED = "room_needed"  # it was idle for longest, and another connection was needed
+    ROOM_NEEDED = "room_needed"  # the pool was full; this connection had been idle longest
     CLOSED_BY_ROUTER = "closed_by_router"  # the router asked to close the idle connections to the peer
--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -6,7 +6,7 @@
 from twisted.internet.protocol import Factory
 
 from myrtlehub.clock import Clock
-from myrtlehub.http1.bounds import LOCAL_RETRY_DELAY_S, MAX_LOCAL_RETRIES
+from myrtlehub.http1.bounds import CONNECT_RETRY_DELAY_S, MAX_CONNECT_RETRIES
 from myrtlehub.http1.client_connection import ClientConnection
 from myrtlehub.http1.client_interfaces import Connecting, PooledConnection
 from myrtlehub.http1.client_request import ClientRequest, RequestFailure, ResponseHandler
@@ -111,10 +111,10 @@
 
     def _retry_locally(self, pending: PendingRequest) -> None:
         """Connect again after a backoff, because the attempt failed for lack of a local resource."""
-        if pending.local_failures >= MAX_LOCAL_RETRIES:
+        if pending.local_failures >= MAX_CONNECT_RETRIES:
             self.clock.callLater(0, self._finish_failed, pending, RequestFailure.NOT_SENT)
             return
-        delay = LOCAL_RETRY_DELAY_S * 2**pending.local_failures
+        delay = CONNECT_RETRY_DELAY_S * 2**pending.local_failures
         pending.local_failures += 1
         self.clock.callLater(delay, self._connect, pending)
 
--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -5,7 +5,7 @@
 from twisted.internet.protocol import Factory
 
 from myrtlehub.clock import Clock
-from myrtlehub.http1.bounds import MIN_READ_GRACE_S, READ_GRACE_S
+from myrtlehub.http1.bounds import FIRST_REQUEST_GRACE_S, MIN_FIRST_REQUEST_GRACE_S
 from myrtlehub.http1.close_reason import CloseReason
 from myrtlehub.http1.read_progress import ReadProgress
 from myrtlehub.http1.server_connection import ServerConnection
@@ -83,7 +83,7 @@
         if len(self.connections) > self.max_connections:
             self._read_progress.advance()
         if self._open_count() > self.max_connections + self.burst:
-            evictable = self._evictable(MIN_READ_GRACE_S)
+            evictable = self._evictable(MIN_FIRST_REQUEST_GRACE_S)
             if evictable:
                 self._drop(min(evictable, key=_eviction_order))
             else:
@@ -93,7 +93,7 @@
 
     def _schedule_eviction(self) -> None:
         self._is_eviction_scheduled = True
-        self.clock.callLater(READ_GRACE_S, self._read_progress.advance, self._evict_surplus)
+        self.clock.callLater(FIRST_REQUEST_GRACE_S, self._read_progress.advance, self._evict_surplus)
 
     def _pause_accepting(self) -> None:
         """Stop accepting until the data of the newest connections was read."""
@@ -103,11 +103,11 @@
             self._schedule_resumption()
 
     def _schedule_resumption(self) -> None:
-        self.clock.callLater(MIN_READ_GRACE_S, self._read_progress.advance, self._try_to_resume)
+        self.clock.callLater(MIN_FIRST_REQUEST_GRACE_S, self._read_progress.advance, self._try_to_resume)
 
     def _try_to_resume(self) -> None:
         try:
-            for connection in self._next_evicted(MIN_READ_GRACE_S):
+            for connection in self._next_evicted(MIN_FIRST_REQUEST_GRACE_S):
                 self._drop(connection)
         finally:  # if a transport raises an exception here, connections must still be accepted again
             if self._open_count() > self.max_connections + self.burst:
@@ -147,7 +147,7 @@
         """Drop lingering connections, and close unused ones gracefully; the next call drops the latter."""
         self._is_eviction_scheduled = False
         try:
-            for connection in self._next_evicted(READ_GRACE_S):
+            for connection in self._next_evicted(FIRST_REQUEST_GRACE_S):
                 if connection.is_closing:
                     self._drop(connection)
                 else:
--- a/myrtlehub/http1/local_errors.py
+++ b/myrtlehub/http1/local_errors.py
@@ -1,4 +1,4 @@
-"""Connection errors that are caused by this machine, not by the peer."""
+"""Connection errors caused by this machine rather than by the peer."""
 
 import errno
 
@@ -21,7 +21,7 @@
 
 
 def is_local_error(failure: object) -> bool:
-    """Return whether a connection attempt failed for a local reason.
+    """Return whether a connection attempt failed because of a local error.
 
     Args:
         failure: The `twisted.python.failure.Failure` of the attempt.
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -6,10 +6,10 @@
 
 from myrtlehub.http1.bounds import (
     DRAINING_FIRST_BYTE_TIMEOUT_S,
+    FIRST_REQUEST_GRACE_S,
     IDLE_TIMEOUT_S,
     LINGER_TIMEOUT_S,
     MAX_HEAD_BYTES,
-    READ_GRACE_S,
     REQUEST_TIMEOUT_S,
     STALLED_WRITE_TIMEOUT_S,
 )
@@ -110,7 +110,7 @@
         """
         now = self.clock.seconds()
         waiting_since, self._waiting_since = self._waiting_since, None
-        if waiting_since is not None and now - self.idle_since <= READ_GRACE_S:
+        if waiting_since is not None and now - self.idle_since <= FIRST_REQUEST_GRACE_S:
             return waiting_since
         return now
 
