--- a/myrtlehub/http1/client_connection.py
+++ b/myrtlehub/http1/client_connection.py
@@ -15,9 +15,9 @@
 class ClientConnection(TcpProtocol):
     """Connection to a peer; see `client_interfaces.PooledConnection` for its attributes.
 
-    While it sends a request, it is registered as a pull producer of its transport. The transport asks a pull
-    producer for more data once all written data has left the process; by this call the connection learns that
-    the last byte of the request was sent.
+    While a request is being sent, the connection is registered with its transport as a pull producer. The
+    transport asks a pull producer for more data once all written data has been passed to the kernel. This
+    call shows that the last byte of the request was sent.
     """
 
     def __init__(self, pool: ConnectionOwner, peer: str) -> None:
@@ -32,10 +32,10 @@
         self.has_completed_request = False
         self._has_response_begun = False
         self._is_chunked = False
-        self._is_in_chunk = False
+        self._is_inside_chunk = False
         self._informational_count = 0
         self._chunk_bytes = 0
-        self._unwritten: bytes | None = None
+        self._unwritten_data: bytes | None = None
 
     def send_request(self, pending: OutstandingRequest) -> None:
         """Send a request; the connection has to be idle."""
@@ -43,9 +43,9 @@
         self.is_request_sent = False
         self._has_response_begun = False
         self._is_chunked = False
-        self._is_in_chunk = False
+        self._is_inside_chunk = False
         self._informational_count = 0
-        self._unwritten = self._serialize(pending.request, pending.address)
+        self._unwritten_data = self._serialize(pending.request, pending.address)
         self.transport.registerProducer(self, False)
 
     def _serialize(self, request: ClientRequest, address: str) -> bytes:
@@ -59,16 +59,16 @@
         return b"".join([self.http.send(event) or b"" for event in events])
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the request; at the next call, record that its last byte has left this process."""
-        if self._unwritten is not None:
-            data, self._unwritten = self._unwritten, None
+        """Write the request; when called again, record that its last byte was passed to the kernel."""
+        if self._unwritten_data is not None:
+            data, self._unwritten_data = self._unwritten_data, None
             self.transport.write(data)
         else:
             self.is_request_sent = True
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing, because `connectionLost` is called as well."""
+        """Do nothing: `connectionLost` is called as well and handles the loss."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Parse received data as a response; close the connection if no request is pending."""
@@ -85,11 +85,11 @@
             self._fail()
 
     def _handle_event(self, event: _ParserEvent, pending: OutstandingRequest) -> bool:
-        """Handle one event of the parser; return False if the request has failed by it."""
+        """Handle one event of the parser; return False if it made the request fail."""
         self._has_response_begun = True
         if type(event) is h11.Data:
             self._chunk_bytes = len(event.data) + (0 if event.chunk_start else self._chunk_bytes)
-            self._is_in_chunk = self._is_chunked and not event.chunk_end
+            self._is_inside_chunk = self._is_chunked and not event.chunk_end
             if self._is_chunked and self._chunk_bytes > MAX_CHUNK_BYTES:
                 self._fail()
                 return False
@@ -111,8 +111,8 @@
         return True
 
     def has_partial_data(self) -> bool:
-        """Return whether the peer has sent a part of a chunk, or of its size line."""
-        return self._is_in_chunk or bool(self.http.trailing_data[0])
+        """Return whether the peer has sent an incomplete chunk or chunk size line."""
+        return self._is_inside_chunk or bool(self.http.trailing_data[0])
 
     def _is_reusable(self) -> bool:
         http = self.http
@@ -149,14 +149,14 @@
             )
 
     def close(self, reason: PeerCloseReason) -> None:
-        """Close the connection at once; data in transit is discarded."""
+        """Abort the connection; data that is not sent yet is discarded."""
         if not self.is_closed:
             self.is_closed = True
             self.pool.remove(self, reason)
             abortive_close(self.transport)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """Remove the connection from the pool, and fail its request, if any."""
+        """Remove the connection from the pool, and fail its pending request, if any."""
         self.is_closed = True
         self.pool.remove(self, PeerCloseReason.LOST)
         if self.pending is not None:
--- a/myrtlehub/http1/client_interfaces.py
+++ b/myrtlehub/http1/client_interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces by which client connections, their pool, pending requests and the reactor use each other."""
+"""Interfaces between client connections, their pool, pending requests and the reactor."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -10,12 +10,12 @@
 
 
 class OutstandingRequest(Protocol):
-    """A pending request, as far as its connection uses it.
+    """The part of a pending request that its connection uses.
 
     Attributes:
         request: The request to send.
         address: HOST:PORT of the peer, sent as the Host header.
-        handler: Receives the response.
+        handler: Handler of the response.
     """
 
     request: ClientRequest
@@ -27,16 +27,16 @@
 
 
 class PooledConnection(Protocol):
-    """A connection to a peer, as far as its pool and its request use it.
+    """The part of a connection to a peer that its pool and its request use.
 
     Attributes:
         peer: Name of the peer.
         pending: Request that awaits its response, if any.
-        idle_since: Clock time in seconds at which the pool last stored it; undefined while it is in use.
-        is_closed: Whether it is closed or lost.
+        idle_since: Clock time in seconds at which the connection became idle; undefined while it is in use.
+        is_closed: Whether the connection is closed or lost.
         is_request_sent: Whether the last byte of the current request has been sent.
-        has_completed_request: Whether an earlier request was completed on it.
-        transport: Its TCP transport.
+        has_completed_request: Whether an earlier request was completed on this connection.
+        transport: TCP transport of the connection.
     """
 
     peer: str
@@ -51,32 +51,32 @@
         """Send a request; the connection has to be idle."""
 
     def has_partial_data(self) -> bool:
-        """Return whether the peer has sent a part of a chunk, or of its size line."""
+        """Return whether the peer has sent an incomplete chunk or chunk size line."""
 
     def close(self, reason: PeerCloseReason) -> None:
-        """Close the connection at once."""
+        """Abort the connection; data that is not sent yet is discarded."""
 
 
 class ConnectionOwner(Protocol):
-    """A connection pool, as far as its connections and requests use it."""
+    """The part of a connection pool that its connections and requests use."""
 
     clock: Clock
 
     def add_idle(self, connection: PooledConnection) -> None:
-        """Store a connection for reuse."""
+        """Store an idle connection for reuse."""
 
     def remove(self, connection: PooledConnection, reason: PeerCloseReason) -> None:
         """Remove a connection that is closed or lost."""
 
     def suspend_reuse(self) -> None:
-        """Stop reusing idle connections for REUSE_SUSPENSION_S, because one has failed when it was reused."""
+        """Stop reusing idle connections for REUSE_SUSPENSION_S, because a reused one failed."""
 
     def is_reuse_allowed(self) -> bool:
         """Return whether idle connections may be reused now."""
 
 
-class Connecting(Protocol):
-    """A connection attempt: a Deferred that fires with the protocol of the connection."""
+class ConnectionAttempt(Protocol):
+    """An attempt to connect: a Deferred that fires with the protocol of the new connection."""
 
     def addCallbacks(  # noqa: N802
         self,
@@ -86,7 +86,7 @@
         callbackArgs: tuple[object, ...],  # noqa: N803
         errbackArgs: tuple[object, ...],  # noqa: N803
     ) -> object:
-        """Register what to call when the connection is made, and when the attempt fails."""
+        """Register the functions to call when the attempt succeeds or fails."""
 
     def cancel(self) -> None:
-        """Abandon the attempt."""
+        """Cancel the attempt."""
--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -8,7 +8,7 @@
 from myrtlehub.clock import Clock
 from myrtlehub.http1.bounds import CONNECT_RETRY_DELAY_S, MAX_CONNECT_RETRIES
 from myrtlehub.http1.client_connection import ClientConnection
-from myrtlehub.http1.client_interfaces import Connecting, PooledConnection
+from myrtlehub.http1.client_interfaces import ConnectionAttempt, PooledConnection
 from myrtlehub.http1.client_request import ClientRequest, RequestFailure, ResponseHandler
 from myrtlehub.http1.close_reason import PeerCloseReason
 from myrtlehub.http1.idle_connections import IdleConnections
@@ -16,33 +16,33 @@
 from myrtlehub.http1.pending_request import FirstByteHook, PendingRequest
 from myrtlehub.log_events import Log, LogEvent, no_log
 
-Dial = Callable[[Factory], Connecting]
+Dial = Callable[[Factory], ConnectionAttempt]
 
 
 def _send_unchanged(request: ClientRequest) -> ClientRequest:
     return request
 
 
-class _SingleConnectionFactory(Factory):
+class _ClientConnectionFactory(Factory):
     noisy = False
 
-    def __init__(self, make: Callable[[], ClientConnection]) -> None:
-        self.make = make
+    def __init__(self, make_connection: Callable[[], ClientConnection]) -> None:
+        self.make_connection = make_connection
 
     def buildProtocol(self, addr: object) -> ClientConnection:  # noqa: N802
-        return self.make()
+        return self.make_connection()
 
 
 class ConnectionPool:
     """Sends requests to peers, each on an idle connection or on a new one.
 
     Attributes:
-        dialer: `dialer(address)` returns a function that connects a factory to HOST:PORT.
-        max_connections: Upper bound for `count`.
+        dialer: Given HOST:PORT, returns a function that connects a protocol factory to that address.
+        max_connections: Upper bound of `count`.
         idle: The idle connections.
         count: Number of connections that are open or being established.
         opened_count: Total number of connection attempts, including failed ones.
-        reuse_count: Total number of requests that were sent on a reused connection.
+        reuse_count: Total number of requests sent on a reused connection.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.count = 0
         self.opened_count = 0
         self.reuse_count = 0
-        self._connected: set[PooledConnection] = set()
+        self._open_connections: set[PooledConnection] = set()
 
     def send(
         self,
@@ -78,16 +78,16 @@
             peer: Name of the peer.
             address: HOST:PORT of the peer.
             request: The request to send.
-            handler: Receives the response.
+            handler: Handler of the response.
             may_reuse: Whether an idle connection may be used.
-            at_first_byte: Called with the request just before its first byte is written; returns the request
+            at_first_byte: Called with the request just before its first byte is written. Returns the request
                 to write, or None to abandon it.
         """
         pending = PendingRequest(self, peer, address, request, handler, at_first_byte)
         idle = self.idle.take(peer) if may_reuse else None
         if idle is not None:
             pending.connection = idle
-            self.clock.callLater(0, self.clock.callLater, 0, self._write_if_wanted, pending, idle)
+            self.clock.callLater(0, self.clock.callLater, 0, self._write_unless_cancelled, pending, idle)
         else:
             self._connect(pending)
         return pending
@@ -96,12 +96,12 @@
         if pending.is_finished:
             return
         if self.count >= self.max_connections and not self.idle.close_longest_idle():
-            self._retry_locally(pending)
+            self._retry_connect(pending)
             return
-        # The factory must not refer to the request. Factory, connector and transport form a reference cycle,
-        # which lives until the connection is closed and a full garbage collection follows, hours later.
+        # The factory must not refer to the request. Factory, connector and transport form a reference cycle
+        # that is only freed by a full garbage collection after the connection is closed, hours later.
         # Test: `test_a_request_is_freed_with_its_end_though_its_connection_stays_open`.
-        factory = _SingleConnectionFactory(partial(ClientConnection, self, pending.peer))
+        factory = _ClientConnectionFactory(partial(ClientConnection, self, pending.peer))
         pending.connecting = self.dialer(pending.address)(factory)
         self.count += 1
         self.opened_count += 1
@@ -109,31 +109,31 @@
             self._on_connected, self._on_connect_failed, callbackArgs=(pending,), errbackArgs=(pending,)
         )
 
-    def _retry_locally(self, pending: PendingRequest) -> None:
-        """Connect again after a backoff, because the attempt failed for lack of a local resource."""
+    def _retry_connect(self, pending: PendingRequest) -> None:
+        """Schedule another connection attempt after one failed for lack of a local resource."""
         if pending.local_failures >= MAX_CONNECT_RETRIES:
-            self.clock.callLater(0, self._finish_failed, pending, RequestFailure.NOT_SENT)
+            self.clock.callLater(0, self._fail_request, pending, RequestFailure.NOT_SENT)
             return
         delay = CONNECT_RETRY_DELAY_S * 2**pending.local_failures
         pending.local_failures += 1
         self.clock.callLater(delay, self._connect, pending)
 
-    def _write_if_wanted(self, pending: PendingRequest, connection: PooledConnection) -> None:
+    def _write_unless_cancelled(self, pending: PendingRequest, connection: PooledConnection) -> None:
         """Send the request unless it was cancelled in the meantime.
 
-        It is called two reactor turns after an idle connection was taken, or one turn after a new one was
-        established. If this process was delayed, data that signals a client's disconnect or an engine's drain
-        may still be unread in the kernel; the reactor reads it before this call.
+        This is called two reactor turns after an idle connection was selected, or one turn after a new one
+        was established. If this process was delayed, the end of the client's connection or the drain of the
+        engine may still be unread in the kernel; the reactor reads it before this call.
         Test: `test_a_client_that_left_while_the_node_was_stopped_gets_no_attempt`.
         """
         if pending.is_finished:
             return
         if connection.is_closed:
             pending.connection = None
-            if connection.has_completed_request:  # the peer closed it while it was idle; nothing was written
+            if connection.has_completed_request:  # the idle connection was closed; nothing was written
                 self._connect(pending)
             else:
-                self._finish_failed(pending, RequestFailure.SEND_FAILED)
+                self._fail_request(pending, RequestFailure.SEND_FAILED)
         else:
             self._write_first_byte(pending, connection)
 
@@ -141,7 +141,7 @@
         request = pending.at_first_byte(pending.request)
         if request is None:
             self.add_idle(connection)
-            self._finish_failed(pending, RequestFailure.NOT_SENT)
+            self._fail_request(pending, RequestFailure.NOT_SENT)
             return
         pending.request = request
         self.reuse_count += connection.has_completed_request
@@ -149,36 +149,36 @@
 
     def _on_connected(self, connection: PooledConnection, pending: PendingRequest) -> None:
         pending.connecting = None
-        self._connected.add(connection)
+        self._open_connections.add(connection)
         if pending.is_finished:
             connection.close(PeerCloseReason.CANCELLED)
             return
         pending.connection = connection
         pending.ready_since = self.clock.seconds()
-        self.clock.callLater(0, self._write_if_wanted, pending, connection)
+        self.clock.callLater(0, self._write_unless_cancelled, pending, connection)
 
     def _on_connect_failed(self, failure: object, pending: PendingRequest) -> None:
         self.count -= 1
         pending.connecting = None
         if is_local_error(failure):
-            self._retry_locally(pending)
+            self._retry_connect(pending)
         else:
-            self._finish_failed(pending, RequestFailure.SEND_FAILED)
+            self._fail_request(pending, RequestFailure.SEND_FAILED)
 
-    def _finish_failed(self, pending: PendingRequest, failure: RequestFailure) -> None:
+    def _fail_request(self, pending: PendingRequest, failure: RequestFailure) -> None:
         if not pending.is_finished:
             pending.mark_finished()
             pending.handler.on_failure(failure)
 
     def add_idle(self, connection: PooledConnection) -> None:
-        """Store a connection for reuse, after a complete response or if nothing was sent on it."""
+        """Store a connection for reuse, after a complete response or if no byte was sent on it."""
         if connection.is_closed or not self.idle.is_reuse_allowed():
             connection.close(PeerCloseReason.NOT_REUSABLE)
             return
         self.idle.add(connection)
 
     def suspend_reuse(self) -> None:
-        """Stop reusing idle connections for REUSE_SUSPENSION_S, because one has failed when it was reused."""
+        """Stop reusing idle connections for REUSE_SUSPENSION_S, because a reused one failed."""
         self.idle.suspend_reuse()
 
     def is_reuse_allowed(self) -> bool:
@@ -187,8 +187,8 @@
 
     def remove(self, connection: PooledConnection, reason: PeerCloseReason) -> None:
         """Remove a connection that is closed or lost."""
-        if connection in self._connected:
-            self._connected.discard(connection)
+        if connection in self._open_connections:
+            self._open_connections.discard(connection)
             self.count -= 1
             is_unanswered = connection.pending is not None
             self.log(
--- a/myrtlehub/http1/idle_connections.py
+++ b/myrtlehub/http1/idle_connections.py
@@ -1,11 +1,11 @@
-"""Idle connections to peers: selection for reuse, and closing of those that have been idle for too long."""
+"""Idle connections to peers: selection for reuse, and closing after the idle timeout."""
 
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.http1.bounds import MIN_IDLE_BEFORE_REUSE_S, REUSE_SUSPENSION_S
 from myrtlehub.http1.client_interfaces import PooledConnection
 from myrtlehub.http1.close_reason import PeerCloseReason
 
-SWEEP_INTERVAL_S = 1.0  # between checks for connections that have been idle for longer than `max_idle`
+SWEEP_INTERVAL_S = 1.0  # between two checks for connections that have been idle longer than `max_idle`
 
 
 class IdleConnections:
@@ -19,7 +19,7 @@
         self.clock = clock
         self.max_idle = max_idle
         self._by_peer: dict[str, list[PooledConnection]] = {}
-        self._reuse_from = float("-inf")
+        self._reuse_allowed_from = float("-inf")
         self._sweep_timer: Timer | None = None
 
     def __len__(self) -> int:
@@ -39,8 +39,8 @@
     def take(self, peer: str) -> PooledConnection | None:
         """Remove and return the most recently used connection that may be reused, if any.
 
-        A connection must have been idle for MIN_IDLE_BEFORE_REUSE_S. If the peer sent surplus bytes after its
-        last response, they arrive within that time and the connection is closed.
+        A connection must have been idle for MIN_IDLE_BEFORE_REUSE_S. If the peer sends surplus data after its
+        last response, this data arrives within that time and the connection is closed.
         """
         now = self.clock.seconds()
         connections = self._by_peer.get(peer, [])
@@ -63,15 +63,15 @@
             del self._by_peer[connection.peer]
 
     def suspend_reuse(self) -> None:
-        """Stop reusing connections for REUSE_SUSPENSION_S, because others may also be lost unnoticed."""
-        self._reuse_from = self.clock.seconds() + REUSE_SUSPENSION_S
+        """Stop reusing connections for REUSE_SUSPENSION_S: after one failed, others may be broken too."""
+        self._reuse_allowed_from = self.clock.seconds() + REUSE_SUSPENSION_S
 
     def is_reuse_allowed(self) -> bool:
         """Return whether connections may be reused now."""
-        return self.clock.seconds() >= self._reuse_from
+        return self.clock.seconds() >= self._reuse_allowed_from
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, of any peer; return whether there was one."""
+        """Close the connection to any peer that has been idle longest; return whether there was one."""
         candidates = (connections[0] for connections in self._by_peer.values() if connections)
         oldest = min(candidates, key=lambda connection: connection.idle_since, default=None)
         if oldest is not None:
@@ -88,6 +88,6 @@
                 ]
                 for connection in expired:
                     connection.close(PeerCloseReason.IDLE_TIMEOUT)
-        finally:  # schedule the next sweep even if closing a transport raises
+        finally:  # schedule the next sweep even if closing a transport raises an exception
             if self._by_peer:
                 self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)
--- a/myrtlehub/http1/pending_request.py
+++ b/myrtlehub/http1/pending_request.py
@@ -1,26 +1,26 @@
-"""A request to a peer, from its submission to its end."""
+"""A request to a peer, from its submission until it completes, fails or is cancelled."""
 
 from collections.abc import Callable
 
-from myrtlehub.http1.client_interfaces import Connecting, ConnectionOwner, PooledConnection
+from myrtlehub.http1.client_interfaces import ConnectionAttempt, ConnectionOwner, PooledConnection
 from myrtlehub.http1.client_request import ClientRequest, ResponseHandler
 from myrtlehub.http1.close_reason import PeerCloseReason
 
-# Called just before the first byte is written; returns the request to write, or None to abandon it.
+# Called just before the first byte is written. Returns the request to write, or None to abandon it.
 FirstByteHook = Callable[[ClientRequest], ClientRequest | None]
 
 
 class PendingRequest:
-    """One request, in one of three states: waiting for a connection, on a connection, or finished.
+    """A request that waits for a connection, is on a connection, or is finished.
 
     Attributes:
         peer: Name of the peer.
         address: HOST:PORT of the peer.
         connection: Connection assigned to the request, if any.
-        connecting: Connection attempt in progress, if any.
-        ready_since: Clock time in seconds at which the request was submitted or, if later, a new connection
-            for it was established.
-        local_failures: Connection attempts that failed for lack of a local resource.
+        connecting: Connection attempt in progress for the request, if any.
+        ready_since: Clock time in seconds at which the request was submitted or, if later, at which a new
+            connection for it was established.
+        local_failures: Number of connection attempts that failed for lack of a local resource.
         is_finished: Whether the request was completed, has failed or was cancelled.
         is_paused: Whether reading of the response is paused.
     """
@@ -56,7 +56,7 @@
         self.handler = handler
         self.at_first_byte = at_first_byte
         self.connection: PooledConnection | None = None
-        self.connecting: Connecting | None = None
+        self.connecting: ConnectionAttempt | None = None
         self.ready_since = pool.clock.seconds()
         self.local_failures = 0
         self.is_finished = False
@@ -83,7 +83,7 @@
         if self.connection is not None:
             connection, self.connection = self.connection, None
             if connection.pending is None:
-                self.pool.add_idle(connection)  # nothing was written on it yet
+                self.pool.add_idle(connection)  # no byte of the request was written
             else:
                 connection.pending = None
                 connection.close(PeerCloseReason.CANCELLED)
