--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -1,4 +1,4 @@
-"""Admission of clients' connections: how many may be open, and which one is closed for another."""
+"""Admission of client connections: limits their number, and evicts connections when it is exceeded."""
 
 from collections.abc import Callable
 
@@ -22,21 +22,21 @@
 
 
 def _eviction_order(connection: AdmittedConnection) -> tuple[bool, float]:
-    """Return the sort key for eviction: lingering before unused connections, the oldest of each first."""
+    """Return the sort key for eviction: lingering before idle connections, the oldest of each first."""
     return (not connection.is_closing, connection.idle_since)
 
 
 class ConnectionListener(Factory):
-    """Factory and registry of all clients' connections.
+    """Factory and registry of all client connections.
 
-    Up to `max_connections` stay open. `burst` more are admitted for a moment, so that requests which new
-    connections have sent already can be read before any of them is closed.
+    Up to `max_connections` stay open. `burst` more are admitted temporarily, so that requests that new
+    connections have already sent can be read before any connection is evicted.
 
     Attributes:
-        connections: The connections in the order of their admission; a dict serves as an ordered set.
-        total_read_ahead: Bytes of all connections that are not part of a complete request yet.
-        is_draining: A graceful shutdown is under way: idle connections close.
-        waiting_since: Clock time in seconds since which connections accepted now may have waited in the
+        connections: The connections in the order of their admission; the dict is used as an ordered set.
+        total_read_ahead: Bytes received on all connections that are not part of a complete request yet.
+        is_draining: Whether a graceful shutdown is in progress, in which idle connections are closed.
+        waiting_since: Clock time in seconds since which connections accepted now may have been waiting in the
             accept queue; None if they have not. Set by the port.
         on_full: Called with True to stop accepting connections, and with False to accept again.
         on_closing: Called when the server closes a connection, with the reason and the open request, if any.
@@ -61,8 +61,8 @@
         self.waiting_since: float | None = None
         self.on_full: Callable[[bool], None] = _ignore_full
         self.on_closing: Callable[[CloseReason, ServerExchange | None], None] = _ignore_close
-        self._dropped_count = 0  # connections that were dropped and are not lost yet
-        self._is_paused = False
+        self._dropped_count = 0  # dropped connections whose `connectionLost` was not called yet
+        self._is_accepting_paused = False
         self._is_eviction_scheduled = False
         self._read_progress = ReadProgress(clock)
 
@@ -71,10 +71,10 @@
         return ServerConnection(self)
 
     def connection_opened(self, connection: AdmittedConnection) -> None:
-        """Admit a connection, and evict another one now or soon if there are too many.
+        """Admit a connection; if the limit is exceeded, evict another one or schedule an eviction.
 
-        A connection is never evicted before its socket was polled, as a request that it has sent would be
-        lost. If all others have open requests, accepting stops, and new connections wait in the kernel's
+        A connection is never evicted before its socket was polled, because a request already sent on it would
+        be lost. If all others have open requests, accepting stops and new connections wait in the kernel's
         accept queue. Tests: `test_a_request_during_a_burst_of_silent_connections_is_read`,
         `test_a_request_is_read_before_an_eviction_that_long_turns_delay`,
         `test_no_more_are_accepted_while_all_connections_have_requests_open`.
@@ -82,7 +82,7 @@
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
             self._read_progress.advance()
-        if self._open_count() > self.max_connections + self.burst:
+        if self._descriptor_count() > self.max_connections + self.burst:
             evictable = self._evictable(MIN_FIRST_REQUEST_GRACE_S)
             if evictable:
                 self._drop(min(evictable, key=_eviction_order))
@@ -93,37 +93,40 @@
 
     def _schedule_eviction(self) -> None:
         self._is_eviction_scheduled = True
-        self.clock.callLater(FIRST_REQUEST_GRACE_S, self._read_progress.advance, self._evict_surplus)
+        self.clock.callLater(FIRST_REQUEST_GRACE_S, self._read_progress.advance, self._evict_over_limit)
 
     def _pause_accepting(self) -> None:
-        """Stop accepting until the data of the newest connections was read."""
-        if not self._is_paused:
-            self._is_paused = True
+        """Stop accepting until the data sent on the newest connections has been read."""
+        if not self._is_accepting_paused:
+            self._is_accepting_paused = True
             self.on_full(True)
-            self._schedule_resumption()
+            self._schedule_resume_accepting()
 
-    def _schedule_resumption(self) -> None:
-        self.clock.callLater(MIN_FIRST_REQUEST_GRACE_S, self._read_progress.advance, self._try_to_resume)
+    def _schedule_resume_accepting(self) -> None:
+        self.clock.callLater(
+            MIN_FIRST_REQUEST_GRACE_S, self._read_progress.advance, self._try_resume_accepting
+        )
 
-    def _try_to_resume(self) -> None:
+    def _try_resume_accepting(self) -> None:
         try:
-            for connection in self._next_evicted(MIN_FIRST_REQUEST_GRACE_S):
+            for connection in self._select_evictions(MIN_FIRST_REQUEST_GRACE_S):
                 self._drop(connection)
-        finally:  # if a transport raises an exception here, connections must still be accepted again
-            if self._open_count() > self.max_connections + self.burst:
-                self._schedule_resumption()
+        finally:  # accepting must resume even if a transport raises an exception here
+            if self._descriptor_count() > self.max_connections + self.burst:
+                self._schedule_resume_accepting()
             else:
-                self._is_paused = False
+                self._is_accepting_paused = False
                 self.on_full(False)
 
-    def _open_count(self) -> int:
-        """Return how many connections keep their descriptor beyond this reactor turn."""
+    def _descriptor_count(self) -> int:
+        """Return how many connections keep their file descriptor beyond this reactor turn."""
         return len(self.connections) - self._dropped_count
 
     def _evictable(self, min_age: float) -> list[AdmittedConnection]:
-        """Return the connections without an open request that sent none within `min_age` seconds.
+        """Return the connections that were idle or lingering for at least `min_age` seconds.
 
-        These seconds end at the last time before which all data that had arrived was read.
+        Their age is measured at `ReadProgress.read_until`, because all data that arrived before that time has
+        been read.
         """
         read_until = self._read_progress.read_until
         return [
@@ -134,20 +137,20 @@
             and read_until - connection.idle_since >= min_age
         ]
 
-    def _next_evicted(self, min_age: float) -> list[AdmittedConnection]:
-        """Return the evictable connections that exceed the limit, in the order of their eviction."""
-        surplus = max(0, self._open_count() - self.max_connections)
-        return sorted(self._evictable(min_age), key=_eviction_order)[:surplus] if surplus else []
+    def _select_evictions(self, min_age: float) -> list[AdmittedConnection]:
+        """Return as many evictable connections as exceed the limit, in the order of their eviction."""
+        excess = max(0, self._descriptor_count() - self.max_connections)
+        return sorted(self._evictable(min_age), key=_eviction_order)[:excess] if excess else []
 
     def _drop(self, connection: AdmittedConnection) -> None:
         self._dropped_count += 1
         connection.drop()
 
-    def _evict_surplus(self) -> None:
-        """Drop lingering connections, and close unused ones gracefully; the next call drops the latter."""
+    def _evict_over_limit(self) -> None:
+        """Drop lingering connections, and start to close idle ones, which the next call may then drop."""
         self._is_eviction_scheduled = False
         try:
-            for connection in self._next_evicted(FIRST_REQUEST_GRACE_S):
+            for connection in self._select_evictions(FIRST_REQUEST_GRACE_S):
                 if connection.is_closing:
                     self._drop(connection)
                 else:
@@ -157,17 +160,17 @@
                 self._schedule_eviction()
 
     def connection_closed(self, connection: AdmittedConnection) -> None:
-        """Forget a connection that is lost."""
+        """Remove a connection that was lost."""
         if connection in self.connections:
             del self.connections[connection]
             self._dropped_count -= connection.is_dropped
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
-        """Report that the server closes a connection; `exchange` is its open request, if any."""
+        """Report that the server is closing a connection; `exchange` is its open request, if any."""
         self.on_closing(reason, exchange)
 
     def drain(self) -> None:
-        """Close unused connections now, and the others after their response."""
+        """Start a graceful shutdown: close idle connections now, and the others after their response."""
         self.is_draining = True
         for connection in list(self.connections):
             connection.drain()
--- a/myrtlehub/http1/partial_request.py
+++ b/myrtlehub/http1/partial_request.py
@@ -1,4 +1,4 @@
-"""A request whose body is still being received, and the checks for rejecting it."""
+"""A request whose body is still being received, and the checks of its head and size."""
 
 from http import HTTPStatus
 
@@ -12,13 +12,13 @@
 
 
 def head_error(head: h11.Request) -> HTTPStatus | None:
-    """Return the status with which to reject a head, or None if it is valid."""
+    """Return the status for rejecting a request head, or None if the head is valid."""
     if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > MAX_HEAD_BYTES:
         return HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
     names = [name for name, _ in head.headers]
     lengths = names.count(b"content-length")
     if lengths > 1 or (lengths and b"transfer-encoding" in names):
-        return HTTPStatus.BAD_REQUEST  # ambiguous framing, the basis of request smuggling (RFC 9112, 6.3)
+        return HTTPStatus.BAD_REQUEST  # ambiguous framing allows request smuggling (RFC 9112, section 6.3)
     if lengths:
         length = dict(head.headers)[b"content-length"]
         if len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
@@ -27,7 +27,7 @@
 
 
 class PartialRequest:
-    """The head of a request, and the part of its body received so far."""
+    """The head of a request and the part of its body received so far."""
 
     __slots__ = ("_body_bytes", "_head", "_parts")
 
@@ -37,7 +37,7 @@
         self._body_bytes = 0
 
     def add(self, data: bytes) -> HTTPStatus | None:
-        """Add a part of the body; if the body is now too large, return the status for a rejection."""
+        """Append a part of the body; return the status for rejecting the request if the body is too large."""
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
             return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
--- a/myrtlehub/http1/request_reader.py
+++ b/myrtlehub/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads requests from one client's connection, with bounds on the data that is buffered ahead."""
+"""Parsing of requests from one client connection, with limits on the data that is read ahead."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -13,7 +13,7 @@
 
 
 class RequestRejection(NamedTuple):
-    """The client's data is not a valid request: the server has to respond with `status` and close."""
+    """The client's data is no valid request: the server has to respond with `status` and close."""
 
     status: int
 
@@ -26,29 +26,29 @@
 ReadEvent = ServerRequest | RequestRejection | ContinueExpected
 
 
-class ReadAheadAccount(Protocol):
+class ReadAheadCounter(Protocol):
     """A counter that all connections of a listener share.
 
     Attributes:
-        total_read_ahead: Number of bytes received that are not part of a complete request yet.
+        total_read_ahead: Bytes received on all connections that are not part of a complete request yet.
     """
 
     total_read_ahead: int
 
 
 class RequestReader:
-    """Turns received data into requests, one at a time.
+    """Parses received data into requests, one at a time.
 
     Data that follows an open request is buffered, up to MAX_READ_AHEAD_BYTES for the connection and up to
     MAX_TOTAL_READ_AHEAD_BYTES for all connections. Data beyond that is read and discarded. If it were left
-    unread in the socket, the end of the connection behind it would not be noticed, and the open request would
+    unread in the socket, the end of the connection after it would not be detected, and the open request would
     continue long after its client has disconnected.
     Test: `test_a_disconnect_behind_a_flood_of_bytes_is_noticed`.
     """
 
-    def __init__(self, http: h11.Connection, account: ReadAheadAccount) -> None:
+    def __init__(self, http: h11.Connection, shared_counter: ReadAheadCounter) -> None:
         self._http = http
-        self._account = account
+        self._shared_counter = shared_counter
         self._partial: PartialRequest | None = None
         self._arrivals = ByteArrivals()
         self._read_ahead_bytes = 0
@@ -61,24 +61,24 @@
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether a part of a request has been received, but not all of it."""
+        """Whether an incomplete request has been received."""
         return self._partial is not None or self._read_ahead_bytes > 0
 
     @property
     def is_discarding(self) -> bool:
-        """Whether data has been discarded; then all data after it has to be discarded as well."""
+        """Whether data was discarded, in which case all later data has to be discarded as well."""
         return self._discarded_bytes > 0
 
     @property
-    def has_discarded_too_much(self) -> bool:
-        """Whether the client sent so much surplus data that it has to be disconnected."""
+    def exceeds_discard_limit(self) -> bool:
+        """Whether more than MAX_DISCARDED_BYTES were discarded, so that the client is to be disconnected."""
         return self._discarded_bytes > MAX_DISCARDED_BYTES
 
     def may_buffer(self, size: int) -> bool:
         """Return whether `size` more bytes may be buffered."""
         return (
             self._read_ahead_bytes + size <= MAX_READ_AHEAD_BYTES
-            and self._account.total_read_ahead + size <= MAX_TOTAL_READ_AHEAD_BYTES
+            and self._shared_counter.total_read_ahead + size <= MAX_TOTAL_READ_AHEAD_BYTES
         )
 
     def receive_data(self, data: bytes, arrived_at: float) -> None:
@@ -92,12 +92,17 @@
         self._arrivals.add(len(data), arrived_at)
         self._http.receive_data(data)
 
-    def expect_unread(self, size: int, arrived_at: float) -> None:
-        """Record that `size` further bytes, which are not read yet, have arrived at a time in seconds."""
+    def record_unread(self, size: int, arrived_at: float) -> None:
+        """Record that `size` further bytes, which are not read yet, have arrived by `arrived_at`.
+
+        Args:
+            size: Number of bytes in the socket's receive buffer.
+            arrived_at: Clock time in seconds.
+        """
         self._arrivals.add_unread(size, arrived_at)
 
     def discard(self, size: int) -> None:
-        """Count bytes that the caller has discarded."""
+        """Count `size` bytes that the caller has discarded."""
         self._discarded_bytes += size
 
     def next_event(self) -> ReadEvent | None:
@@ -108,7 +113,7 @@
             except h11.RemoteProtocolError as error:
                 return RequestRejection(error.error_status_hint or HTTPStatus.BAD_REQUEST)
             if event is h11.NEED_DATA or event is h11.PAUSED:
-                # after a discard, an incomplete request can never be completed
+                # An incomplete request can't be completed any more once data was discarded.
                 return RequestRejection(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) if self.is_discarding else None
             read_event = self._handle_event(event)
             if read_event is not None:
@@ -150,5 +155,5 @@
         self._set_read_ahead(0)
 
     def _set_read_ahead(self, size: int) -> None:
-        self._account.total_read_ahead += size - self._read_ahead_bytes
+        self._shared_counter.total_read_ahead += size - self._read_ahead_bytes
         self._read_ahead_bytes = size
--- a/myrtlehub/http1/response_head.py
+++ b/myrtlehub/http1/response_head.py
@@ -27,7 +27,7 @@
     Args:
         status: Status code.
         headers: Header fields, without a Connection field.
-        must_close: Whether to announce that the connection is closed after this response.
+        must_close: Whether to add `Connection: close`.
     """
     fields: list[tuple[bytes, bytes]] = [*headers]
     if must_close:
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""Connection of a client: the life cycle of its requests, responses, timeouts and close."""
+"""Server side of a client connection: its requests, responses, timeouts and close."""
 
 from http import HTTPStatus
 
@@ -18,25 +18,26 @@
 from myrtlehub.http1.request_reader import ContinueExpected, RequestReader, RequestRejection
 from myrtlehub.http1.response_head import response_head
 from myrtlehub.http1.server_exchange import ServerExchange
-from myrtlehub.http1.server_interfaces import ConnectionSupervisor
+from myrtlehub.http1.server_interfaces import ConnectionRegistry
 from myrtlehub.http1.server_request import ServerRequest
 from myrtlehub.http1.tcp_transport import Producer, TcpProtocol, unread_bytes
 from myrtlehub.http1.timeout import Timeout
 
 
 class ServerConnection(TcpProtocol):
-    """Connection of a client that carries one request at a time.
+    """Client connection that handles one request at a time.
 
     Attributes:
         exchange: Request that awaits the end of its response, if any.
-        idle_since: Clock time in seconds since which the connection is idle or lingers.
-        has_received_request: At least one complete request was received.
-        is_closing: The connection lingers or was aborted: no further request is read.
-        is_lost: The connection is closed.
-        is_dropped: The connection was aborted to free its descriptor, and is lost within a reactor turn.
+        idle_since: Clock time in seconds since which the connection has been idle or lingering.
+        has_received_request: Whether at least one complete request was received.
+        is_closing: Whether the connection is lingering or aborted, so that no further request is read.
+        is_lost: Whether the connection is closed.
+        is_dropped: Whether the connection was aborted to free its file descriptor; the transport closes it
+            within a reactor turn.
     """
 
-    def __init__(self, listener: ConnectionSupervisor) -> None:
+    def __init__(self, listener: ConnectionRegistry) -> None:
         self.listener = listener
         self.clock = listener.clock
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
@@ -47,12 +48,12 @@
         self.is_lost = False
         self.is_dropped = False
         self._reader = RequestReader(self.http, listener)
-        self._waiting_since = listener.waiting_since
+        self._accept_queued_since = listener.waiting_since
         self._timeout = Timeout(self.clock)  # limits a request, an idle period or a lingering close
         self._stall_timeout = Timeout(self.clock)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Start the timeout of the first request, and register with the listener."""
+        """Start the timeout for the first request, and register with the listener."""
         super().connectionMade()
         self._restart_timeout(
             DRAINING_FIRST_BYTE_TIMEOUT_S if self.listener.is_draining else REQUEST_TIMEOUT_S
@@ -63,7 +64,7 @@
         self._timeout.restart(delay, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        """Handle an incomplete request, an idle connection or a lingering close that takes too long."""
+        """Handle the timeout of an incomplete request, an idle connection or a lingering close."""
         if self.is_closing:
             self._abort(CloseReason.LINGER_TIMEOUT)
         elif self._reader.has_partial_request:
@@ -78,19 +79,19 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether no byte of a request has come since the last response."""
+        """Whether no byte of a request has arrived since the last response."""
         return self.exchange is None and not self._reader.has_partial_request
 
     # -- reading ----------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read requests, one at a time."""
+        """Read requests one at a time, and buffer or discard the data after an open request."""
         if self.is_closing:
-            return  # read and dropped: data left unread at the close would turn it into a reset
+            return  # read and discarded: closing a socket with unread data sends a reset
         reader = self._reader
         if reader.is_discarding or (self.exchange is not None and not reader.may_buffer(len(data))):
             reader.discard(len(data))
-            if reader.has_discarded_too_much:
+            if reader.exceeds_discard_limit:
                 self._abort(CloseReason.PIPELINE_FLOOD)
             return
         if self.is_unused:
@@ -100,18 +101,18 @@
         if self.exchange is None:
             self._read_requests()
         if reader.has_partial_request and not self.is_lost:
-            reader.expect_unread(unread_bytes(self.transport), arrived_at)
+            reader.record_unread(unread_bytes(self.transport), arrived_at)
 
     def _arrival_time(self) -> float:
-        """Return the earliest time at which data read now can have arrived.
+        """Return the earliest time at which the data that is being read can have arrived.
 
-        The first data of a connection may have arrived while the connection waited in the accept queue.
+        The first data on a connection may have arrived while the connection waited in the accept queue.
         Test: `test_the_time_of_a_request_includes_its_wait_to_be_accepted`.
         """
         now = self.clock.seconds()
-        waiting_since, self._waiting_since = self._waiting_since, None
-        if waiting_since is not None and now - self.idle_since <= FIRST_REQUEST_GRACE_S:
-            return waiting_since
+        queued_since, self._accept_queued_since = self._accept_queued_since, None
+        if queued_since is not None and now - self.idle_since <= FIRST_REQUEST_GRACE_S:
+            return queued_since
         return now
 
     def _read_requests(self) -> None:
@@ -170,9 +171,10 @@
     def finish(self) -> None:
         """End the response, then read the next request.
 
-        If the listener began to drain after the head of a stream had been written, that head did not announce
-        a close. Such a connection closes here: the client would send its next request to a process that is
-        about to end. Test: `test_a_stream_that_ends_after_sigterm_closes_its_connection`.
+        If the listener began to drain after the head of a stream was written, that head has no
+        `Connection: close`. Such a connection is closed here, since the client would otherwise send its next
+        request to a process that is about to exit.
+        Test: `test_a_stream_that_ends_after_sigterm_closes_its_connection`.
         """
         if self.is_lost or self.is_closing:
             return
@@ -189,26 +191,26 @@
         self.idle_since = self.clock.seconds()
         self._restart_timeout(REQUEST_TIMEOUT_S if has_read_ahead else IDLE_TIMEOUT_S)
         if has_read_ahead or self._reader.is_discarding:
-            # Pipelined requests are read in the next reactor turn, which avoids recursion.
+            # Pipelined requests are read in the next reactor turn, to avoid recursion.
             self.clock.callLater(0, self._read_pipelined)
 
     def reject(self, status: int) -> None:
-        """Respond with a client error, and close."""
+        """Respond with the status of a client error, and close the connection."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             try:
                 self._write_head(status, [Header(b"Content-Length", b"0")], True)
                 self._write_event(h11.EndOfMessage())
             except h11.LocalProtocolError:
-                pass  # the parser's state permits no response; the connection is closed without one
+                pass  # the state of the parser allows no response; the connection is closed without one
         self.linger(CloseReason.MALFORMED_REQUEST)
 
     def abort_response(self) -> None:
-        """Close the connection without ending the response, which marks it as incomplete."""
+        """Close the connection without the end of the response, which marks it as incomplete."""
         self.exchange = None
         self.linger(CloseReason.STREAM_FAILED)
 
     def set_stalled(self, is_stalled: bool) -> None:
-        """Note that the client has stopped reading its stream, or reads it again."""
+        """Start the timeout of a client that has stopped reading its stream, or stop it."""
         if is_stalled:
             self._stall_timeout.start_once(STALLED_WRITE_TIMEOUT_S, self._on_stall_timeout)
         else:
@@ -220,15 +222,15 @@
     # -- closing ----------------------------------------------------------------------------------
 
     def _abort(self, reason: CloseReason) -> None:
-        # No open request is reported: the client has given up its response, if there is one.
+        # No open request is reported: the client has abandoned its response, if there is one.
         self.listener.connection_closing(reason, None)
         self.transport.abortConnection()
 
     def linger(self, reason: CloseReason) -> None:
         """Shut down the sending side after the last response, and read until the client closes as well.
 
-        If data is unread or arrives as a socket is closed, the kernel sends a reset, and the client may lose
-        the part of the last response that it has not read. Data that is read from now on is ignored.
+        If a socket is closed while data is unread or still arriving, the kernel sends a reset, and the client
+        may lose the part of the last response that it has not read. Data that is read from now on is ignored.
         Test: `test_a_client_that_still_sends_can_read_the_last_response`.
         """
         if self.is_closing or self.is_lost:
@@ -242,14 +244,14 @@
         self._restart_timeout(LINGER_TIMEOUT_S)
 
     def drop(self) -> None:
-        """Close at once to free the descriptor; the caller has checked that no request is open."""
+        """Abort the connection to free its file descriptor; it must not have an open request."""
         self.listener.connection_closing(CloseReason.CONNECTION_LIMIT, self.exchange)
         self.is_closing = True
         self.is_dropped = True
         self.transport.abortConnection()
 
     def drain(self) -> None:
-        """Close if no request has begun; a new client first gets the time to send one."""
+        """Close the connection if no request has begun; a new connection first gets time to send one."""
         if self.is_closing or not self.is_unused:
             return
         time_left = 0.0
@@ -261,7 +263,7 @@
             self.linger(CloseReason.DRAINING)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """Stop all timers, and report the loss to the listener and to the open request."""
+        """Stop all timers, and report the loss to the listener and to the open request, if any."""
         self.is_lost = True
         self._timeout.clear()
         self.set_stalled(False)
--- a/myrtlehub/http1/server_exchange.py
+++ b/myrtlehub/http1/server_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and its response: the interface for the code that responds."""
+"""A request from a client and its response, for the code that handles requests."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -9,7 +9,7 @@
 
 
 class ResponseWriter(Protocol):
-    """The connection of a request, as far as its exchange uses it."""
+    """The part of a client connection that an exchange uses."""
 
     def respond(self, status: int, headers: Headers, body: bytes, must_close: bool) -> None:
         """Write a complete response."""
@@ -24,24 +24,24 @@
         """End the response."""
 
     def abort_response(self) -> None:
-        """Close the connection without ending the response."""
+        """Close the connection without the end of the response."""
 
     def set_stalled(self, is_stalled: bool) -> None:
-        """Record whether the client has stopped reading its stream."""
+        """Start or stop the timeout of a client that has stopped reading its stream."""
 
 
 def _do_nothing() -> None:
-    """Ignore the event; used where no callback is set."""
+    """Do nothing: no callback is set."""
 
 
 class ServerExchange:
-    """One request and its response; while the response is streamed, a push producer of the transport.
+    """A request and its response; while the response is streamed, a push producer of the transport.
 
     Attributes:
         request: The request.
         is_started: Whether the head of the response has been written.
         is_finished: Whether the response is complete or aborted, or the connection is lost.
-        on_lost: Called if the connection is lost before the response is finished.
+        on_lost: Called when the connection is lost before the response is finished.
         on_pause: Called when the client has stopped reading the stream.
         on_resume: Called when the client reads the stream again.
     """
@@ -56,7 +56,7 @@
         self.clear_callbacks()
 
     def clear_callbacks(self) -> None:
-        """Remove all callbacks, and so the references to the objects behind them."""
+        """Remove all callbacks, so that the objects they refer to can be freed."""
         self.on_lost: Callable[[], None] = _do_nothing
         self.on_pause: Callable[[], None] = _do_nothing
         self.on_resume: Callable[[], None] = _do_nothing
@@ -64,13 +64,13 @@
     def respond(
         self, status: int, headers: Iterable[Header] = (), body: bytes = b"", close: bool = False
     ) -> None:
-        """Send a complete response; do nothing if a response has been started.
+        """Send a complete response; do nothing if a response was started already.
 
         Args:
             status: Status code.
             headers: Header fields, without Connection and Content-Length.
             body: Body of the response.
-            close: Whether to close the connection afterwards.
+            close: Whether to close the connection after the response.
         """
         if self.is_finished or self.is_started:
             return
@@ -97,7 +97,7 @@
             self._connection.finish()
 
     def abort(self) -> None:
-        """Close the connection without the last chunk, so that the client sees an incomplete response."""
+        """Close the connection without the last chunk, which marks the response as incomplete."""
         if not self.is_finished:
             self.is_finished = True
             self._connection.abort_response()
@@ -113,4 +113,4 @@
         self.on_resume()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing, because `on_lost` is called as well."""
+        """Do nothing: `on_lost` is called as well and handles the loss."""
--- a/myrtlehub/http1/server_interfaces.py
+++ b/myrtlehub/http1/server_interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces between clients' connections and their listener."""
+"""Interfaces between client connections and their listener."""
 
 from typing import Protocol
 
@@ -8,12 +8,13 @@
 
 
 class AdmittedConnection(Protocol):
-    """Connection of a client as its listener sees it.
+    """The part of a client connection that its listener uses.
 
     Attributes:
-        idle_since: Clock time in seconds since which it is idle or lingers.
-        is_closing: It lingers or was aborted: no further request is read.
-        is_dropped: It was aborted to free its descriptor, and is lost within a reactor turn.
+        idle_since: Clock time in seconds since which the connection has been idle or lingering.
+        is_closing: Whether the connection is lingering or aborted, so that no further request is read.
+        is_dropped: Whether the connection was aborted to free its file descriptor; the transport closes it
+            within a reactor turn.
     """
 
     idle_since: float
@@ -26,26 +27,26 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether no byte of a request has come since the last response."""
+        """Whether no byte of a request has arrived since the last response."""
 
     def linger(self, reason: CloseReason) -> None:
-        """Close gracefully."""
+        """Start a lingering close."""
 
     def drop(self) -> None:
-        """Close at once to free the descriptor."""
+        """Abort the connection to free its file descriptor."""
 
     def drain(self) -> None:
-        """Close if no request has begun."""
+        """Close the connection if no request has begun."""
 
 
-class ConnectionSupervisor(Protocol):
-    """Listener as its connections see it.
+class ConnectionRegistry(Protocol):
+    """The part of the listener that its connections use.
 
     Attributes:
-        clock: The clock.
-        is_draining: A graceful shutdown is under way: idle connections close.
-        total_read_ahead: Bytes of all connections that are not part of a complete request yet.
-        waiting_since: Clock time in seconds since which connections accepted now may have waited in the
+        clock: Clock of the connections' timeouts.
+        is_draining: Whether a graceful shutdown is in progress, in which idle connections are closed.
+        total_read_ahead: Bytes received on all connections that are not part of a complete request yet.
+        waiting_since: Clock time in seconds since which connections accepted now may have been waiting in the
             accept queue; None if they have not.
     """
 
@@ -58,10 +59,10 @@
         """Admit a connection."""
 
     def connection_closed(self, connection: AdmittedConnection) -> None:
-        """Forget a connection that is lost."""
+        """Remove a connection that was lost."""
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
-        """Handle that the server closes a connection; `exchange` is its open request, if any."""
+        """Report that the server is closing a connection; `exchange` is its open request, if any."""
 
     def on_request(self, exchange: ServerExchange) -> None:
         """Handle a complete request."""
--- a/myrtlehub/http1/server_request.py
+++ b/myrtlehub/http1/server_request.py
@@ -9,8 +9,8 @@
     """A complete request; header names are in lower case.
 
     Attributes:
-        received_at: Clock time in seconds at which its last byte arrived; it may be handled much later, if it
-            waited behind another request.
+        received_at: Clock time in seconds at which its last byte arrived. A pipelined request may be handled
+            much later, because it waits for the end of the requests before it.
     """
 
     method: bytes
--- a/myrtlehub/http1/tcp_transport.py
+++ b/myrtlehub/http1/tcp_transport.py
@@ -1,4 +1,4 @@
-"""TCP transports: interfaces of those of the reactor, a base class for protocols, and the abortive close."""
+"""TCP transports: interfaces of the reactor's transports, a protocol base class, and the abortive close."""
 
 import fcntl
 import sys
@@ -17,7 +17,7 @@
     """A transport that can be closed without sending its queued data."""
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Close the connection at once; data that was written but not sent yet is discarded."""
+        """Close the connection; data that was written but not sent yet is discarded."""
 
 
 class Producer(Protocol):
@@ -31,7 +31,7 @@
 
 
 class Transport(AbortableTransport, Protocol):
-    """TCP transport, as far as this package uses it; see `twisted.internet.interfaces.ITCPTransport`."""
+    """The part of a TCP transport that is used; see `twisted.internet.interfaces.ITCPTransport`."""
 
     def write(self, data: bytes, /) -> None:
         """Queue data to be sent."""
@@ -53,7 +53,7 @@
 
 
 class TcpProtocol(protocol.Protocol):
-    """Protocol on a TCP transport that sends small writes without delay."""
+    """Protocol whose TCP transport sends small writes without delay."""
 
     transport: Transport  # type: ignore[assignment]  # zope's ITransport declares methods without `self`
 
@@ -65,12 +65,12 @@
 
 
 def unacknowledged_bytes(transport: AbortableTransport) -> int:
-    """Return how many sent bytes the peer's system has not acknowledged; 0 if this system cannot tell."""
+    """Return how many sent bytes the peer's kernel has not acknowledged; 0 if that is unknown."""
     return _queued_bytes(transport, termios.TIOCOUTQ)
 
 
 def unread_bytes(transport: AbortableTransport) -> int:
-    """Return how many bytes have arrived and are not read yet; 0 if this system cannot tell."""
+    """Return how many bytes have arrived and are not read yet; 0 if that is unknown."""
     return _queued_bytes(transport, termios.FIONREAD)
 
 
@@ -89,12 +89,12 @@
     """Close a connection so that its peer sees the end before data written later on other connections.
 
     `abortConnection` alone closes the socket one reactor turn later. Data written on other connections in the
-    meantime could arrive first, and an engine would get the next request while it still runs the cancelled
-    one.
+    meantime could arrive first, and an engine would receive the next request while it still executes the
+    cancelled one.
     Test: `test_an_abortive_close_is_seen_before_anything_written_later`.
     """
     get_handle: Callable[[], socket] | None = getattr(transport, "getHandle", None)
     if get_handle is not None:
-        with suppress(OSError):  # the socket may be closed already
+        with suppress(OSError):  # the socket may already be closed
             get_handle().shutdown(SHUT_WR)
     transport.abortConnection()
--- a/myrtlehub/http1/timeout.py
+++ b/myrtlehub/http1/timeout.py
@@ -1,4 +1,4 @@
-"""The timeout of a connection, on one timer that is rescheduled rather than replaced."""
+"""A restartable timeout on one timer that is rescheduled instead of replaced."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,8 @@
 class Timeout:
     """Calls a function after a delay, unless it is restarted or cancelled before.
 
-    The function is passed at each start and not stored here. It is usually a method of the object that owns
-    the timeout: a stored reference would form a cycle that lives until a full garbage collection.
+    The function is passed at each start and not stored. It is usually a method of the object that owns the
+    timeout, so a stored reference would form a cycle that only a full garbage collection frees.
     """
 
     __slots__ = ("_clock", "_timer")
@@ -26,7 +26,7 @@
             self._timer = self._clock.callLater(delay, on_timeout)
 
     def start_once(self, delay: float, on_timeout: Callable[[], None]) -> None:
-        """Call `on_timeout` in `delay` seconds; do nothing if a timer was started and not cleared since."""
+        """Call `on_timeout` in `delay` seconds; do nothing if a timer was started and not cleared yet."""
         if self._timer is None:
             self._timer = self._clock.callLater(delay, on_timeout)
 
@@ -36,6 +36,6 @@
             self._timer.cancel()
 
     def clear(self) -> None:
-        """Stop the timer and drop the reference to it: even a fired timer refers to its function."""
+        """Stop the timer and remove the reference to it: even a fired timer refers to its function."""
         self.cancel()
         self._timer = None
