--- a/tests/http1/test_byte_arrivals.py
+++ b/tests/http1/test_byte_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrival times of bytes, and retries of a process start that lacks resources."""
+"""Arrival times of received bytes, and retries of a process start after a resource shortage."""
 
 import errno
 from pathlib import Path
@@ -9,7 +9,7 @@
 from myrtlehub.relay.process.startup_retry import is_resource_shortage, retry_on_resource_shortage
 
 
-def test_a_message_counts_from_its_own_last_byte() -> None:
+def test_the_arrival_time_of_a_message_is_that_of_its_last_byte() -> None:
     arrivals = ByteArrivals()
     arrivals.add(100, 1.0)  # the first message and half of the second
     arrivals.add(50, 2.0)  # the rest of the second and the third
@@ -20,7 +20,7 @@
     assert arrivals.consume(unread=0) == 7.0
 
 
-def test_bytes_within_the_merge_interval_count_from_its_start_and_take_no_memory_each() -> None:
+def test_bytes_within_the_merge_interval_share_its_first_arrival_time_and_one_segment() -> None:
     arrivals = ByteArrivals()
     for number in range(10_000):
         arrivals.add(1, number * MERGE_INTERVAL_S / 100)
@@ -29,7 +29,7 @@
     assert 50 * MERGE_INTERVAL_S - MERGE_INTERVAL_S <= received_at <= 50 * MERGE_INTERVAL_S
 
 
-def test_bytes_that_were_unread_count_from_when_they_were_seen_first() -> None:
+def test_unread_bytes_keep_the_arrival_time_of_their_first_record() -> None:
     arrivals = ByteArrivals()
     arrivals.add(64, 1.0)
     arrivals.add_unread(100, 1.0)
@@ -37,18 +37,18 @@
     arrivals.add_unread(36, 2.0)
     arrivals.add(36, 3.0)
     assert arrivals.consume(unread=0) == 1.0
-    arrivals.add(10, 4.0)  # came after these
+    arrivals.add(10, 4.0)  # arrived after these
     assert arrivals.consume(unread=0) == 4.0
 
 
-def test_a_lack_of_resources_is_distinguished_from_a_wrong_configuration() -> None:
+def test_a_resource_shortage_is_distinguished_from_a_configuration_error() -> None:
     wrapped = ValueError("settings")
     wrapped.__cause__ = OSError(errno.EMFILE, "too many open files")
     assert is_resource_shortage(OSError(errno.ENFILE, "")) and is_resource_shortage(wrapped)
     assert not is_resource_shortage(OSError(errno.EADDRINUSE, "")) and not is_resource_shortage(ValueError())
 
 
-def test_a_start_is_retried_only_for_a_lack_of_resources() -> None:
+def test_a_process_start_is_retried_only_after_a_resource_shortage() -> None:
     attempts: list[int] = []
 
     def make() -> str:
--- a/tests/http1/test_eviction.py
+++ b/tests/http1/test_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of clients' connections when reactor turns last longer than the listener's grace periods."""
+"""Eviction of client connections when reactor turns last longer than the grace periods of the listener."""
 
 from collections.abc import Callable
 
@@ -10,8 +10,8 @@
 LONG_TURN_S = 0.3
 
 
-class ScheduledCall:
-    """A timer of `TurnClock`."""
+class FakeTimer:
+    """Timer of a `FakeReactorClock`."""
 
     def __init__(self, at: float, call: Callable[[], object]) -> None:
         self.at = at
@@ -28,23 +28,23 @@
         raise NotImplementedError
 
 
-class TurnClock:
-    """A clock with the order of a reactor's turn: timers that are due, then a poll of the sockets."""
+class FakeReactorClock:
+    """Clock of a reactor whose turns run the due timers and then poll the sockets."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.scheduled: list[ScheduledCall] = []
+        self.scheduled: list[FakeTimer] = []
 
     def seconds(self) -> float:
         return self.now
 
-    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> ScheduledCall:  # noqa: N802
-        scheduled = ScheduledCall(self.now + delay, lambda: call(*args))
+    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> FakeTimer:  # noqa: N802
+        scheduled = FakeTimer(self.now + delay, lambda: call(*args))
         self.scheduled.append(scheduled)
         return scheduled
 
     def run_timers(self) -> None:
-        """Run the timers that are due; those that they start without delay run a turn later."""
+        """Run the due timers; timers that these start without delay run one turn later."""
         due = [timer for timer in self.scheduled if timer.at <= self.now]
         self.scheduled = [timer for timer in self.scheduled if timer.at > self.now]
         for timer in due:
@@ -53,7 +53,7 @@
 
 
 class FakeConnection:
-    """A client's connection whose request, if it has sent one, is read by `poll`."""
+    """Client connection; `poll` reads its request, if the client has sent one."""
 
     def __init__(self, listener: ConnectionListener, has_sent_request: bool = False) -> None:
         self.idle_since = listener.clock.seconds()
@@ -78,11 +78,11 @@
         raise NotImplementedError
 
 
-class Rig:
-    """A listener, and connections that are polled once a turn."""
+class ListenerHarness:
+    """A listener, and connections that are polled once per reactor turn."""
 
     def __init__(self) -> None:
-        self.clock = TurnClock()
+        self.clock = FakeReactorClock()
         self.listener = ConnectionListener(self.clock, lambda exchange: None, MAX_CONNECTIONS, BURST)
         self.connections: list[FakeConnection] = []
         self.full_states: list[bool] = []
@@ -101,58 +101,58 @@
 
 
 def test_a_request_is_read_before_an_eviction_that_long_turns_delay() -> None:
-    """All connections are older than each age once the turn that accepted them is over; none was read yet."""
-    rig = Rig()
-    requesting = rig.open(1, has_sent_request=True)
-    silent = rig.open(MAX_CONNECTIONS)
-    rig.clock.now += LONG_TURN_S
+    """After a long turn, connections exceed the grace periods although none of them was polled."""
+    harness = ListenerHarness()
+    requesting = harness.open(1, has_sent_request=True)
+    silent = harness.open(MAX_CONNECTIONS)
+    harness.clock.now += LONG_TURN_S
     for _ in range(6):
-        rig.run_turn(LONG_TURN_S)
+        harness.run_turn(LONG_TURN_S)
     assert not requesting[0].is_closing
     assert sum(connection.is_closing for connection in silent) == 1
 
 
-def test_a_request_is_read_although_the_limit_is_exceeded_within_a_long_turn() -> None:
-    """Connections that are accepted late in a turn evict none that was accepted early in the same turn."""
-    rig = Rig()
-    requesting = rig.open(1, has_sent_request=True)
-    silent = rig.open(MAX_CONNECTIONS + BURST - 1)
-    rig.clock.now += LONG_TURN_S
-    late = rig.open(1)
-    assert rig.full_states == [True]
-    rig.clock.now += LONG_TURN_S
+def test_a_request_is_read_although_the_limit_is_exceeded_within_a_long_reactor_turn() -> None:
+    """Connections accepted late in a turn don't evict one that was accepted earlier in the same turn."""
+    harness = ListenerHarness()
+    requesting = harness.open(1, has_sent_request=True)
+    silent = harness.open(MAX_CONNECTIONS + BURST - 1)
+    harness.clock.now += LONG_TURN_S
+    late = harness.open(1)
+    assert harness.full_states == [True]
+    harness.clock.now += LONG_TURN_S
     for _ in range(8):
-        rig.run_turn(LONG_TURN_S)
+        harness.run_turn(LONG_TURN_S)
     assert not requesting[0].is_closing
     assert sum(connection.is_closing for connection in silent + late) == BURST + 1
-    assert rig.full_states == [True, False]
+    assert harness.full_states == [True, False]
 
 
-def test_silent_connections_are_evicted_one_for_each_new_one() -> None:
-    """Beyond the burst, the oldest connection that has sent nothing is dropped for the new one at once."""
-    rig = Rig()
-    silent = rig.open(MAX_CONNECTIONS + BURST - 1)
+def test_each_new_connection_beyond_the_burst_evicts_one_silent_connection() -> None:
+    """Beyond the burst, a new connection immediately evicts the oldest one that has sent nothing."""
+    harness = ListenerHarness()
+    silent = harness.open(MAX_CONNECTIONS + BURST - 1)
     for _ in range(3):
-        rig.run_turn(0.01)
-    silent += rig.open(1)
+        harness.run_turn(0.01)
+    silent += harness.open(1)
     for _ in range(3):
-        rig.run_turn(0.01)
-    late = rig.open(1)
+        harness.run_turn(0.01)
+    late = harness.open(1)
     assert [connection.is_dropped for connection in silent] == [True] + [False] * (len(silent) - 1)
-    assert not late[0].is_closing and not rig.full_states
-
-
-def test_a_limit_that_is_exceeded_again_schedules_one_eviction() -> None:
-    """A connection that opens between the eviction's timer and the poll that it awaits schedules none."""
-    rig = Rig()
-    rig.open(MAX_CONNECTIONS + 1)
-    rig.run_turn(0.06)
-    rig.run_turn(0.0)  # the timer has run, the poll is awaited
-    rig.open(1)
-    rig.run_turn(0.0)
-    rig.run_turn(0.0)
-    assert [connection.is_closing for connection in rig.connections] == [True, True] + [
+    assert not late[0].is_closing and not harness.full_states
+
+
+def test_exceeding_the_limit_again_schedules_no_second_eviction() -> None:
+    """A connection that opens between the timer of an eviction and its poll schedules no other eviction."""
+    harness = ListenerHarness()
+    harness.open(MAX_CONNECTIONS + 1)
+    harness.run_turn(0.06)
+    harness.run_turn(0.0)  # the timer has run and waits for the poll
+    harness.open(1)
+    harness.run_turn(0.0)
+    harness.run_turn(0.0)
+    assert [connection.is_closing for connection in harness.connections] == [True, True] + [
         False
     ] * MAX_CONNECTIONS
-    evictions = [timer for timer in rig.clock.scheduled if timer.at > rig.clock.now]
+    evictions = [timer for timer in harness.clock.scheduled if timer.at > harness.clock.now]
     assert len(evictions) == 1
--- a/tests/http1/test_http1_client.py
+++ b/tests/http1/test_http1_client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 client under a relay node: reuse of connections, surplus bytes, cancelled connects."""
+"""The HTTP/1.1 client of a relay node: connection reuse, surplus data, cancelled connection attempts."""
 
 import socket
 
@@ -32,7 +32,7 @@
     assert client.statuses == [200] and len(rig.engines["w1"].connections) == 2
 
 
-def test_late_surplus_bytes_close_the_idle_connection() -> None:
+def test_late_surplus_data_closes_the_idle_connection() -> None:
     rig = RelayRig("w1")
     rig.request("a1")
     rig.engines["w1"].connections[0].send(COMPLETE_STREAM)
@@ -40,7 +40,7 @@
     assert rig.engines["w1"].connections[0].lost
 
 
-def test_too_many_1xx_responses_are_an_error() -> None:
+def test_too_many_informational_responses_fail_the_request() -> None:
     rig = RelayRig("w1")
     early = b"HTTP/1.1 103 Early Hints\r\n\r\n" * 50
     rig.engines["w1"].script = lambda connection, head, body: connection.send(early + COMPLETE_STREAM)
@@ -48,11 +48,13 @@
 
 
 def test_a_connect_that_completes_as_it_is_cancelled_is_closed_with_nothing_written() -> None:
-    """The client disconnects within three reactor turns of the connection attempt to the engine."""
+    """The client disconnects within three reactor turns after the connection attempt to the engine began."""
     for turns in (0, 1, 2, 3):
         rig = RelayRig("w1")
         client = rig.client()
-        client.transport.other.protocol.dataReceived(chat_request("a1"))  # the connect is under way
+        client.transport.other.protocol.dataReceived(
+            chat_request("a1")
+        )  # the connection attempt is in progress
         for _ in range(turns):
             rig.clock.advance(0)
         client.transport.other.protocol.connectionLost(None)
@@ -61,7 +63,7 @@
         assert rig.node.pool.count == len(rig.node.pool.idle)
 
 
-def test_reuse_is_suspended_after_a_reused_connection_broke() -> None:
+def test_reuse_is_suspended_after_a_reused_connection_failed() -> None:
     rig = RelayRig("w1 w2")
     for i in range(4):
         rig.request(f"a{i}")
@@ -73,7 +75,7 @@
     for connection in idle:
         connection.dataReceived = lambda data, connection=connection: connection.transport.abortConnection()
     opened, reused = rig.node.pool.opened_count, rig.node.pool.reuse_count
-    assert rig.request("b1").statuses == [200]  # the first breaks, and is retried on a new one
+    assert rig.request("b1").statuses == [200]  # the reused connection fails; the retry uses a new one
     for i in range(3):
         rig.run(0.2)
         assert rig.request(f"c{i}").statuses == [200]
@@ -94,7 +96,7 @@
 
 
 def test_an_abortive_close_is_seen_before_anything_written_later() -> None:
-    """On real sockets: the peer reads the end of the connection although the socket is still open."""
+    """With real sockets, the peer reads the end of the connection while the local socket is still open."""
 
     class Transport:
         def __init__(self, near: socket.socket) -> None:
--- a/tests/http1/test_http1_server.py
+++ b/tests/http1/test_http1_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server under a relay node: malformed requests, pipelining, read-ahead, admission."""
+"""The HTTP/1.1 server of a relay node: malformed requests, pipelining, read-ahead, connection limits."""
 
 import pytest
 from relaymessages import COMPLETE_STREAM, chat_request, chunk
@@ -37,7 +37,9 @@
         (b"\x16\x03\x01 what is this\r\n\r\n", 400),
     ],
 )
-def test_a_malformed_request_is_rejected_at_once_closed_and_never_forwarded(data: bytes, status: int) -> None:
+def test_a_malformed_request_is_rejected_closes_the_connection_and_is_never_forwarded(
+    data: bytes, status: int
+) -> None:
     rig = RelayRig("w1")
     client = rig.client()
     client.send(data)
@@ -46,7 +48,7 @@
     assert not rig.engines["w1"].requests and not rig.node.executor.in_flight
 
 
-def test_a_request_behind_an_ambiguous_length_is_not_read() -> None:
+def test_a_request_after_one_with_an_ambiguous_length_is_not_read() -> None:
     rig = RelayRig("w1")
     client = rig.client()
     client.send(
@@ -58,7 +60,7 @@
     assert client.statuses == [400] and not rig.engines["w1"].requests
 
 
-def test_a_chunked_body_is_forwarded_with_its_length_and_one_too_long_rejected() -> None:
+def test_a_chunked_body_is_forwarded_with_its_length_or_rejected_if_too_large() -> None:
     rig = RelayRig("w1")
     body = b'{"model":"chat","messages":[]}'
     head = chat_request().partition(b"Content-Length")[0] + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -83,7 +85,7 @@
     assert client.lost and client.statuses == ([408] if data else [])
 
 
-def test_half_a_request_and_a_close_leave_nothing() -> None:
+def test_a_disconnect_within_a_request_leaves_no_state() -> None:
     rig = RelayRig("w1")
     client = rig.client()
     client.send(chat_request()[:-5])
@@ -101,7 +103,7 @@
     assert [request.headers[b"x-txn"] for request in rig.engines["w1"].requests] == [b"a1", b"a2"]
 
 
-def test_read_ahead_is_bounded_over_all_connections_and_freed() -> None:
+def test_read_ahead_of_all_connections_is_limited_and_freed() -> None:
     rig = RelayRig("w1", descriptors=400)
     rig.engines["w1"].script = never_respond
     clients = [rig.request(f"a{i}") for i in range(60)]
@@ -131,7 +133,7 @@
 
 
 def test_a_request_during_a_burst_of_silent_connections_is_read() -> None:
-    """New connections were once closed for others before the requests that they had sent were read."""
+    """A new connection must not be evicted before the request already sent on it was read."""
     rig = RelayRig("w1", descriptors=100)
     rig.engines["w1"].script = never_respond
     clients: list[RawClient] = []
@@ -158,7 +160,7 @@
 
 
 def test_no_more_are_accepted_while_all_connections_have_requests_open() -> None:
-    """Further connections would exceed the limit, or be closed although they may have sent a request."""
+    """Further connections would exceed the limit, or be evicted before a request sent on them was read."""
     rig = RelayRig("w1", descriptors=100)
     rig.engines["w1"].script = never_respond
     listener = rig.node.listener
