--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -17,7 +17,7 @@
     MovingAverage,
     MovingAverages,
     Observation,
-    RecentMedians,
+    RunningMedians,
 )
 
 SAME_START_TOLERANCE = 0.001  # seconds by which reports of one start differ: they are rounded on the wire
@@ -74,7 +74,7 @@
         self.usual_slowdown = MovingAverages()  # of answers, by kind
         self.usual_duration = MovingAverages()  # seconds of answers, by traffic type
         self.usual_uncached = MovingAverage()  # uncached prompt tokens of the attempts of this node
-        self.read_rates = RecentMedians(settings.read_rate_samples, settings.initial_read_rate)  # by kind
+        self.read_rates = RunningMedians(settings.read_rate_samples, settings.initial_read_rate)  # by kind
         self.clear_memo()
 
     def clear_memo(self) -> None:
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -13,7 +13,7 @@
 from myrtlehub.routing.policy.engine_estimates import LEARNING, EngineEstimates
 from myrtlehub.routing.policy.retries import may_run_at
 from myrtlehub.routing.records import Engine, NotPlaced, Sequence, StartEstimate
-from myrtlehub.routing.statistics import EstimateError
+from myrtlehub.routing.statistics import EstimateCorrection
 
 # Share of a cold engine's overload limit that all nodes together send it on average, so that random peaks
 # stay below the limit (`test_slow_start_bounds_what_all_nodes_send_however_many_they_are`).
@@ -49,7 +49,7 @@
         self.config = estimates.config
         self.estimates = estimates
         # The error decays, so that a node which rejects everything, and observes no starts, accepts again.
-        self.delay_error = EstimateError(INITIAL_DELAY_FACTOR, LEARNING.half_life)
+        self.delay_correction = EstimateCorrection(INITIAL_DELAY_FACTOR, LEARNING.half_life)
 
     def is_over_quota(self, tenant: int | None) -> bool:
         """Return whether a tenant's recent rate at this node exceeds the node's part of its quota."""
@@ -119,7 +119,7 @@
     def starts_late(self, sequence: Sequence, delay: float, now: float) -> bool:
         """Return whether an answer with this estimated start delay will miss the latency objective."""
         limit_share = PROBED_LIMIT_SHARE if self.config.load_by_probe_only else 1.0
-        return delay * self.delay_error.factor(now) > limit_share * (sequence.slo_deadline - now)
+        return delay * self.delay_correction.factor(now) > limit_share * (sequence.slo_deadline - now)
 
     def expect_start(self, sequence: Sequence, delay: float, now: float) -> None:
         """Store the estimated start delay of a sequence, to compare it with the actual one later."""
@@ -131,7 +131,7 @@
         sequence.start_estimate = None
         if estimate is not None and estimate.delay > 0.0:
             actual = min(now - estimate.made_at, MAX_DELAY_FACTOR * estimate.delay)
-            self.delay_error.observe(estimate.delay, actual, MAX_DELAY_WEIGHT, now)
+            self.delay_correction.observe(estimate.delay, actual, MAX_DELAY_WEIGHT, now)
 
     def expect_arrival(self, sequence: Sequence) -> None:
         """Rule 5: set when to check whether this attempt has arrived, and when to release the state.
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -10,7 +10,7 @@
 from myrtlehub.routing.statistics import MovingAverages, rendezvous_weight
 
 CACHE_BOUNDS = CacheBounds(
-    fresh_time=30.0,  # seconds; 10 and 120 scored alike within noise
+    freshness_lifetime=30.0,  # seconds; 10 and 120 scored alike within noise
     max_entries=4000,  # sessions and prefixes per engine, which bounds the memory of a node
 )
 # An entry of fewer tokens is not compared with the cached tokens that its engine reports.
@@ -74,5 +74,5 @@
         if attempt.fetches_state:
             return  # engines cache the prompts that they read, and not the states that they fetch
         if had_entry and attempt.cached_tokens < MIN_CONFIRMED_SHARE * attempt.cached.tokens:
-            attempt.engine.cache.drop_until(attempt.cached.seen_at)
+            attempt.engine.cache.invalidate_until(attempt.cached.confirmed_at)
         attempt.engine.cache.add(arrival, now)
--- a/myrtlehub/routing/prompt_cache.py
+++ b/myrtlehub/routing/prompt_cache.py
@@ -1,4 +1,4 @@
-"""A table of the prompt tokens that one engine is estimated to have cached."""
+"""An estimate of the contents of an engine's prefix cache."""
 
 from typing import NamedTuple
 
@@ -6,27 +6,27 @@
 
 
 class CacheEntry(NamedTuple):
-    """An estimate of cached prompt tokens, with the time in seconds of its last confirmation."""
+    """An estimated number of cached prompt tokens, and the time in seconds when it was last confirmed."""
 
     tokens: float
-    seen_at: float
+    confirmed_at: float
 
 
 NO_ENTRY = CacheEntry(0.0, 0.0)
 
 
 class CacheBounds(NamedTuple):
-    """Limits on the age and number of the entries of a `PromptCache`."""
+    """The limits on the age and number of entries of a `PromptCache`."""
 
-    fresh_time: float  # seconds for which an entry counts fully; it fades to nothing in as many more
+    freshness_lifetime: float  # seconds at full value; over as many more, the value decreases linearly to 0
     max_entries: int
 
 
 class PromptCache:
-    """The cache entries of one engine, least recently confirmed first.
+    """The cache entries of one engine, in the order of their last confirmation, oldest first.
 
-    An entry is keyed by the session of a prompt or by the negated number of its shared prefix, so that
-    one table has both.
+    The key of an entry is the session of a prompt, or the negated id of its shared prefix, so that both share
+    one dictionary.
     """
 
     __slots__ = ("bounds", "entries")
@@ -36,49 +36,54 @@
         self.entries: dict[int, CacheEntry] = {}
 
     def find(self, arrival: Arrival, now: float) -> CacheEntry:
-        """Return the larger of the entries for a prompt's session and prefix, or `NO_ENTRY`.
+        """Return the entry for a prompt's session or prefix that has more tokens, or `NO_ENTRY`.
 
-        The returned tokens are reduced by age and limited to the tokens that the prompt can share.
+        The number of tokens is reduced according to the entry's age, and limited to the tokens of the prompt
+        that the entry can cover.
         """
         entries = self.entries
         best = NO_ENTRY
         if not entries:
             return best
-        fresh_time = self.bounds.fresh_time
+        freshness_lifetime = self.bounds.freshness_lifetime
         for key, max_tokens in (
             (arrival.session, arrival.prompt_tokens),
             (-arrival.prefix, arrival.shared_tokens),
         ):
             if not key or key not in entries:
                 continue
-            tokens, seen_at = entries[key]
-            remaining = min(1.0, max(0.0, 1.0 - (now - seen_at - fresh_time) / fresh_time))
+            tokens, confirmed_at = entries[key]
+            remaining = min(
+                1.0, max(0.0, 1.0 - (now - confirmed_at - freshness_lifetime) / freshness_lifetime)
+            )
             tokens = min(tokens, max_tokens) * remaining
             if tokens > best.tokens:
-                best = CacheEntry(tokens, seen_at)
+                best = CacheEntry(tokens, confirmed_at)
         return best
 
     def add(self, arrival: Arrival, now: float) -> None:
-        """Record that the engine reads a prompt, and evict entries that have faded or exceed the limit."""
+        """Add entries for a prompt that the engine reads, and evict expired and excess entries."""
         entries = self.entries
         for key, tokens in (
             (arrival.session, arrival.prompt_tokens),
             (-arrival.prefix, arrival.shared_tokens),
         ):
             if key:
-                entries.pop(key, None)  # so that the new entry is the last
+                entries.pop(key, None)  # reinserts the key at the end
                 entries[key] = CacheEntry(tokens, now)
-        faded_before = now - 2.0 * self.bounds.fresh_time
+        expired_before = now - 2.0 * self.bounds.freshness_lifetime
         while entries:
             oldest = next(iter(entries))
-            if len(entries) <= self.bounds.max_entries and entries[oldest].seen_at >= faded_before:
+            if len(entries) <= self.bounds.max_entries and entries[oldest].confirmed_at >= expired_before:
                 break
             del entries[oldest]
 
-    def drop_until(self, seen_at: float) -> None:
-        """Drop the entries last confirmed at or before a time."""
-        self.entries = {key: entry for key, entry in self.entries.items() if entry.seen_at > seen_at}
+    def invalidate_until(self, confirmed_at: float) -> None:
+        """Remove the entries that were last confirmed at or before a time."""
+        self.entries = {
+            key: entry for key, entry in self.entries.items() if entry.confirmed_at > confirmed_at
+        }
 
     def clear(self) -> None:
-        """Drop all entries."""
+        """Remove all entries."""
         self.entries = {}
--- a/tests/routing/test_routing_estimates.py
+++ b/tests/routing/test_routing_estimates.py
@@ -26,7 +26,7 @@
     cache, sizes = bench.router.estimates.engines[0].cache, []
     for i in range(1200):
         arrived = arrival(prompt=1000.0, session=1 + i, prefix=5000 + i // 3, shared=500.0)
-        faded = {key for key, entry in cache.entries.items() if entry.seen_at <= bench.now - 60.0}
+        faded = {key for key, entry in cache.entries.items() if entry.confirmed_at <= bench.now - 60.0}
         assert not any(cache.find(arrived._replace(session=key, prefix=0), bench.now).tokens for key in faded)
         cache.add(arrived, bench.now)
         sizes.append(len(cache.entries))
