--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -1,6 +1,6 @@
-"""Bookkeeping common to all routers: each call of a node updates the records of sequences and engines.
+"""The base class of routers: its calls update the records of sequences and engines.
 
-Decisions are made by the abstract methods, which `routing.policy` implements.
+Its abstract methods make the routing decisions; `routing.policy` implements them.
 """
 
 from abc import ABC, abstractmethod
@@ -11,58 +11,58 @@
 from myrtlehub.routing.engine_table import EngineTable
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
-MIN_WAKEUP_DELAY = 0.001  # seconds; the resolution of the timers that execute `ScheduleWakeup`
-WAKEUP_TOLERANCE = 0.001  # seconds by which a timer may fire early
+MIN_WAKEUP_DELAY = 0.001  # seconds; resolution of the node's timers
+WAKEUP_TOLERANCE = 0.001  # seconds by which timers may fire early
 
 
-class RouterCalls(contract.OptionalCalls, ABC):
-    """Keeps the sequences of a node, and collects the actions of the present call."""
+class BaseRouter(contract.OptionalCalls, ABC):
+    """Maintains the sequences of a node, and collects the actions of the current call."""
 
-    def __init__(self, table: EngineTable, wakeup_interval: float) -> None:
-        self.config = table.config
-        self.table = table
-        self.wakeup_interval = wakeup_interval  # longest delay in seconds while sequences wait at this node
+    def __init__(self, engine_table: EngineTable, wakeup_interval: float) -> None:
+        self.config = engine_table.config
+        self.engine_table = engine_table
+        self.wakeup_interval = wakeup_interval  # seconds; longest delay while sequences wait
         self.sequences: dict[int, Sequence] = {}
-        self.waiting: dict[int, Sequence] = {}  # those that wait at this node
-        self.actions: list[Action] = []  # of the present call
-        self.wake_at = float("inf")  # time at which the requested wake-up is due; inf: none is requested
+        self.waiting: dict[int, Sequence] = {}  # the sequences that wait at this node
+        self.pending_actions: list[Action] = []  # of the current call
+        self.next_wakeup_at = float("inf")  # inf if no wake-up is requested
         self.last_feedback_at = 0.0  # time of the last event from an engine or the endpoint list
 
     @abstractmethod
-    def _endpoints_changed(self) -> None:
-        """Update what depends on the endpoint list."""
+    def _on_endpoints_changed(self) -> None:
+        """Update the state that is derived from the endpoint list."""
 
     @abstractmethod
-    def _accept(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
-        """Return the record of an arriving sequence."""
+    def _new_sequence(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
+        """Create the record of an arriving sequence."""
 
     @abstractmethod
     def _admit(self, sequence: Sequence, now: float) -> None:
-        """Place an arriving sequence, or first probe engines for it."""
+        """Place an arriving sequence, or probe engines before that."""
 
     @abstractmethod
     def _place(self, sequence: Sequence, now: float) -> None:
-        """Send the next attempt of a sequence, let the sequence wait, or end it."""
+        """Send the next attempt of a sequence, or let the sequence wait, or end it."""
 
     @abstractmethod
     def _place_waiting(self, now: float) -> None:
-        """End the sequences whose deadline is reached, and place some of those that wait."""
+        """End the sequences past their deadline, and place some of those that wait."""
 
     @abstractmethod
-    def _probe_unanswered(self, engine: Engine) -> None:
-        """Update the estimates of an engine that did not answer a probe."""
+    def _on_probe_timeout(self, engine: Engine) -> None:
+        """Update the estimates of an engine whose probe timed out."""
 
     @abstractmethod
-    def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
+    def _on_attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
         """Update the estimates of an engine whose answer has started."""
 
     @abstractmethod
-    def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
-        """Update the estimates from the outcome of an attempt, and decide how its sequence continues."""
+    def _on_attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
+        """Update the estimates from the outcome of an attempt, and continue or end its sequence."""
 
     @abstractmethod
-    def _end(self, sequence: Sequence, answer: Action | None) -> None:
-        """End a sequence with a final answer; None if its client has disconnected."""
+    def _end_sequence(self, sequence: Sequence, answer: Action | None) -> None:
+        """End a sequence with a final answer, or with None if its client has disconnected."""
 
     def start(self, now: float) -> list[Action]:
         """Start the router; called once, before all other calls."""
@@ -77,41 +77,41 @@
     ) -> list[Action]:
         """Apply the complete endpoint list, or a change to it."""
         self._record_feedback(now)
-        self.table.update(updates, is_complete)
-        self._endpoints_changed()
-        return self._finish(now)
+        self.engine_table.update(updates, is_complete)
+        self._on_endpoints_changed()
+        return self._finish_call(now)
 
     def arrive(self, now: float, sequence_id: int, arrival: Arrival) -> list[Action]:
         """Accept an arriving sequence."""
-        self.table.now = now
-        sequence = self.sequences[sequence_id] = self._accept(now, sequence_id, arrival)
-        engines = self.table.engines
-        if arrival.state_engine is not None:  # the former owner of a taken-over sequence had its prompt read
+        self.engine_table.now = now
+        sequence = self.sequences[sequence_id] = self._new_sequence(now, sequence_id, arrival)
+        engines = self.engine_table.engines
+        if arrival.state_engine is not None:  # a takeover: the prompt was read for the former owner
             sequence.state_engine = engines[arrival.state_engine]
             sequence.reader = sequence.state_engine
-            sequence.state_since = now
+            sequence.state_held_since = now
         if arrival.may_have_run_at is not None:
             sequence.record_possible_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
         if arrival.tenant is not None:
-            self.table.arrivals.add(arrival.tenant, now)
+            self.engine_table.arrival_counters.add(arrival.tenant, now)
         self._admit(sequence, now)
-        return self._finish(now)
+        return self._finish_call(now)
 
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Update the estimates from a probe, and place the sequences that await no other probe."""
+        """Update the estimates from a probe, and place the sequences that have no other pending probes."""
         self._record_feedback(now)
-        probed = self.table.engines[engine]
+        probed = self.engine_table.engines[engine]
         if load is not None:
-            self.table.load_reported(probed, load)
+            self.engine_table.load_reported(probed, load)
         else:
-            self._probe_unanswered(probed)
-        for sequence in [waiting for waiting in self.waiting.values() if probed in waiting.awaited_probes]:
-            sequence.awaited_probes.discard(probed)
-            if not sequence.awaited_probes and sequence.id in self.waiting:
+            self._on_probe_timeout(probed)
+        for sequence in [waiting for waiting in self.waiting.values() if probed in waiting.pending_probes]:
+            sequence.pending_probes.discard(probed)
+            if not sequence.pending_probes and sequence.id in self.waiting:
                 self._place(sequence, now)
-        return self._finish(now)
+        return self._finish_call(now)
 
     def began(self, now: float, sequence_id: int, attempt: int, latency: float) -> list[Action]:
         """Handle the first token of an attempt's answer."""
@@ -120,8 +120,8 @@
         if sequence is not None and attempt < len(sequence.attempts):
             sequence.has_begun = True
             sequence.state_engine = None
-            self._attempt_began(sequence, sequence.attempts[attempt], now, latency)
-        return self._finish(now)
+            self._on_attempt_began(sequence, sequence.attempts[attempt], now, latency)
+        return self._finish_call(now)
 
     def ended(
         self,
@@ -134,57 +134,57 @@
         cached_tokens: float,
         load: LoadReport | None,
     ) -> list[Action]:
-        """Handle the end of an attempt; repeated and unknown ends are ignored."""
+        """Handle the end of an attempt; late events of ended or unknown attempts are ignored."""
         self._record_feedback(now)
         sequence = self.sequences.get(sequence_id)
         if sequence is None or attempt >= len(sequence.attempts):
-            return self._finish(now)
+            return self._finish_call(now)
         ended = sequence.attempts[attempt]
         if ended.is_running:
             ended.end(outcome, latency, is_answered, cached_tokens)
             if load is not None:
-                self.table.load_reported(ended.engine, load)
-            self._attempt_ended(sequence, ended, now)
-        return self._finish(now)
+                self.engine_table.load_reported(ended.engine, load)
+            self._on_attempt_ended(sequence, ended, now)
+        return self._finish_call(now)
 
     def attempt_arrived(self, now: float, sequence_id: int, attempt: int) -> list[Action]:
-        """Handle the sign that a running attempt has arrived at its engine."""
+        """Handle the confirmation that a running attempt has arrived at its engine."""
         sequence = self.sequences.get(sequence_id)
         if sequence is not None and attempt in sequence.running_attempts():
-            sequence.expect_no_release()
-        return self._finish(now)
+            sequence.clear_release_timers()
+        return self._finish_call(now)
 
     def client_left(self, now: float, sequence_id: int) -> list[Action]:
         """Handle the disconnection of a client that has no final answer yet."""
         sequence = self.sequences.get(sequence_id)
         if sequence is not None and not sequence.is_over:
-            self._end(sequence, None)
-        return self._finish(now)
+            self._end_sequence(sequence, None)
+        return self._finish_call(now)
 
     def wake(self, now: float, token: int) -> list[Action]:
         """Handle a wake-up that `ScheduleWakeup` requested."""
-        self.table.now = now
-        if now >= self.wake_at - WAKEUP_TOLERANCE:
-            self.wake_at = float("inf")
+        self.engine_table.now = now
+        if now >= self.next_wakeup_at - WAKEUP_TOLERANCE:
+            self.next_wakeup_at = float("inf")
         self._place_waiting(now)
-        return self._finish(now)
+        return self._finish_call(now)
 
     def _record_feedback(self, now: float) -> None:
-        self.table.now = now
+        self.engine_table.now = now
         self.last_feedback_at = now
 
-    def _finish(self, now: float) -> list[Action]:
-        """Schedule a wake-up if one is needed, and return the actions of the call."""
+    def _finish_call(self, now: float) -> list[Action]:
+        """Schedule a wake-up if necessary, and return the actions of the call."""
         self._schedule_wakeup(now)
-        actions = self.actions
-        self.actions = []
-        self.table.clear_memo()
+        actions = self.pending_actions
+        self.pending_actions = []
+        self.engine_table.clear_memo()
         return actions
 
     def _schedule_wakeup(self, now: float) -> None:
-        """Request a wake-up at the next deadline, check or release, or sooner while sequences wait here."""
+        """Request a wake-up for the next deadline, arrival check or release; sooner while sequences wait."""
         deadlines = [
-            min(sequence.abandon_at, sequence.check_due_at, sequence.release_due_at)
+            min(sequence.abandon_at, sequence.arrival_check_due_at, sequence.state_release_due_at)
             for sequence in self.sequences.values()
             if not sequence.is_over and not sequence.has_begun
         ]
@@ -194,6 +194,6 @@
         if self.waiting:
             delay = min(self.wakeup_interval, delay)
         delay = max(MIN_WAKEUP_DELAY, delay)
-        if now + delay < self.wake_at - WAKEUP_TOLERANCE / 2:
-            self.wake_at = now + delay
-            self.actions.append(contract.ScheduleWakeup(delay, 0))
+        if now + delay < self.next_wakeup_at - WAKEUP_TOLERANCE / 2:
+            self.next_wakeup_at = now + delay
+            self.pending_actions.append(contract.ScheduleWakeup(delay, 0))
--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -1,13 +1,13 @@
-"""The contract between a router and the program that executes its decisions.
+"""The interface between a router and the node that executes its actions.
 
-A node creates one `routing.policy.router.Router` and calls it with each event. A call returns the actions to
-execute, in their order. The module has, in this order: the configuration, the events, the actions, and the
-calls (`Router`).
+A node creates one `routing.policy.router.Router` and calls it for each event. A call returns actions, which
+the node executes in order. The module defines the configuration, the events, the actions and the calls
+(`Router`), in this order.
 
-- Times and durations are seconds, on one monotonic clock.
-- Engines, kinds, zones, tenants and traffic types are small dense indices assigned by the caller. An index
-  may be reused for another engine; the update that introduces the engine says so (`EndpointUpdate.is_new`).
-- Sessions and shared prefixes are opaque integers; 0 means that a sequence has none.
+- Times and durations are in seconds, on one monotonic clock.
+- Engines, kinds, zones, tenants and traffic types are small dense indices that the caller assigns. If it
+  reuses an index for another engine, it sets `EndpointUpdate.is_new`.
+- Sessions and shared prefixes are opaque integers; 0 means none.
 """
 
 from collections.abc import Sequence
@@ -16,15 +16,15 @@
 
 
 class RetrySemantics(StrEnum):
-    """Whether a sequence may run a second time; the values are those of the settings."""
+    """Whether a sequence may run more than once; the values are those of the settings."""
 
     IDEMPOTENT = "repeatable"
-    IDEMPOTENCY_KEY = "tokened"  # engines of one dedup group run a key once within the dedup window
+    IDEMPOTENCY_KEY = "tokened"  # engines of a dedup group run a key once within the dedup window
     AT_MOST_ONCE = "once-only"
 
 
 class DedupGroup(StrEnum):
-    """Which engines share their idempotency keys; the values are those of the settings."""
+    """Which engines deduplicate idempotency keys together; the values are those of the settings."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,12 +35,12 @@
     """The configuration of one traffic type."""
 
     retry_semantics: RetrySemantics
-    latency_slo: float  # seconds to the first token
+    latency_slo: float  # seconds until the first token
     slo_per_token: float  # seconds added to the latency SLO for each prompt token
-    abandon_time: float  # seconds after which clients of this traffic type abandon a sequence
-    seconds_per_token: float  # objective for the time between two tokens of an answer
+    abandon_time: float  # seconds after which clients abandon a sequence
+    seconds_per_token: float  # SLO for the time between two tokens of an answer
     utility: float  # priority weight of an answer within the latency SLO
-    late_share: float  # share of the utility that an answer after the latency SLO still has
+    late_share: float  # share of the utility that an answer after the latency SLO has
     dedup_group: DedupGroup = DedupGroup.ALL
     dedup_window: float = 0.0  # seconds for which engines remember an idempotency key
 
@@ -48,17 +48,17 @@
 class RouterConfig(NamedTuple):
     """The configuration of a router, fixed at its creation."""
 
-    seed: int  # of its random generator
-    node: int  # index of its node
+    seed: int  # of its random number generator
+    node: int  # index of the node
     node_count: int
-    zone: int  # of its node
+    zone: int  # of the node
     traffic: tuple[TrafficType, ...]  # by index of the traffic type
-    reads: tuple[bool, ...]  # by kind of engine: whether it reads prompts
-    writes: tuple[bool, ...]  # by kind of engine: whether it writes answers
-    memory: tuple[float, ...]  # tokens that fit in an engine, by kind; 0 if unknown
-    quotas: tuple[float, ...]  # by tenant: sequences per second over all nodes; 0 for no quota
-    writers_can_read: bool  # engines that only write can read the prompts of their own answers
-    # What the platform lets a node do.
+    reads: tuple[bool, ...]  # by kind of engine: whether it can read prompts
+    writes: tuple[bool, ...]  # by kind of engine: whether it can write answers
+    memory: tuple[float, ...]  # by kind of engine: its memory in tokens; 0 if unknown
+    quotas: tuple[float, ...]  # by tenant: sequences per second at all nodes together; 0 for no quota
+    writers_can_read: bool  # engines that only write can read the prompts of their sequences
+    # The optional actions that the platform supports.
     may_reserve: bool
     may_cancel: bool
     may_migrate: bool
@@ -66,22 +66,22 @@
     may_gossip: bool
     may_hedge: bool
     max_attempts: int  # per sequence
-    state_timeout: float  # seconds for which an engine may hold a read state that no writer fetches
-    drain_grace: float  # seconds for which an engine still accepts sequences after it starts draining
-    cold_share: float  # share of its capacity that an engine has when it starts
+    state_timeout: float  # seconds for which an engine may hold a read state until a writer fetches it
+    drain_grace: float  # seconds for which a draining engine still accepts sequences
+    cold_share: float  # share of its capacity that a cold engine has at its start
     cold_time: float  # seconds from the start of an engine until it has its full capacity
-    overload_multiple: float  # multiple of its capacity from which a cold engine is overloaded
-    overload_window: float  # seconds over which the load of a cold engine is measured; 0 for no slow start
-    answer_slack: float  # seconds by which a final answer may follow the abandon time
-    tick: float  # seconds by which the node's timers may fire late
-    max_retry_after: float  # longest Retry-After in seconds that clients honour; 0 if they honour none
-    over_quota_utility: float  # utility of a sequence beyond its tenant's quota
-    polls_endpoints: bool  # the router has to request the endpoint list
-    load_by_probe_only: bool = False  # engines report load to probes, and not with their responses
-    connect_timeout: float = 0.0  # longest time in seconds to connect to an engine before a send
-    probe_price: float = 0.0  # cost of one probe, in units of utility
-    # The node can check whether an attempt has arrived at its engine. Without this, each attempt that was
-    # sent counts as arrived until it ends.
+    overload_multiple: float  # load of a cold engine, as a multiple of its capacity, that is an overload
+    overload_window: float  # seconds over which that load is measured; 0 for no slow start
+    answer_slack: float  # seconds after the abandon time in which a final answer is still accepted
+    tick: float  # seconds by which the timers of the node may fire late
+    max_retry_after: float  # seconds; longest Retry-After that clients respect; 0 if they respect none
+    over_quota_utility: float  # utility of a sequence that exceeds the quota of its tenant
+    polls_endpoints: bool  # the router requests the endpoint list
+    load_by_probe_only: bool = False  # engines report load in responses to probes only
+    connect_timeout: float = 0.0  # seconds; longest time to connect to an engine before a send
+    probe_price: float = 0.0  # cost of a probe, in units of utility
+    # The node can check whether an attempt has arrived at its engine. Otherwise each attempt that was sent is
+    # assumed to have arrived.
     may_check_arrival: bool = False
 
 
@@ -94,13 +94,13 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt ended; the values are those in records and metrics."""
+    """How an attempt ended; the values are those of records and metrics."""
 
     GENERATED = "generated"  # the answer is complete
-    READ = "read"  # the prompt was read, and the engine holds the read state
-    FULL = "full"  # the engine rejected it before it ran: no capacity, or the read state was lost
-    UNREACHED = "unreached"  # no connection was established
-    UNSENT = "unsent"  # the node did not send it, because it was no longer needed or allowed
+    READ = "read"  # the prompt is read, and the engine holds the read state
+    FULL = "full"  # rejected before it ran, because the engine has no capacity or the read state is lost
+    UNREACHED = "unreached"  # no connection could be established
+    UNSENT = "unsent"  # the node withheld it, or it was no longer needed
     ERROR = "error"
     TIMEOUT = "timeout"
     RESET = "reset"
@@ -111,20 +111,20 @@
     """The entry of one engine in the endpoint list."""
 
     engine: int
-    is_new: bool  # the index is new, or was reused for another engine
+    is_new: bool  # the index is new, or is reused for another engine
     state: EngineState
     kind: int
     zone: int
     cell: int
     started_at: float  # 0.0 if the engine started long ago
     weight: float  # relative capacity
-    hash_seed: int = 0  # identifies the engine in rendezvous hashing; every node has the same number
+    hash_seed: int = 0  # of the engine in rendezvous hashing, the same on all nodes
 
 
 class Arrival(NamedTuple):
-    """What the router knows of a sequence when it arrives.
+    """The properties of an arriving sequence.
 
-    The last three fields are set for a sequence that this node takes over from another one.
+    The last three fields are set only in a takeover from another node.
     """
 
     traffic: int
@@ -133,24 +133,24 @@
     time_left: float  # seconds until the client abandons it
     session: int
     prefix: int
-    shared_tokens: float  # tokens of the prompt that belong to the shared prefix
+    shared_tokens: float  # prompt tokens in the shared prefix
     max_output_tokens: float
-    expected_seconds: float  # rough estimate of the answer's duration; 0.0 if there is none
-    is_resumed: bool = False  # the client continues an answer that was interrupted
-    is_retry: bool = False  # the client sends it again after a rejection or an abort
-    state_engine: int | None = None  # engine that holds its read state
-    may_have_run_at: int | None = None  # engine at which a former attempt may have run
+    expected_seconds: float  # rough estimate of the duration of the answer; 0.0 for none
+    is_resumed: bool = False  # the client resumes an interrupted answer
+    is_retry: bool = False  # the client retries after a rejection or an abort
+    state_engine: int | None = None  # engine that has its read state
+    may_have_run_at: int | None = None  # engine at which an earlier attempt may have run
     may_have_run_ago: float = 0.0  # seconds since that attempt was sent
 
 
 class LoadReport(NamedTuple):
-    """The load report of an engine, with the field names of the protocol; None for a value not reported."""
+    """The load report of an engine, with the field names of the protocol; None for an unreported value."""
 
     memory_share: float | None = None  # share of the memory in use
-    unread: float | None = None  # prompt tokens still to be read or fetched
+    unread: float | None = None  # prompt tokens that have yet to be read or fetched
     slot_share: float | None = None  # share of the slots in use
     waiting: float | None = None  # queued sequences
-    latency: float | None = None  # recent latency in seconds, of complete reads or to the first token
+    latency: float | None = None  # seconds; recent latency of complete reads, or to the first token
     active: float | None = None  # sequences in progress
 
 
@@ -159,24 +159,24 @@
 
     sequence: int
     engine: int
-    timeout: float  # seconds; 0.0: until the abandon time
+    timeout: float  # seconds; 0.0 for the abandon time
 
 
 class Reserve(NamedTuple):
-    """Ask a writer to reserve capacity for a sequence."""
+    """Request a writer to reserve capacity for a sequence."""
 
     sequence: int
     engine: int
 
 
 class Release(NamedTuple):
-    """Have engines free all read states that they hold for a sequence."""
+    """Release all read states that engines hold for a sequence."""
 
     sequence: int
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel an attempt that is running."""
+    """Cancel a running attempt."""
 
     sequence: int
     attempt: int
@@ -190,20 +190,20 @@
 
 
 class Reject(NamedTuple):
-    """End a sequence and tell its client that it did not run, or that a retry does no harm."""
+    """End a sequence that did not run, or that its client may retry without harm."""
 
     sequence: int
-    retry_after: float  # Retry-After in seconds; 0.0 for none
+    retry_after: float  # seconds for the Retry-After; 0.0 for none
 
 
 class Abort(NamedTuple):
-    """End a sequence and tell its client that it failed and may have run."""
+    """End a sequence that failed and may have run."""
 
     sequence: int
 
 
 class Migrate(NamedTuple):
-    """End a stream so that its client resumes it at another engine."""
+    """End a stream so that the client resumes it at another engine."""
 
     sequence: int
 
@@ -216,7 +216,7 @@
 
 
 class Probe(NamedTuple):
-    """Send a health check that asks an engine for its load report."""
+    """Send a health check that requests the load report of an engine."""
 
     engine: int
 
@@ -245,13 +245,13 @@
 
 
 class LogNote(NamedTuple):
-    """Write a line to the log of the node."""
+    """Write a log event of the node."""
 
     text: str
 
 
 class Forget(NamedTuple):
-    """Discard the record of a sequence; no further action names it."""
+    """Discard the record of a sequence, to which no later action refers."""
 
     sequence: int
 
@@ -277,12 +277,11 @@
 
 
 class SendCheck(NamedTuple):
-    """Which conditions of an attempt still hold just before its first byte.
+    """The conditions of an attempt that are checked again just before its first byte.
 
     Attributes:
-        may_run: No earlier attempt can have run, or another run would not repeat the effect.
-        is_in_slow_start_share: The engine has warmed up, or the sequence is in the share of sequences that a
-            cold engine may get.
+        may_run: No earlier attempt can have run, or a second run has no second effect.
+        is_in_slow_start_share: The engine is warm, or its slow start allows this sequence.
     """
 
     may_run: bool
@@ -290,11 +289,11 @@
 
 
 class Router(Protocol):
-    """The calls that a node makes.
+    """The calls of a node to its router.
 
-    The first argument of each is the present time. Sequence numbers are assigned by the caller; attempts of a
-    sequence are numbered from 0 in the order of their `Send`. Each call but `check_send` returns the actions
-    to execute, in their order.
+    The first argument of each call is the current time. The caller assigns sequence numbers. The attempts of
+    a sequence are numbered from 0, in the order of their `Send` actions. Each call except `check_send`
+    returns actions, which the node executes in order.
     """
 
     def start(self, now: float) -> list[Action]:
@@ -328,15 +327,15 @@
         """Handle the end of an attempt.
 
         Args:
-            now: The present time.
-            sequence: The sequence.
+            now: The current time.
+            sequence: The number of the sequence.
             attempt: The number of the attempt.
-            outcome: How it ended.
-            latency: Seconds since it was sent.
+            outcome: How the attempt ended.
+            latency: Seconds since the attempt was sent.
             is_answered: The client got its final answer from this attempt.
-            cached_tokens: Prompt tokens that the engine had cached. With `Outcome.FULL`, any number but 0
-                means that the engine could not fetch the read state.
-            load: The load report in the engine's response, if there is one.
+            cached_tokens: Prompt tokens that the engine had cached. With `Outcome.FULL`, a number other than
+                0 means that the engine could not fetch the read state.
+            load: The load report in the response of the engine, if any.
         """
 
     def reservation_answered(
@@ -345,7 +344,7 @@
         """Handle an engine's response to `Reserve`."""
 
     def attempt_arrived(self, now: float, sequence: int, attempt: int) -> list[Action]:
-        """Handle the sign that a running attempt has arrived, after `CheckArrival`."""
+        """Handle the confirmation that a running attempt has arrived, after `CheckArrival`."""
 
     def client_left(self, now: float, sequence: int) -> list[Action]:
         """Handle the disconnection of a client that has no final answer yet."""
@@ -353,7 +352,7 @@
     def probe_ended(
         self, now: float, engine: int, is_answered: bool, latency: float, load: LoadReport | None
     ) -> list[Action]:
-        """Handle the response to a `Probe`, or the timeout of one that was not answered."""
+        """Handle the response to a `Probe`, or its timeout."""
 
     def gossip_received(self, now: float, node: int, payload: str) -> list[Action]:
         """Handle a message from another node."""
@@ -362,11 +361,11 @@
         """Handle a wake-up that `ScheduleWakeup` requested."""
 
     def check_send(self, now: float, sequence: int, attempt: int) -> SendCheck:
-        """Return which conditions of an attempt still hold before its first byte; changes nothing."""
+        """Check an attempt again just before its first byte; does not change the router's state."""
 
 
 class OptionalCalls:
-    """Default calls of routers that never return the optional actions `Reserve`, `Probe` and so on."""
+    """Default implementations for routers that do not use the actions `Reserve`, `Probe` and so on."""
 
     def attempt_arrived(self, now: float, sequence: int, attempt: int) -> list[Action]:
         """Ignore the result of a `CheckArrival`."""
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -56,7 +56,7 @@
         if tenant is None:
             return False
         quota = self.config.quotas[tenant] / self.config.node_count
-        rate = self.estimates.arrivals.rate(tenant, self.estimates.now)
+        rate = self.estimates.arrival_counters.rate(tenant, self.estimates.now)
         return 0.0 < quota * QUOTA_SKEW < rate - QUOTA_SLACK / LEARNING.rate_half_life
 
     def gate(self, sequence: Sequence, engine: Engine, now: float) -> NotPlaced | None:
@@ -130,7 +130,7 @@
         estimate = sequence.start_estimate
         sequence.start_estimate = None
         if estimate is not None and estimate.delay > 0.0:
-            actual = min(now - estimate.made_at, MAX_DELAY_FACTOR * estimate.delay)
+            actual = min(now - estimate.estimated_at, MAX_DELAY_FACTOR * estimate.delay)
             self.delay_correction.observe(estimate.delay, actual, MAX_DELAY_WEIGHT, now)
 
     def expect_arrival(self, sequence: Sequence) -> None:
@@ -142,15 +142,17 @@
         released, although the attempt may have arrived after all: it then finds no state.
         Test: `test_a_state_is_released_in_time_although_its_write_never_arrives`.
         """
-        sequence.expect_no_release()
+        sequence.clear_release_timers()
         had_read = sequence.arrival.state_engine is not None or any(
             attempt.is_read and not attempt.is_running for attempt in sequence.attempts
         )
-        if had_read and sequence.state_since > 0.0 and self.config.may_check_arrival:
+        if had_read and sequence.state_held_since > 0.0 and self.config.may_check_arrival:
             timeout = self.config.state_timeout
-            sequence.check_due_at = sequence.state_since + ARRIVAL_CHECK_SHARE * timeout
-            sequence.release_due_at = sequence.state_since + UNREACHED_STATE_TIMEOUT_SHARE * timeout
+            sequence.arrival_check_due_at = sequence.state_held_since + ARRIVAL_CHECK_SHARE * timeout
+            sequence.state_release_due_at = (
+                sequence.state_held_since + UNREACHED_STATE_TIMEOUT_SHARE * timeout
+            )
 
     def retains_state_too_long(self, sequence: Sequence, now: float, share: float) -> bool:
         """Rule 5: return whether a read state was not fetched within a share of the state timeout."""
-        return now > sequence.state_since + share * self.config.state_timeout
+        return now > sequence.state_held_since + share * self.config.state_timeout
--- a/myrtlehub/routing/policy/load_probing.py
+++ b/myrtlehub/routing/policy/load_probing.py
@@ -39,7 +39,7 @@
             if self.tokens >= 1.0 and now > engine.last_probed_at + PROBE_INTERVAL:
                 self.tokens -= 1.0
                 engine.last_probed_at = now
-                sequence.awaited_probes.add(engine)
+                sequence.pending_probes.add(engine)
                 probed.append(engine)
         return probed
 
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -90,7 +90,9 @@
         read = self.choose(writer, sequence, plan, uncached, now)
         sequence.reader = read.reader
         delay = read.seconds
-        delay += self.estimates.wait(writer) + self.estimates.observed(writer.lateness, writer)
+        delay += self.estimates.queueing_delay(writer) + self.estimates.decayed_value(
+            writer.start_lateness, writer
+        )
         if not sequence.attempts and self.admission.starts_late(sequence, delay, now):
             # Sending it would only lengthen the queues that make it late.
             return self.admission.wait_or_reject(sequence, now)
@@ -152,7 +154,7 @@
             estimated = estimated_tokens[affinity.get(reader, Affinity.OTHER)]
             cached = max(reader.cache.find(arrival, now).tokens, estimated)
             seconds = (estimates.total_backlog(reader) + prompt - cached) / estimates.read_rate(reader)
-            known: float = 0.5 ** ((now - reader.backlog.at) / half_life)
+            known: float = 0.5 ** ((now - reader.backlog_deviation.at) / half_life)
             if draw > known + (1.0 - known) * self.reader_shares[reader.cell]:
                 seconds += sequence.slo_deadline - now
             yield reader, cached, weight, seconds
@@ -182,7 +184,9 @@
         # No reader of the cell has capacity: its readers may be overloaded, and links to other cells slow.
         # The engine that would be ready first reads the prompt; this may be the writer.
         soonest = self._soonest_elsewhere(writer, sequence, plan)
-        if can_read and (soonest is None or own_read + self.estimates.wait(writer) < soonest.seconds):
+        if can_read and (
+            soonest is None or own_read + self.estimates.queueing_delay(writer) < soonest.seconds
+        ):
             return PlannedRead(own_read)
         if soonest is None:
             return PlannedRead(sequence.abandon_at - now, is_possible=False)
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -81,10 +81,10 @@
         sequence.record_possible_run(attempt.engine, attempt.sent_at)
     if outcome == Outcome.READ and attempt.is_read and not sequence.has_begun:
         sequence.state_engine = attempt.engine
-        sequence.state_since = now
+        sequence.state_held_since = now
     elif outcome == Outcome.FULL and attempt.cached_tokens and not attempt.is_read:
         sequence.state_engine = None  # the writer found that the reader has lost the state
     elif outcome not in (Outcome.GENERATED, Outcome.READ, Outcome.UNSENT):
         sequence.failed_engines.add(attempt.engine)
         if outcome != Outcome.UNREACHED:  # a failed connection does not restart the time of a read state
-            sequence.state_since = now
+            sequence.state_held_since = now
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from myrtlehub.routing import contract
-from myrtlehub.routing.calls import RouterCalls
+from myrtlehub.routing.calls import BaseRouter
 from myrtlehub.routing.contract import Action, Arrival, Outcome, RouterConfig
 from myrtlehub.routing.policy import admission, retries
 from myrtlehub.routing.policy.engine_estimates import EngineEstimates
@@ -29,7 +29,7 @@
 MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
 
 
-class Router(RouterCalls):
+class Router(BaseRouter):
     """The routing decisions of one node."""
 
     def __init__(self, config: RouterConfig) -> None:
@@ -42,25 +42,25 @@
         self.writers = WriterSelection(self.estimates, self.admission, self.reads)
         self.probing = LoadProbing(self.estimates, self.reads, self.writers)
 
-    def _endpoints_changed(self) -> None:
+    def _on_endpoints_changed(self) -> None:
         self.reads.update_cells()
 
-    def _probe_unanswered(self, engine: Engine) -> None:
-        self.estimates.probe_unanswered(engine)
+    def _on_probe_timeout(self, engine: Engine) -> None:
+        self.estimates.record_probe_timeout(engine)
 
-    def _accept(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
+    def _new_sequence(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
         margin = max(ANSWER_TICKS * self.config.tick, MIN_ANSWER_MARGIN)
         abandon_at = now + arrival.time_left - margin
-        memory_need = arrival.prompt_tokens + EXPECTED_OUTPUT_SHARE * arrival.max_output_tokens
+        memory_tokens = arrival.prompt_tokens + EXPECTED_OUTPUT_SHARE * arrival.max_output_tokens
         traffic = self.config.traffic[arrival.traffic]
-        return Sequence(sequence_id, arrival, traffic, now, abandon_at, self.random(), memory_need)
+        return Sequence(sequence_id, arrival, traffic, now, abandon_at, self.random(), memory_tokens)
 
     def _admit(self, sequence: Sequence, now: float) -> None:
         sequence.is_over_quota = self.admission.is_over_quota(sequence.arrival.tenant)
         if self.probing.is_needed:
             probed = self.probing.select(sequence, now)
-            self.actions.extend(contract.Probe(engine.index) for engine in probed)
-        if sequence.awaited_probes:
+            self.pending_actions.extend(contract.Probe(engine.index) for engine in probed)
+        if sequence.pending_probes:
             self.waiting[sequence.id] = sequence
         else:
             self._place(sequence, now)
@@ -77,11 +77,11 @@
             if now >= sequence.abandon_at:
                 self._give_up(sequence)
                 continue
-            if now >= sequence.release_due_at:
+            if now >= sequence.state_release_due_at:
                 self._release_state(sequence)
-            elif now >= sequence.check_due_at:
-                sequence.check_due_at = float("inf")
-                self.actions.append(contract.CheckArrival(sequence.id, len(sequence.attempts) - 1))
+            elif now >= sequence.arrival_check_due_at:
+                sequence.arrival_check_due_at = float("inf")
+                self.pending_actions.append(contract.CheckArrival(sequence.id, len(sequence.attempts) - 1))
             if sequence.id not in self.waiting:
                 continue
             may_try = failed_placements < MAX_FAILED_PLACEMENTS and self._may_place_again(sequence, now)
@@ -124,10 +124,10 @@
             self._release_state(sequence)
 
     def _release_state(self, sequence: Sequence) -> None:
-        self.actions.append(contract.Release(sequence.id))
+        self.pending_actions.append(contract.Release(sequence.id))
         sequence.state_engine = None
-        sequence.state_since = float("inf")
-        sequence.expect_no_release()
+        sequence.state_held_since = float("inf")
+        sequence.clear_release_timers()
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
         """Send the next attempt: a read if the sequence is split, else one that writes the answer."""
@@ -137,13 +137,13 @@
         is_first_read = sequence.is_split and not sequence.attempts
         timeout = READ_TIMEOUT_SHARE * (sequence.abandon_at - now) if is_first_read else 0.0
         attempt = self._new_attempt(sequence, engine, now)
-        self.estimates.assign(sequence, sequence.writer)
+        self.estimates.assign_writer(sequence, sequence.writer)
         sequence.attempts.append(attempt)
         self.admission.expect_arrival(sequence)
         self.estimates.attempt_sent(attempt)
         if not attempt.fetches_state:  # engines cache the prompts that they read, and not fetched states
             engine.cache.add(arrival, now)
-        self.actions.append(contract.Send(sequence.id, engine.index, timeout))
+        self.pending_actions.append(contract.Send(sequence.id, engine.index, timeout))
 
     def _new_attempt(self, sequence: Sequence, engine: Engine, now: float) -> Attempt:
         arrival, is_read = sequence.arrival, sequence.is_split
@@ -166,13 +166,13 @@
             is_in_slow_start_share=self.admission.is_in_slow_start_share(engine, sequence, now),
         )
 
-    def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
+    def _on_attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
         writer, source = attempt.engine, sequence.reader
-        sequence.expect_no_release()
+        sequence.clear_release_timers()
         # Once the answer has started, load reports include the memory of the sequence, which is no longer
         # counted as assigned. If reports do not include memory, it stays assigned until the sequence ends.
-        is_reported = writer.kind in self.estimates.usual_memory
-        self.estimates.assign(sequence, None if is_reported else sequence.assigned_to)
+        is_reported = writer.kind in self.estimates.mean_memory_share
+        self.estimates.assign_writer(sequence, None if is_reported else sequence.assigned_writer)
         self.admission.observe_start(sequence, now)
         was_transferred = False
         if attempt.fetches_state and source is not None and source.cell != writer.cell:
@@ -180,9 +180,9 @@
             self.reads.observe_transfer(source, writer, sequence.arrival.prompt_tokens, latency)
         self.estimates.attempt_began(attempt, latency, was_transferred)
 
-    def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
+    def _on_attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
         self.estimates.attempt_ended(sequence, attempt)
-        sequence.expect_no_release()
+        sequence.clear_release_timers()
         if attempt.has_succeeded:
             self.reads.hit_rates.observe_success(sequence, attempt, now)
         retries.record_capacity(sequence, attempt, now)
@@ -193,7 +193,7 @@
         elif not retries.may_run_at(sequence, attempt.engine, now, self.config):
             self._give_up(sequence)
         elif not sequence.running_attempts():
-            if attempt.outcome == Outcome.UNREACHED and sequence.state_since > 0.0:
+            if attempt.outcome == Outcome.UNREACHED and sequence.state_held_since > 0.0:
                 # Each failed connection to a writer takes time in which the read state stays at its engine
                 # (`test_a_read_state_is_released_in_time_while_writers_cannot_be_reached`).
                 self._release_expired_state(sequence, now, admission.UNREACHED_STATE_TIMEOUT_SHARE)
@@ -204,25 +204,25 @@
         self.admission.observe_start(sequence, self.estimates.now)
         is_harmless = retries.may_reject(sequence)
         answer = contract.Reject(sequence.id, retry_after) if is_harmless else contract.Abort(sequence.id)
-        self._end(sequence, answer)
+        self._end_sequence(sequence, answer)
 
-    def _end(self, sequence: Sequence, answer: Action | None) -> None:
+    def _end_sequence(self, sequence: Sequence, answer: Action | None) -> None:
         sequence.is_over = True
         if answer is not None:
-            self.actions.append(answer)
+            self.pending_actions.append(answer)
         if self.config.may_cancel and not sequence.has_begun:
             running = sequence.running_attempts()
-            self.actions.extend(contract.CancelAttempt(sequence.id, number) for number in running)
+            self.pending_actions.extend(contract.CancelAttempt(sequence.id, number) for number in running)
         self._forget(sequence)
 
     def _forget(self, sequence: Sequence) -> None:
         """Forget an ended sequence and release its read states (rule 5), once none of its attempts runs."""
         self.waiting.pop(sequence.id, None)
-        self.estimates.assign(sequence, None)
+        self.estimates.assign_writer(sequence, None)
         if sequence.running_attempts():
             return
         has_read = any(attempt.is_read for attempt in sequence.attempts)
         if sequence.arrival.state_engine is not None or has_read:
-            self.actions.append(contract.Release(sequence.id))
-        self.actions.append(contract.Forget(sequence.id))
+            self.pending_actions.append(contract.Release(sequence.id))
+        self.pending_actions.append(contract.Forget(sequence.id))
         self.sequences.pop(sequence.id, None)
--- a/myrtlehub/routing/policy/writer_selection.py
+++ b/myrtlehub/routing/policy/writer_selection.py
@@ -42,7 +42,9 @@
         candidates = sequence.candidate_writers or self.estimates.writers
         sequence.candidate_writers = []
         usable = self._preferred(candidates, sequence, now)
-        free = [engine for engine in usable if self.estimates.free_share(engine, sequence) > MIN_FREE_SHARE]
+        free = [
+            engine for engine in usable if self.estimates.free_memory_share(engine, sequence) > MIN_FREE_SHARE
+        ]
         if not free and candidates is not self.estimates.writers:
             return self.select(sequence, now)  # among all writers
         if not usable:
@@ -66,7 +68,7 @@
         usable = self.admission.usable(candidates, sequence, now)
         usable = [writer for writer in usable if writer not in sequence.failed_engines] or usable
         usable = prefer_accepting(usable, sequence, now) or usable
-        return [writer for writer in usable if writer not in sequence.awaited_probes] or usable
+        return [writer for writer in usable if writer not in sequence.pending_probes] or usable
 
     def score(self, sequence: Sequence, plan: ReadPlan, now: float) -> Callable[[Engine], float]:
         """Return the function that scores writers for a sequence, in cached tokens; the highest is best."""
@@ -82,9 +84,9 @@
                 delay = reads.choose(writer, sequence, plan, arrival.prompt_tokens - cached, now).seconds
             near_read = plan.by_cell.get(writer.cell)
             near_cached = near_factor * near_read.cached_tokens if near_read else 0.0
-            lateness = estimates.observed(writer.lateness, writer)
-            delay += estimates.wait(writer) + LATENESS_COST * lateness
-            free = estimates.free_share(writer, sequence) - SLOWDOWN_COST * estimates.slowdown(writer)
+            lateness = estimates.decayed_value(writer.start_lateness, writer)
+            delay += estimates.queueing_delay(writer) + LATENESS_COST * lateness
+            free = estimates.free_memory_share(writer, sequence) - SLOWDOWN_COST * estimates.slowdown(writer)
             nearness = ZONE_TOKENS * (writer.zone == config.zone) - LEARNING.initial_read_rate * delay
             return FREE_TOKENS * free + max(cached, near_cached) + nearness + random()
 
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -106,7 +106,7 @@
     fleet.generate(prompt=3000)
     fleet.run(2.0)
     assert not fleet.nodes["n0"].executor.probe_results and fleet.calls[0].answer == "generated"
-    assert 0 in fleet.nodes["n0"].executor.router.estimates.usual_memory
+    assert 0 in fleet.nodes["n0"].executor.router.estimates.mean_memory_share
 
 
 def test_probe_settings_reach_the_router_config_and_default_to_off() -> None:
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -105,7 +105,7 @@
     for changes in ({}, PROBING):
         bench = RouterBench("W0", **changes)
         # the start is estimated at 3.5 s, times 0.5 for the usual error; 2 s are left
-        bench.router.estimates.usual_backlog[WRITER] = 40000.0
+        bench.router.estimates.mean_backlog[WRITER] = 40000.0
         sequence_id = bench.arrive(prompt=500.0)
         bench.wait(0.1)
         is_sent.append(sequence_id in bench.sends())
--- a/tests/routing/test_routing_estimates.py
+++ b/tests/routing/test_routing_estimates.py
@@ -109,7 +109,7 @@
 def test_only_a_few_engines_are_probed_for_a_sequence() -> None:
     bench = RouterBench("R0 R0 W0 R1 W1", **PROBING)
     first = bench.arrive(prompt=3000.0)  # probes two writers, their readers and one random engine
-    for engine in sorted(engine.index for engine in bench.sequence(first).awaited_probes):
+    for engine in sorted(engine.index for engine in bench.sequence(first).pending_probes):
         bench.probe_ended(engine, LoadReport(memory_share=0.2, unread=0.0))
     bench.wait(0.05)  # it causes no more probes or attempts
     bench.assert_matches_trace("asked_load")
--- a/tests/routing/test_routing_statistics.py
+++ b/tests/routing/test_routing_statistics.py
@@ -45,9 +45,9 @@
     seeds = [2654435761 * index % 2**32 for index in range(1, 9)]
     selected = {key: max(seeds, key=lambda seed: rendezvous_weight(key, seed)) for key in range(1, 400)}
     assert len(set(selected.values())) == len(seeds)
-    for key, seed in selected.items():
-        if seed != seeds[0]:
-            assert max(seeds[1:], key=lambda other: rendezvous_weight(key, other)) == seed
+    for key, best in selected.items():
+        if best != seeds[0]:
+            assert max(seeds[1:], key=lambda seed: rendezvous_weight(key, seed)) == best
 
 
 def test_prompt_cache_entries_expire_and_the_oldest_are_evicted() -> None:
