--- a/myrtlehub/routing/contract.py
+++ b/myrtlehub/routing/contract.py
@@ -292,7 +292,7 @@
     """The calls of a node to its router.
 
     The first argument of each call is the current time. The caller assigns sequence numbers. The attempts of
-    a sequence are numbered from 0, in the order of their `Send` actions. Each call except `check_send`
+    a sequence are numbered from 0 in the order of their `Send` actions. Each call except `check_send`
     returns actions, which the node executes in order.
     """
 
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -109,7 +109,7 @@
         engine.cell = update.cell
         engine.hash_seed = update.hash_seed
 
-    def decayed_value(self, observation: Observation, engine: Engine) -> float:
+    def decayed(self, observation: Observation, engine: Engine) -> float:
         """Return the value of an observation of an engine after its decay."""
         value, observed_at = observation
         if not value:
@@ -123,8 +123,8 @@
         self, observation: Observation, engine: Engine, value: float, weight: float
     ) -> Observation:
         """Return an observation after its decay and the update with a new value."""
-        decayed = self.decayed_value(observation, engine)
-        return Observation(decayed + weight * (value - decayed), self.now)
+        old_value = self.decayed(observation, engine)
+        return Observation(old_value + weight * (value - old_value), self.now)
 
     def assign_writer(self, sequence: Sequence, writer: Engine | None) -> None:
         """Assign the memory of a sequence to its writer, and remove it from its former writer.
@@ -163,7 +163,7 @@
 
     def read_rate(self, engine: Engine) -> float:
         """Return the estimated read rate of an engine in prompt tokens per second."""
-        return self.read_rates.get(engine.kind) * (1.0 + self.decayed_value(engine.speed_deviation, engine))
+        return self.read_rates.get(engine.kind) * (1.0 + self.decayed(engine.speed_deviation, engine))
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Add an attempt that was sent to the backlog and the reads of its engine."""
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -70,7 +70,7 @@
             own, mean = writer.assigned_tokens, self.assigned_tokens / max(1, len(self.writers))
             others = self._equivalent_other_nodes()
             assigned = own + others * mean + min(others, MAX_CORRELATED_NODES) * (own - mean)
-            used = self.mean_memory_share.get(writer.kind, 0.0) + self.decayed_value(
+            used = self.mean_memory_share.get(writer.kind, 0.0) + self.decayed(
                 writer.memory_deviation, writer
             )
             free = self.free_memory_shares[writer.index] = 1.0 - used - assigned / memory
@@ -97,9 +97,7 @@
         """Return the estimated prompt tokens from all nodes that an engine has not read yet."""
         own = engine.own_backlog
         default = own * min(self.config.node_count - 1, MAX_CORRELATED_NODES)
-        others = self.mean_backlog.get(engine.kind, default) + self.decayed_value(
-            engine.backlog_deviation, engine
-        )
+        others = self.mean_backlog.get(engine.kind, default) + self.decayed(engine.backlog_deviation, engine)
         return own + max(0.0, others)
 
     def queueing_delay(self, engine: Engine) -> float:
@@ -111,9 +109,7 @@
 
     def slowdown(self, writer: Engine) -> float:
         """Return by how much a writer's answers exceed the mean duration, as a share of it."""
-        return self.mean_slowdown.get(writer.kind, 0.0) + self.decayed_value(
-            writer.slowdown_deviation, writer
-        )
+        return self.mean_slowdown.get(writer.kind, 0.0) + self.decayed(writer.slowdown_deviation, writer)
 
     def attempt_ended(self, sequence: Sequence, attempt: Attempt) -> None:
         """Update the estimates from the outcome of an attempt, and detect a restart of its engine.
@@ -124,13 +120,13 @@
         super().attempt_ended(sequence, attempt)
         engine = attempt.engine
         is_connection_failure = attempt.outcome in (Outcome.UNREACHED, Outcome.RESET)
-        if is_connection_failure and self.decayed_value(engine.failures, engine) > RESTART_FAILURE_RATE:
+        if is_connection_failure and self.decayed(engine.failures, engine) > RESTART_FAILURE_RATE:
             engine.record_restart(self.now)
 
     def is_outlier(self, engine: Engine) -> bool:
         """Return whether the failure rate of an engine is far above the median of the serving engines."""
-        failure_rate = self.decayed_value(engine.failures, engine)
+        failure_rate = self.decayed(engine.failures, engine)
         if failure_rate <= OUTLIER_FAILURE_RATE_MARGIN:
             return False
-        fleet_rates = (self.decayed_value(other.failures, other) for other in self.writers + self.readers)
+        fleet_rates = (self.decayed(other.failures, other) for other in self.writers + self.readers)
         return failure_rate > OUTLIER_FAILURE_RATE_MARGIN + median(fleet_rates)
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -1,14 +1,14 @@
-"""Retry rules: which engines may run a sequence after an earlier attempt, and which are preferred."""
+"""Retries: which engines may run a sequence after an earlier attempt, and which are preferred."""
 
 from myrtlehub.routing.contract import DedupGroup, Outcome, RetrySemantics, RouterConfig
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
-CAPACITY_MEMORY = 20.0  # seconds for which an acceptance or rejection of a workload is remembered
-# Longest time in seconds from a decision, or from the last check before the first byte, until the attempt
-# reaches the engine. A node may be suspended for 0.15 s between reading its clock and writing; two turns of
-# the event loop and the network take 0.05 s.
+CAPACITY_TTL = 20.0  # seconds for which an engine's acceptance or rejection of a workload is valid
+# Longest time in seconds from a decision, or from the check before the first byte, until the attempt arrives
+# at its engine. The process can be suspended for 0.15 s between reading the clock and writing; two iterations
+# of the event loop and the network take 0.05 s.
 SEND_MARGIN = 0.15 + 0.05
-NOT_RUN = (  # after these outcomes the sequence has not run, or this node has its result
+NOT_RUN_OUTCOMES = (  # after these outcomes, the sequence has not run or this node has its result
     Outcome.GENERATED,
     Outcome.READ,
     Outcome.FULL,
@@ -18,18 +18,18 @@
 
 
 def may_run_at(sequence: Sequence, engine: Engine, now: float, config: RouterConfig) -> bool:
-    """Rule 2: return whether an attempt that is decided now may run at an engine.
+    """Return whether an attempt that is decided now may run at an engine (invariant 2).
 
-    The attempt must arrive while the engines still remember the idempotency key of the first one, even
-    if connecting takes as long as it may
+    The attempt has to arrive within the dedup window of the first one, even if connecting takes the full
+    timeout
     (`test_a_retry_arrives_within_its_dedup_window_though_its_connection_is_slow`).
     """
     arrives_at = now + config.connect_timeout + SEND_MARGIN
-    return may_arrive_at(sequence, engine, arrives_at, config)
+    return may_run_on_arrival(sequence, engine, arrives_at, config)
 
 
-def may_arrive_at(sequence: Sequence, engine: Engine, arrives_at: float, config: RouterConfig) -> bool:
-    """Rule 2: return whether an attempt that arrives at an engine at a time may run there."""
+def may_run_on_arrival(sequence: Sequence, engine: Engine, arrives_at: float, config: RouterConfig) -> bool:
+    """Return whether an attempt that arrives at an engine at a time may run there (invariant 2)."""
     first = sequence.possible_run
     traffic = sequence.traffic
     if first is None or traffic.retry_semantics == RetrySemantics.IDEMPOTENT:
@@ -41,13 +41,13 @@
 
 
 def may_reject(sequence: Sequence) -> bool:
-    """Return whether a client may be sent a rejection: the sequence did not run, or a retry does no harm."""
+    """Return whether a rejection is allowed: the sequence did not run, or a retry has no second effect."""
     traffic = sequence.traffic
     if traffic.retry_semantics == RetrySemantics.IDEMPOTENT:
         return True
     if traffic.retry_semantics == RetrySemantics.IDEMPOTENCY_KEY and traffic.dedup_group == DedupGroup.ALL:
         return True
-    # `possible_run` does not include attempts that are still in flight, and those may have run as well.
+    # Attempts in flight, which `possible_run` does not include, may have run too.
     return sequence.possible_run is None and not sequence.running_attempts()
 
 
@@ -55,17 +55,18 @@
     """Record whether an engine accepted or rejected the workload of a sequence."""
     engine = attempt.engine
     if attempt.has_succeeded:
-        engine.accepts_until[sequence.workload] = now + CAPACITY_MEMORY
+        engine.accepts_until[sequence.workload] = now + CAPACITY_TTL
     elif attempt.outcome == Outcome.FULL and not attempt.cached_tokens:
         sequence.was_rejected = True
-        engine.full_until[sequence.workload] = now + CAPACITY_MEMORY
+        engine.full_until[sequence.workload] = now + CAPACITY_TTL
         engine.accepts_until.pop(sequence.workload, None)
 
 
 def prefer_accepting(engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
-    """Return the engines that have not rejected the workload of a sequence recently.
+    """Return the engines that did not recently reject the workload of a sequence.
 
-    If the sequence itself was rejected, return only those that accepted its workload recently, if any did.
+    For a sequence that was rejected itself, return only those of them that recently accepted the workload, if
+    there are any.
     """
     workload = sequence.workload
     not_full = [engine for engine in engines if engine.full_until.get(workload, now) <= now]
@@ -75,16 +76,16 @@
 
 
 def record_outcome(sequence: Sequence, attempt: Attempt, now: float) -> None:
-    """Record what an ended attempt means for later ones: a possible run, a read state or a failed engine."""
+    """Record a possible run, a read state or a failed engine from the outcome of an attempt."""
     outcome = attempt.outcome
-    if sequence.possible_run is None and not attempt.is_read and outcome not in NOT_RUN:
+    if sequence.possible_run is None and not attempt.is_read and outcome not in NOT_RUN_OUTCOMES:
         sequence.record_possible_run(attempt.engine, attempt.sent_at)
     if outcome == Outcome.READ and attempt.is_read and not sequence.has_begun:
         sequence.state_engine = attempt.engine
         sequence.state_held_since = now
     elif outcome == Outcome.FULL and attempt.cached_tokens and not attempt.is_read:
-        sequence.state_engine = None  # the writer found that the reader has lost the state
+        sequence.state_engine = None  # the reader has lost the state
     elif outcome not in (Outcome.GENERATED, Outcome.READ, Outcome.UNSENT):
         sequence.failed_engines.add(attempt.engine)
-        if outcome != Outcome.UNREACHED:  # a failed connection does not restart the time of a read state
+        if outcome != Outcome.UNREACHED:  # a failed connection does not extend the time of a read state
             sequence.state_held_since = now
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -1,8 +1,8 @@
-"""The router of a node: runs the stages for each sequence, and ends the sequences that cannot continue.
+"""The router of a node: runs the stages for each sequence, and ends sequences that cannot continue.
 
-A sequence passes three stages before each attempt: writer selection, read placement and the admission gate.
-A stage returns the engine to use, or a `NotPlaced`: the sequence then waits at this node or ends. When an
-attempt ends, the router updates its estimates, and then ends the sequence or runs the stages again.
+A sequence passes three stages before each attempt: writer selection, read placement and admission control.
+A stage returns the engine to use, or a `NotPlaced`, after which the sequence waits at this node or ends. When
+an attempt ends, the router updates its estimates, and then ends the sequence or runs the stages again.
 """
 
 from random import Random
@@ -18,38 +18,38 @@
 from myrtlehub.routing.prompt_cache import NO_ENTRY
 from myrtlehub.routing.records import Affinity, Attempt, Engine, NotPlaced, Sequence
 
-ANSWER_TICKS = 2  # the final answer is due this many times `RouterConfig.tick` before the abandon time
-MIN_ANSWER_MARGIN = 0.004  # seconds; lower bound of that margin, in which the answer reaches the client
-EXPECTED_OUTPUT_SHARE = 0.25  # share of the maximum output tokens that an answer is expected to have
-# Timeout of a first read, as a share of the time left: another attempt fits in the rest.
+ANSWER_MARGIN_TICKS = 2  # multiple of `RouterConfig.tick` by which the final answer precedes the abandon time
+MIN_ANSWER_MARGIN = 0.004  # seconds; lower bound of that margin, in which the client gets the answer
+EXPECTED_OUTPUT_SHARE = 0.25  # expected share of the maximum output tokens
+# Timeout of a first read as a share of the time left; the rest is enough for another attempt.
 READ_TIMEOUT_SHARE = 0.6
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, because each runs all stages
-PROBED_RETRY_INTERVAL = 0.4  # the same where engines report load to probes only: reports are fewer
-MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
+PLACEMENT_INTERVAL = 0.08  # seconds between two placements of a waiting sequence; limits their cost
+PROBED_PLACEMENT_INTERVAL = 0.4  # the same if engines report load to probes only, since reports are rarer
+MAX_FAILED_PLACEMENTS = 3  # sequences per wake-up that are placed and keep waiting; limits the cost with many
 
 
 class Router(BaseRouter):
-    """The routing decisions of one node."""
+    """The router of one node."""
 
     def __init__(self, config: RouterConfig) -> None:
-        # The only source of randomness: with the same seed and events, a router decides the same.
+        # The only source of randomness, so that decisions are reproducible from the seed and the events.
         self.random = Random(config.seed).random
         self.estimates = EngineEstimates(config)
         super().__init__(self.estimates, WAKEUP_INTERVAL)
         self.admission = admission.Admission(self.estimates)
-        self.reads = ReadPlacement(self.estimates, self.admission, self.random)
-        self.writers = WriterSelection(self.estimates, self.admission, self.reads)
-        self.probing = LoadProbing(self.estimates, self.reads, self.writers)
+        self.read_placement = ReadPlacement(self.estimates, self.admission, self.random)
+        self.writer_selection = WriterSelection(self.estimates, self.admission, self.read_placement)
+        self.load_probing = LoadProbing(self.estimates, self.read_placement, self.writer_selection)
 
     def _on_endpoints_changed(self) -> None:
-        self.reads.update_cells()
+        self.read_placement.update_reader_shares()
 
     def _on_probe_timeout(self, engine: Engine) -> None:
         self.estimates.record_probe_timeout(engine)
 
     def _new_sequence(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
-        margin = max(ANSWER_TICKS * self.config.tick, MIN_ANSWER_MARGIN)
+        margin = max(ANSWER_MARGIN_TICKS * self.config.tick, MIN_ANSWER_MARGIN)
         abandon_at = now + arrival.time_left - margin
         memory_tokens = arrival.prompt_tokens + EXPECTED_OUTPUT_SHARE * arrival.max_output_tokens
         traffic = self.config.traffic[arrival.traffic]
@@ -57,8 +57,8 @@
 
     def _admit(self, sequence: Sequence, now: float) -> None:
         sequence.is_over_quota = self.admission.is_over_quota(sequence.arrival.tenant)
-        if self.probing.is_needed:
-            probed = self.probing.select(sequence, now)
+        if self.load_probing.is_enabled:
+            probed = self.load_probing.select(sequence, now)
             self.pending_actions.extend(contract.Probe(engine.index) for engine in probed)
         if sequence.pending_probes:
             self.waiting[sequence.id] = sequence
@@ -75,7 +75,7 @@
             if sequence.is_over or sequence.has_begun:
                 continue
             if now >= sequence.abandon_at:
-                self._give_up(sequence)
+                self._reject_or_abort(sequence)
                 continue
             if now >= sequence.state_release_due_at:
                 self._release_state(sequence)
@@ -85,18 +85,18 @@
             if sequence.id not in self.waiting:
                 continue
             may_try = failed_placements < MAX_FAILED_PLACEMENTS and self._may_place_again(sequence, now)
-            if may_try or sequence.attempts or self.admission.has_waited_long(sequence, now):
+            if may_try or sequence.attempts or self.admission.has_exceeded_wait_limit(sequence, now):
                 self._place(sequence, now)
                 failed_placements += sequence.id in self.waiting
 
     def _may_place_again(self, sequence: Sequence, now: float) -> bool:
-        """Return whether the last placement was long enough ago, and engines have given feedback since."""
-        interval = PROBED_RETRY_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
+        """Return whether the last placement is long enough ago, and engines gave feedback since then."""
+        interval = PROBED_PLACEMENT_INTERVAL if self.config.load_by_probe_only else PLACEMENT_INTERVAL
         last_placed_at = sequence.last_placed_at
         return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
 
     def _place(self, sequence: Sequence, now: float) -> None:
-        """Run the stages, and send the next attempt if all of them pass."""
+        """Run the stages, and send the next attempt if each of them selects an engine."""
         self.waiting.pop(sequence.id, None)
         sequence.last_placed_at = now
         result = self._run_stages(sequence, now)
@@ -105,22 +105,23 @@
         elif result is NotPlaced.WAIT:
             self.waiting[sequence.id] = sequence
             if sequence.attempts and not sequence.running_attempts():
-                self._release_expired_state(sequence, now, admission.STATE_TIMEOUT_SHARE)
+                self._release_expired_state(sequence, now, admission.STATE_RELEASE_SHARE)
         else:
-            self._give_up(sequence, self.config.max_retry_after if result is NotPlaced.REJECT else 0.0)
+            retry_after = self.config.max_retry_after if result is NotPlaced.REJECT else 0.0
+            self._reject_or_abort(sequence, retry_after)
 
     def _run_stages(self, sequence: Sequence, now: float) -> Engine | NotPlaced:
-        """Return the engine for the next attempt, or the result of the first stage that does not pass."""
-        writer = self.writers.select(sequence, now)
+        """Return the engine for the next attempt, or the `NotPlaced` of the first stage that selects none."""
+        writer = self.writer_selection.select(sequence, now)
         if isinstance(writer, NotPlaced):
             return writer
-        engine = self.reads.place(sequence, writer, now)
+        engine = self.read_placement.place(sequence, writer, now)
         if isinstance(engine, NotPlaced):
             return engine
-        return self.admission.gate(sequence, engine, now) or engine
+        return self.admission.check_attempt(sequence, engine, now) or engine
 
     def _release_expired_state(self, sequence: Sequence, now: float, share: float) -> None:
-        if self.admission.retains_state_too_long(sequence, now, share):
+        if self.admission.has_state_expired(sequence, now, share):
             self._release_state(sequence)
 
     def _release_state(self, sequence: Sequence) -> None:
@@ -130,10 +131,10 @@
         sequence.clear_release_timers()
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
-        """Send the next attempt: a read if the sequence is split, else one that writes the answer."""
+        """Send the next attempt, which reads the prompt if the sequence is split, else writes the answer."""
         arrival = sequence.arrival
-        # Only a first read has a timeout of its own: under high load, timeouts of later attempts would fire
-        # as well, and the retries would add to the load.
+        # Only a first read has its own timeout. Under high load, timeouts of later attempts would expire as
+        # well, and the retries would increase the load.
         is_first_read = sequence.is_split and not sequence.attempts
         timeout = READ_TIMEOUT_SHARE * (sequence.abandon_at - now) if is_first_read else 0.0
         attempt = self._new_attempt(sequence, engine, now)
@@ -141,7 +142,7 @@
         sequence.attempts.append(attempt)
         self.admission.expect_arrival(sequence)
         self.estimates.attempt_sent(attempt)
-        if not attempt.fetches_state:  # engines cache the prompts that they read, and not fetched states
+        if not attempt.fetches_state:  # engines cache prompts that they read, but not fetched states
             engine.cache.add(arrival, now)
         self.pending_actions.append(contract.Send(sequence.id, engine.index, timeout))
 
@@ -150,60 +151,62 @@
         has_state = sequence.state_engine is not None
         cached = NO_ENTRY if has_state else engine.cache.find(arrival, now)
         affinity = sequence.affinity.get(engine, Affinity.OTHER) if is_read else Affinity.OTHER
-        estimated = self.reads.hit_rates.estimated_tokens(arrival)[affinity] if is_read else 0.0
+        estimated = (
+            self.read_placement.hit_rates.expected_cached_tokens(arrival)[affinity] if is_read else 0.0
+        )
         uncached = 0.0 if has_state else max(0.0, arrival.prompt_tokens - max(cached.tokens, estimated))
         backlog = self.estimates.total_backlog(engine)
         return Attempt(engine, is_read, now, uncached, backlog, cached, affinity, has_state)
 
     def check_send(self, now: float, sequence_id: int, attempt: int) -> contract.SendCheck:
-        """Return which conditions of an attempt still hold before its first byte; changes nothing."""
+        """Check an attempt again just before its first byte; does not change the router's state."""
         sequence = self.sequences.get(sequence_id)
         if sequence is None or attempt >= len(sequence.attempts):
             return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
         engine = sequence.attempts[attempt].engine
         return contract.SendCheck(
-            may_run=retries.may_arrive_at(sequence, engine, now + retries.SEND_MARGIN, self.config),
+            may_run=retries.may_run_on_arrival(sequence, engine, now + retries.SEND_MARGIN, self.config),
             is_in_slow_start_share=self.admission.is_in_slow_start_share(engine, sequence, now),
         )
 
     def _on_attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
         writer, source = attempt.engine, sequence.reader
         sequence.clear_release_timers()
-        # Once the answer has started, load reports include the memory of the sequence, which is no longer
-        # counted as assigned. If reports do not include memory, it stays assigned until the sequence ends.
+        # Load reports include the memory of the sequence once its answer has started, so it is no longer
+        # assigned. If the engines report no memory, it stays assigned until the sequence ends.
         is_reported = writer.kind in self.estimates.mean_memory_share
         self.estimates.assign_writer(sequence, None if is_reported else sequence.assigned_writer)
-        self.admission.observe_start(sequence, now)
+        self.admission.record_start(sequence, now)
         was_transferred = False
         if attempt.fetches_state and source is not None and source.cell != writer.cell:
             was_transferred = True
-            self.reads.observe_transfer(source, writer, sequence.arrival.prompt_tokens, latency)
+            self.read_placement.record_transfer(source, writer, sequence.arrival.prompt_tokens, latency)
         self.estimates.attempt_began(attempt, latency, was_transferred)
 
     def _on_attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
         self.estimates.attempt_ended(sequence, attempt)
         sequence.clear_release_timers()
         if attempt.has_succeeded:
-            self.reads.hit_rates.observe_success(sequence, attempt, now)
+            self.read_placement.hit_rates.record_success(sequence, attempt, now)
         retries.record_capacity(sequence, attempt, now)
         retries.record_outcome(sequence, attempt, now)
         sequence.is_over = sequence.is_over or attempt.is_answered
         if sequence.is_over:
             self._forget(sequence)
         elif not retries.may_run_at(sequence, attempt.engine, now, self.config):
-            self._give_up(sequence)
+            self._reject_or_abort(sequence)
         elif not sequence.running_attempts():
             if attempt.outcome == Outcome.UNREACHED and sequence.state_held_since > 0.0:
-                # Each failed connection to a writer takes time in which the read state stays at its engine
+                # Each failed connection to a writer uses up a part of the state timeout
                 # (`test_a_read_state_is_released_in_time_while_writers_cannot_be_reached`).
-                self._release_expired_state(sequence, now, admission.UNREACHED_STATE_TIMEOUT_SHARE)
+                self._release_expired_state(sequence, now, admission.UNREACHED_STATE_RELEASE_SHARE)
             self._place(sequence, now)
 
-    def _give_up(self, sequence: Sequence, retry_after: float = 0.0) -> None:
-        """End a sequence: with a rejection if it did not run or a retry does no harm, else with an abort."""
-        self.admission.observe_start(sequence, self.estimates.now)
-        is_harmless = retries.may_reject(sequence)
-        answer = contract.Reject(sequence.id, retry_after) if is_harmless else contract.Abort(sequence.id)
+    def _reject_or_abort(self, sequence: Sequence, retry_after: float = 0.0) -> None:
+        """End a sequence with a rejection if that is allowed, else with an abort."""
+        self.admission.record_start(sequence, self.estimates.now)
+        can_reject = retries.may_reject(sequence)
+        answer = contract.Reject(sequence.id, retry_after) if can_reject else contract.Abort(sequence.id)
         self._end_sequence(sequence, answer)
 
     def _end_sequence(self, sequence: Sequence, answer: Action | None) -> None:
@@ -216,7 +219,7 @@
         self._forget(sequence)
 
     def _forget(self, sequence: Sequence) -> None:
-        """Forget an ended sequence and release its read states (rule 5), once none of its attempts runs."""
+        """Discard an ended sequence and release its read states (invariant 5), once no attempt is running."""
         self.waiting.pop(sequence.id, None)
         self.estimates.assign_writer(sequence, None)
         if sequence.running_attempts():
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -72,8 +72,8 @@
     last_probed_at: float = NEVER
     memory_deviation: Observation = UNOBSERVED  # of the share of its memory in use
     backlog_deviation: Observation = UNOBSERVED  # of the unread prompt tokens from other nodes
-    speed_deviation: Observation = UNOBSERVED  # of its read rate, relative to the rate of its kind
-    slowdown_deviation: Observation = UNOBSERVED  # of the slowdown of its answers
+    speed_deviation: Observation = UNOBSERVED  # of its read rate: ratio to its kind's, minus 1
+    slowdown_deviation: Observation = UNOBSERVED  # of its answer duration: ratio to the mean, minus 1
     start_lateness: Observation = UNOBSERVED  # mean seconds by which its answers start later than estimated
     failures: Observation = UNOBSERVED  # mean share of its attempts that failed
     # By workload: the time until which sequences avoid the engine, after it rejected one as full.
