--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -89,7 +89,7 @@
         if arrival.state_engine is not None:  # a takeover: the prompt was read for the former owner
             sequence.state_engine = engines[arrival.state_engine]
             sequence.reader = sequence.state_engine
-            sequence.state_held_since = now
+            sequence.state_since = now
         if arrival.may_have_run_at is not None:
             sequence.record_possible_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
         if arrival.tenant is not None:
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -41,7 +41,7 @@
 MAX_DELAY_SAMPLE_WEIGHT = 0.3  # upper bound of the weight of one sample, even if the last one is old
 # Share of the time left until the SLO deadline within which the estimated start has to be, if engines report
 # load to probes only.
-PROBED_SLO_SHARE = 0.7
+PROBED_LIMIT_SHARE = 0.7
 
 
 class Admission:
@@ -77,7 +77,7 @@
         return None
 
     def usable_engines(self, engines: list[Engine], sequence: Sequence, now: float) -> list[Engine]:
-        """Return the serving engines that are no outliers and whose slow start allows this sequence."""
+        """Return the serving engines that are no outliers and may get this sequence (invariant 4)."""
         is_outlier = self.estimates.is_outlier
         return [
             engine
@@ -121,7 +121,7 @@
 
     def will_miss_slo(self, sequence: Sequence, delay: float, now: float) -> bool:
         """Return whether an answer with this estimated start delay will miss the latency SLO."""
-        limit_share = PROBED_SLO_SHARE if self.config.load_by_probe_only else 1.0
+        limit_share = PROBED_LIMIT_SHARE if self.config.load_by_probe_only else 1.0
         return delay * self.delay_correction.factor(now) > limit_share * (sequence.slo_deadline - now)
 
     def record_start_estimate(self, sequence: Sequence, delay: float, now: float) -> None:
@@ -149,13 +149,11 @@
         had_read = sequence.arrival.state_engine is not None or any(
             attempt.is_read and not attempt.is_running for attempt in sequence.attempts
         )
-        if had_read and sequence.state_held_since > 0.0 and self.config.may_check_arrival:
+        if had_read and sequence.state_since > 0.0 and self.config.may_check_arrival:
             timeout = self.config.state_timeout
-            sequence.arrival_check_due_at = sequence.state_held_since + ARRIVAL_CHECK_SHARE * timeout
-            sequence.state_release_due_at = (
-                sequence.state_held_since + UNREACHED_STATE_RELEASE_SHARE * timeout
-            )
+            sequence.arrival_check_due_at = sequence.state_since + ARRIVAL_CHECK_SHARE * timeout
+            sequence.state_release_due_at = sequence.state_since + UNREACHED_STATE_RELEASE_SHARE * timeout
 
-    def has_state_expired(self, sequence: Sequence, now: float, share: float) -> bool:
+    def retains_state_too_long(self, sequence: Sequence, now: float, share: float) -> bool:
         """Return whether a read state was not fetched within a share of the state timeout (invariant 5)."""
-        return now > sequence.state_held_since + share * self.config.state_timeout
+        return now > sequence.state_since + share * self.config.state_timeout
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -3,7 +3,7 @@
 from myrtlehub.routing.contract import DedupGroup, Outcome, RetrySemantics, RouterConfig
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
-CAPACITY_TTL = 20.0  # seconds for which an engine's acceptance or rejection of a workload is valid
+CAPACITY_MEMORY = 20.0  # seconds for which an engine's acceptance or rejection of a workload is valid
 # Longest time in seconds from a decision, or from the check before the first byte, until the attempt arrives
 # at its engine. The process can be suspended for 0.15 s between reading the clock and writing; two iterations
 # of the event loop and the network take 0.05 s.
@@ -25,10 +25,10 @@
     (`test_a_retry_arrives_within_its_dedup_window_though_its_connection_is_slow`).
     """
     arrives_at = now + config.connect_timeout + SEND_MARGIN
-    return may_run_on_arrival(sequence, engine, arrives_at, config)
+    return may_arrive_at(sequence, engine, arrives_at, config)
 
 
-def may_run_on_arrival(sequence: Sequence, engine: Engine, arrives_at: float, config: RouterConfig) -> bool:
+def may_arrive_at(sequence: Sequence, engine: Engine, arrives_at: float, config: RouterConfig) -> bool:
     """Return whether an attempt that arrives at an engine at a time may run there (invariant 2)."""
     first = sequence.possible_run
     traffic = sequence.traffic
@@ -55,10 +55,10 @@
     """Record whether an engine accepted or rejected the workload of a sequence."""
     engine = attempt.engine
     if attempt.has_succeeded:
-        engine.accepts_until[sequence.workload] = now + CAPACITY_TTL
+        engine.accepts_until[sequence.workload] = now + CAPACITY_MEMORY
     elif attempt.outcome == Outcome.FULL and not attempt.cached_tokens:
         sequence.was_rejected = True
-        engine.full_until[sequence.workload] = now + CAPACITY_TTL
+        engine.full_until[sequence.workload] = now + CAPACITY_MEMORY
         engine.accepts_until.pop(sequence.workload, None)
 
 
@@ -82,10 +82,10 @@
         sequence.record_possible_run(attempt.engine, attempt.sent_at)
     if outcome == Outcome.READ and attempt.is_read and not sequence.has_begun:
         sequence.state_engine = attempt.engine
-        sequence.state_held_since = now
+        sequence.state_since = now
     elif outcome == Outcome.FULL and attempt.cached_tokens and not attempt.is_read:
         sequence.state_engine = None  # the reader has lost the state
     elif outcome not in (Outcome.GENERATED, Outcome.READ, Outcome.UNSENT):
         sequence.failed_engines.add(attempt.engine)
         if outcome != Outcome.UNREACHED:  # a failed connection does not extend the time of a read state
-            sequence.state_held_since = now
+            sequence.state_since = now
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -24,7 +24,7 @@
 # Timeout of a first read as a share of the time left; the rest is enough for another attempt.
 READ_TIMEOUT_SHARE = 0.6
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-PLACEMENT_INTERVAL = 0.08  # seconds between two placements of a waiting sequence; limits their cost
+RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, each of which runs all stages
 PROBED_PLACEMENT_INTERVAL = 0.4  # the same if engines report load to probes only, since reports are rarer
 MAX_FAILED_PLACEMENTS = 3  # sequences per wake-up that are placed and keep waiting; limits the cost with many
 
@@ -91,7 +91,7 @@
 
     def _may_place_again(self, sequence: Sequence, now: float) -> bool:
         """Return whether the last placement is long enough ago, and engines gave feedback since then."""
-        interval = PROBED_PLACEMENT_INTERVAL if self.config.load_by_probe_only else PLACEMENT_INTERVAL
+        interval = PROBED_PLACEMENT_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
         last_placed_at = sequence.last_placed_at
         return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
 
@@ -107,8 +107,9 @@
             if sequence.attempts and not sequence.running_attempts():
                 self._release_expired_state(sequence, now, admission.STATE_RELEASE_SHARE)
         else:
-            retry_after = self.config.max_retry_after if result is NotPlaced.REJECT else 0.0
-            self._reject_or_abort(sequence, retry_after)
+            self._reject_or_abort(
+                sequence, self.config.max_retry_after if result is NotPlaced.REJECT else 0.0
+            )
 
     def _run_stages(self, sequence: Sequence, now: float) -> Engine | NotPlaced:
         """Return the engine for the next attempt, or the `NotPlaced` of the first stage that selects none."""
@@ -121,13 +122,13 @@
         return self.admission.check_attempt(sequence, engine, now) or engine
 
     def _release_expired_state(self, sequence: Sequence, now: float, share: float) -> None:
-        if self.admission.has_state_expired(sequence, now, share):
+        if self.admission.retains_state_too_long(sequence, now, share):
             self._release_state(sequence)
 
     def _release_state(self, sequence: Sequence) -> None:
         self.pending_actions.append(contract.Release(sequence.id))
         sequence.state_engine = None
-        sequence.state_held_since = float("inf")
+        sequence.state_since = float("inf")
         sequence.clear_release_timers()
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
@@ -165,7 +166,7 @@
             return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
         engine = sequence.attempts[attempt].engine
         return contract.SendCheck(
-            may_run=retries.may_run_on_arrival(sequence, engine, now + retries.SEND_MARGIN, self.config),
+            may_run=retries.may_arrive_at(sequence, engine, now + retries.SEND_MARGIN, self.config),
             is_in_slow_start_share=self.admission.is_in_slow_start_share(engine, sequence, now),
         )
 
@@ -196,7 +197,7 @@
         elif not retries.may_run_at(sequence, attempt.engine, now, self.config):
             self._reject_or_abort(sequence)
         elif not sequence.running_attempts():
-            if attempt.outcome == Outcome.UNREACHED and sequence.state_held_since > 0.0:
+            if attempt.outcome == Outcome.UNREACHED and sequence.state_since > 0.0:
                 # Each failed connection to a writer uses up a part of the state timeout
                 # (`test_a_read_state_is_released_in_time_while_writers_cannot_be_reached`).
                 self._release_expired_state(sequence, now, admission.UNREACHED_STATE_RELEASE_SHARE)
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -195,7 +195,7 @@
     state_engine: Engine | None = None  # the engine that has its read state
     # Since when an engine may hold a read state that no writer has fetched: 0.0 before an attempt ended that
     # may have left one, inf after the release.
-    state_held_since: float = 0.0
+    state_since: float = 0.0
     # Set while an engine may hold a read state and it is unknown whether the running attempt has arrived,
     # else inf: when to check for the arrival, and when to release the state if it is still unknown then.
     arrival_check_due_at: float = float("inf")
