--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,4 @@
-"""Writer selection, read placement and takeovers, partly as traces of decisions."""
+"""Tests of writer selection, read placement and takeovers, partly by comparison with stored traces."""
 
 from router_bench import AT_MOST_ONCE, IDEMPOTENCY_KEY, PROBING, WRITER, RouterBench, arrival, benches
 
@@ -11,7 +11,7 @@
 
 
 def test_a_takeover_uses_its_read_state_and_respects_a_possible_run() -> None:
-    """A held read state is written in its cell; a possible run is retried only in its group and window."""
+    """The writer is in the cell of the read state; a retry stays in the dedup group and dedup window."""
     bench = RouterBench("R0 R0 W0 R1 W1")
     router, now = bench.router, bench.now
     taken = arrival(AT_MOST_ONCE, prompt=5000.0, state_engine=3)
@@ -26,7 +26,7 @@
         assert bool(aborts) == (not is_sent), actions
 
 
-def test_ordinary_path() -> None:
+def test_placement_of_split_and_unsplit_prompts() -> None:
     bench = RouterBench("R0 R0 W0 R1")
     bench.arrive(prompt=300.0)
     sequence_id = bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)
@@ -34,8 +34,8 @@
     bench.ended(sequence_id, 0, Outcome.READ)
     bench.began(sequence_id, 1)
     bench.ended(sequence_id, 1, Outcome.GENERATED, is_answered=True)
-    bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)  # the same reader has the most tokens cached
-    bench.arrive(prompt=4000.0)  # cached nowhere: the reader with the fewest reads in flight
+    bench.arrive(prompt=4000.0, prefix=9, shared=3000.0)  # the same reader has most tokens cached
+    bench.arrive(prompt=4000.0)  # not cached: the reader with the fewest reads in flight
     bench.arrive(prompt=599.0)
     bench.arrive(prompt=600.0)
     bench.assert_matches_trace("ordinary_path")
@@ -49,14 +49,14 @@
     bench.assert_matches_trace("writer_that_cannot_read")
 
 
-def test_another_cell_reads_only_without_capacity_in_the_writers_cell() -> None:
+def test_another_cell_reads_only_if_the_writers_cell_has_no_capacity() -> None:
     bench = RouterBench("R0 W0 R1")
     for _ in range(6):
         bench.arrive(prompt=9000.0)
     bench.assert_matches_trace("other_cell")
 
 
-def test_routers_of_many_nodes_that_know_nothing_spread_their_sends() -> None:
+def test_routers_without_observations_distribute_their_sends() -> None:
     summary = RouterBench("R0")
     for kind, fields in (("writers", {"prompt": 300.0}), ("readers", {"prompt": 3000.0})):
         counts = [0] * 8
@@ -75,7 +75,7 @@
     summary.assert_matches_trace("few_readers")
 
 
-def test_an_idle_node_sets_no_timer() -> None:
+def test_an_idle_node_requests_no_wake_up() -> None:
     bench = RouterBench("R0 W0")
     sequence_id = bench.arrive(prompt=300.0)
     bench.began(sequence_id, 0)
@@ -85,7 +85,7 @@
     bench.assert_matches_trace("idle")
 
 
-def test_nodes_that_share_nothing_agree_on_the_home_of_a_session() -> None:
+def test_nodes_agree_on_the_home_of_a_session_without_communication() -> None:
     chosen = set()
     for node in range(12):
         bench = RouterBench("R0 R0 R0 W0 W0 R1 R1 W1", node_count=80, node=node, seed=node)
@@ -93,18 +93,18 @@
         chosen.add(bench.sends()[sequence_id][0])
     assert len(chosen) <= 2  # one reader per cell
     homes = set()
-    for session in range(1, 12):  # sessions of a prefix spread over its few readers
+    for session in range(1, 12):  # sessions of a prefix are distributed over its few readers
         bench = RouterBench("R0 R0 R0 W0")
         sequence_id = bench.arrive(prompt=4000.0, session=session, prefix=9, shared=3000.0)
         homes.add(bench.sends()[sequence_id][0])
     assert len(homes) > 1
 
 
-def test_where_load_is_probed_for_a_start_may_take_less_of_the_time_left() -> None:
+def test_the_limit_of_the_start_delay_is_lower_with_load_probing() -> None:
     is_sent = []
     for changes in ({}, PROBING):
         bench = RouterBench("W0", **changes)
-        # the start is estimated at 3.5 s, times 0.5 for the usual error; 2 s are left
+        # The estimated start delay is 3.5 s, times the initial correction of 0.5; 2 s are left until the SLO.
         bench.router.estimates.mean_backlog[WRITER] = 40000.0
         sequence_id = bench.arrive(prompt=500.0)
         bench.wait(0.1)
--- a/tests/routing/test_routing_admission.py
+++ b/tests/routing/test_routing_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: final answers in time, draining engines, slow start, quotas and waiting sequences."""
+"""Tests of admission control: final answers, draining engines, slow start, quotas, waiting sequences."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
     bench.assert_matches_trace("one_final_answer")
 
 
-def test_draining_engines_get_nothing_and_cold_ones_little() -> None:
+def test_draining_engines_get_no_attempts_and_cold_engines_few() -> None:
     bench = RouterBench("R0 W0 W0")
     bench.update_endpoint(1, state=EngineState.DRAINING)
     for _ in range(3):
@@ -36,7 +36,7 @@
     bench.assert_matches_trace("drains_and_cold")
 
 
-def test_full_memory_makes_new_sequences_wait_and_then_rejects_them() -> None:
+def test_new_sequences_wait_for_full_memory_and_are_then_rejected() -> None:
     bench = RouterBench("R0 W0")
     sequence_id = bench.arrive(prompt=300.0)
     bench.began(sequence_id, 0)
@@ -48,15 +48,15 @@
 
 
 def slow_start_sends(nodes: int, engines: int, engine_rate: float) -> tuple[list[float], float]:
-    """Return the arrival times of the sequences that a cold engine may get, and of the last sequence.
+    """Return the arrival times of the sequences that a cold engine may get, and that of the last sequence.
 
-    The engine starts at 100 s. The load is 1.3 of what the engines can handle, with every other sequence
-    retried by its client, and it doubles from 101 s to 102 s.
+    The engine starts at 100 s. The load is 1.3 times the capacity of the engines, clients retry every other
+    sequence, and from 101 s to 102 s the load doubles.
     """
     random = Random(nodes)
     routers = [Router(CONFIG._replace(seed=node, node=node, node_count=nodes)) for node in range(nodes)]
     # Some nodes get several times the mean traffic.
-    parts = [random.random() ** 3 + 0.02 for _ in routers]
+    traffic_shares = [random.random() ** 3 + 0.02 for _ in routers]
     now, admitted = 100.0, []
     updates = [endpoint(index, WRITER, started_at=0.0 if index else now) for index in range(engines)]
     for router in routers:
@@ -64,12 +64,12 @@
     for sequence_id in range(1800):
         surge = 2.0 if 101.0 < now < 102.0 else 1.0
         now += random.expovariate(1.3 * 1.5 * engines * engine_rate * surge)
-        router = random.choices(routers, parts)[0]
+        router = random.choices(routers, traffic_shares)[0]
         actions = router.arrive(now, sequence_id, arrival(prompt=300.0))
         sends = [action for action in actions if isinstance(action, contract.Send)]
         cold = router.estimates.engines[0]
         if router.admission.is_in_slow_start_share(cold, router.sequences[sequence_id], now):
-            admitted.append(now)  # assume that the cold engine gets every sequence that it may get
+            admitted.append(now)  # the worst case: the cold engine gets each sequence that it may get
         else:
             assert all(send.engine for send in sends)
         for _ in sends:
@@ -78,11 +78,11 @@
 
 
 def test_slow_start_bounds_what_all_nodes_send_however_many_they_are() -> None:
-    """All nodes together send a cold engine at most its budget N plus random deviation, 2 sqrt(N) + 2.
+    """All nodes together send a cold engine at most its budget N plus the random deviation 2 sqrt(N) + 2.
 
-    Each sequence draws once whether the cold engine may get it, with a probability of SLOW_START_SHARE times
-    the budget's share, over the number of engines. So all nodes together send 0.3 N times the load on
-    average, however it is distributed: 0.3 N x 3.9 at its worst, for a second.
+    A random number of each sequence decides whether the cold engine may get it. The probability is
+    SLOW_START_SHARE times the budget's share, divided by the number of engines. So all nodes together send
+    0.3 N times the load on average, for any distribution of the load: at most 0.3 N x 3.9, for a second.
     """
     engine_rate = 20.0  # sequences per second that an engine can handle
     for nodes in (2, 20, 30, 200):
@@ -91,15 +91,15 @@
         for at in admitted:
             share = CONFIG.cold_share + (1.0 - CONFIG.cold_share) * 0.5 * (at - 100.0) / CONFIG.cold_time
             budget = CONFIG.overload_multiple * share * engine_rate * CONFIG.overload_window
-            came = sum(at <= other < at + CONFIG.overload_window for other in admitted)
-            assert came <= budget + 2.0 * budget**0.5 + 2.0, (nodes, at, came, budget)
+            sent = sum(at <= other < at + CONFIG.overload_window for other in admitted)
+            assert sent <= budget + 2.0 * budget**0.5 + 2.0, (nodes, at, sent, budget)
 
 
 def test_slow_start_of_all_nodes_together() -> None:
     summary = RouterBench("R0")
     for nodes in (2, 160):
         fleet, is_cold_send = benches(nodes, "R0 W0 W0 W0"), []
-        for tick in range(320):  # 8 sequences per second, round robin over nodes; engine 1 starts at 30 s
+        for tick in range(320):  # 8 sequences per second, round-robin over the nodes; engine 1 starts at 30 s
             for bench in fleet:
                 bench.now = 100.0 + tick / 8
                 if tick == 240:
@@ -112,20 +112,22 @@
     summary.assert_matches_trace("cold_budget")
 
 
-def test_a_tenant_keeps_its_share_of_a_quota_at_any_node_count() -> None:
+def test_the_quota_of_a_tenant_is_independent_of_the_node_count() -> None:
     summary = RouterBench("R0")
     for nodes in (2, 160):
-        for times in (1.0, 4.0):
+        for multiple in (1.0, 4.0):
             bench = RouterBench("R0 W0", node_count=nodes, quotas=(20.0,))
-            over, rate = 0, 20.0 / nodes * times
+            over_quota, rate = 0, 20.0 / nodes * multiple
             count = max(16, int(20 * rate))
             for sequence_id in range(count):
                 bench.now = 100.0 + sequence_id / rate
                 bench.router.arrive(bench.now, sequence_id, arrival(prompt=300.0, tenant=0))
-                over += bench.sequence(sequence_id).is_over_quota
+                over_quota += bench.sequence(sequence_id).is_over_quota
                 bench.router.client_left(bench.now, sequence_id)
                 bench.router.ended(bench.now, sequence_id, 0, Outcome.CANCELLED, 0.0, True, 0.0, None)
-            summary.lines.append(f"{nodes} nodes, {times:g} times its share: {over} of {count} beyond it")
+            summary.lines.append(
+                f"{nodes} nodes, {multiple:g} times its share: {over_quota} of {count} beyond it"
+            )
     summary.assert_matches_trace("tenant_share")
 
 
@@ -138,14 +140,14 @@
     assert sequence_id in bench.router.waiting
     placed_at = bench.sequence(sequence_id).last_placed_at
     bench.wait(0.5)
-    assert bench.sequence(sequence_id).last_placed_at == placed_at  # no feedback, no new placement
+    assert bench.sequence(sequence_id).last_placed_at == placed_at  # without feedback, it is not placed again
     bench.probe_ended(0, LoadReport(memory_share=0.1, unread=0.0))
     bench.wait(0.05)
     assert bench.sends()[sequence_id] == [0]
 
 
 def test_one_late_answer_does_not_make_all_engines_look_too_slow() -> None:
-    """A node with little traffic would otherwise reject all of it, and observe no more starts."""
+    """Otherwise a node with little traffic would reject all of it, and observe no more starts."""
     bench = RouterBench("W0 W0", node_count=200)
     sequence_id = bench.arrive(prompt=400.0)
     bench.record("began late", bench.router.began(bench.now + 2.5, sequence_id, 0, 2.5))
