--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -25,9 +25,8 @@
 # Sequences per rate half-life by which a tenant may exceed its quota, because a rate that is estimated from a
 # few arrivals is noisy.
 QUOTA_BURST = 1.5
-QUOTA_IMBALANCE_FACTOR = (
-    1.25  # multiple of an even part of a quota that each node admits, since traffic is uneven
-)
+# Multiple of an even part of a quota that each node admits, because traffic is uneven.
+QUOTA_IMBALANCE_FACTOR = 1.25
 # Share of the state timeout after which the read state of a waiting sequence is released.
 STATE_RELEASE_SHARE = 0.5
 # The same share after a failed connection to a writer, so that another writer can be tried first, and while
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -18,9 +18,8 @@
 # If an engine reports less than this share of an entry's tokens, its cache was flushed or evicted, or the
 # engine has restarted, so all older entries are removed too.
 MIN_CONFIRMED_SHARE = 0.5
-AFFINITY_READERS = (
-    6  # number of readers that cache a prefix; more spread its load, fewer increase its hit rate
-)
+# Number of readers that cache a prefix: more spread its load, fewer increase its hit rate.
+AFFINITY_READERS = 6
 INITIAL_HIT_SHARES = (0.5, 0.3, 0.0)  # by affinity, before any read was observed
 HIT_WEIGHT = 0.1  # weight of one read in the average of its affinity
 RANDOM_KEY_RANGE = 2**40  # range of the affinity keys of prompts without prefix and session
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -136,9 +136,9 @@
     def _estimate_reads(self, sequence: Sequence, now: float) -> Iterator[tuple[Engine, float, int, float]]:
         """Yield each usable reader with its cached tokens, rendezvous weight and seconds until it has read.
 
-        The older the load report of a reader, the more often the reader is skipped, down to the share of its
-        cell. Otherwise all nodes would send to the few readers of a cell with many
-        writers (`test_a_cell_with_few_readers_reads_its_part`).
+        The older the load report of a reader, the more often the reader is skipped, until it gets only the
+        share of its cell. Otherwise all nodes would send to the few readers of a cell with many writers
+        (`test_a_cell_with_few_readers_reads_its_part`).
         """
         estimates, arrival, prompt = self.estimates, sequence.arrival, sequence.arrival.prompt_tokens
         draw = self.random()
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -205,9 +205,7 @@
     failed_engines: set[Engine] = field(default_factory=set)
     possible_run: PossibleRun | None = None
     pending_probes: set[Engine] = field(default_factory=set)
-    candidate_writers: list[Engine] = field(
-        default_factory=list
-    )  # those ranked best when the probes were sent
+    candidate_writers: list[Engine] = field(default_factory=list)  # ranked best before the probes
 
     def __post_init__(self) -> None:
         arrival = self.arrival
