--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -1,14 +1,14 @@
-"""The router of a node: runs the stages for each sequence, and ends the sequences that cannot continue.
+"""The router of a node: runs the stages for each sequence, and ends sequences that cannot continue.
 
-A sequence passes three stages before each attempt: writer selection, read placement and the admission gate.
-A stage returns the engine to use, or a `NotPlaced`: the sequence then waits at this node or ends. When an
-attempt ends, the router updates its estimates, and then ends the sequence or runs the stages again.
+A sequence passes three stages before each attempt: writer selection, read placement and admission control.
+A stage returns the engine to use, or a `NotPlaced`, after which the sequence waits at this node or ends. When
+an attempt ends, the router updates its estimates, and then ends the sequence or runs the stages again.
 """
 
 from random import Random
 
 from myrtlehub.routing import contract
-from myrtlehub.routing.calls import RouterCalls
+from myrtlehub.routing.calls import BaseRouter
 from myrtlehub.routing.contract import Action, Arrival, Outcome, RouterConfig
 from myrtlehub.routing.policy import admission, retries
 from myrtlehub.routing.policy.engine_estimates import EngineEstimates
@@ -18,49 +18,49 @@
 from myrtlehub.routing.prompt_cache import NO_ENTRY
 from myrtlehub.routing.records import Affinity, Attempt, Engine, NotPlaced, Sequence
 
-ANSWER_TICKS = 2  # the final answer is due this many times `RouterConfig.tick` before the abandon time
-MIN_ANSWER_MARGIN = 0.004  # seconds; lower bound of that margin, in which the answer reaches the client
-EXPECTED_OUTPUT_SHARE = 0.25  # share of the maximum output tokens that an answer is expected to have
-# Timeout of a first read, as a share of the time left: another attempt fits in the rest.
+ANSWER_MARGIN_TICKS = 2  # multiple of `RouterConfig.tick` by which the final answer precedes the abandon time
+MIN_ANSWER_MARGIN = 0.004  # seconds; lower bound of that margin, in which the client gets the answer
+EXPECTED_OUTPUT_SHARE = 0.25  # expected share of the maximum output tokens
+# Timeout of a first read as a share of the time left; the rest is enough for another attempt.
 READ_TIMEOUT_SHARE = 0.6
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, because each runs all stages
-PROBED_RETRY_INTERVAL = 0.4  # the same where engines report load to probes only: reports are fewer
-MAX_FAILED_PLACEMENTS = 3  # placements without effect per wake-up, to bound its cost with many waiting
+RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, each of which runs all stages
+PROBED_PLACEMENT_INTERVAL = 0.4  # the same if engines report load to probes only, since reports are rarer
+MAX_FAILED_PLACEMENTS = 3  # sequences per wake-up that are placed and keep waiting; limits the cost with many
 
 
-class Router(RouterCalls):
-    """The routing decisions of one node."""
+class Router(BaseRouter):
+    """The router of one node."""
 
     def __init__(self, config: RouterConfig) -> None:
-        # The only source of randomness: with the same seed and events, a router decides the same.
+        # The only source of randomness, so that decisions are reproducible from the seed and the events.
         self.random = Random(config.seed).random
         self.estimates = EngineEstimates(config)
         super().__init__(self.estimates, WAKEUP_INTERVAL)
         self.admission = admission.Admission(self.estimates)
-        self.reads = ReadPlacement(self.estimates, self.admission, self.random)
-        self.writers = WriterSelection(self.estimates, self.admission, self.reads)
-        self.probing = LoadProbing(self.estimates, self.reads, self.writers)
+        self.read_placement = ReadPlacement(self.estimates, self.admission, self.random)
+        self.writer_selection = WriterSelection(self.estimates, self.admission, self.read_placement)
+        self.load_probing = LoadProbing(self.estimates, self.read_placement, self.writer_selection)
 
-    def _endpoints_changed(self) -> None:
-        self.reads.update_cells()
+    def _on_endpoints_changed(self) -> None:
+        self.read_placement.update_reader_shares()
 
-    def _probe_unanswered(self, engine: Engine) -> None:
-        self.estimates.probe_unanswered(engine)
+    def _on_probe_timeout(self, engine: Engine) -> None:
+        self.estimates.record_probe_timeout(engine)
 
-    def _accept(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
-        margin = max(ANSWER_TICKS * self.config.tick, MIN_ANSWER_MARGIN)
+    def _new_sequence(self, now: float, sequence_id: int, arrival: Arrival) -> Sequence:
+        margin = max(ANSWER_MARGIN_TICKS * self.config.tick, MIN_ANSWER_MARGIN)
         abandon_at = now + arrival.time_left - margin
-        memory_need = arrival.prompt_tokens + EXPECTED_OUTPUT_SHARE * arrival.max_output_tokens
+        memory_tokens = arrival.prompt_tokens + EXPECTED_OUTPUT_SHARE * arrival.max_output_tokens
         traffic = self.config.traffic[arrival.traffic]
-        return Sequence(sequence_id, arrival, traffic, now, abandon_at, self.random(), memory_need)
+        return Sequence(sequence_id, arrival, traffic, now, abandon_at, self.random(), memory_tokens)
 
     def _admit(self, sequence: Sequence, now: float) -> None:
         sequence.is_over_quota = self.admission.is_over_quota(sequence.arrival.tenant)
-        if self.probing.is_needed:
-            probed = self.probing.select(sequence, now)
-            self.actions.extend(contract.Probe(engine.index) for engine in probed)
-        if sequence.awaited_probes:
+        if self.load_probing.is_enabled:
+            probed = self.load_probing.select(sequence, now)
+            self.pending_actions.extend(contract.Probe(engine.index) for engine in probed)
+        if sequence.pending_probes:
             self.waiting[sequence.id] = sequence
         else:
             self._place(sequence, now)
@@ -75,28 +75,28 @@
             if sequence.is_over or sequence.has_begun:
                 continue
             if now >= sequence.abandon_at:
-                self._give_up(sequence)
+                self._reject_or_abort(sequence)
                 continue
-            if now >= sequence.release_due_at:
+            if now >= sequence.state_release_due_at:
                 self._release_state(sequence)
-            elif now >= sequence.check_due_at:
-                sequence.check_due_at = float("inf")
-                self.actions.append(contract.CheckArrival(sequence.id, len(sequence.attempts) - 1))
+            elif now >= sequence.arrival_check_due_at:
+                sequence.arrival_check_due_at = float("inf")
+                self.pending_actions.append(contract.CheckArrival(sequence.id, len(sequence.attempts) - 1))
             if sequence.id not in self.waiting:
                 continue
             may_try = failed_placements < MAX_FAILED_PLACEMENTS and self._may_place_again(sequence, now)
-            if may_try or sequence.attempts or self.admission.has_waited_long(sequence, now):
+            if may_try or sequence.attempts or self.admission.has_exceeded_wait_limit(sequence, now):
                 self._place(sequence, now)
                 failed_placements += sequence.id in self.waiting
 
     def _may_place_again(self, sequence: Sequence, now: float) -> bool:
-        """Return whether the last placement was long enough ago, and engines have given feedback since."""
-        interval = PROBED_RETRY_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
+        """Return whether the last placement is long enough ago, and engines gave feedback since then."""
+        interval = PROBED_PLACEMENT_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
         last_placed_at = sequence.last_placed_at
         return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
 
     def _place(self, sequence: Sequence, now: float) -> None:
-        """Run the stages, and send the next attempt if all of them pass."""
+        """Run the stages, and send the next attempt if each of them selects an engine."""
         self.waiting.pop(sequence.id, None)
         sequence.last_placed_at = now
         result = self._run_stages(sequence, now)
@@ -105,58 +105,62 @@
         elif result is NotPlaced.WAIT:
             self.waiting[sequence.id] = sequence
             if sequence.attempts and not sequence.running_attempts():
-                self._release_expired_state(sequence, now, admission.STATE_TIMEOUT_SHARE)
+                self._release_expired_state(sequence, now, admission.STATE_RELEASE_SHARE)
         else:
-            self._give_up(sequence, self.config.max_retry_after if result is NotPlaced.REJECT else 0.0)
+            self._reject_or_abort(
+                sequence, self.config.max_retry_after if result is NotPlaced.REJECT else 0.0
+            )
 
     def _run_stages(self, sequence: Sequence, now: float) -> Engine | NotPlaced:
-        """Return the engine for the next attempt, or the result of the first stage that does not pass."""
-        writer = self.writers.select(sequence, now)
+        """Return the engine for the next attempt, or the `NotPlaced` of the first stage that selects none."""
+        writer = self.writer_selection.select(sequence, now)
         if isinstance(writer, NotPlaced):
             return writer
-        engine = self.reads.place(sequence, writer, now)
+        engine = self.read_placement.place(sequence, writer, now)
         if isinstance(engine, NotPlaced):
             return engine
-        return self.admission.gate(sequence, engine, now) or engine
+        return self.admission.check_attempt(sequence, engine, now) or engine
 
     def _release_expired_state(self, sequence: Sequence, now: float, share: float) -> None:
         if self.admission.retains_state_too_long(sequence, now, share):
             self._release_state(sequence)
 
     def _release_state(self, sequence: Sequence) -> None:
-        self.actions.append(contract.Release(sequence.id))
+        self.pending_actions.append(contract.Release(sequence.id))
         sequence.state_engine = None
         sequence.state_since = float("inf")
-        sequence.expect_no_release()
+        sequence.clear_release_timers()
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
-        """Send the next attempt: a read if the sequence is split, else one that writes the answer."""
+        """Send the next attempt, which reads the prompt if the sequence is split, else writes the answer."""
         arrival = sequence.arrival
-        # Only a first read has a timeout of its own: under high load, timeouts of later attempts would fire
-        # as well, and the retries would add to the load.
+        # Only a first read has its own timeout. Under high load, timeouts of later attempts would expire as
+        # well, and the retries would increase the load.
         is_first_read = sequence.is_split and not sequence.attempts
         timeout = READ_TIMEOUT_SHARE * (sequence.abandon_at - now) if is_first_read else 0.0
         attempt = self._new_attempt(sequence, engine, now)
-        self.estimates.assign(sequence, sequence.writer)
+        self.estimates.assign_writer(sequence, sequence.writer)
         sequence.attempts.append(attempt)
         self.admission.expect_arrival(sequence)
         self.estimates.attempt_sent(attempt)
-        if not attempt.fetches_state:  # engines cache the prompts that they read, and not fetched states
+        if not attempt.fetches_state:  # engines cache prompts that they read, but not fetched states
             engine.cache.add(arrival, now)
-        self.actions.append(contract.Send(sequence.id, engine.index, timeout))
+        self.pending_actions.append(contract.Send(sequence.id, engine.index, timeout))
 
     def _new_attempt(self, sequence: Sequence, engine: Engine, now: float) -> Attempt:
         arrival, is_read = sequence.arrival, sequence.is_split
         has_state = sequence.state_engine is not None
         cached = NO_ENTRY if has_state else engine.cache.find(arrival, now)
         affinity = sequence.affinity.get(engine, Affinity.OTHER) if is_read else Affinity.OTHER
-        estimated = self.reads.hit_rates.estimated_tokens(arrival)[affinity] if is_read else 0.0
+        estimated = (
+            self.read_placement.hit_rates.expected_cached_tokens(arrival)[affinity] if is_read else 0.0
+        )
         uncached = 0.0 if has_state else max(0.0, arrival.prompt_tokens - max(cached.tokens, estimated))
         backlog = self.estimates.total_backlog(engine)
         return Attempt(engine, is_read, now, uncached, backlog, cached, affinity, has_state)
 
     def check_send(self, now: float, sequence_id: int, attempt: int) -> contract.SendCheck:
-        """Return which conditions of an attempt still hold before its first byte; changes nothing."""
+        """Check an attempt again just before its first byte; does not change the router's state."""
         sequence = self.sequences.get(sequence_id)
         if sequence is None or attempt >= len(sequence.attempts):
             return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
@@ -166,63 +170,63 @@
             is_in_slow_start_share=self.admission.is_in_slow_start_share(engine, sequence, now),
         )
 
-    def _attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
+    def _on_attempt_began(self, sequence: Sequence, attempt: Attempt, now: float, latency: float) -> None:
         writer, source = attempt.engine, sequence.reader
-        sequence.expect_no_release()
-        # Once the answer has started, load reports include the memory of the sequence, which is no longer
-        # counted as assigned. If reports do not include memory, it stays assigned until the sequence ends.
-        is_reported = writer.kind in self.estimates.usual_memory
-        self.estimates.assign(sequence, None if is_reported else sequence.assigned_to)
-        self.admission.observe_start(sequence, now)
+        sequence.clear_release_timers()
+        # Load reports include the memory of the sequence once its answer has started, so it is no longer
+        # assigned. If the engines report no memory, it stays assigned until the sequence ends.
+        is_reported = writer.kind in self.estimates.mean_memory_share
+        self.estimates.assign_writer(sequence, None if is_reported else sequence.assigned_writer)
+        self.admission.record_start(sequence, now)
         was_transferred = False
         if attempt.fetches_state and source is not None and source.cell != writer.cell:
             was_transferred = True
-            self.reads.observe_transfer(source, writer, sequence.arrival.prompt_tokens, latency)
+            self.read_placement.record_transfer(source, writer, sequence.arrival.prompt_tokens, latency)
         self.estimates.attempt_began(attempt, latency, was_transferred)
 
-    def _attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
+    def _on_attempt_ended(self, sequence: Sequence, attempt: Attempt, now: float) -> None:
         self.estimates.attempt_ended(sequence, attempt)
-        sequence.expect_no_release()
+        sequence.clear_release_timers()
         if attempt.has_succeeded:
-            self.reads.hit_rates.observe_success(sequence, attempt, now)
+            self.read_placement.hit_rates.record_success(sequence, attempt, now)
         retries.record_capacity(sequence, attempt, now)
         retries.record_outcome(sequence, attempt, now)
         sequence.is_over = sequence.is_over or attempt.is_answered
         if sequence.is_over:
             self._forget(sequence)
         elif not retries.may_run_at(sequence, attempt.engine, now, self.config):
-            self._give_up(sequence)
+            self._reject_or_abort(sequence)
         elif not sequence.running_attempts():
             if attempt.outcome == Outcome.UNREACHED and sequence.state_since > 0.0:
-                # Each failed connection to a writer takes time in which the read state stays at its engine
+                # Each failed connection to a writer uses up a part of the state timeout
                 # (`test_a_read_state_is_released_in_time_while_writers_cannot_be_reached`).
-                self._release_expired_state(sequence, now, admission.UNREACHED_STATE_TIMEOUT_SHARE)
+                self._release_expired_state(sequence, now, admission.UNREACHED_STATE_RELEASE_SHARE)
             self._place(sequence, now)
 
-    def _give_up(self, sequence: Sequence, retry_after: float = 0.0) -> None:
-        """End a sequence: with a rejection if it did not run or a retry does no harm, else with an abort."""
-        self.admission.observe_start(sequence, self.estimates.now)
-        is_harmless = retries.may_reject(sequence)
-        answer = contract.Reject(sequence.id, retry_after) if is_harmless else contract.Abort(sequence.id)
-        self._end(sequence, answer)
+    def _reject_or_abort(self, sequence: Sequence, retry_after: float = 0.0) -> None:
+        """End a sequence with a rejection if that is allowed, else with an abort."""
+        self.admission.record_start(sequence, self.estimates.now)
+        can_reject = retries.may_reject(sequence)
+        answer = contract.Reject(sequence.id, retry_after) if can_reject else contract.Abort(sequence.id)
+        self._end_sequence(sequence, answer)
 
-    def _end(self, sequence: Sequence, answer: Action | None) -> None:
+    def _end_sequence(self, sequence: Sequence, answer: Action | None) -> None:
         sequence.is_over = True
         if answer is not None:
-            self.actions.append(answer)
+            self.pending_actions.append(answer)
         if self.config.may_cancel and not sequence.has_begun:
             running = sequence.running_attempts()
-            self.actions.extend(contract.CancelAttempt(sequence.id, number) for number in running)
+            self.pending_actions.extend(contract.CancelAttempt(sequence.id, number) for number in running)
         self._forget(sequence)
 
     def _forget(self, sequence: Sequence) -> None:
-        """Forget an ended sequence and release its read states (rule 5), once none of its attempts runs."""
+        """Discard an ended sequence and release its read states (invariant 5), once no attempt is running."""
         self.waiting.pop(sequence.id, None)
-        self.estimates.assign(sequence, None)
+        self.estimates.assign_writer(sequence, None)
         if sequence.running_attempts():
             return
         has_read = any(attempt.is_read for attempt in sequence.attempts)
         if sequence.arrival.state_engine is not None or has_read:
-            self.actions.append(contract.Release(sequence.id))
-        self.actions.append(contract.Forget(sequence.id))
+            self.pending_actions.append(contract.Release(sequence.id))
+        self.pending_actions.append(contract.Forget(sequence.id))
         self.sequences.pop(sequence.id, None)
