--- a/myrtlehub/state/answer.py
+++ b/myrtlehub/state/answer.py
@@ -1,6 +1,7 @@
-"""The state machine of an answer: what the client of a sequence has received.
+"""State machine of an answer: what the client of a sequence has received.
 
-In `STREAMING`, all tokens come from one attempt. After a final state the client is sent nothing more.
+In `STREAMING`, all tokens come from a single attempt. Once a final state is reached, nothing more is sent to
+the client.
 """
 
 from enum import StrEnum
@@ -9,7 +10,7 @@
 
 
 class AnswerState(StrEnum):
-    """What the client has received. The values of final states are counted and logged."""
+    """What the client has received. The values of the final states appear in counters and logs."""
 
     PENDING = "pending"
     STREAMING = "streaming"
@@ -20,10 +21,10 @@
 
 
 class AnswerEvent(StrEnum):
-    """An event that concerns an answer."""
+    """An event of an answer."""
 
     FIRST_TOKENS = "first_tokens"  # of any attempt
-    MORE_TOKENS = "more_tokens"  # of the attempt that streams
+    MORE_TOKENS = "more_tokens"  # of the streaming attempt
     COMPLETED = "completed"
     STREAM_FAILED = "stream_failed"
     REJECT = "reject"
@@ -33,11 +34,11 @@
 
 
 class AnswerEffect(StrEnum):
-    """What the owner of an answer has to do."""
+    """An action that the owner of an answer has to take."""
 
-    PASS = "pass"  # pass the tokens to the client
-    STOP = "stop"  # another attempt is streaming: stop the one that sent these tokens
-    ANSWER = "answer"  # give the client its final answer
+    PASS = "pass"  # forward the tokens to the client
+    STOP = "stop"  # another attempt is streaming: cancel the one that sent these tokens
+    ANSWER = "answer"  # send the final answer to the client
 
 
 ANSWER = TransitionTable.build(
--- a/myrtlehub/state/attempt.py
+++ b/myrtlehub/state/attempt.py
@@ -1,7 +1,7 @@
-"""The state machine of an attempt: what the node knows of its effect at the engine.
+"""State machine of an attempt: what the node knows about the attempt's effect at the engine.
 
-An attempt that certainly had no effect ends in `HARMLESS`. One that may have had an effect ends in `UNKNOWN`,
-or in `RAN` if tokens prove it. A read has no effect, whatever its outcome.
+An attempt that is known to have had no effect ends in `HARMLESS`. One that may have had an effect ends in
+`UNKNOWN`, or in `RAN` if received tokens prove it. A read has no effect, whatever its outcome.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class AttemptState(StrEnum):
-    """What the node knows of an attempt. The values are logged."""
+    """What the node knows about an attempt. The values are logged."""
 
     READING = "reading"
     WRITING = "writing"
@@ -22,7 +22,7 @@
 
 
 class AttemptEvent(StrEnum):
-    """An event of an attempt; all but the first are the outcomes of `routing.contract.Outcome`."""
+    """An event of an attempt; all but the first have the values of `routing.contract.Outcome`."""
 
     TOKENS = "tokens"
     READ = "read"
@@ -37,24 +37,24 @@
 
 
 class AttemptEffect(StrEnum):
-    """What the owner of an attempt has to do."""
+    """An action that the owner of an attempt has to take."""
 
-    BEGIN = "begin"  # these are the first tokens: start the answer with them
-    PASS = "pass"  # pass the tokens on
+    BEGIN = "begin"  # start the answer with these first tokens
+    PASS = "pass"  # forward the tokens
     REPORT = "report"  # report the end of the attempt
 
 
 OUTSTANDING_STATES = (AttemptState.READING, AttemptState.WRITING, AttemptState.STREAMING)
-_STATES_WITH_EFFECT = (  # states of attempts that may have had an effect, or still can
+_POSSIBLE_EFFECT_STATES = (  # an attempt in one of these states may have had an effect, or still can
     AttemptState.WRITING,
     AttemptState.STREAMING,
     AttemptState.UNKNOWN,
     AttemptState.RAN,
 )
-_REJECTIONS = (AttemptEvent.FULL, AttemptEvent.UNREACHED, AttemptEvent.UNSENT)
-_FAILURES = (AttemptEvent.ERROR, AttemptEvent.TIMEOUT, AttemptEvent.RESET, AttemptEvent.CANCELLED)
+_REJECTION_EVENTS = (AttemptEvent.FULL, AttemptEvent.UNREACHED, AttemptEvent.UNSENT)
+_FAILURE_EVENTS = (AttemptEvent.ERROR, AttemptEvent.TIMEOUT, AttemptEvent.RESET, AttemptEvent.CANCELLED)
 
-# State machines of reads are created in READING instead of the initial state.
+# The state machine of a read is created in READING instead of the initial state.
 ATTEMPT = TransitionTable.build(
     "attempt",
     initial=AttemptState.WRITING,
@@ -64,8 +64,8 @@
         AttemptState.READING: (
             on(
                 AttemptEvent.READ,
-                *_REJECTIONS,
-                *_FAILURES,
+                *_REJECTION_EVENTS,
+                *_FAILURE_EVENTS,
                 to=AttemptState.HARMLESS,
                 effect=AttemptEffect.REPORT,
             ),
@@ -74,16 +74,16 @@
         AttemptState.WRITING: (
             on(AttemptEvent.TOKENS, to=AttemptState.STREAMING, effect=AttemptEffect.BEGIN),
             on(AttemptEvent.GENERATED, to=AttemptState.RAN, effect=AttemptEffect.REPORT),
-            on(*_REJECTIONS, to=AttemptState.HARMLESS, effect=AttemptEffect.REPORT),
-            on(*_FAILURES, to=AttemptState.UNKNOWN, effect=AttemptEffect.REPORT),
+            on(*_REJECTION_EVENTS, to=AttemptState.HARMLESS, effect=AttemptEffect.REPORT),
+            on(*_FAILURE_EVENTS, to=AttemptState.UNKNOWN, effect=AttemptEffect.REPORT),
             forbid(AttemptEvent.READ),
         ),
         AttemptState.STREAMING: (
             on(AttemptEvent.TOKENS, effect=AttemptEffect.PASS),
             on(
                 AttemptEvent.GENERATED,
-                *_REJECTIONS,
-                *_FAILURES,
+                *_REJECTION_EVENTS,
+                *_FAILURE_EVENTS,
                 to=AttemptState.RAN,
                 effect=AttemptEffect.REPORT,
             ),
@@ -95,4 +95,4 @@
 
 def may_have_run(attempts: Iterable[AttemptState]) -> bool:
     """Return whether any attempt in one of these states may have had an effect, or still can."""
-    return any(state in _STATES_WITH_EFFECT for state in attempts)
+    return any(state in _POSSIBLE_EFFECT_STATES for state in attempts)
--- a/myrtlehub/state/state_machine.py
+++ b/myrtlehub/state/state_machine.py
@@ -1,19 +1,19 @@
-"""State machines as transition tables: every event in every state has a stated transition.
+"""Table-driven state machines, in which every state has a transition for every event.
 
 A table is written as rows, state by state:
 
     rows={
-        Lamp.OFF: (
-            on(LampEvent.SWITCH, to=Lamp.ON, effect=LampEffect.LIGHT),
-            on(LampEvent.LOOK),  # no change and no effect
-            forbid(LampEvent.BURN_OUT),
+        ConnectionState.IDLE: (
+            on(ConnectionEvent.DIAL, to=ConnectionState.CONNECTING, effect=ConnectionEffect.START_TIMER),
+            on(ConnectionEvent.CLOSE),  # no change and no effect
+            forbid(ConnectionEvent.DATA_RECEIVED),
         ),
         ...
     }
 
-States, events and effects are enumerations of the module that defines the table. An event that cannot occur
-in a state is forbidden there: `StateMachine.step` raises. In a final state every event is late: it changes
-nothing.
+The module that defines a table also defines its states, events and effects as enumerations. An event that
+cannot occur in a state is forbidden in it, and `StateMachine.step` raises an error. In a final state every
+event is late and changes nothing.
 """
 
 from collections.abc import Iterable, Mapping
@@ -27,27 +27,27 @@
 
 
 class CommonEffect(StrEnum):
-    """Effects common to all tables; each table may define others of its own."""
+    """Effects common to all tables; each table may define its own in addition."""
 
     NOTHING = "nothing"
-    LATE = "late"  # the machine is in a final state: nothing changes
-    VIOLATION = "violation"  # the event cannot occur in this state: its sender violates the contract
+    LATE = "late"  # the machine is in a final state and does not change
+    VIOLATION = "violation"  # the event cannot occur in this state; its source violates the contract
 
 
-# A constant, because `step` runs for each token message, and an access to the member of the enumeration would
-# take as long as the rest of it.
+# Kept as a module constant because `StateMachine.step` runs for each token message, and looking up the enum
+# member would take as long as the rest of the method.
 _VIOLATION = CommonEffect.VIOLATION
 
 
 class Transition(NamedTuple, Generic[StateT]):
-    """The state after an event, and the effect that the owner of the machine has to carry out."""
+    """The state after an event, and the effect that the owner of the machine must apply."""
 
     next_state: StateT
     effect: StrEnum
 
 
 class Row(NamedTuple, Generic[StateT_co, EventT_co]):
-    """Events that have the same transition in a state; `next_state` None leaves the state as it is."""
+    """Events that have the same transition in a state; the state is unchanged if `next_state` is None."""
 
     events: tuple[EventT_co, ...]
     next_state: StateT_co | None
@@ -61,7 +61,7 @@
 def on(
     *events: EventT, to: StateT | None = None, effect: StrEnum = CommonEffect.NOTHING
 ) -> Row[StateT, EventT]:
-    """Return a row by which these events lead to the state `to`, or leave the state as it is."""
+    """Return a row in which these events lead to the state `to`, or leave the state unchanged."""
     return Row(events, to, effect)
 
 
@@ -71,11 +71,11 @@
 
 
 class AmbiguousTransitionError(ValueError):
-    """A table has two transitions for the same event in the same state."""
+    """A table defines two transitions for the same event in the same state."""
 
 
 class InvalidTransitionError(Exception):
-    """An event is forbidden in a state, or its table does not have it."""
+    """An event is forbidden in a state, or the table does not define it."""
 
     def __init__(self, table: str, state: str, event: str) -> None:
         super().__init__(f"{table}: {event} in state {state}")
@@ -85,7 +85,7 @@
 
 
 class TransitionTable(NamedTuple, Generic[StateT, EventT]):
-    """One kind of state machine: its initial state, its final states and all transitions."""
+    """The definition of a state machine: its initial state, final states and transitions."""
 
     name: str
     initial: StateT
@@ -102,17 +102,17 @@
         rows: Mapping[StateT, Iterable[Row[StateT, EventT]]],
         finals: Iterable[StateT] = (),
     ) -> Self:
-        """Make a table.
+        """Build a table from rows.
 
         Args:
-            name: identifies the machine in error messages.
+            name: identifies the table in error messages.
             initial: the state of a new machine.
-            events: all events, in the order in which final states list them.
+            events: all events; the transitions of final states are in their order.
             rows: the transitions of each state that is not final.
-            finals: the states in which every event is late.
+            finals: the final states, in which every event is late.
 
         Raises:
-            AmbiguousTransitionError: a state has two transitions for one event.
+            AmbiguousTransitionError: a state has two transitions for the same event.
         """
         transitions: dict[tuple[StateT, EventT], Transition[StateT]] = {}
         for state, state_rows in rows.items():
@@ -121,23 +121,23 @@
                     if (state, event) in transitions:
                         raise AmbiguousTransitionError(f"{name}: {state} has two transitions for {event}")
                     transitions[state, event] = Transition(row.next_state or state, row.effect)
-        all_finals = frozenset(finals)
-        all_events = tuple(events)
-        for final in sorted(all_finals):
-            for event in all_events:
+        final_states = frozenset(finals)
+        event_list = tuple(events)
+        for final in sorted(final_states):
+            for event in event_list:
                 transitions[final, event] = Transition(final, CommonEffect.LATE)
-        return cls(name, initial, all_finals, transitions)
+        return cls(name, initial, final_states, transitions)
 
     def states(self) -> list[StateT]:
-        """List all states, in the order of the table."""
+        """Return all states in table order."""
         return list(dict.fromkeys(state for state, _ in self.transitions))
 
     def events(self) -> list[EventT]:
-        """List all events, in the order of the table."""
+        """Return all events in table order."""
         return list(dict.fromkeys(event for _, event in self.transitions))
 
     def missing(self) -> list[tuple[StateT, EventT]]:
-        """List the pairs of a state and an event that have no transition; a complete table has none."""
+        """Return the (state, event) pairs without a transition; a complete table has none."""
         return [
             (state, event)
             for state in self.states()
@@ -146,7 +146,7 @@
         ]
 
     def mermaid(self) -> str:
-        """Draw the table as a mermaid state diagram, without late and forbidden events."""
+        """Return the table as a Mermaid state diagram, without late and forbidden events."""
         edges: dict[tuple[StateT, StateT, StrEnum], list[str]] = {}
         for (state, event), (next_state, effect) in self.transitions.items():
             if effect not in (CommonEffect.LATE, CommonEffect.VIOLATION):
@@ -160,20 +160,21 @@
 
 
 class StateMachine(Generic[StateT, EventT]):
-    """One running instance of a table."""
+    """An instance of a transition table, with its current state."""
 
     __slots__ = ("state", "table")
 
     def __init__(self, table: TransitionTable[StateT, EventT], state: StateT | None = None) -> None:
-        """Create a machine in the given state; None stands for the table's initial state."""
+        """Create a machine in `state`, or in the table's initial state if it is None."""
         self.table = table
         self.state = state or table.initial
 
     def step(self, event: EventT) -> StrEnum:
-        """Apply an event and return the effect that the owner of the machine has to carry out.
+        """Apply an event and return the effect that the owner of the machine must apply.
 
         Raises:
-            InvalidTransitionError: the table forbids the event in the current state, or does not have it.
+            InvalidTransitionError: the event is forbidden in the current state, or the table does not define
+                it.
         """
         transition = self.table.transitions.get((self.state, event))
         if transition is None or transition.effect is _VIOLATION:
