--- a/myrtlehub/state/model_checker.py
+++ b/myrtlehub/state/model_checker.py
@@ -1,6 +1,6 @@
 """An exhaustive model checker.
 
-The search is breadth first, so the trace of the first violation is a shortest one; `replay` follows it.
+The search is breadth first, so the trace to the first violation is a shortest one. `replay` replays a trace.
 """
 
 from collections import deque
@@ -8,40 +8,40 @@
 from typing import NamedTuple, TypeAlias, TypeVar
 
 StateT = TypeVar("StateT", bound=Hashable)
-# A function that returns the steps from a state. A step has a label, the state after it, and the rule that it
-# violates; None or "" if it violates none.
+# Returns the steps from a state. A step is a label, the state after the step, and the rule that it violates;
+# None or "" if it violates none.
 Steps: TypeAlias = Callable[[StateT], Iterable[tuple[str, StateT, str | None]]]
-# By visited state: its predecessor and the label of the step between them; None for the initial state.
+# Maps each visited state to its predecessor and the label of the step between them; None for the initial one.
 _Parents: TypeAlias = dict[StateT, tuple[StateT, str] | None]
 
 DEFAULT_MAX_STATES = 10_000_000  # per search, because all visited states are kept in memory
 
 
 class CheckResult(NamedTuple):
-    """The extent and the result of a search."""
+    """The result of a search, and how much of the state space it covered."""
 
     states: int
     steps: int
-    depth: int  # steps from the initial state to the deepest state visited
-    is_complete: bool  # every reachable state was visited
+    depth: int  # largest number of steps from the initial state to a visited state
+    is_complete: bool  # whether every reachable state was visited
     violation: str | None
     trace: tuple[str, ...]  # labels of the steps from the initial state to the violation
 
 
 class UnknownStepError(KeyError):
-    """A trace names a step that the model does not offer in the state reached."""
+    """A trace contains a step that is not possible in the state reached."""
 
 
 def check_model(
     initial: StateT, steps: Steps[StateT], max_depth: int, max_states: int = DEFAULT_MAX_STATES
 ) -> CheckResult:
-    """Visit all states up to a depth and a number of states; stop at the first violation."""
+    """Visit all states within the given depth and number of states; stop at the first violation."""
     parents: _Parents[StateT] = {initial: None}
     queue: deque[tuple[StateT, int]] = deque([(initial, 0)])
-    step_count, deepest, is_complete = 0, 0, True
+    step_count, max_visited_depth, is_complete = 0, 0, True
     while queue:
         state, depth = queue.popleft()
-        deepest = max(deepest, depth)
+        max_visited_depth = max(max_visited_depth, depth)
         for label, next_state, violation in steps(state):
             step_count += 1
             if violation:
@@ -54,7 +54,7 @@
                 continue
             parents[next_state] = (state, label)
             queue.append((next_state, depth + 1))
-    return CheckResult(len(parents), step_count, deepest, is_complete, None, ())
+    return CheckResult(len(parents), step_count, max_visited_depth, is_complete, None, ())
 
 
 def _trace_to(parents: _Parents[StateT], state: StateT) -> tuple[str, ...]:
@@ -66,7 +66,7 @@
 
 
 def replay(initial: StateT, steps: Steps[StateT], trace: Iterable[str]) -> tuple[StateT, str | None]:
-    """Replay a trace of step labels; return the final state and the rule that the last step violates, if any.
+    """Replay a trace of step labels; return the state reached and the rule violated by the last step, if any.
 
     Raises:
         UnknownStepError: no step with the next label is possible in the state reached.
@@ -74,7 +74,9 @@
     state: StateT = initial
     violation: str | None = None
     for label in trace:
-        steps_by_label = {found: (next_state, broken) for found, next_state, broken in steps(state)}
+        steps_by_label = {
+            step_label: (next_state, violated_rule) for step_label, next_state, violated_rule in steps(state)
+        }
         if label not in steps_by_label:
             raise UnknownStepError(label)
         state, violation = steps_by_label[label]
--- a/myrtlehub/state/model_router.py
+++ b/myrtlehub/state/model_router.py
@@ -1,4 +1,4 @@
-"""Steps of the model: the decisions of a router, that is all sends and final answers that are allowed."""
+"""Steps of the model: the decisions of a router, which are all allowed sends and final answers."""
 
 from collections.abc import Iterator
 
@@ -14,31 +14,31 @@
     ModelStep,
     ModelSubmission,
 )
-from myrtlehub.state.model_steps import answer_client, replace_item, step
+from myrtlehub.state.model_steps import answer_client, find_transition, replace_item
 from myrtlehub.state.read_state import CLAIMABLE_STATUSES, ReadStateEvent
 from myrtlehub.state.state_machine import CommonEffect
 
 
-def router_steps(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
-    """Iterate over the decisions that a router may make for a submission."""
-    submission = model.submissions[index]
+def router_steps(config: ModelConfig, model: ModelState, submission_index: int) -> Iterator[ModelStep]:
+    """Iterate over the decisions that a router may take for a submission."""
+    submission = model.submissions[submission_index]
     if submission.answer != AnswerState.PENDING:
         return
     has_attempts_left = len(submission.attempts) < config.max_attempts
-    if has_attempts_left and not submission.has_outstanding and not submission.is_late:
-        yield from _sends(config, model, index)
+    if has_attempts_left and not submission.has_outstanding and not submission.is_past_deadline:
+        yield from _possible_sends(config, model, submission_index)
     is_idempotent = config.semantics[submission.sequence] == RetrySemantics.IDEMPOTENT
     if is_idempotent or not _may_have_run(config, submission):
-        yield answer_client(config, model, index, AnswerEvent.REJECT, f"reject {index}")
-    yield answer_client(config, model, index, AnswerEvent.ABORT, f"abort {index}")
+        yield answer_client(config, model, submission_index, AnswerEvent.REJECT, f"reject {submission_index}")
+    yield answer_client(config, model, submission_index, AnswerEvent.ABORT, f"abort {submission_index}")
 
 
 def _may_have_run(config: ModelConfig, submission: ModelSubmission) -> bool:
     return may_have_run(attempt.known_state for attempt in submission.writes(config))
 
 
-def _sends(config: ModelConfig, model: ModelState, index: int) -> Iterator[ModelStep]:
-    submission = model.submissions[index]
+def _possible_sends(config: ModelConfig, model: ModelState, submission_index: int) -> Iterator[ModelStep]:
+    submission = model.submissions[submission_index]
     for engine in range(len(model.engines_up)):
         if KnownDrain(submission.node, engine) in model.known_drains:
             continue
@@ -46,11 +46,11 @@
             continue
         if engine in model.cold_engines and not _is_in_slow_start_share(submission):
             continue
-        yield _send(config, model, index, engine)
+        yield _send(config, model, submission_index, engine)
 
 
 def _is_in_slow_start_share(submission: ModelSubmission) -> bool:
-    """Return whether a sequence may be sent to cold engines; in the model, every second one may."""
+    """Return whether a sequence may be sent to cold engines; the model allows every second sequence."""
     return submission.sequence % 2 == 0
 
 
@@ -61,26 +61,28 @@
     if semantics == RetrySemantics.AT_MOST_ONCE or config.is_reader(engine):
         return False
     first = next(attempt for attempt in submission.writes(config) if may_have_run((attempt.known_state,)))
-    # Each writer of the model is a dedup group by itself.
+    # Each writer in the model is its own dedup group.
     return engine == first.engine and submission.sequence not in model.expired_windows
 
 
-def _send(config: ModelConfig, model: ModelState, index: int, engine: int) -> ModelStep:
-    submission = model.submissions[index]
+def _send(config: ModelConfig, model: ModelState, submission_index: int, engine: int) -> ModelStep:
+    submission = model.submissions[submission_index]
     violation: str | None = None
     read_states, claimed_reader = submission.read_states, None
     if config.is_reader(engine):
-        after = step(config.read_state_table, read_states[engine], ReadStateEvent.READ_SENT)
-        read_states = replace_item(read_states, engine, after.next_state)
+        transition = find_transition(config.read_state_table, read_states[engine], ReadStateEvent.READ_SENT)
+        read_states = replace_item(read_states, engine, transition.next_state)
         violation = (
-            f"read state: {ReadStateEvent.READ_SENT}" if after.effect == CommonEffect.VIOLATION else None
+            f"read state: {ReadStateEvent.READ_SENT}" if transition.effect == CommonEffect.VIOLATION else None
         )
     else:
         claimable = (reader for reader, status in enumerate(read_states) if status in CLAIMABLE_STATUSES)
         claimed_reader = max(claimable, default=None)
         if claimed_reader is not None:
-            after = step(config.read_state_table, read_states[claimed_reader], ReadStateEvent.CLAIM)
-            read_states = replace_item(read_states, claimed_reader, after.next_state)
+            transition = find_transition(
+                config.read_state_table, read_states[claimed_reader], ReadStateEvent.CLAIM
+            )
+            read_states = replace_item(read_states, claimed_reader, transition.next_state)
     attempt = ModelAttempt(
         engine,
         AttemptState.READING if config.is_reader(engine) else AttemptState.WRITING,
@@ -88,17 +90,19 @@
         claimed_reader,
     )
     sent = submission._replace(read_states=read_states, attempts=(*submission.attempts, attempt))
-    return _checked_send(config, model.with_submission(index, sent), index, engine, violation)
+    return _check_send(
+        config, model.with_submission(submission_index, sent), submission_index, engine, violation
+    )
 
 
-def _checked_send(
-    config: ModelConfig, model: ModelState, index: int, engine: int, violation: str | None
+def _check_send(
+    config: ModelConfig, model: ModelState, submission_index: int, engine: int, violation: str | None
 ) -> ModelStep:
-    """Check a send against the rules on draining and cold engines, and return it as a step."""
-    if KnownDrain(model.submissions[index].node, engine) in model.known_drains:
+    """Return a send as a step, after checking it against the rules for draining and cold engines."""
+    if KnownDrain(model.submissions[submission_index].node, engine) in model.known_drains:
         violation = "rule 3: sent to a draining engine"
     if engine in model.cold_engines:
         model = model._replace(cold_sends=model.cold_sends + 1)
         if model.cold_sends > (len(config.semantics) + 1) // 2 * config.max_attempts:
             violation = "rule 4: an engine in slow start got more than its share"
-    return ModelStep(f"send {index} to {engine}", model, violation)
+    return ModelStep(f"send {submission_index} to {engine}", model, violation)
--- a/myrtlehub/state/model_steps.py
+++ b/myrtlehub/state/model_steps.py
@@ -1,4 +1,4 @@
-"""Functions that several kinds of steps of the model share."""
+"""Functions shared by several kinds of steps of the model."""
 
 from typing import NamedTuple, TypeVar
 
@@ -33,8 +33,10 @@
     event: ReadStateEvent
 
 
-def step(table: TransitionTable[StateT, EventT], state: StateT, event: EventT) -> Transition[StateT]:
-    """Look up a transition; an event that is missing from the table is a violation."""
+def find_transition(
+    table: TransitionTable[StateT, EventT], state: StateT, event: EventT
+) -> Transition[StateT]:
+    """Return a transition from the table; an event that the table does not define is a violation."""
     return table.transitions.get((state, event), Transition(state, CommonEffect.VIOLATION))
 
 
@@ -44,62 +46,66 @@
 
 
 def answer_client(
-    config: ModelConfig, model: ModelState, index: int, event: AnswerEvent, label: str
+    config: ModelConfig, model: ModelState, submission_index: int, event: AnswerEvent, label: str
 ) -> ModelStep:
-    """Give a submission its final answer, and cancel its outstanding attempts."""
-    submission = model.submissions[index]
-    answer = step(config.answer_table, submission.answer, event).next_state
+    """Send a submission its final answer and cancel its outstanding attempts."""
+    submission = model.submissions[submission_index]
+    answer = find_transition(config.answer_table, submission.answer, event).next_state
     if answer == submission.answer:
         violation = f"rule 1: {event} left sequence {submission.sequence} unanswered"
         return ModelStep(label, model, violation if answer == AnswerState.PENDING else None)
-    model = model.with_submission(index, submission._replace(answer=answer))
+    model = model.with_submission(submission_index, submission._replace(answer=answer))
     if answer == AnswerState.REJECTED and config.semantics[submission.sequence] != RetrySemantics.IDEMPOTENT:
         unsafe_states = STATES_WITH_EFFECT + STATES_BEFORE_EFFECT
         if any(attempt.actual_state in unsafe_states for attempt in submission.writes(config)):
             violation = f"rule 2: {submission.sequence} was rejected, and an attempt has run or still can"
             return ModelStep(label, model, violation)
-    return ModelStep(label, cancel_outstanding(config, model, index))
+    return ModelStep(label, cancel_outstanding(config, model, submission_index))
 
 
-def cancel_outstanding(config: ModelConfig, model: ModelState, index: int) -> ModelState:
-    """Have the node cancel all outstanding attempts of a submission; their resets are then in transit."""
+def cancel_outstanding(config: ModelConfig, model: ModelState, submission_index: int) -> ModelState:
+    """Cancel all outstanding attempts of a submission at its node, which sends a reset for each of them."""
     if not config.may_cancel:
         return model
-    for number, attempt in enumerate(model.submissions[index].attempts):
+    for attempt_index, attempt in enumerate(model.submissions[submission_index].attempts):
         if attempt.is_outstanding:
-            model = learn_outcome(config, model, index, number, AttemptEvent.CANCELLED).state
-            cancelled = model.submissions[index].attempts[number]
-            model = model.with_attempt(index, number, cancelled._replace(is_reset_pending=True))
+            model = apply_outcome(
+                config, model, submission_index, attempt_index, AttemptEvent.CANCELLED
+            ).state
+            cancelled = model.submissions[submission_index].attempts[attempt_index]
+            model = model.with_attempt(
+                submission_index, attempt_index, cancelled._replace(is_reset_pending=True)
+            )
     return model
 
 
-def learn_outcome(
+def apply_outcome(
     config: ModelConfig,
     model: ModelState,
-    index: int,
-    number: int,
+    submission_index: int,
+    attempt_index: int,
     outcome: AttemptEvent,
     label: str = "",
     *,
     is_state_missing: bool = False,
 ) -> ModelStep:
-    """Apply the end of an attempt, which the node observes or causes, to what the node knows."""
-    attempt = model.submissions[index].attempts[number]
-    after = step(config.attempt_table, attempt.known_state, outcome)
-    if after.effect == CommonEffect.VIOLATION:
+    """Update what the node knows after an attempt has ended; the node observed or caused the end."""
+    attempt = model.submissions[submission_index].attempts[attempt_index]
+    transition = find_transition(config.attempt_table, attempt.known_state, outcome)
+    if transition.effect == CommonEffect.VIOLATION:
         return ModelStep(label, model, f"attempt: {outcome} in {attempt.known_state}")
     violation: str | None = None
     read_state_step = _read_state_step(config, attempt, outcome, is_state_missing)
     if read_state_step is not None:
-        model, violation = _step_read_state(config, model, index, read_state_step)
-    ended = attempt._replace(known_state=after.next_state)
-    return ModelStep(label, model.with_attempt(index, number, ended), violation)
+        model, violation = _step_read_state(config, model, submission_index, read_state_step)
+    ended = attempt._replace(known_state=transition.next_state)
+    return ModelStep(label, model.with_attempt(submission_index, attempt_index, ended), violation)
 
 
 def _read_state_step(
     config: ModelConfig, attempt: ModelAttempt, outcome: AttemptEvent, is_state_missing: bool
 ) -> _ReadStateStep | None:
-    """Return the read-state event that follows from the end of an attempt; None if there is none."""
+    """Return the read-state event that results from the end of an attempt, or None if there is none."""
     if not attempt.is_outstanding:
         return None
     if config.is_reader(attempt.engine):
@@ -111,21 +117,21 @@
 
 
 def _step_read_state(
-    config: ModelConfig, model: ModelState, index: int, read_state_step: _ReadStateStep
+    config: ModelConfig, model: ModelState, submission_index: int, read_state_step: _ReadStateStep
 ) -> tuple[ModelState, str | None]:
-    """Apply a read-state event to what the node knows; return the model after it, and any violation."""
-    submission = model.submissions[index]
+    """Apply a read-state event to what the node knows; return the updated model and the violation, if any."""
+    submission = model.submissions[submission_index]
     reader, event = read_state_step
-    after = step(config.read_state_table, submission.read_states[reader], event)
-    read_states = replace_item(submission.read_states, reader, after.next_state)
-    model = model.with_submission(index, submission._replace(read_states=read_states))
-    return model, f"read state: {event}" if after.effect == CommonEffect.VIOLATION else None
+    transition = find_transition(config.read_state_table, submission.read_states[reader], event)
+    read_states = replace_item(submission.read_states, reader, transition.next_state)
+    model = model.with_submission(submission_index, submission._replace(read_states=read_states))
+    return model, f"read state: {event}" if transition.effect == CommonEffect.VIOLATION else None
 
 
-def reset_attempt(model: ModelState, index: int, number: int) -> ModelState:
-    """Have the engine receive the reset of an attempt, and stop it."""
-    attempt = model.submissions[index].attempts[number]
+def reset_attempt(model: ModelState, submission_index: int, attempt_index: int) -> ModelState:
+    """Deliver the reset of an attempt to its engine, which then stops the attempt."""
+    attempt = model.submissions[submission_index].attempts[attempt_index]
     actual_state = _AFTER_RESET.get(attempt.actual_state, attempt.actual_state)
     return model.with_attempt(
-        index, number, attempt._replace(actual_state=actual_state, is_reset_pending=False)
+        submission_index, attempt_index, attempt._replace(actual_state=actual_state, is_reset_pending=False)
     )
--- a/myrtlehub/state/model_transitions.py
+++ b/myrtlehub/state/model_transitions.py
@@ -1,4 +1,4 @@
-"""All steps of the model, for the model checker."""
+"""All steps of the model, in the form that the model checker needs."""
 
 from collections.abc import Iterator
 
@@ -11,25 +11,25 @@
 
 
 class ModelTransitions:
-    """Everything that can happen next in a state of the model.
+    """The transition function of the model: all steps from a state.
 
-    The router may decide on any send, rejection or abort that the tables allow, at any time. An invariant of
-    the model is therefore an invariant of every router that follows the tables.
+    The router may choose any send, rejection or abort that the tables allow, at any time. An invariant of the
+    model therefore holds for every router that follows the tables.
     """
 
     def __init__(self, config: ModelConfig) -> None:
         self.config = config
 
     def __call__(self, model: ModelState) -> Iterator[ModelStep]:
-        """Iterate over the steps, always in the same order."""
+        """Iterate over the steps from a state, in a deterministic order."""
         config = self.config
-        for index, submission in enumerate(model.submissions):
-            if not submission.is_lost:
-                yield from router_steps(config, model, index)
-                yield from client_steps(config, model, index)
-                for number in range(len(submission.attempts)):
-                    yield from engine_steps(config, model, index, number)
-                    yield from node_steps(config, model, index, number)
-                yield from release_steps(config, model, index)
-            yield from client_retries(config, model, index)
+        for submission_index, submission in enumerate(model.submissions):
+            if not submission.is_node_killed:
+                yield from router_steps(config, model, submission_index)
+                yield from client_steps(config, model, submission_index)
+                for attempt_index in range(len(submission.attempts)):
+                    yield from engine_steps(config, model, submission_index, attempt_index)
+                    yield from node_steps(config, model, submission_index, attempt_index)
+                yield from release_steps(config, model, submission_index)
+            yield from client_retries(config, model, submission_index)
         yield from fault_steps(config, model)
