--- a/myrtlehub/limits/resource_ledger.py
+++ b/myrtlehub/limits/resource_ledger.py
@@ -1,8 +1,8 @@
-"""Resource ledger: the bytes that a node has in memory, by stream, peer, tenant and node.
+"""Resource ledger: accounts for the bytes that a node has in memory, by stream, peer, tenant and node.
 
 In each account, bytes received = bytes delivered + bytes dropped + bytes in use. A stream counts its input
-and its output independently, so an accounting error shows as an imbalance (`find_imbalances`). The accounts
-of peers, tenants and the node are sums over their streams.
+and its output independently, so an accounting error shows up as an imbalance (`find_imbalances`). The
+accounts of peers, tenants and the node are the sums over their streams.
 """
 
 from collections.abc import Hashable, Iterable
@@ -11,11 +11,11 @@
 
 KeyT = TypeVar("KeyT", bound=Hashable)  # key of a stream
 
-MIN_UTILITY = 1e-9  # keeps the division by a utility of 0 defined
+MIN_UTILITY = 1e-9  # avoids a division by zero for a utility of 0
 
 
 class BudgetScope(StrEnum):
-    """What a memory budget applies to; the values are those of the admin protocol."""
+    """The scope of a memory budget; the values are those of the admin protocol."""
 
     NODE = "node"
     PEER = "peer"
@@ -32,7 +32,7 @@
 
 
 class Account:
-    """The counters of one stream, or their sums over a peer, a tenant or the node."""
+    """The counters of a stream, or their sums over the streams of a peer, a tenant or the node."""
 
     __slots__ = ("delivered", "dropped", "in_use", "received", "streams")
 
@@ -44,7 +44,7 @@
         self.streams = 0  # open streams of the peer, tenant or node
 
     def add(self, change: Counters) -> None:
-        """Add the changes of a stream's counters."""
+        """Add changes of a stream's counters."""
         self.received += change.received
         self.delivered += change.delivered
         self.dropped += change.dropped
@@ -56,12 +56,12 @@
         return self.received == self.delivered + self.dropped + self.in_use
 
     def __str__(self) -> str:
-        # The field names of LimitsState in the admin protocol.
+        # The words are the field names of LimitsState in the admin protocol.
         return f"{self.received} came, {self.delivered} left, {self.dropped} dropped, {self.in_use} held"
 
 
 class MemoryBudgets(NamedTuple):
-    """The memory budgets that the settings state."""
+    """The memory budgets from the settings."""
 
     node: int  # bytes
     peer_share: float  # fraction of the node's budget that one peer may use
@@ -88,7 +88,7 @@
 
 
 class StreamUsage(NamedTuple, Generic[KeyT]):
-    """The properties of a stream that determine whether it is cut off to free memory."""
+    """The properties of a stream that determine whether it is shed to free memory."""
 
     key: KeyT
     in_use: int  # bytes
@@ -105,7 +105,7 @@
 
 
 class ResourceLedger(Generic[KeyT]):
-    """All accounts of a node. The caller identifies each stream by a key of its choice."""
+    """All accounts of a node. The caller chooses the keys that identify streams."""
 
     def __init__(self, budgets: MemoryBudgets) -> None:
         self.budgets = budgets
@@ -115,13 +115,13 @@
         self._streams: dict[KeyT, StreamEntry] = {}
 
     def open(self, key: KeyT, peer: Hashable, tenant: Hashable) -> None:
-        """Open the account of a stream that uses no memory yet."""
+        """Open an empty account for a stream."""
         self._streams[key] = StreamEntry(Account(), peer, tenant)
         self.peers.setdefault(peer, Account()).streams += 1
         self.tenants.setdefault(tenant, Account()).streams += 1
 
     def update(self, key: KeyT, current: Counters) -> None:
-        """Set a stream's account to its current counters, and add the differences to the sums."""
+        """Set a stream's account to its current counters and add the differences to the sums."""
         account, peer, tenant = self._streams[key]
         change = Counters(
             current.received - account.received,
@@ -141,43 +141,43 @@
         for accounts, name in ((self.peers, peer), (self.tenants, tenant)):
             accounts[name].streams -= 1
             if not accounts[name].streams:
-                # Clients choose the names of peers and tenants, so accounts that were never deleted would
-                # use memory without bound. The totals remain in the node's account.
+                # Clients choose the names of peers and tenants, so memory use would be unbounded if unused
+                # accounts were kept. The totals remain in the node's account.
                 del accounts[name]
 
     def usage(self, key: KeyT) -> int:
-        """Return the bytes that a stream uses."""
+        """Return the bytes in use by a stream."""
         return self._streams[key].account.in_use
 
     def find_imbalances(self) -> list[str]:
         """Return a description of each account that is not balanced or not the sum of its streams."""
-        found = [
+        imbalances = [
             f"{key}: {entry.account}" for key, entry in self._streams.items() if not entry.account.is_balanced
         ]
         if not self.node.is_balanced:
-            found.append(f"node: {self.node}")
-        found += self._find_wrong_sums(BudgetScope.PEER, self.peers)
-        found += self._find_wrong_sums(BudgetScope.TENANT, self.tenants)
+            imbalances.append(f"node: {self.node}")
+        imbalances += self._find_wrong_sums(BudgetScope.PEER, self.peers)
+        imbalances += self._find_wrong_sums(BudgetScope.TENANT, self.tenants)
         if sum(entry.account.in_use for entry in self._streams.values()) != self.node.in_use:
-            found.append(f"node: {self.node.in_use} held, not the sum of its streams")
-        return found
+            imbalances.append(f"node: {self.node.in_use} held, not the sum of its streams")
+        return imbalances
 
     def _find_wrong_sums(self, scope: BudgetScope, accounts: dict[Hashable, Account]) -> list[str]:
-        found = []
+        imbalances = []
         for name, account in accounts.items():
             in_use = sum(self.usage(key) for key in self.streams_of(scope, name))
             if in_use != account.in_use:
-                found.append(f"{scope} {name}: {account.in_use} held, its streams hold {in_use}")
-        return found
+                imbalances.append(f"{scope} {name}: {account.in_use} held, its streams hold {in_use}")
+        return imbalances
 
     def limit(self, scope: BudgetScope) -> int:
         """Return the budget of the node, of one peer or of one tenant, in bytes."""
         return self.budgets.limit(scope)
 
     def exceeded_by(self, peer: Hashable, tenant: Hashable, size: int) -> BudgetScope | None:
-        """Return the budget that `size` more bytes would exceed; None if there is none.
+        """Return the scope of the budget that `size` more bytes would exceed, or None.
 
-        An empty tenant has no budget.
+        A tenant with an empty name has no budget.
         """
         for scope, account in (
             (BudgetScope.NODE, self.node),
@@ -189,7 +189,7 @@
         return None if size <= self.limit(BudgetScope.PEER) else BudgetScope.PEER
 
     def overruns(self) -> Iterable[BudgetOverrun]:
-        """Yield the exceeded budgets: first those of peers, then those of named tenants, then the node's."""
+        """Yield the exceeded budgets: those of peers, then those of named tenants, then that of the node."""
         for scope, accounts in ((BudgetScope.PEER, self.peers), (BudgetScope.TENANT, self.tenants)):
             limit = self.limit(scope)
             for name, account in accounts.items():
@@ -200,7 +200,7 @@
             yield BudgetOverrun(BudgetScope.NODE, None, self.node.in_use - node_limit)
 
     def streams_of(self, scope: BudgetScope, name: Hashable) -> list[KeyT]:
-        """Return the keys of the streams that use a budget."""
+        """Return the keys of the streams that a budget applies to."""
         match scope:
             case BudgetScope.NODE:
                 return list(self._streams)
@@ -211,18 +211,18 @@
 
 
 def select_streams_to_shed(streams: Iterable[StreamUsage[KeyT]], size: int) -> list[KeyT]:
-    """Return the streams to cut off to free at least `size` bytes, or all streams if that is not enough.
+    """Return the streams to shed to free at least `size` bytes; all that use memory if that is not enough.
 
-    Streams whose peer has stalled are cut off first, and within each group those with the most bytes per unit
-    of utility. Streams that use no memory are never cut off.
+    Streams whose peer has stalled are shed first, and within each group those with the most bytes per unit of
+    utility. Streams that use no memory are never shed.
     """
     selected = []
-    freed = 0
+    freed_bytes = 0
     for stream in sorted((stream for stream in streams if stream.in_use), key=_shed_order):
-        if freed >= size:
+        if freed_bytes >= size:
             break
         selected.append(stream.key)
-        freed += stream.in_use
+        freed_bytes += stream.in_use
     return selected
 
 
--- a/tests/limits/test_admission.py
+++ b/tests/limits/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the limit follows latency, highest utility goes first, each sequence ends once."""
+"""Admission control: the limit adapts to latency, utility sets the order, each sequence ends exactly once."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 from myrtlehub.limits.admission import AdmissionController, VegasLimiter
 
 UTILITY = {"low": 0.5, "high": 4.0}
-STEPS = st.lists(
+OPERATIONS = st.lists(
     st.tuples(
         st.sampled_from(["arrive", "arrive", "arrive", "first token", "fail", "disconnect", "wait"]),
         st.sampled_from(["low", "high"]),
@@ -21,52 +21,52 @@
 )
 
 
-@given(STEPS)
-def test_each_sequence_is_admitted_shed_or_cancelled_once_and_the_count_is_exact(steps: list) -> None:
+@given(OPERATIONS)
+def test_each_sequence_is_admitted_shed_or_cancelled_once_and_the_count_is_exact(operations: list) -> None:
     controller = AdmissionController(Random(1), UTILITY)
     now = 0.0
-    count = 0
+    arrival_count = 0
     controller.limiter.limit = 5.0
-    waiting: set[int] = set()
+    queued: set[int] = set()
     admitted: list[int] = []
     ended: dict[int, int] = {}
 
     def collect() -> None:
         while (item := controller.admit_next()) is not None:
-            waiting.remove(item)
+            queued.remove(item)
             admitted.append(item)
             ended[item] = ended.get(item, 0) + 1
         for item in controller.take_shed(now):
-            waiting.remove(item)
+            queued.remove(item)
             ended[item] = ended.get(item, 0) + 1
 
-    for step, traffic_type, amount in steps:
-        if step == "arrive":
-            controller.enqueue(now, traffic_type, 1.0, count)
-            waiting.add(count)
-            count += 1
-        elif step == "first token" and admitted:
+    for operation, traffic_type, seconds in operations:
+        if operation == "arrive":
+            controller.enqueue(now, traffic_type, 1.0, arrival_count)
+            queued.add(arrival_count)
+            arrival_count += 1
+        elif operation == "first token" and admitted:
             admitted.pop(0)
-            controller.record_first_token(now, amount, 1.0)
-        elif step == "fail" and admitted:
+            controller.record_first_token(now, seconds, 1.0)
+        elif operation == "fail" and admitted:
             admitted.pop(0)
-            controller.record_failure(now, amount > 1.0)
-        elif step == "disconnect" and waiting:
-            cancelled = min(waiting)
+            controller.record_failure(now, seconds > 1.0)
+        elif operation == "disconnect" and queued:
+            cancelled = min(queued)
             assert controller.cancel(cancelled) and not controller.cancel(cancelled)
-            waiting.remove(cancelled)
+            queued.remove(cancelled)
             ended[cancelled] = ended.get(cancelled, 0) + 1
         else:
-            now += amount
+            now += seconds
         collect()
         assert (
             controller.in_flight == len(admitted)
             and admission.MIN_LIMIT <= controller.limiter.limit <= admission.MAX_LIMIT
         )
-        assert len(waiting) <= 2 + admission.QUEUE_SHARE * max(controller.limiter.limit, 10.0)
+        assert len(queued) <= 2 + admission.QUEUE_SHARE * max(controller.limiter.limit, 10.0)
     now += 10.0
     collect()
-    assert not waiting and set(ended) == set(range(count)) and set(ended.values()) <= {1}
+    assert not queued and set(ended) == set(range(arrival_count)) and set(ended.values()) <= {1}
 
 
 def test_highest_utility_is_admitted_first_and_lowest_is_shed() -> None:
@@ -79,43 +79,43 @@
     controller.enqueue(0.1, "high", 1.0, "b")
     controller.enqueue(0.1, "low", 1.0, "c")
     assert list(controller.take_shed(0.1)) == [] and controller.admit_next() is None
-    controller.enqueue(0.2, "high", 1.0, "d")  # over half of the limit is queued: the lowest utility is shed
+    controller.enqueue(0.2, "high", 1.0, "d")  # over half the limit is queued: the lowest utility is shed
     assert list(controller.take_shed(0.2)) == ["c"]
     controller.record_first_token(0.2, 0.2, 1.0)
     assert controller.admit_next() == "b"
-    assert list(controller.take_shed(0.401)) == ["a"]  # queued for 0.4 of its latency objective
+    assert list(controller.take_shed(0.401)) == ["a"]  # queued for 0.4 of its latency SLO
     assert controller.next_shed_at() == 0.2 + admission.MAX_WAIT_SHARE
 
 
-def test_limit_falls_as_latency_grows_and_recovers() -> None:
-    vegas = VegasLimiter()
+def test_the_limit_shrinks_as_latency_grows_and_recovers() -> None:
+    limiter = VegasLimiter()
     for _ in range(300):
-        vegas.sample(0.0, 0.1, 1000)
-    high = vegas.limit
-    assert high > admission.INITIAL_LIMIT
+        limiter.sample(0.0, 0.1, 1000)
+    limit_at_low_latency = limiter.limit
+    assert limit_at_low_latency > admission.INITIAL_LIMIT
     for _ in range(500):
-        vegas.sample(1.0, 0.6, 1000)
-    low = vegas.limit
-    assert low < 0.8 * high
+        limiter.sample(1.0, 0.6, 1000)
+    limit_at_high_latency = limiter.limit
+    assert limit_at_high_latency < 0.8 * limit_at_low_latency
     for _ in range(500):
-        vegas.sample(2.0, 0.12, 1000)
-    assert vegas.limit > low
-    idle = vegas.limit
+        limiter.sample(2.0, 0.12, 1000)
+    assert limiter.limit > limit_at_high_latency
+    limit_before_idle = limiter.limit
     for _ in range(500):
-        vegas.sample(3.0, 0.12, 1)  # few in flight: low latency says nothing about a higher load
-    assert vegas.limit == idle
+        limiter.sample(3.0, 0.12, 1)  # few in flight: low latency is no evidence about a higher load
+    assert limiter.limit == limit_before_idle
     for _ in range(500):
-        vegas.sample(25.0, 0.5, 1000)  # after BASELINE_LIFETIME the least latency is replaced
-    assert vegas.limit > idle
+        limiter.sample(25.0, 0.5, 1000)  # after BASELINE_LIFETIME the minimum latency is replaced
+    assert limiter.limit > limit_before_idle
 
 
-def run_overload(admits: str) -> tuple[dict, Fleet]:
-    """Send far more requests than two writers can serve; count those answered within their objective.
+def run_overload(admit: str) -> tuple[dict, Fleet]:
+    """Send far more requests than two writers can serve, and count those answered within the latency SLO.
 
-    Half of the requests are of the type `post`, which has three times the utility of `ask`.
+    Half of the requests have traffic type `post`, which has three times the utility of `ask`.
     """
     fleet = Fleet(
-        "R0 R0 W0 W0", slots=10, step="20ms", read_rate=12000.0, more_settings=f"limits: {{admit: {admits}}}"
+        "R0 R0 W0 W0", slots=10, step="20ms", read_rate=12000.0, more_settings=f"limits: {{admit: {admit}}}"
     )
     random = Random(5)
     in_time = {"ask": 0, "post": 0}
