--- a/myrtlehub/platform_settings.py
+++ b/myrtlehub/platform_settings.py
@@ -1,6 +1,6 @@
 """Conversion of the operators' platform settings and load reports to the types of `routing.contract`.
 
-The simulator adapter and the relay share these functions. Key names are those of the platform.
+The simulator adapter and the relay share these functions. The names of keys are those of the platform.
 """
 
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 
 from myrtlehub.routing.contract import LoadReport, RetrySemantics, RouterConfig, TrafficType
 
-Settings = Mapping[str, Any]  # a JSON object; its values are of any JSON type
+Settings = Mapping[str, Any]  # a JSON object; values have any JSON type
 
 MS_PER_SECOND = 1e3
 US_PER_1000_SECONDS = 1e9  # divisor from microseconds per 1000 tokens to seconds per token
@@ -17,20 +17,20 @@
     "deduplicated": RetrySemantics.IDEMPOTENCY_KEY,
     "at_most_once": RetrySemantics.AT_MOST_ONCE,
 }
-READING_DUTIES = ("read", "both")
-WRITING_DUTIES = ("write", "both")
+READER_DUTIES = ("read", "both")
+WRITER_DUTIES = ("write", "both")
 
 
 class LoadValue(NamedTuple):
-    """The field of `LoadReport` for a reported value, and the factor that converts the value to its unit."""
+    """The `LoadReport` field for a reported value, and the factor that converts the value to its unit."""
 
     field: str
     factor: float
 
 
-# The platform sends SIGKILL as early as the longest deadline of the deployment, of which it counts at most
-# this many seconds, and KILL_MARGIN_S after SIGTERM. A request that came later than KILL_MARGIN_S after
-# SIGTERM has to have its complete answer by then.
+# The platform may send SIGKILL as early as the longest deadline of the deployment, capped at
+# MAX_COUNTED_DEADLINE_S, plus KILL_MARGIN_S after SIGTERM. A request that arrives later than KILL_MARGIN_S
+# after SIGTERM must be answered completely by then.
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
 
@@ -45,9 +45,9 @@
 
 
 def router_config_from_settings(settings: Settings, seed: int) -> RouterConfig:
-    """Convert the settings that a node gets at its start to the configuration of its router.
+    """Convert the settings that a node receives on startup to the configuration of its router.
 
-    Unknown keys are ignored, and an absent key means the platform's default.
+    Unknown keys are ignored. An absent key stands for the platform's default.
     """
     rules = settings.get("Invariants", {})
     specifics = settings.get("Specifics", {})
@@ -83,7 +83,7 @@
 
 
 class _EngineKinds(TypedDict):
-    """The fields of `RouterConfig` that have one value for each kind of engine."""
+    """The fields of `RouterConfig` that have one value per kind of engine."""
 
     reads: tuple[bool, ...]
     writes: tuple[bool, ...]
@@ -94,14 +94,14 @@
     kind_count = len(settings.get("MachineTypes") or [""])
     duties = specifics.get("DutyByKind") or ["both"] * kind_count
     return _EngineKinds(
-        reads=tuple(duty in READING_DUTIES for duty in duties),
-        writes=tuple(duty in WRITING_DUTIES for duty in duties),
+        reads=tuple(duty in READER_DUTIES for duty in duties),
+        writes=tuple(duty in WRITER_DUTIES for duty in duties),
         memory=tuple(specifics.get("KvTokens") or [0.0] * kind_count),
     )
 
 
 class _Capabilities(TypedDict):
-    """The fields of `RouterConfig` that say what the platform lets a node do, and within which limits."""
+    """The fields of `RouterConfig` for the operations that the platform permits, and for their limits."""
 
     may_reserve: bool
     may_cancel: bool
@@ -115,7 +115,7 @@
 
 
 def _capabilities(capabilities: Settings, specifics: Settings) -> _Capabilities:
-    may_send_retry_after = capabilities.get("RetryAfter")
+    sends_retry_after = capabilities.get("RetryAfter")
     return _Capabilities(
         may_reserve=specifics.get("HoldsAllowed", False),
         may_cancel=capabilities.get("Cancel", False),
@@ -124,28 +124,28 @@
         may_gossip=capabilities.get("Peers", False),
         may_hedge=capabilities.get("SecondCopies", False),
         max_attempts=capabilities.get("MostTries", 1),
-        max_retry_after=_seconds(capabilities, "MaxRetryAfterMs") if may_send_retry_after else 0.0,
+        max_retry_after=_seconds(capabilities, "MaxRetryAfterMs") if sends_retry_after else 0.0,
         connect_timeout=_seconds(capabilities, "ConnectTimeoutMs"),
     )
 
 
 def _seconds(settings: Settings, key: str) -> float:
-    """Return a duration in seconds that the settings give in milliseconds; 0.0 if it is absent."""
+    """Return a duration that the settings give in milliseconds, in seconds; 0.0 if it is absent."""
     milliseconds: float = settings.get(key, 0.0)
     return milliseconds / MS_PER_SECOND
 
 
 def _traffic_types(settings: Settings, specifics: Settings) -> tuple[TrafficType, ...]:
     classes = settings["Classes"]
-    prompt_time = specifics.get("AimUsPer1000PromptTokens") or [0.0] * len(classes)
-    token_time = specifics.get("TokenAimMs") or [0.0] * len(classes)
+    slo_per_1000_tokens = specifics.get("AimUsPer1000PromptTokens") or [0.0] * len(classes)
+    token_intervals = specifics.get("TokenAimMs") or [0.0] * len(classes)
     return tuple(
         TrafficType(
             retry_semantics=RETRY_SEMANTICS[traffic.get("Effect", "at_most_once")],
             latency_slo=traffic["AimMs"] / MS_PER_SECOND,
-            slo_per_token=prompt_time[index] / US_PER_1000_SECONDS,
+            slo_per_token=slo_per_1000_tokens[index] / US_PER_1000_SECONDS,
             abandon_time=traffic["GiveUpMs"] / MS_PER_SECOND,
-            seconds_per_token=token_time[index] / MS_PER_SECOND,
+            seconds_per_token=token_intervals[index] / MS_PER_SECOND,
             utility=traffic.get("Credit", 1.0),
             late_share=traffic.get("LateWorth", 0.0),
             dedup_group=traffic.get("DedupScope", "all"),
@@ -156,16 +156,16 @@
 
 
 def _zone_index(settings: Settings) -> int:
-    """Return the index of the node's zone, 0 if it is not among the listed zones."""
+    """Return the index of the node's zone, or 0 if it is not among the listed zones."""
     zones: list[str] = settings.get("Zones") or [""]
     own_zone = settings.get("MyZone", "")
     return zones.index(own_zone) if own_zone in zones else 0
 
 
 def load_report_from_platform(report: Mapping[str, float] | None) -> LoadReport | None:
-    """Convert a load report of the platform to our field names and units; None if there is none.
+    """Convert a load report of the platform to a `LoadReport`; return None if there is none.
 
-    Values of unknown names are ignored.
+    Values with unknown names are ignored.
     """
     if not report:
         return None
--- a/myrtlehub/simulator/__init__.py
+++ b/myrtlehub/simulator/__init__.py
@@ -1,11 +1,11 @@
-"""Adapter to the operators' simulator: decodes its events into router calls, and encodes router actions.
+"""Adapter for the operators' simulator: decodes its events into router calls, and encodes router actions.
 
-`python -m myrtlehub.simulator` reads one JSON batch per line from standard input and answers each batch with
-one line on standard output. Each simulated node has its own router. The adapter makes no decisions.
+`python -m myrtlehub.simulator` reads one JSON batch per line from standard input and writes one line to
+standard output for each batch. Each simulated node has its own router. The adapter makes no decisions.
 
 - `wire`: the names of the protocol, and the encoding of actions.
-- `ids`: the tables from the protocol's ids to the indices that routers use.
-- `node`: one simulated node.
+- `ids`: maps the protocol's ids to the indices that routers use.
+- `node`: a simulated node.
 - `__main__`: the program.
 """
 
--- a/myrtlehub/simulator/ids.py
+++ b/myrtlehub/simulator/ids.py
@@ -1,26 +1,30 @@
-"""The tables from the ids of the simulator's protocol to the indices and numbers that routers use."""
+"""Mappings from the ids of the simulator's protocol to the indices and numbers that routers use."""
 
 from myrtlehub.routing.contract import EngineState
 from myrtlehub.simulator.wire import WireError
 
 
 class EngineIds:
-    """The table from the ids of engines to dense indices.
+    """Maps the ids of engines to dense indices.
 
-    The index of a removed engine is reused only when no attempt or probe of it is in flight any more. If it
+    The index of a removed engine is reused only when none of its attempts and probes are in flight. If it
     were reused earlier, a late response would be attributed to the new engine
     (`test_an_engines_index_is_reused_once_nothing_of_it_is_in_flight`).
     """
 
     def __init__(self) -> None:
         self._ids: list[str] = []  # by index
-        self._in_flight: list[int] = []  # number of attempts and probes, by index
+        self._in_flight: list[int] = []  # attempts and probes in flight, by index
         self._index_of: dict[str, int] = {}
         self._removed: set[int] = set()  # indices of removed engines that cannot be reused yet
-        self._free: list[int] = []  # in the order of their reuse
+        self._free: list[int] = []  # indices, in the order of their reuse
 
     def index(self, engine_id: str) -> int:
-        """Return the index of a listed engine, or raise `WireError`."""
+        """Return the index of a listed engine.
+
+        Raises:
+            WireError: The engine is not listed.
+        """
         if engine_id not in self._index_of:
             raise WireError(f"engine {engine_id} is not listed")
         return self._index_of[engine_id]
@@ -30,11 +34,11 @@
         return self._ids[index]
 
     def is_listed(self, engine_id: str) -> bool:
-        """Return whether the endpoint list has the engine, or had it and its index is not free yet."""
+        """Return whether the engine is in the endpoint list, or was in it and its index is not free yet."""
         return engine_id in self._index_of
 
     def add_or_update(self, engine_id: str, state: EngineState) -> int:
-        """Return the index of an engine in the endpoint list, assigning one to a new engine."""
+        """Return the index of an engine in the endpoint list; assign one to a new engine."""
         if engine_id not in self._index_of:
             self._index_of[engine_id] = self._assign_index(engine_id)
         index = self._index_of[engine_id]
@@ -54,11 +58,11 @@
         return len(self._ids) - 1
 
     def remove_all_but(self, listed: set[int]) -> None:
-        """Remove the engines whose index is not in the complete endpoint list."""
+        """Mark all engines as removed whose index is not in `listed`, the complete endpoint list."""
         self._removed.update(index for index in self._index_of.values() if index not in listed)
 
     def count_sent(self, index: int) -> None:
-        """Count an attempt or probe that was sent to an engine."""
+        """Count an attempt or probe sent to an engine."""
         self._in_flight[index] += 1
 
     def count_ended(self, index: int) -> None:
@@ -71,7 +75,7 @@
             self.free_if_removed(index)
 
     def free_if_removed(self, index: int) -> None:
-        """Free the index of an engine if the engine is removed and has nothing in flight."""
+        """Free the index of an engine that is removed and has nothing in flight."""
         if index in self._removed and not self._in_flight[index]:
             self._removed.discard(index)
             self._free.append(index)
@@ -79,7 +83,7 @@
 
 
 class SequenceIds:
-    """The table from the ids of sequences to numbers, which are never reused."""
+    """Maps the ids of sequences to numbers, which are never reused."""
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
@@ -95,13 +99,13 @@
         return number
 
     def number(self, sequence_id: str) -> int | None:
-        """Return the number of a sequence; None after it was forgotten."""
+        """Return the number of a sequence, or None if it was removed."""
         return self._numbers.get(sequence_id)
 
     def id_of(self, number: int) -> str:
         """Return the id of a sequence."""
         return self._ids[number]
 
-    def forget(self, number: int) -> None:
-        """Forget a sequence."""
+    def remove(self, number: int) -> None:
+        """Remove a sequence."""
         del self._numbers[self._ids.pop(number)]
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -1,4 +1,4 @@
-"""One simulated node: its router, called with decoded events."""
+"""A simulated node: decodes events for its router and encodes the router's actions."""
 
 from collections.abc import Iterable
 from zlib import crc32
@@ -14,64 +14,64 @@
     OUTCOMES,
     SEQUENCE_ACTIONS,
     STATES,
-    WIRE_VERBS,
+    VERB_BY_ACTION,
     Event,
     Order,
     RequestOption,
     WireError,
-    fields_of,
+    action_fields,
 )
 
-RESERVED = 1  # the value of a note by which an engine confirms a reservation
+RESERVATION_CONFIRMED = 1  # the value of a note by which an engine confirms a reservation
 
 
 class Node:
-    """A simulated node: its router, and the mapping between the protocol's ids and the router's indices."""
+    """A simulated node: its router, and the mappings between the protocol's ids and the router's indices."""
 
     def __init__(self, name: str, event: Event, now: float) -> None:
         settings = event["Settings"]
         self.name = name
-        self.kinds = _index_by(settings.get("MachineTypes") or [""])
-        self.zones = _index_by(settings.get("Zones") or [""])
-        self.tenants = _index_by(tenant["Name"] for tenant in settings.get("Orgs") or [])
-        self.traffic = _index_by(traffic["Name"] for traffic in settings["Classes"])
+        self.kind_indices = _index_by_name(settings.get("MachineTypes") or [""])
+        self.zone_indices = _index_by_name(settings.get("Zones") or [""])
+        self.tenant_indices = _index_by_name(tenant["Name"] for tenant in settings.get("Orgs") or [])
+        self.traffic_type_indices = _index_by_name(traffic["Name"] for traffic in settings["Classes"])
         self.engines = EngineIds()
         self.sequences = SequenceIds()
         self.router = Router(router_config_from_settings(settings, event.get("Entropy", 0)))
         self.start_actions = self.router.start(now)
-        self._node_events = {
-            "REQ": self._request,
-            "RESPONSE": self._response,
-            "MEMBERS": self._members,
-            "WAKEUP": self._wakeup,
-            "PING_RESULT": self._ping_result,
-            "MESSAGE": self._message,
+        self._node_handlers = {
+            "REQ": self._handle_request,
+            "RESPONSE": self._handle_response,
+            "MEMBERS": self._handle_members,
+            "WAKEUP": self._handle_wakeup,
+            "PING_RESULT": self._handle_ping_result,
+            "MESSAGE": self._handle_message,
         }
-        self._sequence_events = {
-            "ESTABLISHED": self._established,
-            "DROPPED": self._dropped,
-            "NOTE": self._note,
+        self._sequence_handlers = {
+            "ESTABLISHED": self._handle_established,
+            "DROPPED": self._handle_dropped,
+            "NOTE": self._handle_note,
         }
 
     def call(self, event: Event, now: float) -> list[Action]:
-        """Call the router with an event, and return its actions.
+        """Pass an event to the router and return the router's actions.
 
-        An event of a forgotten sequence is ignored: it was sent before the final answer arrived.
+        An event of a removed sequence is ignored; it was sent before the final answer arrived.
         """
         verb = event["verb"]
-        if verb in self._node_events:
-            return self._node_events[verb](event, now)
-        if verb not in self._sequence_events:
+        if verb in self._node_handlers:
+            return self._node_handlers[verb](event, now)
+        if verb not in self._sequence_handlers:
             raise WireError(f"unknown verb {verb}")
         sequence = self.sequences.number(event["Rid"])
-        return [] if sequence is None else self._sequence_events[verb](event, now, sequence)
+        return [] if sequence is None else self._sequence_handlers[verb](event, now, sequence)
 
-    def _members(self, event: Event, now: float) -> list[Action]:
+    def _handle_members(self, event: Event, now: float) -> list[Action]:
         mode = event["Mode"]
         if mode == "FAILED":
             return self.router.endpoint_list_failed(now)
         is_complete = mode != "INCREMENTAL"
-        entries = [self._endpoint_update(entry) for entry in event.get("Entries") or []]
+        entries = [self._decode_endpoint(entry) for entry in event.get("Entries") or []]
         updates = [update for update in entries if update is not None]
         if is_complete:
             self.engines.remove_all_but({update.engine for update in updates})
@@ -79,8 +79,8 @@
         self.engines.free_removed()
         return actions
 
-    def _endpoint_update(self, entry: Event) -> contract.EndpointUpdate | None:
-        """Decode an entry of the endpoint list; None if it removes an engine that is not listed."""
+    def _decode_endpoint(self, entry: Event) -> contract.EndpointUpdate | None:
+        """Decode an entry of the endpoint list; return None if it removes an engine that is not listed."""
         engine_id = entry["Engine"]
         state = STATES[entry.get("State", "SERVING")]
         is_new = not self.engines.is_listed(engine_id)
@@ -90,20 +90,20 @@
             engine=self.engines.add_or_update(engine_id, state),
             is_new=is_new,
             state=state,
-            kind=_index_of(entry.get("Type"), self.kinds) or 0,
-            zone=_index_of(entry.get("Dc"), self.zones) or 0,
+            kind=_find_index(entry.get("Type"), self.kind_indices) or 0,
+            zone=_find_index(entry.get("Dc"), self.zone_indices) or 0,
             cell=entry.get("Cluster", 0),
             started_at=entry.get("StartTimeMs", 0.0) / MS_PER_SECOND,
             weight=entry.get("Heft", 1.0),
             hash_seed=crc32(engine_id.encode()),
         )
 
-    def _request(self, event: Event, now: float) -> list[Action]:
+    def _handle_request(self, event: Event, now: float) -> list[Action]:
         number = self.sequences.add(event["Rid"])
         options = event.get("Options", 0)
         arrival = contract.Arrival(
-            traffic=self.traffic[event["Grade"]],
-            tenant=_index_of(event.get("ClientGroup"), self.tenants),
+            traffic=self.traffic_type_indices[event["Grade"]],
+            tenant=_find_index(event.get("ClientGroup"), self.tenant_indices),
             prompt_tokens=event.get("InputLen", 0.0),
             time_left=event["TimeBudgetMs"] / MS_PER_SECOND,
             session=event.get("Chat", 0),
@@ -116,7 +116,7 @@
         )
         return self.router.arrive(now, number, arrival)
 
-    def _response(self, event: Event, now: float) -> list[Action]:
+    def _handle_response(self, event: Event, now: float) -> list[Action]:
         engine = self.engines.index(event["Engine"])
         self.engines.count_ended(engine)
         number = self.sequences.number(event["Rid"])
@@ -127,7 +127,7 @@
                 number,
                 event.get("Copy", 0),
                 OUTCOMES[event["StateCode"]],
-                _latency(event),
+                _latency_seconds(event),
                 event.get("Settled", False),
                 event.get("Info", 0),
                 load_report_from_platform(event.get("Telemetry")),
@@ -135,66 +135,66 @@
         self.engines.free_if_removed(engine)
         return actions
 
-    def _ping_result(self, event: Event, now: float) -> list[Action]:
+    def _handle_ping_result(self, event: Event, now: float) -> list[Action]:
         engine = self.engines.index(event["Engine"])
         self.engines.count_ended(engine)
         is_answered = event.get("StateCode") == "ok"
-        latency = _latency(event)
+        latency = _latency_seconds(event)
         load = load_report_from_platform(event.get("Telemetry"))
         actions = self.router.probe_ended(now, engine, is_answered, latency, load)
         self.engines.free_if_removed(engine)
         return actions
 
-    def _wakeup(self, event: Event, now: float) -> list[Action]:
+    def _handle_wakeup(self, event: Event, now: float) -> list[Action]:
         return self.router.wake(now, int(event["Name"]))
 
-    def _message(self, event: Event, now: float) -> list[Action]:
+    def _handle_message(self, event: Event, now: float) -> list[Action]:
         return self.router.gossip_received(now, event["Who"], event.get("Content", ""))
 
-    def _established(self, event: Event, now: float, sequence: int) -> list[Action]:
-        return self.router.began(now, sequence, event.get("Copy", 0), _latency(event))
+    def _handle_established(self, event: Event, now: float, sequence: int) -> list[Action]:
+        return self.router.began(now, sequence, event.get("Copy", 0), _latency_seconds(event))
 
-    def _dropped(self, event: Event, now: float, sequence: int) -> list[Action]:
+    def _handle_dropped(self, event: Event, now: float, sequence: int) -> list[Action]:
         return self.router.client_left(now, sequence)
 
-    def _note(self, event: Event, now: float, sequence: int) -> list[Action]:
+    def _handle_note(self, event: Event, now: float, sequence: int) -> list[Action]:
         engine = self.engines.index(event["Engine"])
-        is_reserved = event["What"] == RESERVED
+        is_reserved = event["What"] == RESERVATION_CONFIRMED
         return self.router.reservation_answered(now, sequence, event.get("Copy", 0), engine, is_reserved)
 
     def encode(self, action: Action) -> Order | None:
-        """Return an action as an order of the protocol, None if the simulator need not know it."""
+        """Return an action as an order of the protocol, or None if the action is internal to the node."""
         if isinstance(action, contract.Forget):
-            self.sequences.forget(action.sequence)
+            self.sequences.remove(action.sequence)
             return None
-        order = {"verb": WIRE_VERBS[type(action)], "NodeId": self.name}
+        order = {"verb": VERB_BY_ACTION[type(action)], "NodeId": self.name}
         if isinstance(action, SEQUENCE_ACTIONS):
             order["Rid"] = self.sequences.id_of(action.sequence)
         if isinstance(action, ENGINE_ACTIONS):
             order["Engine"] = self.engines.id_of(action.engine)
         if isinstance(action, (contract.Send, contract.Probe)):
             self.engines.count_sent(action.engine)
-        return order | fields_of(action)
+        return order | action_fields(action)
 
 
-def _index_by(names: Iterable[str]) -> dict[str, int]:
+def _index_by_name(names: Iterable[str]) -> dict[str, int]:
     return {name: index for index, name in enumerate(names)}
 
 
-def _index_of(name: str | None, indices: dict[str, int]) -> int | None:
-    """Return the index of a name, None if it is absent or unknown."""
+def _find_index(name: str | None, indices: dict[str, int]) -> int | None:
+    """Return the index of a name, or None if the name is absent or unknown."""
     return None if name is None else indices.get(name)
 
 
 def _expected_seconds(event: Event, options: int) -> float:
-    """Return the duration in seconds that a request predicts for its answer; 0.0 if it predicts none."""
+    """Return the duration of the answer that a request predicts, in seconds; 0.0 if it predicts none."""
     if not options & RequestOption.HAS_ESTIMATE:
         return 0.0
     predicted_ms: float = event.get("PredictedMs", 0.0)
     return predicted_ms / MS_PER_SECOND
 
 
-def _latency(event: Event) -> float:
-    """Return the latency that an event reports, in seconds; 0.0 if it reports none."""
+def _latency_seconds(event: Event) -> float:
+    """Return the latency reported by an event, in seconds; 0.0 if it reports none."""
     latency_ms: float = event.get("LatencyMs", 0.0)
     return latency_ms / MS_PER_SECOND
--- a/myrtlehub/simulator/wire.py
+++ b/myrtlehub/simulator/wire.py
@@ -1,4 +1,4 @@
-"""The names of the simulator's JSON protocol, and the encoding of actions in it."""
+"""Names of the simulator's JSON protocol, and the encoding of actions."""
 
 from enum import IntFlag
 from typing import Any
@@ -6,11 +6,11 @@
 from myrtlehub.routing import contract
 from myrtlehub.routing.contract import Action, EngineState, Outcome
 
-Event = dict[str, Any]  # a JSON object, as decoded; its values are of any JSON type
-Order = dict[str, Any]  # a JSON object, to be encoded
+Event = dict[str, Any]  # a decoded JSON object; values have any JSON type
+Order = dict[str, Any]  # a JSON object to encode
 
 MS_PER_SECOND = 1e3  # times are milliseconds on the wire
-ALL_NODES = "all"  # name of the receiver for gossip to all nodes
+ALL_NODES = "all"  # recipient name for gossip to all nodes
 OUTCOMES = {
     "ok": Outcome.GENERATED,
     "read": Outcome.READ,
@@ -27,7 +27,7 @@
     "DRAINING": EngineState.DRAINING,
     "DELETED": EngineState.REMOVED,
 }
-WIRE_VERBS = {
+VERB_BY_ACTION = {
     contract.Send: "PLACE",
     contract.Reserve: "BOOK_SEAT",
     contract.Release: "UNHOLD",
@@ -56,7 +56,7 @@
 
 
 class RequestOption(IntFlag):
-    """The bits of a request's options that the adapter reads."""
+    """Bits of a request's options that the adapter uses."""
 
     HAS_ESTIMATE = 1  # the request predicts the duration of its answer
     IS_RETRY = 2
@@ -64,13 +64,13 @@
 
 
 class WireError(Exception):
-    """The input violates the protocol; the message says how."""
+    """The input violates the protocol."""
 
 
-def fields_of(action: Action) -> Order:
+def action_fields(action: Action) -> Order:
     """Return the fields of an action other than its verb, node, sequence and engine.
 
-    A duration of 0.0 means that there is none, and is left out.
+    A duration of 0.0 means that there is none and is omitted.
     """
     match action:
         case contract.Send(_, _, timeout) if timeout:
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator adapter as a process: lines in, lines out."""
+"""The simulator adapter as a process: input lines, output lines and error messages."""
 
 import json
 import subprocess
@@ -64,17 +64,17 @@
     return json.dumps({"MomentMs": 1000.0 + frame, "frame": frame, "events": list(events)})
 
 
-def play(*lines: str) -> tuple[int, list[list[str]], str]:
-    """Return the exit status, the orders of each reply other than wake-ups, and the error output."""
-    run = subprocess.run(
+def run_adapter(*lines: str) -> tuple[int, list[list[str]], str]:
+    """Return the exit status, the orders of each reply except wake-ups, and the error output."""
+    completed = subprocess.run(
         [sys.executable, "-m", "myrtlehub.simulator"],
         input="\n".join(lines) + "\n",
         capture_output=True,
         text=True,
         timeout=60,
     )
-    replies = [json.loads(line)["orders"] for line in run.stdout.splitlines()]
-    shown = [
+    replies = [json.loads(line)["orders"] for line in completed.stdout.splitlines()]
+    shown_orders = [
         [
             " ".join(str(order[field]) for field in SHOWN_FIELDS if field in order)
             for order in orders
@@ -82,17 +82,17 @@
         ]
         for orders in replies
     ]
-    return run.returncode, shown, run.stderr
+    return completed.returncode, shown_orders, completed.stderr
 
 
-def test_a_sequence_passes_both_stages() -> None:
-    status, replies, errors = play(
+def test_a_sequence_is_read_and_then_written() -> None:
+    status, replies, errors = run_adapter(
         batch(1),
         batch(2, *START_EVENTS),
         batch(3, request("c:a", 3000), request("c:b", 200)),
         batch(4, response("c:a", 0, "e-r", "read")),
         batch(5, response("c:b", 0, "e-w", "ok", True)),
-        batch(6, dropped("c:b")),  # its answer has just ended
+        batch(6, dropped("c:b")),  # after its final answer
         batch(7, dropped("c:a")),
         batch(
             8,
@@ -120,13 +120,13 @@
     ("line", "error"),
     [
         ("{not json", "not JSON"),
-        (batch(3, {"verb": "SHRUG", "NodeId": "node-0"}), "unknown verb SHRUG"),
+        (batch(3, {"verb": "NO_SUCH_VERB", "NodeId": "node-0"}), "unknown verb NO_SUCH_VERB"),
         (batch(3, {"verb": "REQ", "NodeId": "node-0", "Rid": "c:a"}), "missing or unknown: 'Grade'"),
         (batch(3, {"verb": "WAKEUP", "NodeId": "node-9", "Name": "0"}), "has not been started"),
         ("[]", "an object"),
     ],
 )
 def test_malformed_input_ends_with_one_error_line(line: str, error: str) -> None:
-    status, replies, errors = play(batch(2, *START_EVENTS), line)
+    status, replies, errors = run_adapter(batch(2, *START_EVENTS), line)
     assert status == 2 and len(replies) == 1
     assert error in errors and errors.startswith("simhost: ") and errors.count("\n") == 1
--- a/tests/state/test_invariants.py
+++ b/tests/state/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a node: each function, and planted violations that a relay has to count."""
+"""Invariants of a node: the check functions, and injected violations that a relay must count."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
     broken_by_waiting,
 )
 
-SOUND = SendFacts(
+ALL_SATISFIED = SendFacts(
     client_is_present=True,
     time_left=1.0,
     engine_is_serving=True,
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "broken"),
+    ("changed_preconditions", "violated"),
     [
         ({}, None),
         ({"client_is_present": False}, Invariant.CLIENT_PRESENT),
@@ -43,11 +43,13 @@
         ({"may_run": False, "client_is_present": False}, Invariant.CLIENT_PRESENT),
     ],
 )
-def test_a_send_is_made_only_if_all_holds(change: dict[str, object], broken: Invariant | None) -> None:
-    assert broken_by_send(SOUND._replace(**change)) is broken
+def test_a_send_is_allowed_only_if_all_preconditions_hold(
+    changed_preconditions: dict[str, object], violated: Invariant | None
+) -> None:
+    assert broken_by_send(ALL_SATISFIED._replace(**changed_preconditions)) is violated
 
 
-def test_the_other_verdicts() -> None:
+def test_each_check_returns_the_invariant_that_is_violated() -> None:
     assert broken_by_close(has_open_request=False) is None
     assert broken_by_close(has_open_request=True) is Invariant.ANSWER_BEFORE_CLOSE
     assert broken_by_answer(False) is None and broken_by_answer(True) is Invariant.ONE_FINAL_ANSWER
@@ -59,7 +61,7 @@
     assert broken_by_timer(True) is None and broken_by_timer(False) is Invariant.TIMER_ARMED
 
 
-def test_violations_are_counted_by_kind_and_reported_with_their_request() -> None:
+def test_violations_are_counted_by_invariant_and_reported_with_the_sequence_id() -> None:
     reported: list[tuple[Invariant, str]] = []
     counter = InvariantCounter(lambda invariant, sequence_id: reported.append((invariant, sequence_id)))
     assert counter.check(None, "a1")
@@ -69,7 +71,7 @@
     assert reported == [(Invariant.STATE_RELEASED, "a2"), (Invariant.STATE_RELEASED, "a3")]
 
 
-def test_a_client_that_closes_its_connection_under_its_request_violates_nothing() -> None:
+def test_a_client_that_disconnects_during_its_request_violates_no_invariant() -> None:
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1")
@@ -79,11 +81,11 @@
     assert not rig.node.monitor.counter.violations
 
 
-# -- planted violations, each counted by a running node ---------------------------------------------
+# -- injected violations, each counted by a running node --------------------------------------------
 
 
-def plant_second_answer(rig: RelayRig) -> None:
-    """Answer a sequence twice."""
+def inject_second_answer(rig: RelayRig) -> None:
+    """Send two final answers for a sequence."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     sink = rig.node.front.open_sinks["a1"]
@@ -91,16 +93,16 @@
     sink.generated(1)
 
 
-def plant_forgotten_answer(rig: RelayRig) -> None:
-    """Forget a sequence that has no answer."""
+def inject_removal_without_answer(rig: RelayRig) -> None:
+    """Remove a sequence that has no final answer."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     (sequence,) = rig.node.executor.in_flight.values()
     rig.node.monitor.sequence_forgotten(sequence)
 
 
-def plant_forgotten_state(rig: RelayRig) -> None:
-    """Forget a sequence whose read state was not released."""
+def inject_removal_with_unreleased_state(rig: RelayRig) -> None:
+    """Remove a sequence whose read state was not released."""
     rig.engines["w1"].script = never_respond
     rig.request("a1", LONG_PROMPT)
     rig.run(0.1)
@@ -109,15 +111,15 @@
     rig.node.monitor.sequence_forgotten(sequence)
 
 
-def plant_close_under_a_request(rig: RelayRig) -> None:
-    """Close a connection with an open request, as if descriptors ran out."""
+def inject_close_during_request(rig: RelayRig) -> None:
+    """Close a connection with an open request, as if file descriptors ran out."""
     rig.engines["w1"].script = never_respond
     rig.request("a1")
     next(iter(rig.node.listener.connections)).linger(CloseReason.CONNECTION_LIMIT)
 
 
-def plant_late_answer(rig: RelayRig) -> None:
-    """Have the router ignore its wake-ups."""
+def inject_late_answer(rig: RelayRig) -> None:
+    """Make the router ignore its wake-ups."""
     rig.engines["w1"].script = never_respond
     rig.node.executor.router._place_waiting = lambda now: None
     rig.request("a1", remaining_ms=300)
@@ -126,27 +128,27 @@
     rig.run(1.0)
 
 
-def plant_dead_timer(rig: RelayRig) -> None:
-    """Stop to follow discovery."""
+def inject_stopped_timer(rig: RelayRig) -> None:
+    """Cancel the discovery timers."""
     rig.node.discovery._cancel_all()
     rig.run(11.0)
 
 
-def plant_held_state(rig: RelayRig) -> None:
-    """Have the router keep a read state for as long as a write is unanswered."""
+def inject_retained_state(rig: RelayRig) -> None:
+    """Make the router keep a read state for as long as a write is unanswered."""
     rig.engines["w1"].script = never_respond
     rig.node.executor.router.admission.expect_arrival = lambda sequence: None
     rig.request("a1", LONG_PROMPT)
     rig.run(1.0)
 
 
-PLANTED: dict[Invariant, list[Callable[[RelayRig], None]]] = {
-    Invariant.ONE_FINAL_ANSWER: [plant_second_answer, plant_forgotten_answer],
-    Invariant.STATE_RELEASED: [plant_forgotten_state],
-    Invariant.ANSWER_BEFORE_CLOSE: [plant_close_under_a_request],
-    Invariant.STATE_IN_TIME: [plant_held_state],
-    Invariant.ANSWER_IN_TIME: [plant_late_answer],
-    Invariant.TIMER_ARMED: [plant_dead_timer],
+INJECTIONS: dict[Invariant, list[Callable[[RelayRig], None]]] = {
+    Invariant.ONE_FINAL_ANSWER: [inject_second_answer, inject_removal_without_answer],
+    Invariant.STATE_RELEASED: [inject_removal_with_unreleased_state],
+    Invariant.ANSWER_BEFORE_CLOSE: [inject_close_during_request],
+    Invariant.STATE_IN_TIME: [inject_retained_state],
+    Invariant.ANSWER_IN_TIME: [inject_late_answer],
+    Invariant.TIMER_ARMED: [inject_stopped_timer],
 }
 WITHHELD = (
     Invariant.CLIENT_PRESENT,
@@ -157,32 +159,37 @@
 )
 
 
-def test_every_invariant_is_either_withheld_or_has_a_planted_breach() -> None:
-    assert set(PLANTED) | set(WITHHELD) == set(Invariant) and not set(PLANTED) & set(WITHHELD)
+def test_every_invariant_either_withholds_sends_or_has_an_injected_violation() -> None:
+    assert set(INJECTIONS) | set(WITHHELD) == set(Invariant) and not set(INJECTIONS) & set(WITHHELD)
 
 
 @pytest.mark.parametrize(
-    ("invariant", "plant"), [(invariant, plant) for invariant, plants in PLANTED.items() for plant in plants]
+    ("invariant", "inject"),
+    [(invariant, inject) for invariant, injections in INJECTIONS.items() for inject in injections],
 )
-def test_a_planted_breach_is_counted_and_logged(
-    invariant: Invariant, plant: Callable[[RelayRig], None]
+def test_an_injected_violation_is_counted_and_logged(
+    invariant: Invariant, inject: Callable[[RelayRig], None]
 ) -> None:
     rig = RelayRig("r1 w1")
-    dumps: list[None] = []
-    rig.node.monitor.on_violation = lambda: dumps.append(None)
-    plant(rig)
+    callback_calls: list[None] = []
+    rig.node.monitor.on_violation = lambda: callback_calls.append(None)
+    inject(rig)
     assert rig.node.monitor.counter.violations[invariant.value] >= 1
-    assert dumps and [
+    assert callback_calls and [
         fields
         for event, fields in rig.logged
         if event == LogEvent.INVARIANT_VIOLATED and fields["invariant"] == invariant
     ]
 
 
-def test_a_sound_node_violates_nothing_and_writes_its_counters() -> None:
+def test_a_node_without_faults_violates_no_invariant_and_logs_its_counters() -> None:
     rig = RelayRig("r1 w1 w2")
-    for number in range(10):
-        rig.request(f"a{number}", LONG_PROMPT if number % 2 else 100, "post" if number % 3 else "ask")
+    for request_number in range(10):
+        rig.request(
+            f"a{request_number}",
+            LONG_PROMPT if request_number % 2 else 100,
+            "post" if request_number % 3 else "ask",
+        )
     rig.engines["w1"].script = rig.engines["w2"].script = never_respond
     client = rig.request("b", LONG_PROMPT)
     client.transport.loseConnection()
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -1,4 +1,4 @@
-"""State machines of a sequence: complete tables, a model that keeps the rules, and faults that are found."""
+"""State machines of a sequence: tables are complete, the model keeps the rules, seeded faults are found."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -29,7 +29,7 @@
     on,
 )
 
-PAGE = ROOT / "docs" / "design" / "sequence-life.md"
+DESIGN_PAGE = ROOT / "docs" / "design" / "sequence-life.md"
 TABLES = (ATTEMPT, ANSWER, READ_STATE)
 AT_MOST_ONCE = RetrySemantics.AT_MOST_ONCE
 IDEMPOTENT = RetrySemantics.IDEMPOTENT
@@ -49,17 +49,17 @@
     assert not table.missing()
     states = set(table.states())
     assert {t.next_state for t in table.transitions.values()} <= states and table.initial in states
-    pending = [table.initial]
+    unvisited = [table.initial]
     if table is ATTEMPT:
-        pending.append(AttemptState.READING)
-    reached: set[StrEnum] = set(pending)
-    while pending:
-        state = pending.pop()
+        unvisited.append(AttemptState.READING)
+    reached: set[StrEnum] = set(unvisited)
+    while unvisited:
+        state = unvisited.pop()
         for (from_state, _), transition in table.transitions.items():
             if from_state == state and transition.next_state not in reached:
                 reached.add(transition.next_state)
-                pending.append(transition.next_state)
-    assert reached == states, "a state that nothing leads to"
+                unvisited.append(transition.next_state)
+    assert reached == states, "a state cannot be reached"
     assert all(
         table.transitions[final, event] == Transition(final, CommonEffect.LATE)
         for final in table.finals
@@ -70,17 +70,17 @@
 def test_a_forbidden_event_raises() -> None:
     with pytest.raises(InvalidTransitionError, match="read state: claim in state none"):
         StateMachine(READ_STATE).step(ReadStateEvent.CLAIM)
-    with pytest.raises(InvalidTransitionError, match="attempt: sneeze"):
-        StateMachine(ATTEMPT).step("sneeze")
+    with pytest.raises(InvalidTransitionError, match="attempt: no_such_event"):
+        StateMachine(ATTEMPT).step("no_such_event")
 
 
 def test_two_transitions_for_one_event_in_one_state_are_rejected() -> None:
     rows = {AnswerState.PENDING: (on(AnswerEvent.ABORT), forbid(AnswerEvent.ABORT))}
-    with pytest.raises(AmbiguousTransitionError, match="lamp: pending has two transitions for abort"):
-        TransitionTable.build("lamp", initial=AnswerState.PENDING, events=AnswerEvent, rows=rows)
+    with pytest.raises(AmbiguousTransitionError, match="example: pending has two transitions for abort"):
+        TransitionTable.build("example", initial=AnswerState.PENDING, events=AnswerEvent, rows=rows)
 
 
-def test_a_trace_with_a_label_that_is_no_move_is_rejected() -> None:
+def test_a_trace_with_an_impossible_step_is_rejected() -> None:
     config = small_config(AT_MOST_ONCE)
     with pytest.raises(UnknownStepError, match="engine 9 crashes"):
         replay(initial_state(config), ModelTransitions(config), ["engine 9 crashes"])
@@ -96,7 +96,7 @@
         (AttemptEvent.GENERATED, False, ReadStateEvent.FETCHED),
     ],
 )
-def test_the_end_of_a_write_settles_the_state_that_it_claimed(
+def test_the_outcome_of_a_write_determines_the_event_of_the_claimed_read_state(
     outcome: AttemptEvent, is_state_missing: bool, event: ReadStateEvent
 ) -> None:
     assert event_of_write_end(outcome, is_state_missing=is_state_missing) == event
@@ -117,7 +117,7 @@
     ],
     ids=["at most once", "idempotent", "idempotent without cancels", "idempotency key", "three attempts"],
 )
-def test_a_small_model_is_visited_completely_and_keeps_the_rules(
+def test_a_small_model_is_explored_completely_and_violates_no_rule(
     config: ModelConfig, states: int, steps: int, depth: int
 ) -> None:
     result = check(config)
@@ -125,28 +125,28 @@
     assert (result.states, result.steps, result.depth) == (states, steps, depth)
 
 
-def test_two_nodes_and_two_sequences_of_each_semantics_to_a_stated_depth() -> None:
+def test_a_model_with_two_sequences_of_each_semantics_violates_no_rule_to_a_fixed_depth() -> None:
     config = ModelConfig((AT_MOST_ONCE,) * 2 + (IDEMPOTENCY_KEY,) * 2 + (IDEMPOTENT,) * 2)
     result = check(config, max_depth=2)
     assert not result.violation and result.depth == 2 and result.states > 500
 
 
 class SeededFault(NamedTuple):
-    """One transition that is wrong, and the rule by which the model checker finds it."""
+    """A transition replaced by a wrong one, and the rule whose violation the model checker must find."""
 
     field: str  # of ModelConfig
     table: TransitionTable
     state: StrEnum
     event: StrEnum
-    wrong: Transition
-    rule: str
+    faulty_transition: Transition
+    violated_rule: str
 
     def config(self, semantics: RetrySemantics) -> ModelConfig:
-        assert self.table.transitions[self.state, self.event] != self.wrong
-        transitions = {**self.table.transitions, (self.state, self.event): self.wrong}
-        faulty = self.table._replace(transitions=transitions)
+        assert self.table.transitions[self.state, self.event] != self.faulty_transition
+        transitions = {**self.table.transitions, (self.state, self.event): self.faulty_transition}
+        faulty_table = self.table._replace(transitions=transitions)
         may_cancel = self.table is not ANSWER
-        return small_config(semantics)._replace(**{self.field: faulty, "may_cancel": may_cancel})
+        return small_config(semantics)._replace(**{self.field: faulty_table, "may_cancel": may_cancel})
 
 
 NOTHING = CommonEffect.NOTHING
@@ -191,7 +191,7 @@
         Transition(AnswerState.STREAMING, NOTHING),
         "rule 1",
     ),
-    "a read without a result counts as holding nothing": SeededFault(
+    "a read without a result counts as leaving no state": SeededFault(
         "read_state_table",
         READ_STATE,
         ReadStateStatus.READING,
@@ -226,14 +226,14 @@
         result = check(config)
         if result.violation:
             break
-    assert result.violation.startswith(fault.rule), result
-    first, steps = initial_state(config), ModelTransitions(config)
-    assert replay(first, steps, result.trace)[1] == result.violation
+    assert result.violation.startswith(fault.violated_rule), result
+    start, steps = initial_state(config), ModelTransitions(config)
+    assert replay(start, steps, result.trace)[1] == result.violation
     for length in range(len(result.trace)):  # no prefix of the trace violates a rule
-        assert not replay(first, steps, result.trace[:length])[1]
+        assert not replay(start, steps, result.trace[:length])[1]
 
 
-def test_the_diagrams_of_the_design_page_are_those_of_the_tables() -> None:
-    text = PAGE.read_text()
+def test_the_diagrams_of_the_design_page_match_the_tables() -> None:
+    text = DESIGN_PAGE.read_text()
     for table in TABLES:
-        assert f"```mermaid\n{table.mermaid()}\n```" in text, f"{PAGE.name} is stale: {table.name}"
+        assert f"```mermaid\n{table.mermaid()}\n```" in text, f"{DESIGN_PAGE.name} is stale: {table.name}"
