--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -1,4 +1,4 @@
-"""Command `python -m myrtlehub.relay`: run one node, with the settings file named by $RELAY_CONFIG."""
+"""Command `python -m myrtlehub.relay`: runs one node with the settings file named by $RELAY_CONFIG."""
 
 import os
 import resource
@@ -28,41 +28,43 @@
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
 EXIT_CONFIGURATION_ERROR = 2
-LAST_FLUSH_TIMEOUT_S = 0.2  # longest wait at exit, per write, for a slow reader of the log
+FINAL_FLUSH_TIMEOUT_S = 0.2  # limit for each write to the log at exit, in case its reader is slow
 
 
-def _fail(message: str) -> NoReturn:
+def _exit_with_error(message: str) -> NoReturn:
     print(f"relay: {message}", file=sys.stderr)
     sys.exit(EXIT_CONFIGURATION_ERROR)
 
 
-def _within_process_limit(settings: NodeSettings) -> NodeSettings:
-    """Return the settings with `descriptors` reduced to this process's limit if that is lower."""
+def _cap_descriptors(settings: NodeSettings) -> NodeSettings:
+    """Return the settings with `descriptors` capped at the limit of this process (RLIMIT_NOFILE)."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit == resource.RLIM_INFINITY or limit >= settings.descriptors:
         return settings
     if limit < MIN_DESCRIPTORS:
-        raise SettingsError(f"limits.sockets: the system allows it {limit}; allow {MIN_DESCRIPTORS} or more")
+        raise SettingsError(
+            f"limits.sockets: RLIMIT_NOFILE is {limit}; raise it to {MIN_DESCRIPTORS} or more"
+        )
     return settings._replace(descriptors=limit)
 
 
-class Program:
-    """The process: a node, its port and its signal handlers."""
+class RelayServer:
+    """The relay process: a node, its listening port and its signal handlers."""
 
     def __init__(self, path: str, reactor: Any) -> None:  # noqa: ANN401
         self.path = path
         self.reactor = reactor
         clock = SteadyClock(reactor)
         self.log = EventLog(LogWriter(STANDARD_OUTPUT), clock.seconds, os.environ.get("RELAY_LOG") == "all")
-        # Registered before the file is read and the port is bound, so that a signal during start-up is not
-        # lost: it is handled as soon as the reactor runs.
+        # Registered before the settings are read and the port is bound, so that a signal received during
+        # start-up is not lost: it is handled once the reactor runs.
         call_on_signal(signal.SIGHUP, self._on_hangup, reactor)
         call_on_termination(self._on_terminate, reactor)
         self.settings = retry_on_resource_shortage(partial(read_node_settings, path))
         self.node = RelayNode(
-            _within_process_limit(self.settings),
+            _cap_descriptors(self.settings),
             clock,
-            self._dial,
+            self._make_dial,
             time.time() - time.monotonic(),
             self.log,
         )
@@ -81,8 +83,8 @@
     def _listen(self) -> BoundedPort:
         """Bind the port, but accept no connections until the node opens.
 
-        Otherwise a request that was sent while the node restarted could be read in the same reactor turn as
-        discovery's first response, but before it, and would be routed by the outdated fallback list.
+        Otherwise a request sent while the node restarted could be read in the same reactor turn as
+        discovery's first response but before it, and would be routed by the outdated fallback list.
         """
         listen = self.settings.listen
         port = BoundedPort(self.node.listener, self.node.clock, (listen.host, listen.port), self.reactor)
@@ -92,16 +94,16 @@
         self.node.listener.on_full = port.set_full
         return port
 
-    def _dial(self, address: str, timeout: float) -> Dial:
+    def _make_dial(self, address: str, timeout: float) -> Dial:
         host, port = address.rsplit(":", 1)
         endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=timeout)
-        return endpoint.connect  # type: ignore[return-value] # zope interfaces are unknown to mypy
+        return endpoint.connect  # type: ignore[return-value] # mypy does not know zope interfaces
 
     def _on_hangup(self) -> None:
         reload_settings(self.path, self.settings, self.node.discovery.change_address, self.log)
 
     def _on_terminate(self) -> None:
-        # For clients in the accept queue the connection is already established, so they need a response.
+        # The connections of clients in the accept queue are already established, so they need a response.
         self.node.open()
         self.node.begin_shutdown()
         self.shutdown.start()
@@ -117,14 +119,14 @@
         return False
 
     def run(self) -> None:
-        """Run until SIGTERM has been received and nothing is in flight any more."""
+        """Run until SIGTERM was received and all pending work is finished."""
         self.node.measure_lag()
         self.node.start()
         freeze_startup_objects()
         self.reactor.run(installSignalHandlers=False)
         self.node.monitor.log_counters()
         self.log(LogEvent.ENDED, **dict(sorted(self.node.executor.answer_counts.items())))
-        self.log.flush(LAST_FLUSH_TIMEOUT_S)
+        self.log.flush(FINAL_FLUSH_TIMEOUT_S)
 
 
 def _install_reactor() -> Any:  # noqa: ANN401
@@ -134,21 +136,21 @@
 
 
 def main() -> None:
-    """Run until SIGTERM; exit with status 2 and one line on standard error if the settings are invalid."""
+    """Run until SIGTERM; if the settings are invalid, exit with status 2 and one line on standard error."""
     path = os.environ.get("RELAY_CONFIG", "")
     if not path:
-        _fail("RELAY_CONFIG: is not set; name the configuration file by it")
+        _exit_with_error("RELAY_CONFIG: is not set; set it to the path of the settings file")
     from twisted.internet.error import CannotListenError
 
     reactor = retry_on_resource_shortage(_install_reactor)
     log_uncaught_errors(LogWriter(STANDARD_ERROR))
     try:
-        program = Program(path, reactor)
+        server = RelayServer(path, reactor)
     except SettingsError as error:
-        _fail(f"{path}: {error}")
+        _exit_with_error(f"{path}: {error}")
     except CannotListenError as error:
-        _fail(f"{path}: listen: {error}; name an address that is free here")
-    program.run()
+        _exit_with_error(f"{path}: listen: {error}; use an address that is free on this host")
+    server.run()
 
 
 if __name__ == "__main__":
--- a/myrtlehub/relay/discovery/__init__.py
+++ b/myrtlehub/relay/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the discovery service, and decoder for the endpoint list that it returns."""
+"""Client for the discovery service, and decoder for its endpoint lists."""
--- a/myrtlehub/relay/discovery/discovery_client.py
+++ b/myrtlehub/relay/discovery/discovery_client.py
@@ -1,4 +1,4 @@
-"""Client of the discovery service: fetches the complete endpoint list, then watches for changes."""
+"""Client for the discovery service: fetches the complete endpoint list, then watches for changes."""
 
 from collections.abc import Callable
 from random import Random
@@ -14,24 +14,24 @@
 from myrtlehub.relay.errors import EndpointListError, MalformedJsonError
 from myrtlehub.relay.parsing import parse_json
 
-PATH = b"/discovery/hosts"
-# A change of the list has to take effect within 6 s. In the worst case a watch gets no response and the next
-# connection is slow. This takes WATCH_S + RESPONSE_TIMEOUT_S + RETRY_INTERVAL_S + CONNECT_TIMEOUT_S +
-# RESPONSE_TIMEOUT_S = 5.12 s.
-WATCH_S = 2.0  # for which discovery may delay its response to a watch while the list does not change
-RESPONSE_TIMEOUT_S = 1.0  # limit for a response; for a watch, in addition to WATCH_S
+LIST_PATH = b"/discovery/hosts"
+# A change of the list has to take effect within 6 s. In the worst case, a watch gets no response and the next
+# connection is slow, which takes WATCH_DURATION_S + RESPONSE_TIMEOUT_S + RETRY_INTERVAL_S + CONNECT_TIMEOUT_S
+# + RESPONSE_TIMEOUT_S = 5.12 s.
+WATCH_DURATION_S = 2.0  # how long discovery may delay its response to a watch while the list is unchanged
+RESPONSE_TIMEOUT_S = 1.0  # limit for a response; for a watch, in addition to WATCH_DURATION_S
 CONNECT_TIMEOUT_S = 1.0
-# Interval of requests while there is no current list. It is short because discovery, once it responds again,
-# does not answer earlier requests, and because a draining engine may accept work for only 250 ms after
-# discovery has learned that it drains.
+# Interval of requests while there is no current list. It is short because discovery does not answer earlier
+# requests once it responds again, and because a draining engine may accept requests for only 250 ms after
+# discovery was notified of the drain.
 RETRY_INTERVAL_S = 0.12
-MAX_LIST_BYTES = 4 * 1024 * 1024  # limit for the body of one response
+MAX_LIST_BYTES = 4 * 1024 * 1024  # limit for the body of a response
 TIMER_TOLERANCE_S = 0.001  # a timer may fire early by this much
 STATUS_OK = 200
 
 
-class _ListResponse(ResponseHandler):
-    """Collects a response; calls `on_body` once, with the body, or with None if the response is unusable."""
+class _ListResponseHandler(ResponseHandler):
+    """Collects a response, and calls `on_body` once: with the body, or with None if it cannot be used."""
 
     def __init__(self, on_body: Callable[[bytes | None], None]) -> None:
         self.on_body = on_body
@@ -56,12 +56,12 @@
 
 
 class DiscoveryClient:
-    """Follows the endpoint list, and calls `on_update` with each complete list and each change, in order.
+    """Watches the endpoint list, and calls `on_update` with each complete list and each change, in order.
 
     Attributes:
         address: HOST:PORT of the discovery service.
-        version: Version of the current list; None if the complete list has to be fetched.
-        has_answered: Whether discovery has sent a valid list or change since this client was started.
+        version: Version of the current list; None if the complete list must be fetched.
+        has_answered: Whether discovery has sent a valid list or change since the client was started.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.version: int | None = None
         self.has_answered = False
         self._failure_count = 0  # since the last valid response
-        self._pending: list[PendingRequest] = []  # more than one only while discovery does not respond
+        self._pending: list[PendingRequest] = []  # several only while discovery does not respond
         self._timers: list[Timer] = []
         self._is_closed = False
 
@@ -93,7 +93,7 @@
         self._send_request()
 
     def change_address(self, address: str) -> None:
-        """Follow the discovery service at another address, beginning with the complete list."""
+        """Use the discovery service at another address, and fetch the complete list from it."""
         if address == self.address:
             return
         self._cancel_all()
@@ -108,7 +108,7 @@
         return self._is_closed or any(timer.active() for timer in self._timers)
 
     def close(self) -> None:
-        """Stop following the list permanently."""
+        """Stop watching the list permanently."""
         self._is_closed = True
         self._cancel_all()
 
@@ -128,40 +128,40 @@
         return timer
 
     def _send_request(self) -> None:
-        """Send a watch from the current version, or a request for the complete list if there is none."""
-        watch_time = 0.0
-        target = PATH
+        """Send a watch from the current version, or request the complete list if there is no version."""
+        watch_duration = 0.0
+        target = LIST_PATH
         if self.version is not None:
-            watch_time = WATCH_S
-            target += b"?since=%d&timeout_ms=%d" % (self.version, WATCH_S * 1000)
-        response = _ListResponse(lambda body: self._on_body(pending, body))
-        # Scheduled before the send, because that may raise: otherwise no request would ever be sent again.
+            watch_duration = WATCH_DURATION_S
+            target += b"?since=%d&timeout_ms=%d" % (self.version, WATCH_DURATION_S * 1000)
+        response = _ListResponseHandler(lambda body: self._on_response(pending, body))
+        # Scheduled before the send, because that may raise, and no request would ever be sent again.
         next_request = self._call_later(RETRY_INTERVAL_S, self._send_request)
         pending = self.pool.send(self.address, self.address, ClientRequest(b"GET", target, []), response)
         self._pending.append(pending)
-        self._call_later(watch_time + RESPONSE_TIMEOUT_S, self._on_timeout, pending, watch_time)
+        self._call_later(watch_duration + RESPONSE_TIMEOUT_S, self._on_timeout, pending, watch_duration)
         if self.version is not None:
-            # Requests for the complete list are repeated while one is outstanding, but watches are not: the
-            # response to a watch may have arrived already, and this process was suspended before reading it.
+            # Unlike requests for the complete list, a watch is not repeated while it is outstanding: its
+            # response may have arrived while this process was suspended, and be waiting to be read.
             next_request.cancel()
 
-    def _on_timeout(self, pending: PendingRequest, watch_time: float) -> None:
+    def _on_timeout(self, pending: PendingRequest, watch_duration: float) -> None:
         """Cancel a request that has no response within its time limit.
 
-        The time limit counts from when the connection was established, not from when the request was made.
-        Otherwise, if establishing a connection always took almost RESPONSE_TIMEOUT_S, each request would be
-        cancelled just after it was sent.
+        The limit starts when the connection is established, not when the request is submitted. Otherwise, if
+        establishing a connection always took almost RESPONSE_TIMEOUT_S, every request would be cancelled just
+        after it was sent.
         """
         if pending not in self._pending:
             return
-        time_left = pending.ready_since + watch_time + RESPONSE_TIMEOUT_S - self.clock.seconds()
+        time_left = pending.ready_since + watch_duration + RESPONSE_TIMEOUT_S - self.clock.seconds()
         if pending.connecting is not None or time_left > TIMER_TOLERANCE_S:
-            self._call_later(max(time_left, RETRY_INTERVAL_S), self._on_timeout, pending, watch_time)
+            self._call_later(max(time_left, RETRY_INTERVAL_S), self._on_timeout, pending, watch_duration)
             return
         pending.cancel()
-        self._on_body(pending, None)
+        self._on_response(pending, None)
 
-    def _on_body(self, pending: PendingRequest, body: bytes | None) -> None:
+    def _on_response(self, pending: PendingRequest, body: bytes | None) -> None:
         if self._is_closed or pending not in self._pending:
             return
         self._pending.remove(pending)
@@ -175,30 +175,30 @@
         self._cancel_all()
         self._failure_count = 0
         self.has_answered = True
-        # If on_update() raises, the complete list is fetched again after RETRY_INTERVAL_S.
+        # If on_update() raises, this timer fetches the complete list again after RETRY_INTERVAL_S.
         next_request = self._call_later(RETRY_INTERVAL_S, self._send_request)
         self.version = None
         if update.entries or update.is_complete:
             self.on_update(update)
         self.version = update.version
-        # The next watch is sent in the next reactor turn: an immediate response would cause recursion.
+        # Sent in the next reactor turn, because an immediate response would cause recursion.
         next_request.reset(0)
 
     def _decode(self, body: bytes | None) -> EndpointListUpdate:
         if body is None:
-            raise EndpointListError("no answer")
+            raise EndpointListError("no usable response")
         now = self.clock.seconds()
         update = self.decoder.decode(parse_json(body), now)
-        # Only for responses of discovery: the fallback list also passes the decoder, but may be old.
-        self.decoder.start_times.discovery_responded(now)
+        # Not done in the decoder, which also decodes the fallback list; that list may be outdated.
+        self.decoder.start_times.record_discovery_response(now)
         if self.version is None and not update.is_complete:
-            raise EndpointListError("whole: the first answer has to be the whole list")
+            raise EndpointListError("whole: the first response must have the complete list")
         return update
 
     def _on_failure(self, reason: str) -> None:
-        """Fetch the complete list, and retry until it has been received.
+        """Fetch the complete list, with retries until it was received.
 
-        If there was no current list, the timer for the next request is already scheduled.
+        Without a current list, the timer for the next request is already scheduled.
         """
         self._failure_count += 1
         if self.version is not None:
--- a/myrtlehub/relay/engines/__init__.py
+++ b/myrtlehub/relay/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The engine side of the relay: attempts, their event streams, releases of read state, and probes."""
+"""The relay's HTTP client for engines: attempts, event streams, releases of read state, and probes."""
--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -1,4 +1,4 @@
-"""Handler for the response to an attempt. It reports tokens and the outcome to the action executor."""
+"""Handles the response to an attempt, and reports tokens and the outcome to the action executor."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -21,16 +21,16 @@
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
-# After an engine's fault, the client's stream has to end within 5 s. Both timeouts are shorter than that, to
-# leave time for the detection.
-# Limit for receiving the rest of an event, of a chunk or of the end of a stream, each of which engines write
+# The client's stream has to end within 5 s of a fault of the engine. Both timeouts are shorter, because the
+# fault is detected only at the next periodic check.
+# Limit for receiving the rest of an event, of a chunk or of the end of a stream. Engines write each of them
 # in one piece.
 INCOMPLETE_EVENT_TIMEOUT_S = 2.5
 SILENCE_TIMEOUT_S = 4.2  # limit for the time between two events
 
 
 class FailureReason(StrEnum):
-    """The reason why an attempt failed; the values are logged, and listed in docs/operators/relay.md."""
+    """Why an attempt failed; the values are logged, and documented in docs/operators/relay.md."""
 
     MALFORMED_EVENT = "malformed_event"
     BODY_TOO_LARGE = "body_too_large"
@@ -49,7 +49,7 @@
 
 
 class AttemptClient(Protocol):
-    """The parts of the engine client that the response handlers use."""
+    """The part of `EngineClient` that response handlers use."""
 
     executor: ActionExecutor
     directory: EngineDirectory
@@ -63,7 +63,7 @@
 
     Attributes:
         pending: The request; None once the attempt has ended.
-        longest_gap: The longest time between two events so far, in seconds.
+        longest_event_gap: The longest time between two events so far, in seconds.
     """
 
     def __init__(self, client: AttemptClient, attempt: Attempt) -> None:
@@ -71,34 +71,36 @@
         self.executor = client.executor
         self.attempt = attempt
         self.pending: PendingRequest | None = None
-        self.longest_gap = 0.0
+        self.longest_event_gap = 0.0
         self._end: AttemptEnd | None = None  # None until the head is received
-        self._events: EventStreamParser | None = None  # None unless the response is a stream
-        self._load: contract.LoadReport | None = None
+        self._event_parser: EventStreamParser | None = None  # None unless the response is a stream
+        self._load_report: contract.LoadReport | None = None
         self._body = b""
         self._last_event_at = 0.0
-        self._incomplete_since: float | None = None  # start of an incomplete event, chunk or stream end
+        self._incomplete_since: float | None = (
+            None  # when an event, a chunk or the stream end was first seen incomplete
+        )
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """Determine the outcome that the head announces."""
+        """Determine the outcome from the status and the headers."""
         fields = dict(headers)
         self.client.directory.record_contact(self.attempt.engine)
         end = self._end = end_by_response(self.attempt.is_read, status, fields.get(b"x-turned-away") == b"1")
         if b"x-pressure" in fields:
-            self._load = parse_load_report(fields[b"x-pressure"])
+            self._load_report = parse_load_report(fields[b"x-pressure"])
         if end.outcome == contract.Outcome.GENERATED:
-            self._events = EventStreamParser()
+            self._event_parser = EventStreamParser()
             self._last_event_at = self.executor.clock.seconds()
             self.client.stream_monitor.add(self)
         elif end.outcome != contract.Outcome.READ:
-            self._report(end)  # the attempt ends here; the body is ignored
+            self._report_end(end)  # the attempt ends here, and the body is ignored
 
     def on_data(self, data: bytes) -> None:
-        """Pass complete events of a stream to the executor, or collect a small body."""
+        """Pass the complete events of a stream to the executor, or store the body of a read's response."""
         if self.pending is None:
-            return  # the attempt has already ended with the head
-        if self._events is not None:
-            self._on_stream_data(self._events, data)
+            return  # the attempt ended when the head was received
+        if self._event_parser is not None:
+            self._on_stream_data(self._event_parser, data)
         else:
             self._body += data
             if len(self._body) > MAX_SMALL_RESPONSE_BYTES:
@@ -114,7 +116,7 @@
             now = self.executor.clock.seconds()
             attempt = self.attempt
             self.client.directory.record_contact(attempt.engine)
-            self.longest_gap = max(self.longest_gap, now - self._last_event_at)
+            self.longest_event_gap = max(self.longest_event_gap, now - self._last_event_at)
             self._last_event_at = now
             if attempt.is_streaming:
                 self.executor.tokens_received(attempt, events)
@@ -127,22 +129,22 @@
         return self.pending
 
     def _is_incomplete(self) -> bool:
-        """Return whether the end of an event, of a chunk or, after `[DONE]`, of the body is missing."""
-        events = self._events
+        """Return whether an event, a chunk or, after `[DONE]`, the body is incomplete."""
+        parser = self._event_parser
         connection = self._outstanding_request().connection
-        return (events is not None and (bool(events.incomplete) or events.is_done)) or (
+        return (parser is not None and (bool(parser.incomplete) or parser.is_done)) or (
             connection is not None and connection.has_partial_data()
         )
 
     def check_progress(self, now: float) -> None:
-        """Fail the attempt if an event stays incomplete for too long, or if there is no event for too long.
+        """Fail the attempt if an event stays incomplete, or no event is received, for too long.
 
-        Received bytes that do not complete an event are not progress
+        Received bytes that do not complete an event do not count as progress
         (test_an_endless_chunk_ends_the_stream_within_5_s).
         """
         if self._outstanding_request().is_paused:
             self._incomplete_since = None
-            self._last_event_at = now  # the client, not the engine, delays the stream
+            self._last_event_at = now  # the client delays the stream, not the engine
         elif not self._is_incomplete():
             self._incomplete_since = None
         elif self._incomplete_since is None:
@@ -153,9 +155,9 @@
             self.fail(FailureReason.SILENCE_TIMEOUT)
 
     def fail(self, reason: FailureReason) -> None:
-        """Close the connection and end the attempt as failed; the engine may have executed the request."""
+        """Close the connection, and report a failure after which the request may have been executed."""
         self._outstanding_request().cancel()
-        self._report(end_by_failure(True), reason=reason)
+        self._report_end(end_by_failure(True), reason=reason)
 
     def cancel(self) -> None:
         """Close the connection without reporting an outcome to the executor."""
@@ -164,11 +166,11 @@
             self.pending.cancel()
 
     def on_complete(self) -> None:
-        """End the attempt after a complete response."""
+        """End the attempt after a complete response was received."""
         if self._end is None:
             return
-        if self._events is not None:
-            self._complete_stream(self._end, self._events)
+        if self._event_parser is not None:
+            self._complete_stream(self._end, self._event_parser)
         elif self._end.outcome == contract.Outcome.READ:
             self._complete_read(self._end)
 
@@ -177,30 +179,30 @@
             cached_tokens = _read_result_decoder.decode(self._body).cached_tokens
         except (msgspec.DecodeError, ValueError, RecursionError):
             cached_tokens = 0.0
-        self._report(end, cached_tokens, self._load)
+        self._report_end(end, cached_tokens, self._load_report)
 
-    def _complete_stream(self, end: AttemptEnd, events: EventStreamParser) -> None:
+    def _complete_stream(self, end: AttemptEnd, parser: EventStreamParser) -> None:
         try:
-            events.end()
+            parser.end()
         except EventStreamError:
-            self._report(end_by_failure(True), reason=FailureReason.TRUNCATED_STREAM)
+            self._report_end(end_by_failure(True), reason=FailureReason.TRUNCATED_STREAM)
             return
         if self.attempt.is_streaming:
-            self._report(end, events.cached_tokens, events.load or self._load, events.token_count)
+            self._report_end(end, parser.cached_tokens, parser.load or self._load_report, parser.token_count)
         else:
-            self._report(end_by_failure(True))  # a stream without any event is a failure
+            self._report_end(end_by_failure(True))  # a stream without events is a failure
 
     def on_failure(self, failure: RequestFailure) -> None:
-        """End the attempt as failed; if the request was sent in full, the engine may have executed it."""
+        """Report a failure; if the request was sent completely, the engine may have executed it."""
         if failure is RequestFailure.NOT_SENT:
-            self._report(AttemptEnd(contract.Outcome.UNSENT), reason=FailureReason.NOT_SENT)
+            self._report_end(AttemptEnd(contract.Outcome.UNSENT), reason=FailureReason.NOT_SENT)
             return
         may_have_run = failure is RequestFailure.RESPONSE_FAILED
         if may_have_run:
             self.client.uncertain_attempts.add(self.attempt.sequence.sequence_id)
-        self._report(end_by_failure(may_have_run), reason=FailureReason.CONNECTION_FAILED)
+        self._report_end(end_by_failure(may_have_run), reason=FailureReason.CONNECTION_FAILED)
 
-    def _report(
+    def _report_end(
         self,
         end: AttemptEnd,
         cached_tokens: float = 0.0,
@@ -216,7 +218,9 @@
                 attempt=self.attempt.number,
                 reason=reason,
             )
-        # For a rejected write, the executor interprets a value above 0 as "the reader had no read state".
+        # For a rejected write, the executor takes a value above 0 to mean that the reader had no read state.
         cached_tokens = cached_tokens or float(end.is_state_missing)
         handle = True if end.outcome == contract.Outcome.READ else None
-        self.executor.ended(self.attempt, end.outcome, cached_tokens, load or self._load, handle, token_count)
+        self.executor.ended(
+            self.attempt, end.outcome, cached_tokens, load or self._load_report, handle, token_count
+        )
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -1,4 +1,4 @@
-"""The action executor's engine transport over HTTP/1.1: attempts, releases of read state, and probes."""
+"""The engine transport over HTTP/1.1, for attempts, releases of read state, and probes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -17,7 +17,7 @@
 from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
 from myrtlehub.relay.engines.engine_directory import EngineDirectory
 from myrtlehub.relay.engines.small_response import SmallResponseHandler
-from myrtlehub.relay.engines.state_release import ReleaseTarget, StateReleaser
+from myrtlehub.relay.engines.state_release import EngineAddress, StateReleaser
 from myrtlehub.relay.engines.stream_monitor import StreamMonitor
 from myrtlehub.relay.engines.uncertain_attempts import UncertainAttempts
 from myrtlehub.relay.errors import UnknownRequestTypeError
@@ -27,19 +27,19 @@
 from myrtlehub.state.invariants import InvariantCounter, SendFacts, broken_by_send
 
 LOAD_PATH = b"/metrics/load"
-# Subtracted from the remaining time that is stated to an engine, for transit and one or two reactor turns.
-# The platform accepts a stated time that is up to 0.15 s too long, which covers a delay of this process
-# between reading the clock and writing.
+# Subtracted from the remaining time that a request states to the engine, for the network latency and one or
+# two reactor turns. The platform tolerates a stated time that is up to 0.15 s too long, which covers a delay
+# of this process between reading the clock and writing the request.
 REMAINING_TIME_MARGIN_S = 0.02
 
 
 class EngineClient(ExecutorObserver):
-    """Sends attempts, releases and probes to engines.
+    """Sends attempts, releases of read state and probes to engines.
 
     Attributes:
-        executor: The executor that gets the outcomes; set by `attach` before any attempt is started.
+        executor: The executor that receives the outcomes; set by `attach` before any attempt is started.
         directory: Addresses of the engines.
-        uncertain_attempts: Ids of sequences with a former attempt that its engine may still be running.
+        uncertain_attempts: Ids of sequences with an ended attempt that its engine may still be running.
         releaser: Sends releases of read state.
         stream_monitor: Ends streams that make no progress.
     """
@@ -65,7 +65,7 @@
         self.stream_monitor = StreamMonitor(clock)
 
     def attach(self, executor: ActionExecutor) -> None:
-        """Set the executor that gets the outcomes, and observe when its attempts end."""
+        """Set the executor that receives the outcomes, and observe the end of its attempts."""
         self.executor = executor
         self.releaser.in_flight = executor.in_flight
         executor.add_observer(self)
@@ -85,18 +85,18 @@
             outcome=attempt.outcome,
             duration_s=round(now - attempt.sent_at, 4),
             timed_out=now >= attempt.times_out_at,
-            longest_gap_s=round(handler.longest_gap, 2) if handler is not None else 0.0,
+            longest_gap_s=round(handler.longest_event_gap, 2) if handler is not None else 0.0,
         )
         if handler is not None:
-            # Breaks the reference cycle of attempt, request and handler, which would keep the complete client
-            # request in memory until the next full garbage collection.
+            # Break the reference cycle of attempt, request and handler. It would keep the client's request in
+            # memory until the next full garbage collection.
             attempt.call = handler.pending = None
 
     def arrival_check_requested(self, attempt: Attempt) -> None:
         """Check whether an attempt has arrived; see `ExecutorObserver`."""
         name = self.directory.name(attempt.engine)
-        target = ReleaseTarget(name, self.directory.dial_addresses[name])
-        ArrivalCheck(self.clock, self.pool, attempt, target, self._attempt_arrived).start()
+        address = EngineAddress(name, self.directory.dial_addresses[name])
+        ArrivalCheck(self.clock, self.pool, attempt, address, self._attempt_arrived).start()
 
     def _attempt_arrived(self, attempt: Attempt) -> None:
         self.log(
@@ -108,13 +108,13 @@
         )
         self.executor.attempt_arrived(attempt)
 
-    # -- EngineTransport of the action executor ---------------------------------------------------
+    # Methods of the interface `EngineTransport`:
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt; see `EngineTransport`."""
-        passed = _engine_request(attempt.sequence)
+        engine_request = _engine_request(attempt.sequence)
         name = self.directory.name(attempt.engine)
-        request = ClientRequest(b"POST", passed.target, passed.headers, passed.body)
+        request = ClientRequest(b"POST", engine_request.target, engine_request.headers, engine_request.body)
         handler = AttemptResponseHandler(self, attempt)
         handler.pending = attempt.call = self.pool.send(
             name,
@@ -126,24 +126,24 @@
         )
 
     def _at_first_byte(self, attempt: Attempt, request: ClientRequest) -> ClientRequest | None:
-        """Return the request with its remaining time; None if sending it now would break an invariant.
+        """Return the request with its remaining time; None if sending it now would violate an invariant.
 
-        The router's decision may be outdated by now. Establishing the connection can have taken longer than
-        the grace period of a draining engine, or this process may have been suspended meanwhile
+        The router's decision may be outdated: establishing the connection can take longer than the grace
+        period of a draining engine, and this process may have been suspended
         (test_an_engine_that_drains_between_a_decision_and_its_first_byte_gets_nothing).
         """
         time_left = attempt.times_out_at - self.clock.seconds()
-        broken = broken_by_send(self._send_facts(attempt, time_left))
-        if broken is not None:
-            self.invariants.count_withheld(broken)
+        violated = broken_by_send(self._send_facts(attempt, time_left))
+        if violated is not None:
+            self.invariants.count_withheld(violated)
             sequence_id = attempt.sequence.sequence_id
-            self.log(LogEvent.SEND_WITHHELD, sequence_id=sequence_id, attempt=attempt.number, reason=broken)
+            self.log(LogEvent.SEND_WITHHELD, sequence_id=sequence_id, attempt=attempt.number, reason=violated)
             return None
         remaining_ms = max(1, int((time_left - REMAINING_TIME_MARGIN_S) * 1000))
-        self._log_sent(attempt, remaining_ms)
+        self._log_attempt_sent(attempt, remaining_ms)
         return request._replace(headers=[*request.headers, Header(b"x-remaining-ms", b"%d" % remaining_ms)])
 
-    def _log_sent(self, attempt: Attempt, remaining_ms: int) -> None:
+    def _log_attempt_sent(self, attempt: Attempt, remaining_ms: int) -> None:
         connection = attempt.call.connection if isinstance(attempt.call, PendingRequest) else None
         self.log(
             LogEvent.ATTEMPT_SENT,
@@ -158,25 +158,27 @@
 
     def _send_facts(self, attempt: Attempt, time_left: float) -> SendFacts:
         sequence = attempt.sequence
-        check = self.executor.router.check_send(self.clock.seconds(), sequence.number, attempt.number)
+        send_check = self.executor.router.check_send(self.clock.seconds(), sequence.number, attempt.number)
         return SendFacts(
             client_is_present=sequence.answer.state == AnswerState.PENDING,
             time_left=time_left,
             engine_is_serving=self.directory.is_serving(attempt.engine),
-            is_in_slow_start_share=check.is_in_slow_start_share,
-            may_run=check.may_run,
+            is_in_slow_start_share=send_check.is_in_slow_start_share,
+            may_run=send_check.may_run,
         )
 
     def _needs_new_connection(self, attempt: Attempt) -> bool:
         """Return whether the attempt must not reuse an idle connection.
 
-        - A write that fetches a read state: if a network fault has cut the engine off, a request on an idle
-          connection is lost without an error, and meanwhile the reader keeps the state
+        Such attempts are:
+
+        - A write that fetches a read state: if the network to the engine is cut off, a request on an idle
+          connection is lost without an error, and the reader keeps the state in the meantime
           (test_a_state_is_released_in_time_although_its_writers_were_cut_off_unnoticed).
-        - An at-most-once write: if the engine has closed the idle connection and this node does not know it
-          yet, the request fails as possibly executed, and may not be retried.
-        - An at-most-once read of a sequence with a former attempt that may still be running: over an idle
-          connection, the read could arrive before the close of the former attempt's connection
+        - An at-most-once write: if the engine has closed the idle connection and this node does not know
+          that yet, the request counts as possibly executed, and must not be retried.
+        - An at-most-once read of a sequence with an earlier attempt that may still be running: on an idle
+          connection, the read could arrive before the close of the earlier attempt's connection
           (test_a_retried_at_most_once_read_uses_a_new_connection).
         """
         if attempt.claimed_state is not None:
@@ -221,7 +223,7 @@
         )
 
     def close_idle(self, engine: int) -> None:
-        """Close idle connections to an engine; see `EngineTransport`."""
+        """Close the idle connections to an engine; see `EngineTransport`."""
         self.pool.close_idle(self.directory.name(engine))
 
     def forget(self, address: str) -> None:
@@ -230,7 +232,7 @@
 
 
 def _engine_request(sequence: InFlightSequence) -> EngineRequest:
-    """Return the request of a sequence, which the executor stores as an opaque object."""
+    """Return the request of a sequence, which the executor stores as an object of unknown type."""
     if not isinstance(sequence.request, EngineRequest):
         raise UnknownRequestTypeError(sequence.sequence_id)
     return sequence.request
--- a/myrtlehub/relay/engines/engine_directory.py
+++ b/myrtlehub/relay/engines/engine_directory.py
@@ -1,4 +1,4 @@
-"""Addresses of the engines, and the time of the last contact with each."""
+"""Addresses of the engines, and the time at which each last sent data."""
 
 from myrtlehub.clock import Clock
 from myrtlehub.http1.connection_pool import ConnectionPool
@@ -7,11 +7,11 @@
 
 
 class EngineDirectory:
-    """The engines of the endpoint list, found by dense index or by name.
+    """The engines of the endpoint list, by endpoint index or by name.
 
     Attributes:
         dial_addresses: HOST:PORT of each engine, by name.
-        last_contact_at: Time at which each engine last sent data, by name, in seconds of the clock.
+        last_contact_at: Clock time in seconds at which each engine last sent data, by name.
     """
 
     def __init__(self, clock: Clock, pool: ConnectionPool, index: EndpointIndex) -> None:
@@ -34,17 +34,17 @@
         return [row.address for row in self.index.rows if row.state == EndpointState.SERVING]
 
     def record_contact(self, engine: int) -> None:
-        """Record that the engine has just sent data, which shows that it is reachable."""
+        """Record that the engine has just sent data, so that it is reachable."""
         self.last_contact_at[self.name(engine)] = self.clock.seconds()
 
     def set_address(self, name: str, dial_address: str) -> None:
-        """Set the HOST:PORT of an engine; if it has changed, close the idle connections to the engine."""
+        """Set the HOST:PORT of an engine, and close its idle connections if the address has changed."""
         if self.dial_addresses.get(name, dial_address) != dial_address:
             self.pool.close_idle(name)
         self.dial_addresses[name] = dial_address
 
     def forget(self, name: str) -> None:
-        """Remove an engine that has left the endpoint list and has no outstanding attempt or probe."""
+        """Remove an engine that is not in the endpoint list and has no outstanding attempt or probe."""
         self.pool.close_idle(name)
         self.dial_addresses.pop(name, None)
         self.last_contact_at.pop(name, None)
--- a/myrtlehub/relay/engines/response_outcomes.py
+++ b/myrtlehub/relay/engines/response_outcomes.py
@@ -1,4 +1,4 @@
-"""The outcome of an attempt, by the status and rejection header of its response or the lack of one."""
+"""Maps the status and rejection header of a response, or a failed request, to the outcome of an attempt."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
     Attributes:
         outcome: The outcome reported to the router.
-        is_state_missing: Whether the writer found no read state to fetch at the reader.
+        is_state_missing: Whether the reader had no read state for the writer to fetch.
     """
 
     outcome: Outcome
@@ -18,7 +18,7 @@
 
 
 class ResponseHead(NamedTuple):
-    """The facts that determine the outcome of an attempt with a response.
+    """The properties of a response that determine the outcome of its attempt.
 
     Attributes:
         is_read: Whether the attempt is a read; otherwise it is a write.
@@ -31,7 +31,7 @@
     is_rejection: bool
 
 
-# Any other response does not prove whether the request was executed, and has the outcome ERROR.
+# Any other response leaves open whether the request was executed, and has the outcome ERROR.
 END_BY_RESPONSE = {
     ResponseHead(True, 202, False): AttemptEnd(Outcome.READ),
     ResponseHead(False, 200, False): AttemptEnd(Outcome.GENERATED),
@@ -44,7 +44,7 @@
 
 
 def end_by_response(is_read: bool, status: int, is_rejection: bool) -> AttemptEnd:
-    """Return the end that a response's head announces. READ and GENERATED also require a complete body."""
+    """Return the end of an attempt by its response head. READ and GENERATED also need a complete body."""
     return END_BY_RESPONSE.get(ResponseHead(is_read, status, is_rejection), AttemptEnd(Outcome.ERROR))
 
 
@@ -52,6 +52,6 @@
     """Return the end of an attempt without a complete response.
 
     Args:
-        request_sent: Whether the last byte of the request was sent. If not, the engine has not executed it.
+        request_sent: Whether the request was sent completely. If not, the engine has not executed it.
     """
     return AttemptEnd(Outcome.RESET if request_sent else Outcome.UNREACHED)
--- a/myrtlehub/relay/engines/small_response.py
+++ b/myrtlehub/relay/engines/small_response.py
@@ -1,4 +1,4 @@
-"""Handler for the small responses to releases and probes."""
+"""Handler for the short responses to releases and probes."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,14 @@
 from myrtlehub.http1.client_request import RequestFailure, ResponseHandler
 from myrtlehub.http1.headers import Headers
 
-SUCCESS_CLASS = 2  # first digit of the status codes 200 to 299
+SUCCESS_STATUS_CLASS = 2  # status codes 200 to 299
 
 
 class SmallResponseHandler(ResponseHandler):
-    """Collects a small response.
+    """Collects a short response.
 
     Args:
-        on_end: Called once, with whether the request succeeded, and with the body of the response.
+        on_end: Called once with whether the request succeeded, and the body of the response.
     """
 
     def __init__(self, on_end: Callable[[bool, bytes], None]) -> None:
@@ -26,13 +26,13 @@
         self.status = status
 
     def on_data(self, data: bytes) -> None:
-        """Store the body; discard data once it has MAX_SMALL_RESPONSE_BYTES or more."""
+        """Append to the body, until it has MAX_SMALL_RESPONSE_BYTES or more."""
         if len(self.body) < MAX_SMALL_RESPONSE_BYTES:
             self.body += data
 
     def on_complete(self) -> None:
         """Report success if the status is 2xx."""
-        self.on_end(self.status // 100 == SUCCESS_CLASS, self.body)
+        self.on_end(self.status // 100 == SUCCESS_STATUS_CLASS, self.body)
 
     def on_failure(self, failure: RequestFailure) -> None:
         """Report a failure."""
--- a/myrtlehub/relay/engines/stream_monitor.py
+++ b/myrtlehub/relay/engines/stream_monitor.py
@@ -1,4 +1,4 @@
-"""Periodic check of the engines' streams, which ends those that make no progress."""
+"""Periodic check that ends engines' response streams without progress."""
 
 from typing import Protocol
 
@@ -11,11 +11,11 @@
     """The response stream of an attempt."""
 
     def check_progress(self, now: float) -> None:
-        """End the stream if it makes no progress."""
+        """End the stream if it has made no progress for too long."""
 
 
 class StreamMonitor:
-    """Checks the progress of all open streams.
+    """Checks the progress of all open streams periodically.
 
     Attributes:
         streams: The open streams, in the order in which they were added.
@@ -35,7 +35,7 @@
         self.streams[stream] = None
 
     def remove(self, stream: Stream) -> None:
-        """Remove a stream from the periodic check. No effect if it was not added."""
+        """Remove a stream from the periodic check, if it was added."""
         self.streams.pop(stream, None)
 
     def _check(self) -> None:
@@ -43,7 +43,7 @@
         self._check_each(list(self.streams), self.clock.seconds())
 
     def _check_each(self, streams: list[Stream], now: float) -> None:
-        """Check the streams; if a check raises, check the others in the next reactor turn."""
+        """Check the streams; if a check raises, check the remaining ones in the next reactor turn."""
         while streams:
             stream = streams.pop(0)
             try:
--- a/myrtlehub/relay/errors.py
+++ b/myrtlehub/relay/errors.py
@@ -10,19 +10,19 @@
 
 
 class SettingsError(RelayError, ValueError):
-    """The node settings are invalid. The message names the key, the fault and the remedy."""
+    """The node settings are invalid. The message names the key, the error and how to correct it."""
 
 
 class EndpointListError(RelayError, ValueError):
-    """The endpoint list is invalid. The message names the key and the fault."""
+    """The endpoint list is invalid. The message names the key and the error."""
 
 
 class EventStreamError(RelayError, ValueError):
-    """An engine's response body is not a valid stream of server-sent events."""
+    """The body of an engine's response is not a valid stream of server-sent events."""
 
 
 class RejectedRequestError(RelayError):
-    """A client's request is malformed, and is rejected without being executed.
+    """A client's request is malformed and is rejected without being executed.
 
     Attributes:
         status: HTTP status of the response to the client.
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -1,4 +1,4 @@
-"""A relay node, assembled from its parts."""
+"""The relay node, which connects the parts of the relay."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -23,15 +23,16 @@
 from myrtlehub.relay.settings.platform_limits import platform_limits_of
 from myrtlehub.routing.policy.router import Router
 
-DISCOVERY_MAX_IDLE_S = 5.0  # for which an idle connection to discovery stays open
-# Fraction of the engines' keep-alive time for which idle connections are reused. Near the end of that time,
-# an engine might close the connection while a request is in transit.
-REUSE_SHARE = 0.4
-# Time after SIGTERM until which requests are still accepted. Later than KILL_MARGIN_S they would have to be
-# answered completely before the earliest SIGKILL. This process may handle the signal late, and for a request
-# that it may have read late it assumes the earliest time.
-LAST_REQUEST_S = KILL_MARGIN_S - 0.2
-FALLBACK_DELAY_S = 1.0  # from the start until the fallback list is used, if discovery has not answered
+DISCOVERY_MAX_IDLE_S = 5.0  # after which an idle connection to discovery is closed
+# Fraction of the engines' keep-alive timeout during which an idle connection is reused. Near the end of the
+# timeout, the engine might close the connection while a request is in transit.
+IDLE_REUSE_FRACTION = 0.4
+# Time after SIGTERM for which requests are still accepted. A request that arrives later than KILL_MARGIN_S
+# after SIGTERM would have to be answered completely before the earliest SIGKILL. The difference is a safety
+# margin: this process may handle the signal late, and it takes the earliest possible arrival time for a
+# request that it may have read late.
+SHUTDOWN_ACCEPT_TIME_S = KILL_MARGIN_S - 0.2
+FALLBACK_DELAY_S = 1.0  # after the start, if discovery has not answered, the fallback list is used
 
 Dialer = Callable[[str, float], Dial]
 
@@ -44,12 +45,12 @@
         clock: The clock of the node and its timers.
         dialer: Called with HOST:PORT and a timeout in seconds; returns a function that connects a protocol
             factory to that address.
-        epoch: The Unix time in seconds at which the clock showed 0.
+        clock_epoch: The Unix time in seconds at which the clock was 0.
         log: The event log.
         executor_class: The class of the action executor.
 
     Attributes:
-        on_open: Called once, when the node starts to accept clients.
+        on_open: Called once, when the node starts to accept clients' connections.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         settings: NodeSettings,
         clock: Clock,
         dialer: Dialer,
-        epoch: float = 0.0,
+        clock_epoch: float = 0.0,
         log: Log = no_log,
         executor_class: type[ActionExecutor] = ActionExecutor,
     ) -> None:
@@ -66,14 +67,14 @@
         self.log = log
         self.config = router_config_of(settings)
         self.limits = platform_limits_of(settings)
-        self.budget = DescriptorBudget.of(settings.descriptors)
+        self.descriptor_budget = DescriptorBudget.of(settings.descriptors)
         self.decoder = RequestDecoder(settings, self.config)
-        self.endpoint_list = EndpointListDecoder(self.decoder.kinds, self.decoder.zones, epoch)
+        self.endpoint_list = EndpointListDecoder(self.decoder.kinds, self.decoder.zones, clock_epoch)
         self.pool = ConnectionPool(
             clock,
             lambda address: dialer(address, self.limits.connect_timeout),
-            self.budget.engines,
-            REUSE_SHARE * self.limits.keepalive,
+            self.descriptor_budget.engines,
+            IDLE_REUSE_FRACTION * self.limits.keepalive,
             log,
         )
         self.monitor = InvariantMonitor(clock, log)
@@ -105,7 +106,10 @@
 
     def _make_listener(self) -> ConnectionListener:
         listener = ConnectionListener(
-            self.clock, self.front.on_request, self.budget.clients, self.budget.client_burst
+            self.clock,
+            self.front.on_request,
+            self.descriptor_budget.clients,
+            self.descriptor_budget.client_burst,
         )
         listener.on_closing = self.monitor.connection_closing
         return listener
@@ -123,35 +127,35 @@
             pool,
             self.settings.discovery,
             self.endpoint_list,
-            self._on_update,
+            self._on_list_update,
             Random(self.settings.seed + 1),
             self.log,
         )
 
     def start(self) -> None:
-        """Start following discovery; open to clients once it has answered, or after FALLBACK_DELAY_S."""
+        """Start the discovery client; accept clients once it has a list, or after FALLBACK_DELAY_S."""
         self.executor.start()
         self.monitor.start()
         self.discovery.start()
         self.clock.callLater(FALLBACK_DELAY_S, self._use_fallback_list)
 
     def _use_fallback_list(self) -> None:
-        """Apply the fallback list of the settings if discovery has not answered, and open.
+        """Apply the fallback list of the settings if discovery has not answered, then accept clients.
 
-        It is not applied earlier, because discovery's list may be newer.
+        The list is not applied earlier, because discovery may have a newer one.
         """
         try:
             if not self.discovery.has_answered and self.settings.fallback_list is not None:
                 update = self.endpoint_list.decode(self.settings.fallback_list, self.clock.seconds())
                 self._uses_fallback_list = True
-                self._apply(update._replace(is_complete=True))
+                self._apply_update(update._replace(is_complete=True))
         except EndpointListError as error:
             self.log(LogEvent.FALLBACK_LIST_REJECTED, reason=str(error))
         finally:
             self.open()
 
     def open(self) -> None:
-        """Open to clients. Further calls have no effect."""
+        """Start to accept clients. Further calls have no effect."""
         if not self._is_open:
             self._is_open = True
             self.on_open()
@@ -161,11 +165,11 @@
         """Return whether there is an endpoint list, from discovery or from the settings."""
         return self.discovery.has_answered or self._uses_fallback_list
 
-    def _on_update(self, update: EndpointListUpdate) -> None:
-        self._apply(update)
+    def _on_list_update(self, update: EndpointListUpdate) -> None:
+        self._apply_update(update)
         self.open()
 
-    def _apply(self, update: EndpointListUpdate) -> None:
+    def _apply_update(self, update: EndpointListUpdate) -> None:
         for entry in update.entries:
             if entry.dial_address:
                 self.engine_client.directory.set_address(entry.address, entry.dial_address)
@@ -174,9 +178,9 @@
     def is_busy(self) -> bool:
         """Return whether a sequence, a client's connection or a release of read state needs this process.
 
-        Each client's connection counts until it is closed. Its partial request may still be completed, or its
-        last response may not have been sent completely. If data arrived after the process has exited, the
-        connection would be reset before the client has read its response.
+        Each client's connection counts until it is closed, because a partial request may still be completed,
+        or the last response may not have been sent completely. Data that arrived after the process exit would
+        reset the connection before the client has read its response.
         """
         return (
             bool(self.executor.in_flight)
@@ -185,8 +189,8 @@
         )
 
     def begin_shutdown(self) -> None:
-        """Reject requests that come too late to be answered completely before the earliest SIGKILL."""
-        refuses_from = self.clock.seconds() + LAST_REQUEST_S
+        """Reject requests that arrive too late to be answered completely before the earliest SIGKILL."""
+        refuses_from = self.clock.seconds() + SHUTDOWN_ACCEPT_TIME_S
         self.front.refuses_from = min(self.front.refuses_from, refuses_from)
 
     def worst_lag(self) -> float:
@@ -194,11 +198,11 @@
         return self.decoder.lag.worst
 
     def release_counts(self) -> Mapping[str, int]:
-        """Return the ended releases of read state, by result."""
+        """Return the number of ended releases of read state, by result."""
         return self.engine_client.releaser.result_counts
 
     def pending_work(self) -> PendingWork:
-        """Return what this node still owes to clients and engines."""
+        """Return the sequences, client connections and releases that are not finished."""
         return PendingWork(
             count_sequences(self.executor.in_flight.values()),
             count_connections(self.listener.connections),
--- a/myrtlehub/relay/parsing.py
+++ b/myrtlehub/relay/parsing.py
@@ -1,4 +1,4 @@
-"""Parsers shared by settings, endpoint lists, client requests and engine responses."""
+"""Parsers for addresses, JSON and load reports, shared by the packages of the relay."""
 
 from typing import Any, NamedTuple
 
@@ -8,7 +8,7 @@
 from myrtlehub.relay.errors import MalformedJsonError
 from myrtlehub.routing import contract
 
-PORT_LIMIT = 65536  # exclusive upper bound of TCP port numbers
+PORT_LIMIT = 65536  # TCP port numbers are lower
 
 
 class SocketAddress(NamedTuple):
--- a/tests/relay/test_engine_start_times.py
+++ b/tests/relay/test_engine_start_times.py
@@ -34,7 +34,7 @@
 ) -> list[float]:
     """Decode a list and return the ages of its engines."""
     update = decoder.decode({"seq": 1, "whole": whole, "hosts": list(hosts)}, now)
-    decoder.start_times.discovery_responded(now)
+    decoder.start_times.record_discovery_response(now)
     return [round(entry.age, 3) for entry in update.entries]
 
 
