--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -23,6 +23,7 @@
 
 # The client's stream has to end within 5 s of a fault of the engine. Both timeouts are shorter, because the
 # fault is detected only at the next periodic check.
+
 # Limit for receiving the rest of an event, of a chunk or of the end of a stream. Engines write each of them
 # in one piece.
 INCOMPLETE_EVENT_TIMEOUT_S = 2.5
@@ -77,9 +78,7 @@
         self._load_report: contract.LoadReport | None = None
         self._body = b""
         self._last_event_at = 0.0
-        self._incomplete_since: float | None = (
-            None  # when an event, a chunk or the stream end was first seen incomplete
-        )
+        self._incomplete_since: float | None = None  # start of an incomplete event, chunk or stream end
 
     def on_head(self, status: int, headers: Headers) -> None:
         """Determine the outcome from the status and the headers."""
--- a/tests/relay/test_relay_discovery.py
+++ b/tests/relay/test_relay_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: changes, invalid entries, silence, and the start of a node."""
+"""The discovery client: list changes, invalid entries, missing responses, and the start of a node."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
 def test_a_change_is_applied_and_the_watch_renewed_at_once() -> None:
     rig = RelayRig("w1 w2")
     rig.update_list(w1=rig.entry("w1", "leaving"))
-    assert len(rig.open_watches) == 1  # the next watch was sent
+    assert len(rig.open_watches) == 1  # the next watch has been sent
     for i in range(6):
         rig.request(f"a{i}")
     assert not rig.engines["w1"].chat_requests() and len(rig.engines["w2"].chat_requests()) == 6
@@ -46,22 +46,22 @@
 
 
 @pytest.mark.parametrize(
-    "unreadable",
+    "invalid_fields",
     [{"dial": 7}, {"class": "x"}, {"site": None}, {"share": "much"}, {"block": "b"}, {"born_ms": []}],
     ids=str,
 )
 @pytest.mark.parametrize("health", ["leaving", "left"])
 def test_a_leaving_notice_counts_whatever_else_cannot_be_read(
-    unreadable: dict[str, Any], health: str
+    invalid_fields: dict[str, Any], health: str
 ) -> None:
     rig = RelayRig("w1 w2")
-    rig.update_list(w1=rig.entry("w1", health, **unreadable))
+    rig.update_list(w1=rig.entry("w1", health, **invalid_fields))
     for i in range(6):
         assert rig.request(f"a{i}").statuses == [200]
     assert not rig.engines["w1"].chat_requests() and len(rig.engines["w2"].chat_requests()) == 6
     connection = rig.open_watches.pop()
-    # Not a notice that the engine is leaving: only this entry is skipped.
-    rig.send_list(connection, {"seq": 9, "whole": False, "hosts": [rig.entry("w2", **unreadable)]})
+    # The invalid entry does not say that the engine leaves, so it is only skipped.
+    rig.send_list(connection, {"seq": 9, "whole": False, "hosts": [rig.entry("w2", **invalid_fields)]})
     rig.run(0.02)
     assert rig.request("b").statuses == [200]
 
@@ -73,7 +73,7 @@
     dialer = rig.net.dialer
 
     def slow_dialer(address: str, who: str = "client") -> Dial:
-        """Delay connections to the engine that is chosen first by 0.2 s."""
+        """Delay connections by 0.2 s if they are to the engine that is dialled first."""
         dial = dialer(address, who)
         if address[0] != "w" or (delayed and delayed[0] != address):
             return dial
@@ -91,7 +91,7 @@
     assert not client.statuses and not rig.engines[first].chat_requests()
     rig.update_list(**{first: rig.entry(first, health)})
     rig.run(0.4)
-    assert client.statuses == [200]  # not sent to the first engine, so retried at the other one
+    assert client.statuses == [200]  # nothing was sent to the first engine, so the other one gets a retry
     assert not rig.engines[first].chat_requests() and rig.node.executor.router.estimates.engines
     other = next(name for name in ("w1", "w2") if name != first)
     assert len(rig.engines[other].chat_requests()) == 1
@@ -109,7 +109,7 @@
 
 
 def test_the_return_of_a_silent_discovery_is_noticed_within_the_drain_grace() -> None:
-    """It never answers requests received while it was silent, and its changes count from then on."""
+    """Discovery never answers requests received while it was silent; the grace starts when it returns."""
     for silence in (3.3, 4.0, 5.21, 6.77, 8.05):
         rig = RelayRig("w1 w2")
         rig.discovery_is_silent = True
@@ -121,32 +121,32 @@
         engines = rig.node.decoder.engines
         assert engines.rows[engines.index_of["w1"]].state == "draining", silence
         count = len(rig.discovery.requests)
-        assert count < 10 + 9 * silence  # one request each 120 ms
+        assert count < 10 + 9 * silence  # a request every 120 ms
         rig.run(1.0)
-        assert len(rig.discovery.requests) == count  # one watch, and no request beside it
+        assert len(rig.discovery.requests) == count  # a watch is open, and no other request is sent
 
 
-def _answer_half(rig: RelayRig, connection: PeerConnection) -> None:
+def _send_partial_response(rig: RelayRig, connection: PeerConnection) -> None:
     connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{"seq":')
 
 
-def _answer_endlessly(rig: RelayRig, connection: PeerConnection) -> None:
+def _send_endless_response(rig: RelayRig, connection: PeerConnection) -> None:
     connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{")
 
-    def more() -> None:
+    def send_more() -> None:
         connection.send(b" " * 1000)
-        rig.clock.callLater(0.1, more)
+        rig.clock.callLater(0.1, send_more)
 
-    more()
+    send_more()
 
 
 WATCH_FAULTS = {
     "silent": lambda rig, connection: None,
-    "half an answer": _answer_half,
-    "an endless answer": _answer_endlessly,
+    "partial response": _send_partial_response,
+    "endless response": _send_endless_response,
     "reset": lambda rig, connection: connection.transport.abortConnection(),
     "not JSON": lambda rig, connection: connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{"s'),
-    "nested too deep": lambda rig, connection: connection.send(
+    "nested too deeply": lambda rig, connection: connection.send(
         b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"[" * 100_000
     ),
 }
@@ -157,10 +157,10 @@
 def test_a_change_is_applied_within_6_s_in_the_worst_phase_of_a_watch(
     fault: str, connect_time: float
 ) -> None:
-    """The watch fails just after it was sent, and connections to discovery are slow."""
+    """The watch fails in different ways after it was sent, and connections to discovery are slow."""
     for phase in (0.0, 0.7, 1.9):
         rig = RelayRig("w1 w2")
-        rig.update_list(w2=rig.entry("w2"))  # the next watch was sent just now
+        rig.update_list(w2=rig.entry("w2"))  # the next watch has just been sent
         dialer = rig.net.dialer
 
         def slow_dialer(
@@ -174,22 +174,22 @@
             )
 
         rig.net.dialer = slow_dialer
-        answer_at_once = rig.discovery.script
-        rig.discovery.script = lambda connection, head, body, rig=rig, answer=answer_at_once: (
+        respond_at_once = rig.discovery.script
+        rig.discovery.script = lambda connection, head, body, rig=rig, answer=respond_at_once: (
             rig.clock.callLater(0.05, answer, connection, head, body)
         )
         rig.run(phase)
-        rig.entries["w1"] = rig.entry("w1", "leaving")  # discovery knows of the change from now on
+        rig.entries["w1"] = rig.entry("w1", "leaving")  # discovery has the change from now on
         rig.version += 1
         watch = rig.open_watches.pop()
         for connection in rig.discovery.connections:
             if connection is not watch and not connection.lost:
-                connection.transport.abortConnection()  # leaves no idle connection
+                connection.transport.abortConnection()  # no idle connection can be reused
         WATCH_FAULTS[fault](rig, watch)
-        at, engines = rig.clock.seconds(), rig.node.decoder.engines
+        changed_at, engines = rig.clock.seconds(), rig.node.decoder.engines
         while engines.rows[engines.index_of["w1"]].state != "draining":
             rig.run(0.05)
-            assert rig.clock.seconds() < at + 6.0, (fault, phase)
+            assert rig.clock.seconds() < changed_at + 6.0, (fault, phase)
         assert rig.node.discovery.pool.count <= 18
 
 
@@ -208,29 +208,29 @@
 
 def test_a_restarted_node_does_not_use_the_fallback_list_while_discovery_has_a_newer() -> None:
     rig = RelayRig("w1 w2", silent_discovery=True)
-    opened = []
-    rig.node.on_open = lambda: opened.append(rig.clock.seconds())
-    early = rig.request("a1")  # waits until the node opens
+    opened_at = []
+    rig.node.on_open = lambda: opened_at.append(rig.clock.seconds())
+    waiting = rig.request("a1")  # waits until the node accepts clients
     rig.run(0.3)
-    assert not opened and not rig.engines["w1"].chat_requests() and not rig.engines["w2"].chat_requests()
+    assert not opened_at and not rig.engines["w1"].chat_requests() and not rig.engines["w2"].chat_requests()
     rig.entries["w1"] = rig.entry("w1", "leaving")
     rig.resume_discovery()
     rig.run(0.2)
-    assert len(opened) == 1 and early.statuses == [200]
+    assert len(opened_at) == 1 and waiting.statuses == [200]
     assert not rig.engines["w1"].chat_requests() and len(rig.engines["w2"].chat_requests()) == 1
 
 
 def test_a_silent_discovery_makes_a_node_use_the_fallback_list() -> None:
     rig = RelayRig("w1", silent_discovery=True)
-    opened = []
-    rig.node.on_open = lambda: opened.append(rig.clock.seconds())
-    early = rig.request("a1")
+    opened_at = []
+    rig.node.on_open = lambda: opened_at.append(rig.clock.seconds())
+    waiting = rig.request("a1")
     rig.run(1.2)
-    assert len(opened) == 1 and early.statuses == [200]
+    assert len(opened_at) == 1 and waiting.statuses == [200]
 
 
 def test_a_wall_clock_set_back_keeps_no_engine_in_slow_start_for_an_hour() -> None:
-    """The process starts after the clock was stepped, and an engine seems to start in the future."""
+    """The wall clock was stepped back before the process started, so an engine seems to start later."""
     rig = RelayRig("w1")
     rig.update_list(w1=rig.entry("w1", born_ms=(rig.clock.seconds() + 3600.0) * 1000))
     rig.run(15.0)  # slow start ends after 10 s
--- a/tests/relay/test_relay_first_byte.py
+++ b/tests/relay/test_relay_first_byte.py
@@ -1,4 +1,4 @@
-"""Checks and headers that are due just before the first byte of an attempt, after a slow connect."""
+"""Checks and headers just before the first byte of an attempt is sent, after a slow connect."""
 
 import pytest
 from relaymessages import COMPLETE_STREAM, SETTINGS, chat_request
@@ -9,13 +9,15 @@
 
 from myrtlehub.http1.connection_pool import Dial
 
-SLOW_CONNECT_S = 0.2  # under the connect timeout of the settings
+SLOW_CONNECT_S = 0.2  # shorter than the connect timeout of the settings
 CLIENT_TIME_MS = 1000
-KEYED = {"Name": "keep", "Effect": "deduplicated", "DedupScope": "all", "WindowMs": 1000.0}
+DEDUPLICATED = {"Name": "keep", "Effect": "deduplicated", "DedupScope": "all", "WindowMs": 1000.0}
 
 
-def slow_rig(engines: str = "w1", delay: float = SLOW_CONNECT_S, **settings: object) -> RelayRig:
-    """Return a rig whose connections to engines take `delay` seconds to be established."""
+def rig_with_slow_connects(
+    engines: str = "w1", delay: float = SLOW_CONNECT_S, **settings: object
+) -> RelayRig:
+    """Return a rig in which it takes `delay` seconds to establish a connection to an engine."""
     rig = RelayRig(engines, **settings)
     dialer = rig.net.dialer
 
@@ -35,20 +37,20 @@
 
 
 def test_the_remaining_time_stated_to_an_engine_is_that_at_the_first_byte() -> None:
-    rig = slow_rig()
+    rig = rig_with_slow_connects()
     rig.request("a1", remaining_ms=CLIENT_TIME_MS)
     rig.run(0.5)
     stated_ms = int(rig.engines["w1"].chat_requests()[0].headers[b"x-remaining-ms"])
-    left = CLIENT_TIME_MS - SLOW_CONNECT_S * 1000
-    assert left - 60 <= stated_ms <= left
+    left_ms = CLIENT_TIME_MS - SLOW_CONNECT_S * 1000
+    assert left_ms - 60 <= stated_ms <= left_ms
 
 
 def test_nothing_is_sent_after_the_deadline_although_its_timer_is_late() -> None:
-    rig = slow_rig()
+    rig = rig_with_slow_connects()
     client = rig.request("a1", remaining_ms=150)
     for sequence in rig.node.executor.in_flight.values():
         sequence.attempts[0].stop_timer()
-    rig.node.executor.router._place_waiting = lambda now: None  # its wake-ups have no effect
+    rig.node.executor.router._place_waiting = lambda now: None  # the router's wake-ups have no effect
     rig.run(SLOW_CONNECT_S + 0.02)
     assert not rig.engines["w1"].chat_requests()
     assert rig.node.monitor.counter.withheld == {"time left": 1}
@@ -58,7 +60,7 @@
 
 def test_nothing_is_sent_to_an_engine_that_is_found_to_be_in_slow_start() -> None:
     """Discovery reports the restart while a connection to the engine is being established."""
-    rig = slow_rig("w1 w2")
+    rig = rig_with_slow_connects("w1 w2")
     rig.engines["w1"].script = rig.engines["w2"].script = never_respond
     for number in range(12):
         rig.request(f"a{number}", traffic="post")
@@ -71,11 +73,11 @@
     assert withheld >= 6 and sent <= 3
 
 
-@pytest.mark.parametrize(("held_up", "is_sent"), [(0.0, True), (0.6, False)])
-def test_a_retry_is_not_sent_once_its_dedup_window_is_over(held_up: float, is_sent: bool) -> None:
-    """The process is suspended between the decision and the connection."""
-    ask = {**SETTINGS["Classes"][0], **KEYED}
-    rig = slow_rig("w1 w2", delay=0.01, Classes=[ask, SETTINGS["Classes"][1]])
+@pytest.mark.parametrize(("suspended_s", "is_sent"), [(0.0, True), (0.6, False)])
+def test_a_retry_is_not_sent_once_its_dedup_window_is_over(suspended_s: float, is_sent: bool) -> None:
+    """The process is suspended after the decision to retry, before the connection is established."""
+    deduplicated = {**SETTINGS["Classes"][0], **DEDUPLICATED}
+    rig = rig_with_slow_connects("w1 w2", delay=0.01, Classes=[deduplicated, SETTINGS["Classes"][1]])
     engines = [rig.engines["w1"], rig.engines["w2"]]
     for engine in engines:
         engine.script = never_respond
@@ -84,7 +86,7 @@
     first = next(engine for engine in engines if engine.chat_requests())
     first.connections[-1].transport.abortConnection()
     rig.clock.advance(0)  # the node reads the reset and decides to retry
-    rig.clock.rightNow += held_up
+    rig.clock.rightNow += suspended_s
     rig.run(0.1)
     sent = sum(len(engine.chat_requests()) for engine in engines)
     assert sent == 1 + is_sent
@@ -92,7 +94,7 @@
 
 
 def test_the_time_of_a_pipelined_request_counts_from_its_own_last_byte() -> None:
-    """It waits at the node behind the stream of the request before it."""
+    """The second request waits at the node until the stream of the first one ends."""
     rig = RelayRig("w1")
     rig.engines["w1"].script = never_respond
     client = rig.client()
--- a/tests/relay/test_relay_local_failures.py
+++ b/tests/relay/test_relay_local_failures.py
@@ -1,4 +1,4 @@
-"""Failures of the relay's machine, on real sockets: no free port or descriptor, a log that is not read."""
+"""Local failures on real sockets: lack of ports or descriptors, and a log that is full or not read."""
 
 import fcntl
 import os
@@ -22,15 +22,15 @@
 
 
 def wait_for_watch(rig: SocketRig, since: float) -> None:
-    """Wait for a watch sent after `since`: the list of that time has been applied."""
+    """Wait for a watch sent after `since`, when the node has applied the list of that time."""
     while True:
         request = rig.discovery.next_request()
         if request.received_at > since and b"since" in request.target:
             return
 
 
-def read_and_close(connection: PeerConnection, request: ReceivedRequest) -> None:
-    """Script of a reader that closes each connection after its response."""
+def respond_and_close(connection: PeerConnection, request: ReceivedRequest) -> None:
+    """Act as a reader that closes each connection after its response."""
     connection.send(READ_RESPONSE if request.method == b"POST" else RELEASE_RESPONSE)
     connection.close()
 
@@ -38,13 +38,13 @@
 def test_a_state_is_released_after_connects_failed_locally(rig: SocketRig, faults: FaultControlFile) -> None:
     """The client disconnects while no local port is free."""
     node = rig.start("r1 w1", argv=faults.argv())
-    rig.engines["r1"].script = read_and_close
+    rig.engines["r1"].script = respond_and_close
     rig.engines["w1"].script = never_respond
     client = Client(node.address).send(chat_request("a1", LONG_PROMPT))
     rig.engines["w1"].next_request(b"POST")
     faults.set(connect="EADDRNOTAVAIL")
     client.close()
-    # As many as one round of both releases has requests, and those of discovery.
+    # The requests of one round of both releases, and those of the discovery client.
     faults.wait_for_injected("connect", 12)
     assert not rig.engines["r1"].sequence_ids(b"DELETE")
     faults.set()
@@ -57,7 +57,7 @@
 def test_an_at_most_once_request_survives_a_local_error_of_connect(
     rig: SocketRig, faults: FaultControlFile, name: str
 ) -> None:
-    """It has not run, and the failure is not attributed to an engine."""
+    """The request has not been executed, and the failure is not attributed to an engine."""
     node = rig.start("w1 w2", argv=faults.argv())
     faults.set(connect=name)
     client = Client(node.address).send(chat_request("a1", traffic="post"))
@@ -106,7 +106,7 @@
 
 
 def test_a_log_on_a_full_device_delays_no_answer_and_no_list_change(rig: SocketRig) -> None:
-    """The device is full when the node opens and when discovery fails."""
+    """Writes to the log fail when the node starts to accept clients and when discovery fails."""
     with Path("/dev/full").open("wb") as full:
         node = rig.start("w1", stdout=full.fileno())
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
@@ -119,13 +119,13 @@
 
 
 @pytest.fixture(name="full_pipe")
-def undrained_pipe() -> Iterator[int]:
-    """Return the writing end of a small pipe that is not read."""
-    reading, writing = os.pipe()
-    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
-    yield writing
-    os.close(reading)
-    os.close(writing)
+def unread_pipe() -> Iterator[int]:
+    """Yield the write end of a small pipe that is not read."""
+    read_end, write_end = os.pipe()
+    fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
+    yield write_end
+    os.close(read_end)
+    os.close(write_end)
 
 
 def test_a_log_pipe_that_is_not_read_delays_no_answer(rig: SocketRig, full_pipe: int) -> None:
@@ -141,10 +141,10 @@
 
 
 def test_a_log_pipe_without_a_reader_delays_no_answer(rig: SocketRig) -> None:
-    reading, writing = os.pipe()
-    os.close(reading)
-    node = rig.start("w1", stdout=writing)
-    os.close(writing)
+    read_end, write_end = os.pipe()
+    os.close(read_end)
+    node = rig.start("w1", stdout=write_end)
+    os.close(write_end)
     assert Client(node.address).send(chat_request("a1")).read_status() == 200
     node.signal("TERM")
     assert node.exit_code() == 0
@@ -153,7 +153,7 @@
 def test_the_time_of_a_request_includes_its_wait_to_be_accepted(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
-    """Found by the fault soak: accept() failed, and engines were sent the client's whole time."""
+    """Found by the fault soak: after failures of accept(), engines were sent the client's full time."""
     node = rig.start("w1", argv=faults.argv())
     faults.set(accept="ENFILE")
     client = Client(node.address).send(chat_request("a1", remaining_ms=4000))
@@ -163,7 +163,7 @@
     assert client.read_status() == 200
     assert int(rig.engines["w1"].next_request(b"POST").headers[b"x-remaining-ms"]) <= 3150
     client.close()
-    # A later client has not waited.
+    # A later client did not have to wait.
     assert Client(node.address).send(chat_request("a2", remaining_ms=4000)).read_status() == 200
     assert int(rig.engines["w1"].next_request(b"POST").headers[b"x-remaining-ms"]) >= 3500
 
@@ -171,13 +171,13 @@
 def test_a_client_that_cannot_be_accepted_as_the_port_closes_is_answered_later(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
-    """Found by the fault soak: accept() failed during a shutdown, and the port closed over its queue."""
+    """Found by the fault soak: accept() failed during a shutdown, and queued connections were dropped."""
     node = rig.start("w1", argv=faults.argv())
     faults.set(accept="ENFILE")
     client = Client(node.address).send(chat_request("a1", remaining_ms=4000))
     faults.wait_for_injected("accept", 1)
     node.signal("TERM")
-    let_time_pass(0.7)  # longer than the port stays open without such a fault
+    let_time_pass(0.7)  # longer than the port stays open without the fault
     assert node.exit_code(timeout=0.0) is None
     faults.set()
     assert client.read_status() == 200
@@ -188,10 +188,10 @@
 def test_bytes_that_are_read_late_count_from_when_they_were_in_the_system(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
-    """Found by the fault soak: a request waited to be accepted, and then each read returned few bytes.
+    """Found by the fault soak: a connection was accepted late, and then each read returned few bytes.
 
-    Its first bytes counted from the wait, its last one from when it was read, so engines were sent more time
-    than the client had left.
+    The wait was counted for the first bytes of the request but not for its last one, so engines were sent
+    more time than the client had left.
     """
     node = rig.start("w1", argv=faults.argv())
     faults.set(accept="ENFILE")
@@ -207,7 +207,7 @@
 def test_a_node_starts_after_sockets_briefly_could_not_be_created(
     rig: SocketRig, faults: FaultControlFile
 ) -> None:
-    """Found by the fault soak: a node that was restarted at such a moment exited."""
+    """Found by the fault soak: a node that was restarted during such a failure exited."""
     rig.start("w1")
     faults.set(socket="ENFILE")
     node = rig.start_relay(argv=faults.argv())
--- a/tests/relay/test_relay_races.py
+++ b/tests/relay/test_relay_races.py
@@ -1,4 +1,4 @@
-"""Races in the relay on real sockets: each test forces two events to cross, and names them."""
+"""Races in the relay on real sockets; each test forces two events to overlap."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 def test_a_disconnect_behind_a_flood_of_bytes_is_noticed(rig: SocketRig) -> None:
-    """Its FIN arrives behind bytes that are buffered for an open request."""
+    """The client's FIN arrives behind bytes that are buffered while its request is open."""
     node = rig.start("w1 w2")
     rig.discovery.change_health(w1="leaving", w2="leaving")
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w2", engine_state="draining")
@@ -42,13 +42,13 @@
 
 
 def test_a_client_that_left_while_the_node_was_stopped_gets_no_attempt(rig: SocketRig) -> None:
-    """Its request and its FIN wait in the kernel together, and an idle connection could be reused at once."""
+    """Requests and FINs wait in the kernel together, and an idle connection to the engine could be reused."""
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0"))
     first.read_until(LAST_CHUNK)
     node.suspend()
-    gone = [Client(node.address).send(chat_request(f"b{i}")) for i in range(8)]
-    for client in gone:
+    departed = [Client(node.address).send(chat_request(f"b{i}")) for i in range(8)]
+    for client in departed:
         client.close()
     let_time_pass(0.2)
     node.resume()
@@ -59,7 +59,7 @@
 
 
 def test_an_engine_that_drains_between_a_decision_and_its_first_byte_gets_nothing(rig: SocketRig) -> None:
-    """Its draining notice, older than the grace period, waits in the kernel together with a request."""
+    """A draining notice older than the grace period waits in the kernel together with a request."""
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a0"))
     client.read_until(LAST_CHUNK)
@@ -73,21 +73,21 @@
 
 
 def test_a_deadline_that_passed_while_the_node_was_stopped_is_answered_at_once(rig: SocketRig) -> None:
-    """The deadline passes while the process is stopped."""
+    """The deadline of a sent attempt passes while the process is suspended."""
     node = rig.start("w1")
     rig.engines["w1"].script = never_respond
     client = Client(node.address).send(chat_request("a1", remaining_ms=600))
     rig.engines["w1"].next_request(b"POST")
     node.suspend()
     let_time_pass(0.8)
-    at = time.monotonic()
+    resumed_at = time.monotonic()
     node.resume()
     assert client.read_status() == 503
-    assert time.monotonic() - at < 0.5  # the client gives up 0.5 s after its deadline
+    assert time.monotonic() - resumed_at < 0.5  # a client gives up 0.5 s after its deadline
 
 
 def test_a_client_that_still_sends_can_read_the_last_response(rig: SocketRig) -> None:
-    """There are unread bytes, and more arrive, while the connection is closed."""
+    """There are unread bytes when the node closes the connection, and more arrive afterwards."""
     node = rig.start("w1")
     client = Client(node.address)
     node.suspend()
@@ -99,34 +99,34 @@
     client.send(b"x" * 100_000)
     assert client.read_rest(keep_open=True) == b""  # a FIN, not a reset
     client.send(b"x" * 1000)
-    assert client.socket_error() == 0  # no reset afterwards either (SO_ERROR)
+    assert client.socket_error() == 0  # no reset afterwards (SO_ERROR)
 
 
 def test_a_request_on_a_draining_connection_is_never_forwarded(rig: SocketRig) -> None:
-    """It is sent after the client has read the node's FIN on an unused connection."""
+    """The client sends it after reading the node's FIN on an idle connection."""
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a1"))
     client.read_until(LAST_CHUNK)
     node.signal("TERM")
     assert client.read_rest(keep_open=True) == b""
     client.send(chat_request("a2"))
-    assert client.socket_error() == 0  # no reset, so that earlier responses stay readable
+    assert client.socket_error() == 0  # no reset, so earlier responses can still be read
     client.close()
     node.assert_clean_exit()
     assert rig.engines["w1"].sequence_ids() == ["a1"]
 
 
 def test_lingering_connections_count_and_close(rig: SocketRig) -> None:
-    """Rejected clients keep their side open, as many as there are descriptors."""
+    """Rejected clients keep their side of the connection open, more than there are descriptors."""
     node = rig.start("w1", descriptors=128)
     base = node.descriptor_count()
-    bad = []
+    rejected = []
     for _ in range(200):
-        bad.append(Client(node.address).send(b"nonsense\r\n\r\n"))
-        assert bad[-1].read_status() == 400
+        rejected.append(Client(node.address).send(b"nonsense\r\n\r\n"))
+        assert rejected[-1].read_status() == 400
         assert node.descriptor_count() <= 128
-    good = Client(node.address).send(chat_request("a1"))
-    assert good.read_status() == 200
+    valid_client = Client(node.address).send(chat_request("a1"))
+    assert valid_client.read_status() == 200
     wait_for_file(
         lambda: f"/proc/{node.process.pid}/limits", lambda text: node.descriptor_count() <= base + 3
     )
@@ -135,7 +135,7 @@
 
 
 def test_an_at_most_once_request_whose_last_byte_left_is_not_retried(rig: SocketRig) -> None:
-    """The engine has read the complete request, and resets the connection without a response."""
+    """The engine reads the complete request and resets the connection without a response."""
     node = rig.start("w1 w2")
     for name in ("w1", "w2"):
         rig.engines[name].script = lambda connection, request: connection.reset()
@@ -145,7 +145,7 @@
 
 
 def test_a_late_second_response_is_never_the_next_requests_response(rig: SocketRig) -> None:
-    """It arrives on an idle connection in the same reactor turn as the next request."""
+    """A second response arrives on an idle connection in the same reactor turn as the next request."""
     node = rig.start("w1")
     first = Client(node.address).send(chat_request("a0"))
     first.read_until(LAST_CHUNK)
@@ -174,7 +174,7 @@
     base, memory = node.descriptor_count(), node.memory_mb()
     chunked = chat_request().partition(b"Content-Length")[0] + b"Transfer-Encoding: chunked\r\n\r\n"
     deep = b'{"messages":' + b"[" * 60_000
-    kinds = {
+    status_by_data = {
         b"nonsense\r\n\r\n": 400,
         chat_request(body=b"[" * 60_000): 400,
         chat_request(body=deep): 400,
@@ -184,14 +184,14 @@
         b"POST /v1/ch": 408,
     }
     for _ in range(4):
-        crowd = [(Client(node.address).send(data), status) for data, status in kinds.items()]
-        good = Client(node.address).send(chat_request(f"a{time.monotonic()}"))
-        assert good.read_status() == 200
-        for client, status in crowd:
+        bad_clients = [(Client(node.address).send(data), status) for data, status in status_by_data.items()]
+        valid_client = Client(node.address).send(chat_request(f"a{time.monotonic()}"))
+        assert valid_client.read_status() == 200
+        for client, status in bad_clients:
             assert client.read_status() == status
             client.close()
-        good.close()
+        valid_client.close()
     wait_for_file(lambda: "/proc/self/stat", lambda text: node.descriptor_count() <= base + 2)
-    assert node.memory_mb() < memory + 12.0  # the memory of all rejected requests is freed
+    assert node.memory_mb() < memory + 12.0  # memory of rejected requests is freed
     node.signal("TERM")
     node.assert_clean_exit()
--- a/tests/relay/test_relay_releases.py
+++ b/tests/relay/test_relay_releases.py
@@ -26,13 +26,13 @@
     rig = RelayRig()
     rig.engines["w1"].script = never_respond
 
-    def answer_the_second(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
+    def confirm_second_release(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
         if head.method == b"POST":
             connection.send(READ_RESPONSE)
         elif len(rig.engines["r1"].released_paths()) > 1:
             connection.send(RELEASE_RESPONSE)
 
-    rig.engines["r1"].script = answer_the_second
+    rig.engines["r1"].script = confirm_second_release
     client = rig.request("a1", LONG_PROMPT)
     client.transport.loseConnection()
     rig.run(0.2)
@@ -51,7 +51,7 @@
 
 
 def test_a_state_whose_reader_has_ended_is_released_through_another_engine() -> None:
-    """Seen in a run with replaced engines: the reader ended before the writer fetched its state."""
+    """Seen in a run that replaced engines: a reader exited before a writer had fetched its state."""
     rig = RelayRig("r1 w1 w2")
     for name in ("w1", "w2"):
         rig.engines[name].script = never_respond
@@ -64,42 +64,42 @@
 
 
 def test_a_state_behind_a_partition_is_released_through_the_engine_of_latest_contact() -> None:
-    """Seen in split+brink: the reader and the next three engines of the list were behind the partition."""
-    for heard in ("w2", "w5", "w6"):
+    """Seen in split+brink: the reader and the next three engines of the list were partitioned off."""
+    for reachable in ("w2", "w5", "w6"):
         rig = RelayRig("r1 w1 w2 w3 w4 w5 w6")
         for peer in rig.engines.values():
             if peer is not rig.engines["r1"]:
                 peer.script = never_respond
         client = rig.request("a1", LONG_PROMPT)
         rig.run(0.2)
-        rig.engines[heard].script = rig.default_script
+        rig.engines[reachable].script = rig.default_script
         for other in rig.engines:
-            if other != heard:
+            if other != reachable:
                 rig.net.silent.add(f"{other}:1")
         count = 0
         while not any(
             request.headers.get(b"x-txn", b"").startswith(b"b")
-            for request in rig.engines[heard].chat_requests()
+            for request in rig.engines[reachable].chat_requests()
         ):
             rig.request(f"b{count}", 50, remaining_ms=4000)
             count += 1
             assert count < 100
         client.transport.loseConnection()
         rig.run(0.4)
-        assert b"/state/a1" in rig.engines[heard].released_paths(), heard
+        assert b"/state/a1" in rig.engines[reachable].released_paths(), reachable
 
 
 def test_a_release_unanswered_before_the_next_attempt_is_sent_again_at_the_end() -> None:
-    """A state is released for lack of a writer, its reader does not respond, and a second read follows."""
+    """A state is released for lack of a writer, the reader does not respond, and a second read follows."""
     rig = RelayRig("r1 w1")
-    answers_releases = [False]
+    confirms_releases = [False]
 
     def read(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
         if head.method == b"POST":
             if len(rig.engines["r1"].chat_requests()) == 1:
                 rig.update_list(w1=rig.entry("w1", "leaving"))
             connection.send(READ_RESPONSE)
-        elif answers_releases[0]:
+        elif confirms_releases[0]:
             connection.send(RELEASE_RESPONSE)
 
     rig.engines["w1"].script = lambda connection, head, body: None
@@ -108,19 +108,19 @@
     while not rig.engines["r1"].released_paths():
         rig.run(0.01)
     rig.update_list(w1=rig.entry("w1"))
-    rig.run(0.5)  # the write is outstanding, which holds the release back
+    rig.run(0.5)  # the release waits for the outstanding write
     rig.engines["w1"].chat_requests()[0].connection.send(COMPLETE_STREAM)
     rig.run(0.01)
     assert client.statuses == [200] and len(rig.engines["r1"].chat_requests()) == 2
     count = len(rig.engines["r1"].released_paths())
-    answers_releases[0] = True
+    confirms_releases[0] = True
     rig.run(1.0)
     assert len(rig.engines["r1"].released_paths()) > count
     assert not rig.node.engine_client.releaser.is_busy() and not rig.node.executor.in_flight
 
 
 def test_a_state_that_a_cut_off_reader_stores_late_is_released_once_it_can_be_reached() -> None:
-    """The cancel of a read does not arrive either; another engine answers the releases meanwhile."""
+    """The cancel of the read does not arrive either, and another engine confirms the releases meanwhile."""
     rig = RelayRig("r1 w1")
     rig.engines["r1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
@@ -137,11 +137,11 @@
     assert b"/state/a1" in rig.engines["r1"].released_paths()
     count = len(rig.engines["r1"].requests)
     rig.run(2.0)
-    assert len(rig.engines["r1"].requests) == count  # its answer ends the releases
+    assert len(rig.engines["r1"].requests) == count  # the response of the reader ends the releases
 
 
 def test_the_check_of_an_engine_that_never_answers_keeps_no_connection() -> None:
-    """The engine stays silent with no error, so only the node can end the request of the check."""
+    """The engine never responds and the connection has no error, so the node must cancel the request."""
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = lambda connection, head, body: None
     rig.request("a1", LONG_PROMPT, remaining_ms=1000)
@@ -151,8 +151,8 @@
     assert all(connection.lost for connection in rig.engines["w1"].connections)
 
 
-def engines_that_refuse(rig: RelayRig, *names: str) -> dict[str, object]:
-    """Make these engines refuse all connections; return their hosts, to be restored later."""
+def refuse_connections(rig: RelayRig, *names: str) -> dict[str, object]:
+    """Make engines refuse all connections; return their peers by address, to restore them later."""
     hosts = {f"{name}:1": rig.net.hosts[f"{name}:1"] for name in names}
     for host in hosts:
         rig.net.kill(host)
@@ -160,12 +160,12 @@
 
 
 def test_a_release_that_all_engines_reject_for_a_moment_is_sent_again() -> None:
-    """The client disconnects while all engines restart and refuse each connection at once."""
+    """The client disconnects while all engines restart and refuse connections."""
     rig = RelayRig("r1 w1")
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
     rig.run(0.1)
-    hosts = engines_that_refuse(rig, "r1", "w1")
+    hosts = refuse_connections(rig, "r1", "w1")
     client.transport.loseConnection()
     rig.run(1.5)
     assert not rig.engines["r1"].released_paths() and rig.node.engine_client.releaser.is_busy()
@@ -182,11 +182,11 @@
     client = rig.request("a1", LONG_PROMPT)
     rig.run(0.1)
     rig.node.pool.close_idle("r1")
-    most, rig.node.pool.max_connections = rig.node.pool.max_connections, 0
+    limit, rig.node.pool.max_connections = rig.node.pool.max_connections, 0
     client.transport.loseConnection()
     rig.run(1.0)
     assert not rig.engines["r1"].released_paths()
-    rig.node.pool.max_connections = most
+    rig.node.pool.max_connections = limit
     rig.run(2.0)
     assert b"/state/a1" in rig.engines["r1"].released_paths()
 
@@ -196,7 +196,7 @@
     rig.engines["w1"].script = never_respond
     client = rig.request("a1", LONG_PROMPT)
     rig.run(0.1)
-    engines_that_refuse(rig, "r1", "w1")
+    refuse_connections(rig, "r1", "w1")
     client.transport.loseConnection()
     rig.run(9.0)
     assert rig.node.engine_client.releaser.is_busy()
@@ -210,18 +210,18 @@
     for number in range(4):
         rig.request(f"a{number}")
     rig.run(0.1)
-    for pipe in rig.net.pipes:  # idle connections to writers are cut off without an error
+    for pipe in rig.net.pipes:  # cut off the idle connections to writers without an error
         pipe.stalled = pipe.host == "client" and pipe.other.host in ("w1:1", "w2:1")
     dialer = rig.net.dialer
 
     def cut_off_dialer(address: str, who: str = "client") -> Dial:
-        """Let all new connections to writers fail after 0.25 s."""
+        """Make new connections to writers fail after 0.25 s."""
         if address[0] != "w":
             return dialer(address, who)
         return lambda factory: task.deferLater(rig.clock, 0.25, Failure(ConnectError()).raiseException)
 
     rig.net.dialer = cut_off_dialer
     rig.request("b", LONG_PROMPT)
-    rig.run(0.8)  # LetGoByMs of the settings, and 0.3 s
+    rig.run(0.8)  # LetGoByMs of the settings plus 0.3 s
     assert rig.engines["r1"].chat_requests()
     assert b"/state/b" in rig.engines["r1"].released_paths()
