--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -1,20 +1,20 @@
-"""One entry of the endpoint list, in the form that all sources share.
+"""The interface of an entry of the endpoint list, which all sources of the list share.
 
-The module imports no other part of the program, so that the relay can use it without the node's settings.
+The module imports no other module of the program, so that the relay can use it without the node's settings.
 """
 
 from enum import StrEnum
 from typing import Protocol, Self, TypeVar
 
-# The fields of an endpoint from address to model, in the order of `EndpointConfig.FIELD_NAMES`.
+# The field values of an endpoint, in the order of `EndpointConfig.FIELD_NAMES`.
 EndpointFields = tuple[str, str, str, int, float, str, float, str]
 
 
 class EndpointState(StrEnum):
-    """The states that a list gives to an endpoint.
+    """The states that an endpoint can have in a list.
 
-    An endpoint's `state` field is the plain string (`.value`), not the enum member: digests of endpoints are
-    computed from the `repr` of their fields, which differs between a member and its value.
+    The `state` field of an endpoint is the plain string (`.value`), not the enum member: the digest of a list
+    is computed from the `repr` of the fields, which differs between a member and its value.
     """
 
     SERVING = "serving"
@@ -31,7 +31,7 @@
 
     @property
     def kind(self) -> str:
-        """The name of the engine kind, which determines what the engine can run."""
+        """The name of the engine kind, which determines the tasks that the engine can run."""
 
     @property
     def zone(self) -> str:
@@ -47,7 +47,7 @@
 
     @property
     def weight(self) -> float:
-        """The engine's load relative to that of others of its kind; 0 drains the engine."""
+        """The engine's share of the load relative to other engines of its kind; 0 drains the engine."""
 
     @property
     def state(self) -> str:
@@ -55,7 +55,7 @@
 
     @property
     def field_values(self) -> EndpointFields:
-        """All fields, in the order of `EndpointFields`."""
+        """The values of all fields, in the order of `EndpointFields`."""
 
     def with_fields(self, **fields: object) -> Self:
         """Return a copy with some fields replaced."""
@@ -65,17 +65,17 @@
 
 
 def is_serving(endpoint: Endpoint) -> bool:
-    """Return whether the endpoint's state is serving; its weight may be 0."""
+    """Return whether the endpoint is in the serving state; its weight may be 0."""
     return endpoint.state == EndpointState.SERVING
 
 
 def is_draining(endpoint: Endpoint) -> bool:
-    """Return whether the endpoint's state is draining, in which it gets no new attempts."""
+    """Return whether the endpoint is in the draining state, in which it receives no new attempts."""
     return endpoint.state == EndpointState.DRAINING
 
 
 def is_removed(endpoint: Endpoint) -> bool:
-    """Return whether the list names the endpoint only to remove it."""
+    """Return whether the endpoint is listed only to be removed."""
     return endpoint.state == EndpointState.GONE
 
 
@@ -87,7 +87,7 @@
 
 
 def with_effective_state(endpoint: EndpointT) -> EndpointT:
-    """Return the endpoint with its state for the router: a serving endpoint of weight 0 becomes draining."""
+    """Return the endpoint in the state that the router uses: a serving endpoint of weight 0 is draining."""
     if endpoint.weight == 0.0 and is_serving(endpoint):
         return as_draining(endpoint)
     return endpoint
--- a/myrtlehub/membership/endpoint_source.py
+++ b/myrtlehub/membership/endpoint_source.py
@@ -1,6 +1,6 @@
 """Sources of the endpoint list: their common interface, and the source of a static or pushed list.
 
-A source only sends updates to its listener. The listener decides how a change affects sequences in flight
+A source only sends updates to its listener. The listener decides how a change affects in-flight sequences
 (`node.router_driver`).
 """
 
@@ -23,9 +23,9 @@
 
     Attributes:
         endpoints: all endpoints, or those that changed; removed ones are in state `gone`.
-        is_complete: whether `endpoints` is the complete list, so that all others are removed.
-        version: the version of the list after the update. None if the source does not number versions; then
-            the listener numbers them.
+        is_complete: whether `endpoints` is the complete list, so that all other endpoints are removed.
+        version: the version of the list after the update. None if the source does not number its versions;
+            the listener then numbers them.
     """
 
     endpoints: list[EndpointConfig]
@@ -37,14 +37,14 @@
 
 
 def ignore_update(update: EndpointListUpdate) -> None:
-    """Discard the update. This is the listener of a source until `follow` is called."""
+    """Discard the update. Sources use this listener until `follow` is called."""
 
 
 class EndpointSource(Protocol):
-    """A source of the endpoint list, as the node uses it."""
+    """The interface of a source of the endpoint list."""
 
     def follow(self, listener: EndpointListener) -> None:
-        """Send the complete list to the listener as soon as it is known, and then each change."""
+        """Set the listener, and send it the complete list as soon as it is known, and then each change."""
 
     def republish(self) -> None:
         """Send the complete list to the listener again."""
@@ -53,7 +53,7 @@
         """Return the current list.
 
         Args:
-            replacement: the endpoints of new settings, which first replace a static list; None: no change.
+            replacement: the endpoints of new settings, which replace a static list first. None: no change.
         """
 
 
@@ -65,7 +65,7 @@
         self._listener: EndpointListener = ignore_update
 
     def follow(self, listener: EndpointListener) -> None:
-        """Send the complete list to the listener now, and then each pushed change."""
+        """Set the listener, and send it the complete list now, and then each pushed change."""
         self._listener = listener
         self.republish()
 
@@ -74,7 +74,7 @@
         self._listener(EndpointListUpdate(list(self._endpoints.values()), is_complete=True))
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Replace the list by `replacement` unless that is None, and return the current list."""
+        """Replace the list with `replacement` unless it is None, and return the current list."""
         if replacement is not None:
             self._endpoints = {endpoint.address: endpoint for endpoint in replacement}
         return list(self._endpoints.values())
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -1,7 +1,7 @@
-"""A source of the endpoint list that follows watched files.
+"""The source of an endpoint list that is read from watched files.
 
-A snapshot is used only if no file was being written meanwhile. This is assumed if all files parse, two
-consecutive snapshots have the same bytes, and no change was detected for the quiet time between them.
+A snapshot is used only if no file was being written while it was read. This is assumed if all files parse,
+two consecutive snapshots have the same bytes, and no change was detected for the quiet time between them.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -32,11 +32,11 @@
 from myrtlehub.membership.version_saver import VersionSaver
 from myrtlehub.membership.version_store import StoredVersion, VersionStore
 
-SOURCE_NAME = "files"  # the `source` of versions and rejections
+SOURCE_NAME = "files"  # `source` of the versions and rejections of this source
 
 
 class SnapshotReader(Protocol):
-    """Reads a snapshot of the files, either immediately or in the background."""
+    """Reads a snapshot of the files, synchronously or in the background."""
 
     def __call__(
         self,
@@ -49,7 +49,7 @@
         """Read the files and pass the snapshot to `callback`. For the other arguments see `read_snapshot`."""
 
 
-def _read_now(
+def _read_synchronously(
     patterns: Iterable[str],
     base: Path,
     requires_end_mark: bool,
@@ -60,7 +60,7 @@
 
 
 class EndpointWatcher:
-    """A source of the endpoint list that follows files."""
+    """A source of the endpoint list that watches files."""
 
     def __init__(
         self,
@@ -74,18 +74,18 @@
         reader: SnapshotReader | None = None,
         run_in_background: RunInBackground = run_now,
     ) -> None:
-        """Make a watcher; it does nothing until `follow` is called.
+        """Create a watcher, which does nothing until `follow` is called.
 
         Args:
             config: the watched files and the timing.
-            validator: turns valid snapshots into versions.
+            validator: validates snapshots, and turns accepted ones into versions.
             clock: the node's clock.
-            store: preserves accepted versions across restarts; None: versions are not stored.
+            store: preserves accepted versions across restarts. None: versions are not stored.
             log: the node's log.
             notify: sets up change notification by the operating system.
             unresponsive: returns the addresses of endpoints that currently do not respond to this node.
             reader: reads snapshots without blocking the event loop, because a list of thousands of endpoints
-                takes seconds to parse; None: snapshots are read in the event loop.
+                takes seconds to parse. None: snapshots are read in the event loop.
             run_in_background: runs disk operations that may block.
         """
         self.config = config
@@ -93,26 +93,26 @@
         self.clock = clock
         self.log = log
         self.unresponsive = unresponsive
-        self.reader = reader or _read_now
+        self.reader = reader or _read_synchronously
         self._saver = VersionSaver(store, run_in_background, log) if store is not None else None
         self._monitor = FileMonitor(config, clock, notify, self._read)
         self._listener: EndpointListener = ignore_update
-        self._is_busy = False  # between a read request and the result of validation
+        self._is_busy = False  # from a read request until the verdict on its snapshot is handled
         self._must_read_again = False  # a read was requested while the watcher was busy
-        self._last_digest: str | None = None  # digest of the last snapshot's bytes
+        self._last_digest: str | None = None  # of the bytes of the last snapshot
 
     def follow(self, listener: EndpointListener) -> None:
-        """Read the files now, then watch them; if they are missing or invalid, use the stored version."""
+        """Read the files now, then watch them; use the stored version if they are missing or invalid."""
         self._listener = listener
         stored = self._saver.load_latest() if self._saver is not None else None
         if stored is not None:
-            self.validator.last_number = stored.number  # version numbers continue across restarts
+            self.validator.last_number = stored.number  # version numbers keep increasing across restarts
         snapshot = read_snapshot(self.config.patterns, self.config.base, self.config.requires_end_mark)
         self._monitor.record_stamps()
         self._last_digest = snapshot.digest
-        self._act_on(self._validate(snapshot, frozenset()))
+        self._handle_verdict(self._validate(snapshot, frozenset()))
         if self.validator.version is None and stored is not None:
-            self._use_stored(stored)
+            self._use_stored_version(stored)
         self._monitor.start()
 
     def republish(self) -> None:
@@ -121,22 +121,22 @@
             self._publish_complete(self.validator.version)
 
     def endpoints(self, replacement: Sequence[EndpointConfig] | None = None) -> list[EndpointConfig]:
-        """Return the current list. `replacement` is ignored, because only the files can change the list."""
+        """Return the current list. `replacement` is ignored: only the files can change the list."""
         version = self.validator.version
         return list(version.endpoints.values()) if version is not None else []
 
     def stop(self) -> None:
-        """Stop following the files."""
+        """Stop watching the files."""
         self._monitor.stop()
 
     def files_changed(self) -> None:
         """Read the files once they have not changed for the quiet time."""
         self._monitor.files_changed()
 
-    def _use_stored(self, stored: StoredVersion) -> None:
+    def _use_stored_version(self, stored: StoredVersion) -> None:
         source = f"store, version {stored.number} from {stored.source}"
         now = self.clock.seconds()
-        self._act_on(self.validator.validate(now, stored.endpoints, source, is_from_store=True))
+        self._handle_verdict(self.validator.validate(now, stored.endpoints, source, is_from_store=True))
 
     # -- reading ----------------------------------------------------------------------------------
 
@@ -146,28 +146,28 @@
             return
         self._is_busy = True
         config = self.config
-        self.reader(config.patterns, config.base, config.requires_end_mark, self._snapshot_read)
+        self.reader(config.patterns, config.base, config.requires_end_mark, self._handle_snapshot)
 
-    def _snapshot_read(self, snapshot: Snapshot) -> None:
+    def _handle_snapshot(self, snapshot: Snapshot) -> None:
         must_read_again = self._must_read_again
         self._must_read_again = False
         self._is_busy = False
         if snapshot.digest != self._last_digest:
-            # The bytes differ from those of the last snapshot, so a file may be half-written. A second
-            # snapshot after the quiet time has to have the same bytes.
+            # The bytes differ from those of the last snapshot, so a program may still be writing a
+            # file. Only a second snapshot with the same bytes, read after the quiet time, is validated.
             self._last_digest = snapshot.digest
             must_read_again = True
         else:
             self._is_busy = True
             verdict = self._validate(snapshot, self.unresponsive())
-            # Validating and applying a long list both take long, so each has its own turn of the event loop.
-            self.clock.callLater(0, self._validated, verdict)
+            # Validating and applying a long list are both slow, so each has its own event loop iteration.
+            self.clock.callLater(0, self._finish_validation, verdict)
         if must_read_again:
             self._monitor.schedule(self.config.quiet_time)
 
-    def _validated(self, verdict: Verdict) -> None:
+    def _finish_validation(self, verdict: Verdict) -> None:
         self._is_busy = False
-        self._act_on(verdict)
+        self._handle_verdict(verdict)
         self._monitor.update_directories()
         if self._must_read_again:
             self._monitor.schedule(self.config.quiet_time)
@@ -179,8 +179,8 @@
         faults = "; ".join(snapshot.faults)
         if snapshot.is_missing:
             patterns = ", ".join(self.config.patterns)
-            missing = f"no file exists for {patterns}; the last list stays in use"
-            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or missing)
+            missing_files_reason = f"no file matches {patterns}; the current list stays in use"
+            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or missing_files_reason)
         if faults:
             return self.validator.reject(now, SOURCE_NAME, faults)
         return self.validator.validate(
@@ -191,7 +191,7 @@
             digest=snapshot.content_digest,
         )
 
-    def _act_on(self, verdict: Verdict) -> None:
+    def _handle_verdict(self, verdict: Verdict) -> None:
         match verdict:
             case Rejected(reason):
                 self._log_not_accepted(LogEvent.ENDPOINT_LIST_REJECTED, reason)
--- a/myrtlehub/membership/file_notifier.py
+++ b/myrtlehub/membership/file_notifier.py
@@ -1,6 +1,6 @@
-"""Notification of file changes through Twisted's inotify support.
+"""File change notification through Twisted's inotify support.
 
-On a system without inotify there are no notifications, and only polling detects changes.
+On systems without inotify there are no notifications, and only polling detects changes.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,11 +33,11 @@
         mask: int,
         callbacks: Iterable[Callable[[object, FilePath[bytes], int], None]],
     ) -> object:
-        """Call `callbacks` at each event in a directory that `mask` selects."""
+        """Call `callbacks` on each event in a directory that `mask` selects."""
 
 
 def _open_inotify(reactor: IReactorFDSet) -> _Inotify | None:
-    """Return an active inotify instance; None if the system has no inotify or no instance left."""
+    """Return an active inotify instance; None if inotify is missing or its limit of instances is reached."""
     if not HAS_INOTIFY:
         return None
     try:
@@ -50,7 +50,7 @@
 
 
 def _change_mask() -> int:
-    """Return the mask of the events that signal a changed, added or removed file in a directory."""
+    """Return the mask of the events for changed, added and removed files in a directory."""
     return (
         inotify.IN_MODIFY
         | inotify.IN_ATTRIB
@@ -64,30 +64,32 @@
 
 
 class FileNotifier:
-    """Watches directories for files that are added, changed, replaced or removed; one per reactor."""
+    """Watches directories for added, changed, replaced and removed files; one instance per reactor."""
 
     def __init__(self, reactor: IReactorFDSet) -> None:
         self._inotify = _open_inotify(reactor)
         self._watched: set[str] = set()  # directories
 
     def watch(self, directories: list[str], callback: ChangeCallback) -> None:
-        """Call `callback` at each change in these directories; directories of earlier calls stay watched."""
+        """Call `callback` on each change in these directories; directories of earlier calls stay watched."""
         if self._inotify is None:
             return
-        on_event = partial(self._handle_event, callback)
+        event_callback = partial(self._handle_event, callback)
         for directory in directories:
             if directory in self._watched:
                 continue
             try:
-                self._inotify.watch(FilePath(directory.encode()), mask=_change_mask(), callbacks=[on_event])
+                self._inotify.watch(
+                    FilePath(directory.encode()), mask=_change_mask(), callbacks=[event_callback]
+                )
             except (OSError, inotify.INotifyError):
-                continue  # the directory was removed, or the system allows no more watches
+                continue  # the directory was removed, or the limit of watches is reached
             self._watched.add(directory)
 
     def _handle_event(
         self, callback: ChangeCallback, ignored: object, path: FilePath[bytes], event: int
     ) -> None:
         if event & (inotify.IN_DELETE_SELF | inotify.IN_IGNORED):
-            # The watch has ended. If a directory of the same name is created later, it needs a new watch.
+            # The watch has ended; a directory that is created later under the same path needs a new one.
             self._watched.discard(path.path.decode() if isinstance(path.path, bytes) else path.path)
         callback()
