--- a/myrtlehub/membership/reader_process.py
+++ b/myrtlehub/membership/reader_process.py
@@ -1,4 +1,4 @@
-"""The node's side of the reader process: exchanges messages with it, and replaces it if it dies."""
+"""The node's side of the reader process: exchanges messages with the process, and restarts it if it dies."""
 
 import os
 import sys
@@ -15,19 +15,19 @@
 from myrtlehub.membership.reader_worker import LENGTH_BYTES, ReadReply, ReadRequest, encode_message
 from myrtlehub.membership.snapshot import Snapshot
 
-ENDPOINTS_PER_TURN = 250  # endpoints that are constructed per turn of the event loop
-MAX_ATTEMPTS = 3  # processes that may die while they handle a request; then it fails
-MAX_ERROR_OUTPUT = 500  # last bytes of the process's standard error, kept for the fault message
+ENDPOINTS_PER_ITERATION = 250  # endpoints constructed per event loop iteration
+MAX_READ_ATTEMPTS = 3  # a request fails once this many processes died while handling it
+MAX_STDERR_TAIL = 500  # bytes kept from the end of the process's standard error, for the fault message
 WORKER_MODULE = "myrtlehub.membership.reader_worker"
 
 SnapshotCallback = Callable[[Snapshot], None]
 
 
 class ReadInProgressError(RuntimeError):
-    """A snapshot was requested while the previous request had no reply yet."""
+    """A snapshot was requested while the previous request was still pending."""
 
     def __init__(self) -> None:
-        super().__init__("the last request has no reply yet")
+        super().__init__("the previous request has no reply yet")
 
 
 class UnexpectedReplyError(RuntimeError):
@@ -38,7 +38,7 @@
 
 
 class WorkerTransport(Protocol):
-    """The pipes to a reader process: the part of Twisted's `IProcessTransport` that is used here."""
+    """The pipes to a reader process: the methods of Twisted's `IProcessTransport` that are used here."""
 
     def write(self, data: bytes) -> object:
         """Write to the process's standard input."""
@@ -48,7 +48,7 @@
 
 
 class ProcessSpawner(Protocol):
-    """The part of a reactor that starts processes."""
+    """The method of a reactor that starts processes."""
 
     def spawnProcess(  # noqa: N802
         self, protocol: ProcessProtocol, program: str, args: list[str], env: Mapping[str, str]
@@ -57,21 +57,21 @@
 
 
 class PendingRead(NamedTuple):
-    """A request without a reply."""
+    """A request whose reply has not arrived yet."""
 
     request: bytes
     callback: SnapshotCallback
 
 
 class _WorkerProtocol(ProcessProtocol):
-    """Splits the output of one reader process into replies."""
+    """Splits the standard output of one reader process into replies."""
 
     def __init__(self, owner: "ReaderProcess") -> None:
         self._owner = owner
         self._received = bytearray()
 
     def outReceived(self, data: bytes) -> None:  # noqa: N802
-        """Buffer a part of a reply, and deliver the reply once it is complete."""
+        """Buffer the data, and deliver the reply once it is complete."""
         self._received += data
         if len(self._received) < LENGTH_BYTES:
             return
@@ -82,8 +82,8 @@
             self._owner.reply_received(reply)
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        """Keep the end of the process's standard error, which shows why it died."""
-        self._owner.error_output = (self._owner.error_output + data)[-MAX_ERROR_OUTPUT:]
+        """Keep the end of the process's standard error, which may show why it died."""
+        self._owner.stderr_tail = (self._owner.stderr_tail + data)[-MAX_STDERR_TAIL:]
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
         """Notify the owner that the process has ended."""
@@ -102,10 +102,10 @@
 
     def __init__(self, reactor: ProcessSpawner) -> None:
         self.reactor = reactor
-        self.error_output = b""
+        self.stderr_tail = b""
         self._worker: _Worker | None = None
         self._pending: PendingRead | None = None
-        self._failed_attempts = 0  # processes that died while they handled the pending request
+        self._failed_attempts = 0  # processes that died while handling the pending request
         # The endpoints of the last snapshot by address; the next snapshot reuses unchanged ones.
         self._endpoints: dict[str, EndpointConfig] = {}
         self._is_closed = False
@@ -113,7 +113,7 @@
     def read(
         self, patterns: Iterable[str], base: Path, requires_end_mark: bool, callback: SnapshotCallback
     ) -> None:
-        """Request a snapshot, which is passed to `callback` later. For the arguments see `read_snapshot`.
+        """Request a snapshot, which is passed to `callback` later. See `read_snapshot` for the arguments.
 
         Raises:
             ReadInProgressError: the previous request has no reply yet.
@@ -126,13 +126,13 @@
         self._send(self._pending)
 
     def start(self) -> Self:
-        """Start the process now: a fork at the first request would block a node that serves clients."""
-        self._running_worker()
+        """Start the process now, as a fork at the first request would block a node that serves clients."""
+        self._ensure_worker()
         return self
 
-    def _running_worker(self) -> _Worker:
+    def _ensure_worker(self) -> _Worker:
         if self._worker is None:
-            self.error_output = b""
+            self.stderr_tail = b""
             protocol = _WorkerProtocol(self)
             arguments = [sys.executable, "-m", WORKER_MODULE]
             transport = self.reactor.spawnProcess(protocol, sys.executable, arguments, os.environ)
@@ -140,7 +140,7 @@
         return self._worker
 
     def _send(self, pending: PendingRead) -> None:
-        self._running_worker().transport.write(pending.request)
+        self._ensure_worker().transport.write(pending.request)
 
     def reply_received(self, data: bytes) -> None:
         """Decode a complete reply, and pass the snapshot to the callback of the pending request.
@@ -153,18 +153,18 @@
             raise UnexpectedReplyError
         self._pending = None
         reply = msgspec.msgpack.decode(data, type=ReadReply)
-        made = cooperate(self._make_snapshot(reply, pending.callback)).whenDone()
-        made.addErrback(lambda failure: pending.callback(_failed_snapshot(failure.getErrorMessage())))
+        construction = cooperate(self._make_snapshot(reply, pending.callback)).whenDone()
+        construction.addErrback(lambda failure: pending.callback(_failed_snapshot(failure.getErrorMessage())))
 
     def _make_snapshot(self, reply: ReadReply, callback: SnapshotCallback) -> Iterator[None]:
-        """Construct `ENDPOINTS_PER_TURN` endpoints per turn of the event loop, so that no turn takes long."""
+        """Construct `ENDPOINTS_PER_ITERATION` endpoints per event loop iteration, so that none takes long."""
         endpoints = []
         for count, fields in enumerate(reply.endpoints, 1):
             endpoint = self._endpoints.get(fields[0])
             if endpoint is None or endpoint.field_values != fields:
                 endpoint = EndpointConfig.from_values(fields)
             endpoints.append(endpoint)
-            if count % ENDPOINTS_PER_TURN == 0:
+            if count % ENDPOINTS_PER_ITERATION == 0:
                 yield
         self._endpoints = {endpoint.address: endpoint for endpoint in endpoints}
         yield
@@ -180,21 +180,21 @@
         )
 
     def process_ended(self, protocol: _WorkerProtocol) -> None:
-        """Send the pending request to a new process; report a fault after `MAX_ATTEMPTS` processes."""
+        """Send the pending request to a new process; after `MAX_READ_ATTEMPTS` processes, report a fault."""
         if self._worker is None or self._worker.protocol is not protocol:
             return
         self._worker = None
         if self._pending is None or self._is_closed:
             return
         self._failed_attempts += 1
-        if self._failed_attempts < MAX_ATTEMPTS:
+        if self._failed_attempts < MAX_READ_ATTEMPTS:
             self._send(self._pending)
             return
         callback = self._pending.callback
         self._pending = None
-        lines = self.error_output.decode(errors="replace").strip().splitlines()
-        last_line = lines[-1] if lines else "it said nothing"
-        callback(_failed_snapshot(f"the reading process died {MAX_ATTEMPTS} times: {last_line}"))
+        lines = self.stderr_tail.decode(errors="replace").strip().splitlines()
+        last_line = lines[-1] if lines else "no error output"
+        callback(_failed_snapshot(f"the reader process died {MAX_READ_ATTEMPTS} times: {last_line}"))
 
     def close(self) -> None:
         """Close the process's standard input, which makes it exit."""
--- a/myrtlehub/membership/reader_worker.py
+++ b/myrtlehub/membership/reader_worker.py
@@ -1,9 +1,9 @@
 """The reader process, which reads endpoint files: `python -m myrtlehub.membership.reader_worker`.
 
-Parsing the YAML of thousands of endpoints takes seconds of processor time. A thread would compete with the
-event loop for the global interpreter lock: with 200 endpoints, an event loop turn of 61 ms was measured. The
-process reads requests from its standard input and writes replies to its standard output until the input ends.
-Each message is a msgpack array, preceded by its length in four bytes.
+Parsing the YAML of thousands of endpoints takes seconds of CPU time. A thread would compete with the event
+loop for the global interpreter lock: with 200 endpoints, an event loop iteration took up to 61 ms.
+The process reads requests from its standard input and writes replies to its standard output until the input
+ends. Each message is a msgpack array, preceded by its length in four bytes.
 """
 
 import sys
@@ -16,7 +16,7 @@
 from myrtlehub.membership.list_version import content_digest
 from myrtlehub.membership.snapshot import read_snapshot
 
-LENGTH_BYTES = 4  # size of the big-endian length that precedes each message
+LENGTH_BYTES = 4  # size of the big-endian length prefix of each message
 
 
 class ReadRequest(msgspec.Struct, array_like=True):
@@ -28,7 +28,7 @@
 
 
 class ReadReply(msgspec.Struct, array_like=True):
-    """A snapshot. An endpoint is sent as its field values, in the order of `EndpointConfig.FIELD_NAMES`."""
+    """A snapshot, with each endpoint as its field values in the order of `EndpointConfig.FIELD_NAMES`."""
 
     endpoints: list[EndpointFields]
     files: list[str]
@@ -39,7 +39,7 @@
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """Return the bytes of a message, preceded by its length."""
+    """Return the encoded message with its length prefix."""
     data = msgspec.msgpack.encode(message)
     return len(data).to_bytes(LENGTH_BYTES) + data
 
@@ -58,7 +58,7 @@
 
 
 def serve(requests: BinaryIO, replies: BinaryIO) -> None:
-    """Handle requests one after the other until the input ends."""
+    """Handle requests one at a time until the input ends."""
     decode = msgspec.msgpack.Decoder(ReadRequest).decode
     while len(header := requests.read(LENGTH_BYTES)) == LENGTH_BYTES:
         request = decode(requests.read(int.from_bytes(header)))
