--- a/myrtlehub/membership/list_faults.py
+++ b/myrtlehub/membership/list_faults.py
@@ -1,4 +1,4 @@
-"""Faults that make an endpoint list unusable for the router, described for operators."""
+"""Detection of faults for which the router cannot use an endpoint list, described for operators."""
 
 from collections.abc import Iterable
 
@@ -11,15 +11,15 @@
     endpoints: Iterable[EndpointConfig],
     kinds: dict[str, EngineKindConfig],
     zones: Iterable[str],
-    writers_read: bool = True,
+    writers_can_read: bool = True,
 ) -> list[str]:
-    """Return the faults of a complete list, one sentence each; an empty list if the router can use it.
+    """Return a message per fault of a complete list; no messages if the router can use the list.
 
     Args:
         endpoints: the complete list.
         kinds: the engine kinds of the settings, by name.
         zones: the zones of the settings.
-        writers_read: whether writers can read prompts themselves, so that a list may have no readers.
+        writers_can_read: whether writers can read prompts themselves, so that a list needs no readers.
     """
     endpoints = list(endpoints)
     zones = set(zones)
@@ -33,7 +33,9 @@
         for endpoint in endpoints
         if is_serving(endpoint) and endpoint.weight > 0.0 and endpoint.kind in kinds
     ]
-    return faults + _find_missing_tasks(serving, kinds) + _find_missing_roles(serving, kinds, writers_read)
+    return (
+        faults + _find_missing_tasks(serving, kinds) + _find_missing_roles(serving, kinds, writers_can_read)
+    )
 
 
 def _find_endpoint_faults(
@@ -44,17 +46,17 @@
 ) -> list[str]:
     faults = []
     if duplicate is not None:
-        same = "the same" if duplicate == endpoint else "different"
-        faults.append(f"engine {endpoint.address} is listed twice, with {same} figures; keep one")
+        comparison = "the same" if duplicate == endpoint else "different"
+        faults.append(f"engine {endpoint.address} is listed twice, with {comparison} fields; keep one entry")
     if endpoint.kind not in kinds:
         faults.append(
             f"engine {endpoint.address}: kind {endpoint.kind!r} is not among kinds: "
-            f"{', '.join(sorted(kinds))}; mend the name, or add the kind"
+            f"{', '.join(sorted(kinds))}; correct the name, or add the kind"
         )
     if endpoint.zone not in zones:
         faults.append(
             f"engine {endpoint.address}: zone {endpoint.zone!r} is not among zones: "
-            f"{', '.join(sorted(zones))}; mend the name, or add the zone"
+            f"{', '.join(sorted(zones))}; correct the name, or add the zone"
         )
     return faults
 
@@ -65,28 +67,28 @@
         "ranks": {name for name, kind in kinds.items() if kind.ranks},
     }
     return [
-        f"no engine that serves {task}; list at least one"
+        f"no serving engine {task}; list at least one"
         for task, names in capable_kinds.items()
         if names and not any(endpoint.kind in names for endpoint in serving)
     ]
 
 
 def _find_missing_roles(
-    serving: list[EndpointConfig], kinds: dict[str, EngineKindConfig], writers_read: bool
+    serving: list[EndpointConfig], kinds: dict[str, EngineKindConfig], writers_can_read: bool
 ) -> list[str]:
     writer_cells = {endpoint.cell for endpoint in serving if kinds[endpoint.kind].writes}
     reader_cells = {endpoint.cell for endpoint in serving if kinds[endpoint.kind].reads}
-    need_writers = any(kind.writes for kind in kinds.values())
-    need_readers = any(kind.reads for kind in kinds.values())
+    needs_writers = any(kind.writes for kind in kinds.values())
+    needs_readers = any(kind.reads for kind in kinds.values())
     faults = []
-    if not writer_cells and need_writers:
-        faults.append("no engine that serves can write; list at least one")
-    if not reader_cells and not writers_read and need_writers:
-        faults.append("no engine that serves can read, and writers cannot; list at least one")
-    elif not reader_cells and need_readers:
-        faults.append("no engine that serves can read; list at least one reader")
+    if not writer_cells and needs_writers:
+        faults.append("no serving engine can write; list at least one")
+    if not reader_cells and not writers_can_read and needs_writers:
+        faults.append("no serving engine can read, and writers cannot; list at least one")
+    elif not reader_cells and needs_readers:
+        faults.append("no serving engine can read; list at least one reader")
     faults += [
-        f"cell {cell} has readers and no writer; list one, or move the readers"
+        f"cell {cell} has readers and no writer; list a writer, or move the readers"
         for cell in sorted(reader_cells - writer_cells)
     ]
     return faults
--- a/myrtlehub/membership/list_version.py
+++ b/myrtlehub/membership/list_version.py
@@ -11,13 +11,13 @@
 
 
 class ListVersion(NamedTuple):
-    """One complete endpoint list.
+    """A version of the complete endpoint list.
 
     Attributes:
-        number: increases by one with each accepted version, also across restarts.
+        number: the version number, which increases by one with each accepted version, also across restarts.
         endpoints: the endpoints by address, none of them in state `gone`.
-        source: the origin of the list, as logs and the admin service show it.
-        digest: the result of `content_digest`.
+        source: the origin of the list, as the admin service shows it.
+        digest: the `content_digest` of the endpoints.
         accepted_at: seconds on the node's clock.
         is_from_store: whether the version store supplied it because the files were missing or invalid.
     """
@@ -31,14 +31,14 @@
 
 
 class EndpointChange(NamedTuple):
-    """An endpoint of both versions whose fields differ, and not only by its new state of draining."""
+    """An endpoint of both versions whose fields differ, other than only by a change to draining."""
 
     endpoint: EndpointConfig  # with its new fields
     fields: tuple[str, ...]  # names of the fields that differ
 
 
 class ListDifference(NamedTuple):
-    """What changed from one version to the next; each tuple is sorted by address."""
+    """The changes from one version to the next; each tuple is sorted by address."""
 
     added: tuple[EndpointConfig, ...] = ()
     removed: tuple[EndpointConfig, ...] = ()  # as they were in the earlier version
@@ -58,13 +58,13 @@
         ]
 
 
-def _effective(endpoints: Iterable[EndpointConfig]) -> list[EndpointConfig]:
+def _effective_endpoints(endpoints: Iterable[EndpointConfig]) -> list[EndpointConfig]:
     return [with_effective_state(endpoint) for endpoint in endpoints if not is_removed(endpoint)]
 
 
 def content_digest(endpoints: Iterable[EndpointConfig]) -> str:
-    """Return the digest of the endpoints, which does not depend on their order or their files."""
-    fields = sorted(endpoint.field_values for endpoint in _effective(endpoints))
+    """Return the digest of the endpoints, which is independent of their order and their files."""
+    fields = sorted(endpoint.field_values for endpoint in _effective_endpoints(endpoints))
     return xxhash.xxh3_128_hexdigest(repr(fields).encode())
 
 
@@ -76,7 +76,7 @@
     is_from_store: bool = False,
     digest: str | None = None,
 ) -> ListVersion:
-    """Make a version of these endpoints.
+    """Create a version of these endpoints.
 
     Args:
         number: the version's number.
@@ -84,15 +84,15 @@
         source: the origin of the list.
         now: seconds on the node's clock.
         is_from_store: whether the version store supplied the list.
-        digest: the `content_digest` of the endpoints if the caller has it; None: it is computed.
+        digest: the `content_digest` of the endpoints if it is known. None: it is computed.
     """
-    effective = _effective(endpoints)
+    effective = _effective_endpoints(endpoints)
     by_address = Map({endpoint.address: endpoint for endpoint in effective})
     return ListVersion(number, by_address, source, digest or content_digest(effective), now, is_from_store)
 
 
 def compare_versions(before: Map[str, EndpointConfig], after: Map[str, EndpointConfig]) -> ListDifference:
-    """Return the difference, sorted by address so that all nodes apply changes in the same order."""
+    """Return the differences, sorted by address so that all nodes apply changes in the same order."""
     added = []
     draining = []
     changed = []
--- a/myrtlehub/membership/snapshot.py
+++ b/myrtlehub/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of endpoint files: the files, their endpoints, and their faults with line numbers."""
+"""Snapshots of endpoint list files: the files, their endpoints, and their faults with line numbers."""
 
 from collections.abc import Iterable
 from glob import glob
@@ -11,7 +11,7 @@
 from myrtlehub.config.loader import ConfigError, parse_config
 
 MAX_FILES = 1000
-SUFFIXES = (".yaml", ".yml")  # of the files that are read if a pattern is a directory
+LIST_FILE_SUFFIXES = (".yaml", ".yml")  # of the files that are read from a directory
 GLOB_CHARACTERS = "*?["
 
 
@@ -19,13 +19,13 @@
     """The result of reading all files once.
 
     Attributes:
-        endpoints: the endpoints that the files list; must not be used if there are faults.
+        endpoints: the endpoints that the files list; not to be used if there are faults.
         files: the real paths of the files.
-        faults: a line of text per fault, for operators, with file and line number.
-        digest: the digest of the bytes of all files, valid or not; equal if no file was written between two
-            snapshots. None if reading failed altogether.
+        faults: one message per fault for operators, with file and line number.
+        digest: the digest of the bytes of all files, valid or not; two snapshots have the same digest if no
+            file was changed between them. None if the reader process failed.
         is_missing: whether no file exists.
-        content_digest: the digest of the endpoints if the reader has computed it; see `list_version`.
+        content_digest: the digest of the endpoints if the reader process has computed it; see `list_version`.
     """
 
     endpoints: tuple[EndpointConfig, ...]
@@ -37,13 +37,13 @@
 
 
 class FileStamp(NamedTuple):
-    """The metadata of a file by which a poll detects changes without reading the file."""
+    """The metadata of a file, with which a poll detects changes without reading the file."""
 
     path: str
     inode: int = 0
     size: int = 0  # bytes
     modified_ns: int = 0
-    changed_ns: int = 0  # inode change time: advances even if a program sets the modification time back
+    changed_ns: int = 0  # inode change time, which advances even if the modification time is set back
     error: int | None = None  # the errno if stat() failed; then the other numbers are 0
 
 
@@ -63,26 +63,28 @@
 
 def expand_patterns(patterns: Iterable[str], base: Path) -> list[str]:
     """Return the files that match paths, globs and directories, in order and without duplicates."""
-    found: dict[str, None] = {}
+    paths: dict[str, None] = {}
     for pattern in patterns:
-        found.update(dict.fromkeys(_expand_pattern(pattern, base)))
-    return list(found)
+        paths.update(dict.fromkeys(_expand_pattern(pattern, base)))
+    return list(paths)
 
 
 def _expand_pattern(pattern: str, base: Path) -> list[str]:
     path = base / pattern
     if path.is_dir():
         files = path.iterdir()
-        return sorted(str(file) for file in files if file.suffix in SUFFIXES and file.name[0] != ".")
+        return sorted(
+            str(file) for file in files if file.suffix in LIST_FILE_SUFFIXES and file.name[0] != "."
+        )
     if any(character in pattern for character in GLOB_CHARACTERS):
         return sorted(glob(str(path)))  # noqa: PTH207 - Path.glob would match hidden names too
     return [str(path)]
 
 
 def stamp_files(patterns: Iterable[str], base: Path) -> tuple[FileStamp, ...]:
-    """Return a stamp of each file.
+    """Return the stamp of each file.
 
-    Polls compare stamps for equality, not by time: a new file may have an older modification time.
+    Polls compare stamps for equality, because a changed file may have an older modification time.
     """
     return tuple(_stamp_file(path) for path in expand_patterns(patterns, base))
 
@@ -101,14 +103,14 @@
     Args:
         patterns: paths, globs and directories.
         base: the directory that relative patterns are resolved against.
-        requires_end_mark: whether a file without the line `end: yes` has a fault, as it may be incomplete.
+        requires_end_mark: whether a file without the line `end: yes` is faulty, as it may be incomplete.
     """
-    reader = _SnapshotReader(requires_end_mark)
-    reader.read(expand_patterns(patterns, base))
-    return reader.snapshot()
+    builder = _SnapshotBuilder(requires_end_mark)
+    builder.read(expand_patterns(patterns, base))
+    return builder.build()
 
 
-class _SnapshotReader:
+class _SnapshotBuilder:
     """Reads files depth first, and collects their endpoints and faults."""
 
     def __init__(self, requires_end_mark: bool) -> None:
@@ -128,19 +130,19 @@
             real_path = str(Path(file.path).resolve())
             if real_path in file.included_by:
                 self._faults.append(
-                    f"{file.path}:1: include: includes itself by way of {file.included_by[-1]}; "
-                    "break the circle"
+                    f"{file.path}:1: include: circular include through {file.included_by[-1]}; "
+                    "remove one of the includes"
                 )
                 continue
             if real_path in self._visited:
                 continue
             self._visited[real_path] = None
             if len(self._visited) > MAX_FILES:
-                self._faults.append(f"{file.path}:1: more than {MAX_FILES} files; is a glob too wide?")
+                self._faults.append(f"{file.path}:1: more than {MAX_FILES} files; is a pattern too broad?")
                 break
             self._read_file(file, real_path)
 
-    def snapshot(self) -> Snapshot:
+    def build(self) -> Snapshot:
         return Snapshot(
             tuple(self._endpoints),
             tuple(self._visited),
@@ -173,25 +175,29 @@
         try:
             content = parse_config(data.decode(), EndpointFile, path)
         except UnicodeDecodeError:
-            self._faults.append(f"{path}:1: not UTF-8 text; is it complete?")
+            self._faults.append(f"{path}:1: not UTF-8 text; the file may be incomplete")
             return None
-        except ConfigError as fault:
-            self._faults.extend(fault.lines)
+        except ConfigError as error:
+            self._faults.extend(error.lines)
             return None
         if self._requires_end_mark and not content.end:
             last_line = data.count(b"\n") + 1
             self._faults.append(
-                f"{path}:{last_line}: end: missing; write the complete file, with end: yes last"
+                f"{path}:{last_line}: end: missing; write the complete file, with end: yes as the last line"
             )
             return None
         return content
 
     def _add_endpoint(self, path: str, endpoint: EndpointConfig) -> None:
         address = endpoint.address
-        other = self._listed.get(address)
-        if other is not None and other.endpoint != endpoint:
-            self._faults.append(f"{path}:1: engine {address} has other figures in {other.path}; keep one")
-        elif other is not None:
-            self._faults.append(f"{path}:1: engine {address} is in {other.path} too; keep one")
+        earlier = self._listed.get(address)
+        if earlier is not None and earlier.endpoint != endpoint:
+            self._faults.append(
+                f"{path}:1: engine {address} has different fields in {earlier.path}; keep one entry"
+            )
+        elif earlier is not None:
+            self._faults.append(
+                f"{path}:1: engine {address} is also listed in {earlier.path}; keep one entry"
+            )
         self._listed[address] = ListedEndpoint(path, endpoint)
         self._endpoints.append(endpoint)
--- a/myrtlehub/membership/validation.py
+++ b/myrtlehub/membership/validation.py
@@ -1,8 +1,8 @@
 """List validation: whether a snapshot becomes the next version of the endpoint list.
 
-The validator checks in this order whether the router can use the snapshot, whether endpoints flap, whether
+The validator checks, in this order, whether the router can use the snapshot, whether endpoints flap, whether
 the snapshot removes too many endpoints at once, and, if so, whether a second snapshot has confirmed the
-removal. Its decisions depend only on its input, including the times, and the caller carries them out.
+removal. Its decisions depend only on its input, including the times, and are carried out by the caller.
 """
 
 from collections import deque
@@ -16,8 +16,8 @@
 from myrtlehub.membership.list_faults import find_list_faults
 from myrtlehub.membership.list_version import ListDifference, ListVersion, compare_versions, make_version
 
-MAX_REJECTIONS = 20  # latest rejections that are kept for the admin service
-ANY_REMOVED = 1.0  # the value of `max_removed` that switches confirmation of removals off
+MAX_REJECTIONS = 20  # latest rejections, kept for the admin service
+ANY_REMOVED = 1.0  # value of `max_removed` that disables the confirmation of removals
 TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early because of rounding
 
 
@@ -27,10 +27,10 @@
     Attributes:
         max_removed: the fraction of serving endpoints that may be removed at once without confirmation.
         confirm_after: seconds after the first snapshot from which one of the same content confirms a removal.
-        max_flaps: number of additions and removals within `flap_window` from which an endpoint is damped;
+        max_flaps: number of additions and removals within `flap_window` from which an endpoint is damped.
             None: no endpoint is damped.
         flap_window: seconds.
-        flap_quiet_time: seconds after its last addition or removal at which an endpoint's damping ends.
+        flap_quiet_time: seconds from the last addition or removal of an endpoint to the end of its damping.
     """
 
     max_removed: float = 0.5
@@ -55,10 +55,10 @@
 
 
 class Deferred(NamedTuple):
-    """The snapshot is not applied unless a second one of the same content confirms it later."""
+    """The snapshot is applied only if a later one of the same content confirms it."""
 
     reason: str
-    recheck_at: float  # the earliest time at which another snapshot can confirm it
+    recheck_at: float  # the earliest time at which a second snapshot can confirm it
 
 
 class Rejected(NamedTuple):
@@ -71,7 +71,7 @@
 
 
 class Rejection(NamedTuple):
-    """A rejected snapshot, as shown by the admin service."""
+    """A rejected snapshot, as the admin service shows it."""
 
     at: float  # seconds on the node's clock
     source: str
@@ -82,11 +82,11 @@
     """A change that waits for a second snapshot of the same content."""
 
     digest: str
-    since: float  # when the first snapshot of it was validated
+    first_seen_at: float  # when the first snapshot with this content was validated
 
 
 class ListValidator:
-    """Validates snapshots, and turns those that it accepts into versions.
+    """Validates snapshots, and turns accepted ones into versions.
 
     All times are seconds on the node's monotonic clock.
     """
@@ -96,15 +96,15 @@
         config: ValidationConfig,
         kinds: dict[str, EngineKindConfig],
         zones: Iterable[str],
-        writers_read: bool = True,
+        writers_can_read: bool = True,
     ) -> None:
-        """Make a validator without a version. For the last three arguments see `find_list_faults`."""
+        """Create a validator without a version. See `find_list_faults` for the last three arguments."""
         self.config = config
         self.kinds = kinds
         self.zones = tuple(zones)
-        self.writers_read = writers_read
+        self.writers_can_read = writers_can_read
         self.version: ListVersion | None = None
-        self.last_number = 0  # of the last accepted version, also across restarts
+        self.last_number = 0  # of the last accepted version; the caller restores it after a restart
         self.rejections: deque[Rejection] = deque(maxlen=MAX_REJECTIONS)
         self.source_lost_at: float | None = None
         self._unconfirmed: UnconfirmedChange | None = None
@@ -120,7 +120,7 @@
         return Rejected(reason)
 
     def reject_lost_source(self, now: float, source: str, reason: str) -> Rejected:
-        """Reject a snapshot without files; the current version stays, and its age counts from the loss."""
+        """Reject a snapshot without files. The current version stays; its age is counted from the loss."""
         if self.source_lost_at is None:
             self.source_lost_at = now
         return self.reject(now, source, reason)
@@ -139,14 +139,14 @@
         Args:
             now: seconds on the node's clock.
             endpoints: the complete list.
-            source: the origin of the list, as logs and the admin service show it.
+            source: the origin of the list, as the admin service shows it.
             is_from_store: whether the version store supplied the list.
             unresponsive: addresses of endpoints that do not respond to this node; they may be removed without
                 confirmation.
-            digest: the `content_digest` of the endpoints if the caller has it.
+            digest: the `content_digest` of the endpoints if it is known. None: it is computed.
         """
         endpoints = list(endpoints)
-        faults = find_list_faults(endpoints, self.kinds, self.zones, self.writers_read)
+        faults = find_list_faults(endpoints, self.kinds, self.zones, self.writers_can_read)
         if faults:
             return self.reject(now, source, "; ".join(faults))
         self.source_lost_at = None
@@ -164,14 +164,14 @@
         if not difference:
             self._unconfirmed = None
             return Unchanged(damped_until)
-        removed = _removed_share(current, difference, unresponsive)
-        confirmed_at = self._confirmed_at(now, candidate, removed)
-        if confirmed_at is not None:
+        removed_fraction = _removed_fraction(current, difference, unresponsive)
+        confirmable_at = self._confirmable_at(now, candidate, removed_fraction)
+        if confirmable_at is not None:
             reason = (
-                f"removes {removed:.0%} of the engines at once, over "
+                f"removes {removed_fraction:.0%} of the engines at once, over "
                 f"{self.config.max_removed:.0%}: deferred until a second snapshot confirms it"
             )
-            return Deferred(reason, confirmed_at)
+            return Deferred(reason, confirmable_at)
         return self._accept(now, candidate, difference)._replace(recheck_at=damped_until)
 
     def _accept(self, now: float, version: ListVersion, difference: ListDifference) -> Accepted:
@@ -181,14 +181,14 @@
         self._unconfirmed = None
         return Accepted(version, difference)
 
-    def _confirmed_at(self, now: float, candidate: ListVersion, removed: float) -> float | None:
-        """Return when a removal of this fraction can be confirmed; None if it may be accepted now."""
-        if self.config.max_removed >= ANY_REMOVED or removed <= self.config.max_removed:
+    def _confirmable_at(self, now: float, candidate: ListVersion, removed_fraction: float) -> float | None:
+        """Return when the removal can be confirmed; None if the candidate may be accepted now."""
+        if self.config.max_removed >= ANY_REMOVED or removed_fraction <= self.config.max_removed:
             return None
         if self._unconfirmed is None or self._unconfirmed.digest != candidate.digest:
             self._unconfirmed = UnconfirmedChange(candidate.digest, now)
-        confirmed_at = self._unconfirmed.since + self.config.confirm_after
-        return None if now >= confirmed_at - TIME_TOLERANCE else confirmed_at
+        confirmable_at = self._unconfirmed.first_seen_at + self.config.confirm_after
+        return None if now >= confirmable_at - TIME_TOLERANCE else confirmable_at
 
     def age(self, now: float) -> float:
         """Return the seconds since the current version was accepted, or since its source was lost.
@@ -201,8 +201,10 @@
         return now - since
 
 
-def _removed_share(current: ListVersion, difference: ListDifference, unresponsive: frozenset[str]) -> float:
-    """Return the fraction of serving endpoints that are removed, change kind, or only change to draining."""
+def _removed_fraction(
+    current: ListVersion, difference: ListDifference, unresponsive: frozenset[str]
+) -> float:
+    """Return the fraction of serving endpoints that are removed, only change to draining, or change kind."""
     serving = [address for address, endpoint in current.endpoints.items() if is_serving(endpoint)]
     lost = {endpoint.address for endpoint in (*difference.removed, *difference.draining)}
     lost |= {change.endpoint.address for change in difference.changed if "kind" in change.fields}
--- a/myrtlehub/membership/version_saver.py
+++ b/myrtlehub/membership/version_saver.py
@@ -1,4 +1,4 @@
-"""Saving of accepted versions in the background, so that the disk does not block the event loop."""
+"""Saving of accepted versions in the background, so that disk writes do not block the event loop."""
 
 from functools import partial
 
@@ -9,7 +9,7 @@
 
 
 class VersionSaver:
-    """Saves one version at a time. A store that cannot be used is logged, and the node runs without it."""
+    """Saves one version at a time. Store errors are logged, and the node runs without the store."""
 
     def __init__(self, store: VersionStore, run_in_background: RunInBackground, log: Log) -> None:
         self._store = store
@@ -27,7 +27,7 @@
             return None
 
     def save(self, version: ListVersion) -> None:
-        """Save a version once the save in progress, if any, has ended."""
+        """Save a version, after the save in progress if there is one."""
         self._pending = version
         self._save_next()
 
@@ -37,7 +37,7 @@
         version = self._pending
         self._pending = None
         self._is_saving = True
-        self._run_in_background(partial(self._save, version), self._saved)
+        self._run_in_background(partial(self._save, version), self._handle_save_result)
 
     def _save(self, version: ListVersion) -> VersionStoreError | None:
         try:
@@ -46,7 +46,7 @@
             return error
         return None
 
-    def _saved(self, error: VersionStoreError | None) -> None:
+    def _handle_save_result(self, error: VersionStoreError | None) -> None:
         self._is_saving = False
         if error is not None:
             self._log(LogEvent.VERSION_STORE_WRITE_FAILED, reason=str(error))
--- a/myrtlehub/membership/version_store.py
+++ b/myrtlehub/membership/version_store.py
@@ -1,6 +1,6 @@
 """Version store: the last accepted list versions, preserved across restarts in SQLite with a write-ahead log.
 
-Each version has a checksum. A version that is incomplete or has flipped bits is thereby detected and skipped.
+Each version has a checksum, so that versions that are incomplete or have bit flips are detected and skipped.
 """
 
 import sqlite3
@@ -16,15 +16,17 @@
 from myrtlehub.membership.endpoint import EndpointFields
 from myrtlehub.membership.list_version import ListVersion, content_digest
 
-MAX_VERSIONS = 5  # versions that the store retains; the oldest are deleted
-LOCK_TIMEOUT = 2.0  # seconds to wait while another process locks the database
-SCHEMA_VERSION = 1  # a store with a later version was written by a newer program and is left unchanged
+MAX_VERSIONS = 5  # versions that the store retains
+LOCK_TIMEOUT = 2.0  # seconds to wait for a lock that another process holds
+SCHEMA_VERSION = 1  # a store with a later schema version was written by a newer program and is not changed
 SCHEMA = """CREATE TABLE IF NOT EXISTS versions (
     number INTEGER PRIMARY KEY, source TEXT NOT NULL, digest TEXT NOT NULL, sum TEXT NOT NULL,
     rows BLOB NOT NULL)"""
-INSERT = "INSERT OR REPLACE INTO versions (number, source, digest, sum, rows) VALUES (?, ?, ?, ?, ?)"
-PRUNE = "DELETE FROM versions WHERE number NOT IN (SELECT number FROM versions ORDER BY number DESC LIMIT ?)"
-SELECT = "SELECT number, source, digest, sum, rows FROM versions ORDER BY number DESC"
+INSERT_VERSION = "INSERT OR REPLACE INTO versions (number, source, digest, sum, rows) VALUES (?, ?, ?, ?, ?)"
+DELETE_OLD_VERSIONS = (
+    "DELETE FROM versions WHERE number NOT IN (SELECT number FROM versions ORDER BY number DESC LIMIT ?)"
+)
+SELECT_VERSIONS = "SELECT number, source, digest, sum, rows FROM versions ORDER BY number DESC"
 
 
 class SaveStep(StrEnum):
@@ -39,7 +41,7 @@
 
 
 def ignore_step(step: SaveStep) -> None:
-    """Ignore the step; used except by tests."""
+    """Ignore the step; the default outside of tests."""
 
 
 class VersionStoreError(Exception):
@@ -52,7 +54,7 @@
 
 
 class StoredVersion(NamedTuple):
-    """A version that was loaded from the store."""
+    """A version loaded from the store."""
 
     number: int
     source: str
@@ -60,13 +62,13 @@
 
 
 class StoredRow(NamedTuple):
-    """A row of the table as stored; flipped bits may have changed the types of its columns."""
+    """A row of the table as stored; bit flips may have changed the types of its columns."""
 
     number: int
     source: str
     digest: str
     checksum: str
-    endpoints: bytes  # JSON: a list of the field values of each endpoint
+    endpoints: bytes  # JSON array with the field values of each endpoint
 
     @property
     def is_intact(self) -> bool:
@@ -86,10 +88,10 @@
 
 
 class VersionStore:
-    """The version store in one file, which is opened at its first use."""
+    """A version store in one file, which is opened on first use."""
 
     def __init__(self, path: str | Path, on_step: Callable[[SaveStep], None] = ignore_step) -> None:
-        """Make a store. `on_step` is called before each step of a save, so that tests can interrupt saves."""
+        """Create a store. `on_step` is called before each step of a save; tests use it to interrupt saves."""
         self.path = Path(path)
         self.on_step = on_step
         self._connection: sqlite3.Connection | None = None
@@ -103,26 +105,26 @@
         return self._connection
 
     def _connect(self) -> sqlite3.Connection:
-        # check_same_thread: saves run one at a time, but on changing threads of a pool.
+        # check_same_thread: saves run one at a time, but in different threads of a pool.
         connection = sqlite3.connect(
             self.path, isolation_level=None, timeout=LOCK_TIMEOUT, check_same_thread=False
         )
         connection.execute("PRAGMA journal_mode=WAL")
         connection.execute("PRAGMA synchronous=FULL")
-        found = connection.execute("PRAGMA user_version").fetchone()[0]
-        if found > SCHEMA_VERSION:
+        schema_version = connection.execute("PRAGMA user_version").fetchone()[0]
+        if schema_version > SCHEMA_VERSION:
             connection.close()
             raise VersionStoreError(
                 self.path,
-                f"has schema version {found}, and this program knows versions up to {SCHEMA_VERSION}; "
-                "it is not changed",
+                f"has schema version {schema_version}, and this program knows versions up to "
+                f"{SCHEMA_VERSION}; it is left unchanged",
             )
         connection.execute(SCHEMA)
         connection.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
         return connection
 
     def save(self, version: ListVersion) -> None:
-        """Store a version atomically, and delete the oldest ones beyond MAX_VERSIONS.
+        """Store a version atomically, and delete the oldest versions beyond MAX_VERSIONS.
 
         Raises:
             VersionStoreError: the version could not be stored.
@@ -134,9 +136,9 @@
             self.on_step(SaveStep.BEGIN)
             connection.execute("BEGIN IMMEDIATE")
             self.on_step(SaveStep.INSERT)
-            connection.execute(INSERT, row)
+            connection.execute(INSERT_VERSION, row)
             self.on_step(SaveStep.PRUNE)
-            connection.execute(PRUNE, (MAX_VERSIONS,))
+            connection.execute(DELETE_OLD_VERSIONS, (MAX_VERSIONS,))
             self.on_step(SaveStep.COMMIT)
             connection.execute("COMMIT")
             self.on_step(SaveStep.DONE)
@@ -153,7 +155,7 @@
         if not self.path.exists():
             return None
         try:
-            rows = [StoredRow(*columns) for columns in self._open().execute(SELECT)]
+            rows = [StoredRow(*columns) for columns in self._open().execute(SELECT_VERSIONS)]
         except sqlite3.Error as error:
             self.close()
             raise VersionStoreError(self.path, str(error)) from error
@@ -166,7 +168,7 @@
         return None
 
     def close(self) -> None:
-        """Close the file; the next use opens it again."""
+        """Close the file; it is opened again on next use."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -1,6 +1,7 @@
-"""Nodes that follow endpoint files, as their engines see them: the list version of each attempt.
+"""Nodes that read their endpoint list from files, checked by the list version of each attempt.
 
-`MYRTLEHUB_VERSIONS=5000` writes that many versions; the default keeps the tests short.
+The environment variable `MYRTLEHUB_VERSIONS` sets the number of versions to write, for example 5000; the
+default keeps the tests short.
 """
 
 import os
@@ -19,29 +20,33 @@
 from myrtlehub.membership.snapshot import read_snapshot
 from myrtlehub.records import Record
 
-VERSIONS = int(os.environ.get("MYRTLEHUB_VERSIONS", "150"))
-MARKED = ", end_marked: yes, quiet: 30ms, poll: 200ms, damp: {flaps: off}, confirm: {most_removed: any}"
+VERSION_COUNT = int(os.environ.get("MYRTLEHUB_VERSIONS", "150"))
+LIST_SETTINGS = (
+    ", end_marked: yes, quiet: 30ms, poll: 200ms, damp: {flaps: off}, confirm: {most_removed: any}"
+)
 
 
-def start_fleet(base: Path, engines: str = "R0 R0 W0 W0 W0", lists: str = MARKED, **more: object) -> Fleet:
-    """Write the endpoint files of a fleet, and start its nodes."""
+def start_fleet(
+    base: Path, engines: str = "R0 R0 W0 W0 W0", lists: str = LIST_SETTINGS, **options: object
+) -> Fleet:
+    """Write the endpoint list files of a fleet, and start its nodes."""
     endpoints = [
         {
-            "address": f"{word}{chr(97 + number)}:1",
-            "kind": "reader" if word[0] == "R" else "writer",
+            "address": f"{role_and_cell}{chr(97 + number)}:1",
+            "kind": "reader" if role_and_cell[0] == "R" else "writer",
             "zone": "north",
-            "cell": int(word[1]),
+            "cell": int(role_and_cell[1]),
         }
-        for number, word in enumerate(engines.split())
+        for number, role_and_cell in enumerate(engines.split())
     ]
-    for number in range(more.get("nodes", 1)):
+    for number in range(options.get("nodes", 1)):
         (base / f"list-n{number}").mkdir()
         (base / f"list-n{number}" / "engines.yaml").write_text(list_text(endpoints))
-    return Fleet(engines, list_folder=base, list_options=lists, **more)
+    return Fleet(engines, list_folder=base, list_options=lists, **options)
 
 
 def write_list(fleet: Fleet, node: str = "n0", **changed: dict) -> None:
-    """Write a node's list with some engines changed, or left out if the change is None."""
+    """Replace a node's list file by one with some engines changed, or removed if the change is None."""
     endpoints = [
         {**row, **(changed.get(engine) or {})}
         for engine, row in fleet.endpoints.items()
@@ -52,7 +57,7 @@
     path.with_name(".new").rename(path)
 
 
-def test_every_attempt_goes_by_a_version_that_was_complete_on_disk(tmp_path: Path) -> None:
+def test_every_attempt_uses_a_list_version_that_was_complete_on_disk(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path, read_rate=30000.0, slots=40, step="4ms")
     endpoints = [{**row, "state": "serving", "age": "0s"} for row in fleet.endpoints.values()]
     config = ListFilesConfig(every="200ms", burst=8)
@@ -66,7 +71,7 @@
     writer.start()
     random = Random(4)
     request_count = 0
-    while writer.versions < VERSIONS:
+    while writer.versions < VERSION_COUNT:
         fleet.generate(random.choice(["ask", "post", "note"]), prompt=random.choice([200, 1500]), output=20)
         request_count += 1
         fleet.run(0.04)
@@ -83,16 +88,16 @@
     assert checker.violations == []
     assert (
         checker.attempts >= request_count
-        and checker.versions_used > VERSIONS / 20
-        and len(changes) > VERSIONS / 20
+        and checker.versions_used > VERSION_COUNT / 20
+        and len(changes) > VERSION_COUNT / 20
     )
-    assert writer.torn > VERSIONS / 5 and writer.invalid > VERSIONS / 10
-    # The sort is stable, so a change precedes the attempts that go by it.
+    assert writer.torn > VERSION_COUNT / 5 and writer.invalid > VERSION_COUNT / 10
+    # The sort is stable, so a change precedes the attempts that use it.
     fleet.log[:] = sorted([*changes, *fleet.log], key=lambda record: record.at)
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
     reasons = [rejection.reason for rejection in fleet.nodes["n0"].endpoint_source.validator.rejections]
-    # Each reason names the file and line of the fault, or says how to correct it.
+    # Each reason states the file and line of the fault, or how to correct it.
     assert len(reasons) > 5
     unclear = [text for text in reasons if not (re.search(r"engines\.yaml:\d+: ", text) or "; " in text)]
     assert unclear == []
@@ -103,20 +108,29 @@
 
 
 @pytest.mark.parametrize("fault", ["partial", "stale", "back"])
-def test_the_checker_finds_attempts_by_wrong_versions(fault: str) -> None:
-    """The records are made by hand; each fault has to be found once."""
+def test_the_checker_finds_attempts_with_wrong_list_versions(fault: str) -> None:
+    """The test constructs the records; the checker has to find each fault once."""
 
-    def wrote(at: float, digest: str, *serving: str) -> Record:
+    def write_record(at: float, digest: str, *serving: str) -> Record:
         return Record(at, "day", "wrote", {"node": "n", "digest": digest, "serving": list(serving)})
 
-    def got(at: float, version: str, engine: str = "a") -> Record:
+    def attempt_record(at: float, version: str, engine: str = "a") -> Record:
         return Record(at, engine, "got", {"node": "n", "seq": "n.1.7", "list": version})
 
-    sound = [wrote(0.0, "aa", "a", "b"), got(1.0, "1-aa"), wrote(2.0, "bb", "a"), got(3.0, "2-bb")]
-    more = {"partial": [got(4.0, "3-cc")], "stale": [wrote(5.0, "dd", "a")], "back": [got(4.0, "1-aa")]}
-    for extra, count in (([], 0), (more[fault], 1)):
+    valid_records = [
+        write_record(0.0, "aa", "a", "b"),
+        attempt_record(1.0, "1-aa"),
+        write_record(2.0, "bb", "a"),
+        attempt_record(3.0, "2-bb"),
+    ]
+    invalid_records = {
+        "partial": [attempt_record(4.0, "3-cc")],
+        "stale": [write_record(5.0, "dd", "a")],
+        "back": [attempt_record(4.0, "1-aa")],
+    }
+    for extra, count in (([], 0), (invalid_records[fault], 1)):
         checker = EndpointListChecker(0.25)
-        changes = [change for record in [*sound, *extra] for change in checker.see(record)]
+        changes = [change for record in [*valid_records, *extra] for change in checker.see(record)]
         checker.finish(9.0)
         assert len(checker.violations) == count
     assert [(change.at, change.more["engine"], change.more["state"]) for change in changes[:3]] == [
@@ -141,13 +155,13 @@
     fleet.run(4.0)
     assert stream.answer == "generated" and [call.answer for call in after] == ["generated"] * 6
     late = [record for record in fleet.records("got", writer) if record.at > fleet.records("ran")[0].at + 1.0]
-    # The engine gets reads from now on, and no new writes.
+    # From now on the engine gets reads, and no new writes.
     assert all(record.more["reads"] for record in late) and late
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
 
 
-def test_half_the_endpoints_are_removed_with_attempts_in_flight_at_nodes_seconds_apart(
+def test_half_the_endpoints_are_removed_with_attempts_in_flight_at_different_times_per_node(
     tmp_path: Path,
 ) -> None:
     fleet = start_fleet(tmp_path, "R0 R0 W0 W0 R1 R1 W1 W1", nodes=3, read_rate=20000.0, slots=40)
@@ -155,7 +169,7 @@
     removed = {engine: None for engine in fleet.endpoints if engine[1] == "1"}
     calls = []
     written_at = {}
-    began = fleet.clock.seconds()
+    started_at = fleet.clock.seconds()
     for i in range(150):
         calls.append(
             fleet.generate(
@@ -165,9 +179,9 @@
                 node=f"n{i % 3}",
             )
         )
-        at = fleet.clock.seconds() - began
+        elapsed = fleet.clock.seconds() - started_at
         for node, due in (("n0", 1.0), ("n1", 2.5), ("n2", 4.0)):
-            if at >= due and node not in written_at:
+            if elapsed >= due and node not in written_at:
                 written_at[node] = fleet.clock.seconds()
                 write_list(fleet, node, **removed)
         fleet.run(0.04)
@@ -187,7 +201,7 @@
 
 
 def test_removal_of_half_the_endpoints_waits_for_a_second_snapshot(tmp_path: Path) -> None:
-    lists = MARKED.replace("most_removed: any", "most_removed: 0.4, after: 1s")
+    lists = LIST_SETTINGS.replace("most_removed: any", "most_removed: 0.4, after: 1s")
     fleet = start_fleet(tmp_path, "R0 R0 W0 W0 W0", lists=lists)
     write_list(fleet, W0c=None, W0d=None, R0a=None)
     fleet.run(0.6)
@@ -202,21 +216,22 @@
     complete = path.read_text()
     node = fleet.nodes["n0"]
     first = node.executor.list_label
-    # Cut after complete lines, as most of these prefixes parse.
-    cuts = [index for index, character in enumerate(complete) if character == "\n"][:-1]
-    parsed = 0
-    for cut in cuts:
-        path.write_text(complete[: cut + 1])
+    # Truncate after complete lines, because most of these prefixes parse.
+    truncation_points = [index for index, character in enumerate(complete) if character == "\n"][:-1]
+    parsed_count = 0
+    for end in truncation_points:
+        path.write_text(complete[: end + 1])
         fleet.run(0.4)
         assert node.executor.list_label == first
-        parsed += not read_snapshot(["list-n0"], tmp_path).faults
-    assert parsed > len(cuts) / 2
+        parsed_count += not read_snapshot(["list-n0"], tmp_path).faults
+    assert parsed_count > len(truncation_points) / 2
     assert (
-        "write the complete file, with end: yes last" in node.endpoint_source.validator.rejections[-1].reason
+        "write the complete file, with end: yes as the last line"
+        in node.endpoint_source.validator.rejections[-1].reason
     )
 
 
-def test_a_modification_time_in_the_past_hides_no_change(tmp_path: Path) -> None:
+def test_a_change_with_an_older_modification_time_is_detected(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path)
     path = tmp_path / "list-n0" / "engines.yaml"
     os.utime(path, (2e9, 2e9))
@@ -229,19 +244,21 @@
     second = fleet.nodes["n0"].executor.list_label
     before = path.stat()
     write_list(fleet, W0c={"weight": 4})
-    os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))  # time and size are as before
+    os.utime(path, ns=(before.st_atime_ns, before.st_mtime_ns))  # same modification time and size as before
     assert path.stat().st_size == before.st_size
     fleet.run(0.5)
     assert fleet.nodes["n0"].executor.list_label != second
 
 
-def test_an_unreadable_file_leaves_the_last_list_in_use(tmp_path: Path, monkeypatch: object) -> None:
+def test_the_current_list_stays_in_use_while_a_file_is_unreadable(
+    tmp_path: Path, monkeypatch: object
+) -> None:
     fleet = start_fleet(tmp_path)
     read_bytes = Path.read_bytes
     node = fleet.nodes["n0"]
     label = node.executor.list_label
 
-    def deny(path: Path) -> bytes:  # file modes would not do, as tests may run as root
+    def deny(path: Path) -> bytes:  # tests may run as root, for which file modes have no effect
         raise PermissionError(13, "Permission denied", str(path))
 
     monkeypatch.setattr(Path, "read_bytes", deny)
@@ -255,9 +272,9 @@
     assert node.executor.list_label != label
 
 
-def test_two_thousand_endpoints_that_all_change_at_once(tmp_path: Path) -> None:
+def test_two_thousand_endpoints_change_at_once(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path, "R0 W0 W0")
-    more = {
+    further_endpoints = {
         f"X{number}": {
             "address": f"x{number}:1",
             "kind": "writer" if number % 2 else "reader",
@@ -266,7 +283,7 @@
         }
         for number in range(1997)
     }
-    fleet.endpoints.update(more)
+    fleet.endpoints.update(further_endpoints)
     write_list(fleet)
     fleet.run(0.5)
     node = fleet.nodes["n0"]
--- a/tests/membership/test_endpoint_watcher.py
+++ b/tests/membership/test_endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Watched endpoint files: incomplete, renamed and missing files, and a start from the version store."""
+"""Watched endpoint list files: incomplete, renamed and missing files, and a start from the version store."""
 
 from pathlib import Path
 from random import Random
@@ -15,15 +15,15 @@
 from myrtlehub.membership.version_store import VersionStore
 
 
-class WatcherRig:
-    """A watcher on a test clock, and the list that its listener has."""
+class WatcherHarness:
+    """A watcher on a test clock, and the endpoint list that its listener has received."""
 
     def __init__(
         self, folder: Path, patterns: tuple[str, ...] = ("a.yaml",), store: VersionStore | None = None
     ) -> None:
         self.clock = Clock()
         self.store = store
-        self.received: list[tuple[int, list[str]]] = []  # version numbers, with the addresses
+        self.received: list[tuple[int, list[str]]] = []  # version numbers and addresses
         self.logged: list[tuple[str, dict]] = []
         self.endpoints: dict[str, EndpointConfig] = {}
         self.validator = make_validator(max_removed=1.0, max_flaps=10**6)
@@ -52,54 +52,54 @@
             self.clock.advance(0.05)
 
     def names(self) -> str:
-        """Return the names of the endpoints that the listener has."""
+        """Return the names of the endpoints on the listener's list."""
         return " ".join(address[:-2] for address in sorted(self.endpoints))
 
     def received_names(self) -> list[str]:
-        """Return the names of the endpoints that the listener had, by version."""
+        """Return the names of the endpoints on the listener's list after each update."""
         return [" ".join(address[:-2] for address in addresses) for _, addresses in self.received]
 
 
-def test_a_half_written_file_is_never_used(tmp_path: Path) -> None:
+def test_a_partly_written_file_is_never_used(tmp_path: Path) -> None:
     path = tmp_path / "a.yaml"
     before = list_text("r1 w1 w2")
     after = list_text("r1 w1 w2 w3 w4")
     path.write_text(before)
-    rig = WatcherRig(tmp_path)
-    for cut in range(len(after)):
-        # Each prefix changes within the quiet time; one that parses and stays quiet would be a valid list.
+    harness = WatcherHarness(tmp_path)
+    for length in range(len(after)):
+        # Each prefix changes again within the quiet time. One that parses and stays would be a valid list.
         snapshot = read_snapshot(("a.yaml",), tmp_path)
-        path.write_text(after[:cut])
-        rig.watcher.files_changed()
-        rig.run(0.05)
-        path.write_text(after[:cut] + " ")
-        rig.watcher.files_changed()
-        rig.run(0.05)
-        assert rig.names() == "r1 w1 w2", (cut, snapshot.faults)
+        path.write_text(after[:length])
+        harness.watcher.files_changed()
+        harness.run(0.05)
+        path.write_text(after[:length] + " ")
+        harness.watcher.files_changed()
+        harness.run(0.05)
+        assert harness.names() == "r1 w1 w2", (length, snapshot.faults)
     path.write_text(after)
-    rig.watcher.files_changed()
-    rig.run(0.5)
-    assert rig.names() == "r1 w1 w2 w3 w4"
-    assert set(rig.received_names()) <= {"r1 w1 w2", "r1 w1 w2 w3 w4"}
+    harness.watcher.files_changed()
+    harness.run(0.5)
+    assert harness.names() == "r1 w1 w2 w3 w4"
+    assert set(harness.received_names()) <= {"r1 w1 w2", "r1 w1 w2 w3 w4"}
 
 
-def test_incomplete_files_that_stay_quiet_are_rejected_with_line_and_fix(tmp_path: Path) -> None:
+def test_incomplete_files_that_stay_unchanged_are_rejected_with_line_and_correction(tmp_path: Path) -> None:
     path = tmp_path / "a.yaml"
     path.write_text(list_text("r1 w1 w2"))
-    rig = WatcherRig(tmp_path)
+    harness = WatcherHarness(tmp_path)
     for text, reason in (
         ("engines:\n  - {address: 'r1:1', kind: rea", "a.yaml:2: not YAML"),
         ("engines: [", "not YAML"),
         ("engine:\n", "did you mean 'engines'?"),
         ("", "a file of fields is wanted"),
         (list_text("r1 w1").replace("kind: writer", "kind: wirter"), "kind 'wirter' is not among"),
-        (list_text("r1"), "no engine that serves can write"),
+        (list_text("r1"), "no serving engine can write"),
     ):
         path.write_text(text)
-        rig.watcher.files_changed()
-        rig.run(0.5)
-        assert rig.names() == "r1 w1 w2" and rig.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
-        assert reason in rig.logged[-1][1]["reason"]
+        harness.watcher.files_changed()
+        harness.run(0.5)
+        assert harness.names() == "r1 w1 w2" and harness.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
+        assert reason in harness.logged[-1][1]["reason"]
 
 
 def test_renames_symlinks_and_missing_directories_are_followed(tmp_path: Path) -> None:
@@ -107,69 +107,69 @@
     folder.mkdir()
     (folder / "1.yaml").write_text(list_text("r1 w1"))
     (folder / ".hidden.yaml").write_text("garbage: [")
-    rig = WatcherRig(tmp_path, ("d",))
+    harness = WatcherHarness(tmp_path, ("d",))
     (tmp_path / "new").write_text(list_text("w2"))
-    (tmp_path / "new").replace(folder / "2.yaml")  # an atomic rename, detected by polling alone
-    rig.run(1.6)
-    assert rig.names() == "r1 w1 w2"
+    (tmp_path / "new").replace(folder / "2.yaml")  # an atomic rename, detected by polling only
+    harness.run(1.6)
+    assert harness.names() == "r1 w1 w2"
     (tmp_path / "real").write_text(list_text("w3"))
     (folder / "3.yaml").symlink_to(tmp_path / "real")
-    rig.run(1.6)
-    assert rig.names() == "r1 w1 w2 w3"
+    harness.run(1.6)
+    assert harness.names() == "r1 w1 w2 w3"
     (tmp_path / "real2").write_text(list_text("w4"))
     (tmp_path / "link").symlink_to(tmp_path / "real2")
-    (tmp_path / "link").replace(folder / "3.yaml")  # the link is replaced
-    rig.run(1.6)
-    assert rig.names() == "r1 w1 w2 w4"
+    (tmp_path / "link").replace(folder / "3.yaml")  # replaces the symbolic link
+    harness.run(1.6)
+    assert harness.names() == "r1 w1 w2 w4"
     folder.rename(tmp_path / "elsewhere")
-    rig.run(1.6)
-    assert rig.names() == "r1 w1 w2 w4" and rig.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
-    assert rig.validator.source_lost_at is not None
-    assert rig.validator.age(rig.clock.seconds() + 5.0) > 5.0
+    harness.run(1.6)
+    assert harness.names() == "r1 w1 w2 w4" and harness.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
+    assert harness.validator.source_lost_at is not None
+    assert harness.validator.age(harness.clock.seconds() + 5.0) > 5.0
     folder.mkdir()
     (folder / "9.yaml").write_text(list_text("r1 w9"))
-    rig.run(1.6)
-    assert rig.names() == "r1 w9" and rig.validator.source_lost_at is None
+    harness.run(1.6)
+    assert harness.names() == "r1 w9" and harness.validator.source_lost_at is None
     (folder / "8.yaml").write_text(list_text("w9", weight=2.0))  # two files contradict each other
-    rig.run(1.6)
-    assert rig.names() == "r1 w9" and "has other figures in" in rig.logged[-1][1]["reason"]
+    harness.run(1.6)
+    assert harness.names() == "r1 w9" and "has different fields in" in harness.logged[-1][1]["reason"]
 
 
 def test_a_burst_of_complete_and_incomplete_writes_ends_in_the_last_valid_list(tmp_path: Path) -> None:
     path = tmp_path / "a.yaml"
     random = Random(5)
     path.write_text(list_text("r1 w1"))
-    rig = WatcherRig(tmp_path)
+    harness = WatcherHarness(tmp_path)
     written = {"r1 w1"}
     for step in range(150):
         names = f"r1 w{step % 7} w{7 + step % 3}"
         complete = list_text(names)
         path.write_text(complete[: random.randrange(len(complete))] if step % 3 else complete)
-        rig.watcher.files_changed()
-        rig.clock.advance(random.choice([0.01, 0.01, 0.03, 0.15]))
+        harness.watcher.files_changed()
+        harness.clock.advance(random.choice([0.01, 0.01, 0.03, 0.15]))
         path.write_text(complete)
-        rig.watcher.files_changed()
+        harness.watcher.files_changed()
         written.add(" ".join(sorted(names.split())))
-        rig.clock.advance(0.01)
-    rig.run(1.0)
-    assert rig.names() == " ".join(sorted(names.split()))
-    for received in rig.received_names():
+        harness.clock.advance(0.01)
+    harness.run(1.0)
+    assert harness.names() == " ".join(sorted(names.split()))
+    for received in harness.received_names():
         assert received in written
-    assert [number for number, _ in rig.received] == list(range(1, len(rig.received) + 1))
+    assert [number for number, _ in harness.received] == list(range(1, len(harness.received) + 1))
 
 
 def test_a_start_without_valid_files_uses_the_stored_version(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").write_text(list_text("r1 w1"))
-    rig = WatcherRig(tmp_path, store=VersionStore(tmp_path / "s.db"))
+    harness = WatcherHarness(tmp_path, store=VersionStore(tmp_path / "s.db"))
     (tmp_path / "a.yaml").write_text(list_text("r1 w1 w2"))
-    rig.run(1.6)
-    rig.store.close()
+    harness.run(1.6)
+    harness.store.close()
     (tmp_path / "a.yaml").unlink()
-    rig = WatcherRig(tmp_path, store=VersionStore(tmp_path / "s.db"))
-    version = rig.validator.version
-    assert rig.names() == "r1 w1 w2" and version.is_from_store and "version 2" in version.source
+    harness = WatcherHarness(tmp_path, store=VersionStore(tmp_path / "s.db"))
+    version = harness.validator.version
+    assert harness.names() == "r1 w1 w2" and version.is_from_store and "version 2" in version.source
     (tmp_path / "a.yaml").write_text(list_text("r1 w5"))
-    rig.run(1.6)
-    version = rig.validator.version
-    assert rig.names() == "r1 w5" and not version.is_from_store and version.number == 4
-    rig.store.close()
+    harness.run(1.6)
+    version = harness.validator.version
+    assert harness.names() == "r1 w5" and not version.is_from_store and version.number == 4
+    harness.store.close()
--- a/tests/membership/test_validation.py
+++ b/tests/membership/test_validation.py
@@ -9,10 +9,10 @@
 from myrtlehub.membership.list_version import compare_versions, make_version
 from myrtlehub.membership.validation import Accepted, Deferred, Rejected, Unchanged
 
-NO_WRITER = "no engine that serves can write"
+NO_WRITER = "no serving engine can write"
 
 
-def test_difference_leads_from_one_version_to_the_next() -> None:
+def test_difference_lists_all_changes_between_two_versions() -> None:
     before = make_version(1, make_endpoints("r1 w1 w2 w3"), "t", 0.0)
     listed = [
         make_endpoint("r1"),
@@ -29,7 +29,7 @@
     assert changed == [("w2:1", "draining", ("weight", "state"))]
 
 
-def test_order_of_endpoints_makes_no_new_version() -> None:
+def test_reordering_endpoints_makes_no_difference() -> None:
     before = make_version(1, make_endpoints("r1 w1 w2 w3"), "t", 0.0)
     reordered = make_version(9, reversed(make_endpoints("r1 w1 w2 w3")), "t", 5.0)
     assert not compare_versions(before.endpoints, reordered.endpoints)
@@ -44,11 +44,11 @@
     ("listed", "reason"),
     [
         (make_endpoints("r1"), NO_WRITER),
-        (make_endpoints("w1"), "no engine that serves can read"),
-        (make_endpoints("r1 w1 w1"), "w1:1 is listed twice, with the same figures"),
+        (make_endpoints("w1"), "no serving engine can read"),
+        (make_endpoints("r1 w1 w1"), "w1:1 is listed twice, with the same fields"),
         (
             [*make_endpoints("r1 w1"), make_endpoint("w1", weight=2.0)],
-            "w1:1 is listed twice, with different figures",
+            "w1:1 is listed twice, with different fields",
         ),
         ([*make_endpoints("r1 w1"), make_endpoint("r2", cell=3)], "cell 3 has readers and no writer"),
         (
@@ -71,7 +71,7 @@
     assert validator.version.number == 1 and len(validator.version.endpoints) == 3
     assert reason in validator.rejections[-1].reason
     validator.validate(2.0, listed, "t")
-    assert len(validator.rejections) == 1  # remembered once, not for each snapshot
+    assert len(validator.rejections) == 1  # recorded once, not for each snapshot
 
 
 def test_large_removal_waits_for_a_second_snapshot() -> None:
@@ -84,8 +84,9 @@
     assert verdict.recheck_at == 3.0
     assert isinstance(validator.validate(2.0, few, "t"), Deferred)
     assert isinstance(validator.validate(2.5, many, "t"), Unchanged)
-    again = validator.validate(2.6, few, "t")
-    assert again.recheck_at == pytest.approx(4.6)  # the removal was reverted meanwhile, so it waits again
+    second_verdict = validator.validate(2.6, few, "t")
+    # The removal was reverted in between, so the confirmation time starts again.
+    assert second_verdict.recheck_at == pytest.approx(4.6)
     accepted = validator.validate(4.6, few, "t")
     assert isinstance(accepted, Accepted)
     assert len(accepted.difference.removed) == 4 and accepted.version.number == 2
@@ -98,8 +99,8 @@
     assert isinstance(verdict, Accepted)
 
 
-def test_confirmation_of_removals_can_be_switched_off() -> None:
-    validator = make_validator(max_removed=1.0)  # "any"
+def test_confirmation_of_removals_can_be_disabled() -> None:
+    validator = make_validator(max_removed=1.0)  # the setting "any"
     validator.validate(0.0, make_endpoints("r1 w1 w2 w3 w4 w5"), "t")
     assert isinstance(validator.validate(0.1, make_endpoints("r1 w1"), "t"), Accepted)
 
@@ -122,9 +123,9 @@
         endpoints = validator.version.endpoints
         states.append(endpoints["w3:1"].state if "w3:1" in endpoints else "-")
     assert states[:3] == ["serving", "-", "serving"] and set(states[5:]) <= {"draining", "-"}
-    assert recheck_times[10] == 13.0  # ten seconds after the last change that was accepted
-    quiet = validator.validate(40.0, make_endpoints("r1 w1 w2 w3"), "t")
-    assert isinstance(quiet, Accepted | Unchanged)
+    assert recheck_times[10] == 13.0  # 10 s after the last accepted change
+    undamped = validator.validate(40.0, make_endpoints("r1 w1 w2 w3"), "t")
+    assert isinstance(undamped, Accepted | Unchanged)
     assert validator.version.endpoints["w3:1"].state == "serving"
 
 
--- a/tests/membership/test_version_store.py
+++ b/tests/membership/test_version_store.py
@@ -1,4 +1,4 @@
-"""The version store: flipped bits, later schemas, and a process that is killed at each step of a save."""
+"""The version store: bit flips, later schemas, and a process that is killed at each step of a save."""
 
 import signal
 import subprocess
@@ -24,7 +24,7 @@
     store.save(make_version(2, make_endpoints("r1 w1 w2"), "t", 0.0))
     store.close()
     intact = path.read_bytes()
-    used = 0
+    loaded_count = 0
     for offset in range(0, len(intact), 37):
         path.write_bytes(intact[:offset] + bytes([intact[offset] ^ 0x10]) + intact[offset + 1 :])
         for suffix in ("-wal", "-shm"):
@@ -37,27 +37,29 @@
         finally:
             store.close()
         if found is not None:
-            used += 1
+            loaded_count += 1
             addresses = [endpoint.address for endpoint in found.endpoints]
             assert addresses in (["r1:1", "w1:1"], ["r1:1", "w1:1", "w2:1"]), offset
-    assert used > 10
+    assert loaded_count > 10
     path.write_bytes(intact[: len(intact) // 2])
     with pytest.raises(VersionStoreError):
         VersionStore(path).load_latest()
 
 
 def test_a_store_of_a_later_schema_is_reported_and_not_changed(tmp_path: Path) -> None:
-    """A rollback of the program leaves such a store."""
+    """After a rollback, the earlier program finds such a store."""
     path = tmp_path / "s.db"
-    later = VersionStore(path)
-    later.save(make_version(1, make_endpoints("r1 w1"), "t", 0.0))
-    later._connection.execute("ALTER TABLE versions ADD COLUMN more TEXT NOT NULL DEFAULT ''")
+    later_store = VersionStore(path)
+    later_store.save(make_version(1, make_endpoints("r1 w1"), "t", 0.0))
+    later_store._connection.execute("ALTER TABLE versions ADD COLUMN more TEXT NOT NULL DEFAULT ''")
     same_schema = VersionStore(path)
-    assert same_schema.load_latest().number == 1  # a further column is ignored
+    assert same_schema.load_latest().number == 1  # an additional column is ignored
     same_schema.close()  # an open connection would prevent the checkpoint of the write-ahead log
-    later._connection.execute("INSERT INTO versions SELECT 7, source, digest, sum, rows, 'x' FROM versions")
-    later._connection.execute("PRAGMA user_version=2")
-    later.close()
+    later_store._connection.execute(
+        "INSERT INTO versions SELECT 7, source, digest, sum, rows, 'x' FROM versions"
+    )
+    later_store._connection.execute("PRAGMA user_version=2")
+    later_store.close()
     before = path.read_bytes()
     store = VersionStore(path)
     with pytest.raises(
@@ -85,14 +87,14 @@
     assert path.read_bytes() == before
 
 
-SAVE_AND_BE_KILLED = """
+SAVE_KILLED_AT_STEP = """
 import os, signal, sys
 sys.path[:0] = [{root!r}, {tests!r}]
 from endpointlists import make_endpoints
 from myrtlehub.membership.list_version import make_version
 from myrtlehub.membership.version_store import VersionStore
-def on_step(name):
-    if name == sys.argv[1]:
+def on_step(step):
+    if step == sys.argv[1]:
         os.kill(os.getpid(), signal.SIGKILL)
 VersionStore(sys.argv[2], on_step).save(make_version(2, make_endpoints("r1 w1 w2"), "t", 0.0))
 """
@@ -104,8 +106,8 @@
     store = VersionStore(path)
     store.save(make_version(1, make_endpoints("r1 w1"), "t", 0.0))
     store.close()
-    script = SAVE_AND_BE_KILLED.format(root=str(ROOT), tests=str(TESTS / "support"))
-    run = subprocess.run([sys.executable, "-c", script, step, path], timeout=60)
-    assert run.returncode == -signal.SIGKILL
+    script = SAVE_KILLED_AT_STEP.format(root=str(ROOT), tests=str(TESTS / "support"))
+    process = subprocess.run([sys.executable, "-c", script, step, path], timeout=60)
+    assert process.returncode == -signal.SIGKILL
     found = VersionStore(path).load_latest()
     assert (found.number, len(found.endpoints)) == ((2, 3) if step == "done" else (1, 2))
