--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -179,8 +179,8 @@
         faults = "; ".join(snapshot.faults)
         if snapshot.is_missing:
             patterns = ", ".join(self.config.patterns)
-            missing_files_reason = f"no file matches {patterns}; the current list stays in use"
-            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or missing_files_reason)
+            no_files_reason = f"no file matches {patterns}; the current list stays in use"
+            return self.validator.reject_lost_source(now, SOURCE_NAME, faults or no_files_reason)
         if faults:
             return self.validator.reject(now, SOURCE_NAME, faults)
         return self.validator.validate(
--- a/myrtlehub/membership/file_monitor.py
+++ b/myrtlehub/membership/file_monitor.py
@@ -11,7 +11,7 @@
 from myrtlehub.clock import Clock, Timer
 from myrtlehub.membership.snapshot import FileStamp, expand_patterns, stamp_files
 
-MAX_WAIT_IN_QUIET_TIMES = 20  # maximum delay of a read while the files keep changing
+MAX_WAIT_IN_QUIET_TIMES = 20  # maximum wait while the files keep changing, as a multiple of the quiet time
 
 
 class WatchConfig(NamedTuple):
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -46,7 +46,7 @@
 
 
 def write_list(fleet: Fleet, node: str = "n0", **changed: dict) -> None:
-    """Replace a node's list file by one with some engines changed, or removed if the change is None."""
+    """Replace a node's list file, with some engines changed, or removed if their change is None."""
     endpoints = [
         {**row, **(changed.get(engine) or {})}
         for engine, row in fleet.endpoints.items()
--- a/tests/membership/test_endpoint_watcher.py
+++ b/tests/membership/test_endpoint_watcher.py
@@ -67,7 +67,7 @@
     path.write_text(before)
     harness = WatcherHarness(tmp_path)
     for length in range(len(after)):
-        # Each prefix changes again within the quiet time. One that parses and stays would be a valid list.
+        # Each prefix changes again within the quiet time. If it parses, it could be a valid list.
         snapshot = read_snapshot(("a.yaml",), tmp_path)
         path.write_text(after[:length])
         harness.watcher.files_changed()
@@ -102,7 +102,7 @@
         assert reason in harness.logged[-1][1]["reason"]
 
 
-def test_renames_symlinks_and_missing_directories_are_followed(tmp_path: Path) -> None:
+def test_renames_symlinks_and_missing_directories_are_detected(tmp_path: Path) -> None:
     folder = tmp_path / "d"
     folder.mkdir()
     (folder / "1.yaml").write_text(list_text("r1 w1"))
