--- a/myrtlehub/relay/clients/__init__.py
+++ b/myrtlehub/relay/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of the relay: decoding of requests, and the responses to them."""
+"""Client-facing part of the relay: decodes requests and writes the responses."""
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -1,4 +1,4 @@
-"""The front for clients: passes their requests to the action executor, and its answers to them."""
+"""Request handler for clients: passes requests to the action executor and writes its answers back."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -14,16 +14,16 @@
 from myrtlehub.relay.settings.platform_limits import DEFAULT_MAX_IN_FLIGHT
 from myrtlehub.state.invariants import InvariantCounter, broken_by_answer
 
-READY_PATH = b"/up"
+READINESS_PATH = b"/up"
 CHAT_PATH = b"/v1/chat/completions"
 STREAM_HEADERS = (Header(b"Content-Type", b"text/event-stream"),)
 
 
 class ExchangeSink:
-    """The action executor's response sink for one sequence, which writes to the client's exchange.
+    """Response sink of one sequence that writes to the client's server exchange.
 
     Attributes:
-        sequence: The sequence; None before it is accepted, and after its final answer.
+        sequence: The sequence; None before it is accepted and after its final answer.
     """
 
     __slots__ = ("exchange", "front", "sequence", "sequence_id")
@@ -33,54 +33,53 @@
         self.exchange = exchange
         self.sequence_id = sequence_id
         self.sequence: InFlightSequence | None = None
-        exchange.on_lost = self._on_lost
+        exchange.on_lost = self._on_connection_lost
         exchange.on_pause = self._on_pause
         exchange.on_resume = self._on_resume
 
     def tokens(self, message: bytes) -> None:
-        """Send server-sent events with tokens to the client."""
+        """Forward server-sent events with tokens to the client."""
         if not self.exchange.is_started:
             self.exchange.start_stream(HTTPStatus.OK, STREAM_HEADERS)
         self.exchange.write(message)
 
     def generated(self, tokens: int) -> None:
-        """End the stream."""
-        self._detach_answered()
+        """End the stream after a complete answer."""
+        self._detach_with_final_answer()
         self.exchange.finish()
 
     def rejected(self, retry_after: float) -> None:
-        """Respond 503, with a Retry-After header in seconds unless `retry_after` is 0."""
-        self._detach_answered()
+        """Respond with 503, and with a Retry-After header in seconds unless `retry_after` is 0."""
+        self._detach_with_final_answer()
         headers = (Header(b"Retry-After", b"%.3f" % retry_after),) if retry_after else ()
         self.exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE, headers)
 
     def aborted(self, reason: str) -> None:
-        """Respond 502, or close the connection without a last chunk if the stream has begun."""
-        self._detach_answered()
+        """Respond with 502, or close the connection without a last chunk if the stream has started."""
+        self._detach_with_final_answer()
         if self.exchange.is_started:
             self.exchange.abort()
         else:
             self.exchange.respond(HTTPStatus.BAD_GATEWAY)
 
-    def _detach_answered(self) -> None:
-        """Check the invariant that a sequence gets only one final answer, and detach from the sequence."""
+    def _detach_with_final_answer(self) -> None:
+        """Check the invariant that a sequence gets one final answer only, then detach from the sequence."""
         has_final_answer = self.sequence_id not in self.front.open_sinks
         self.front.invariants.check(broken_by_answer(has_final_answer), self.sequence_id)
         self._detach()
 
     def _detach(self) -> InFlightSequence | None:
-        """Break the references between exchange, sink and sequence, and return the sequence.
+        """Break the reference cycle between exchange, sink and sequence, and return the sequence.
 
-        They form a cycle, which would otherwise keep the complete request in memory until the next full
-        garbage collection, seconds to minutes later
-        (test_answered_requests_are_freed_without_the_garbage_collector).
+        The cycle would keep the complete request in memory until the next full garbage collection, seconds
+        to minutes later (test_answered_requests_are_freed_without_the_garbage_collector).
         """
         self.front.open_sinks.pop(self.sequence_id, None)
         sequence, self.sequence = self.sequence, None
         self.exchange.clear_callbacks()
         return sequence
 
-    def _on_lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         sequence = self._detach()
         if sequence is not None:
             self.front.executor.client_left(sequence)
@@ -96,7 +95,7 @@
             request.resume()
 
     def _streaming_request(self) -> PendingRequest | None:
-        """Return the engine request whose response is being streamed to the client; None if there is none."""
+        """Return the engine request whose response is streamed to the client, or None."""
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
         if attempt is None or not attempt.is_outstanding:
             return None
@@ -107,11 +106,11 @@
     """Handles the requests of all clients.
 
     Attributes:
-        open_sinks: The sinks of sequences without a final answer, by sequence id.
+        open_sinks: Response sinks of sequences without a final answer, by sequence id.
         is_ready: Returns whether the node has an endpoint list.
-        refuses_from: Clock time in seconds; requests whose last byte arrives later are rejected at once, as
-            the process may be killed before they are answered completely.
-        rejected_count: Number of malformed requests so far.
+        refuses_from: Clock time in seconds. Requests whose last byte arrives later are rejected immediately,
+            because the process may be killed before their answer is complete.
+        malformed_count: Number of malformed requests since the start.
     """
 
     def __init__(
@@ -128,27 +127,27 @@
         self.open_sinks: dict[str, ExchangeSink] = {}
         self.is_ready: Callable[[], bool] = lambda: True
         self.refuses_from = float("inf")
-        self.rejected_count = 0
+        self.malformed_count = 0
 
     def on_request(self, exchange: ServerExchange) -> None:
-        """Handle a complete request."""
+        """Dispatch a complete request by path and method."""
         request = exchange.request
         path = request.target.partition(b"?")[0]
-        if path == READY_PATH:
+        if path == READINESS_PATH:
             if request.method != b"GET":
-                self._reject(exchange, HTTPStatus.METHOD_NOT_ALLOWED)
+                self._reject_malformed(exchange, HTTPStatus.METHOD_NOT_ALLOWED)
             else:
                 exchange.respond(HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE)
         elif path != CHAT_PATH:
-            self._reject(exchange, HTTPStatus.NOT_FOUND)
+            self._reject_malformed(exchange, HTTPStatus.NOT_FOUND)
         elif request.method != b"POST":
-            self._reject(exchange, HTTPStatus.METHOD_NOT_ALLOWED)
+            self._reject_malformed(exchange, HTTPStatus.METHOD_NOT_ALLOWED)
         else:
             self._accept(exchange)
 
-    def _reject(self, exchange: ServerExchange, status: int, reason: str = "") -> None:
+    def _reject_malformed(self, exchange: ServerExchange, status: int, reason: str = "") -> None:
         """Respond to a malformed request with a 4xx status and close the connection."""
-        self.rejected_count += 1
+        self.malformed_count += 1
         self.executor.log(LogEvent.REQUEST_REJECTED, status=status, reason=reason)
         exchange.respond(status, close=True)
 
@@ -156,21 +155,24 @@
         try:
             decoded = self.decoder.decode(exchange.request, self.executor.clock.seconds())
             if decoded.sequence_id in self.open_sinks:
-                raise RejectedRequestError(HTTPStatus.CONFLICT, "X-Txn is the id of an open request")
+                raise RejectedRequestError(HTTPStatus.CONFLICT, "X-Txn is already the id of an open request")
         except RejectedRequestError as error:
-            self._reject(exchange, error.status, str(error))
+            self._reject_malformed(exchange, error.status, str(error))
             return
         sequence_id = decoded.sequence_id
         sink = ExchangeSink(self, exchange, sequence_id)
         self.open_sinks[sequence_id] = sink
-        if self._is_too_late(exchange) or len(self.executor.in_flight) >= self.max_in_flight:
+        if self._arrived_after_cutoff(exchange) or len(self.executor.in_flight) >= self.max_in_flight:
             sink.rejected(self.executor.config.max_retry_after)
             return
         sequence = self.executor.accept(decoded.engine_request, decoded.arrival, sink, sequence_id)
-        if sequence_id in self.open_sinks:  # otherwise accept() has already answered it
+        if sequence_id in self.open_sinks:  # accept() may already have answered it
             sink.sequence = sequence
 
-    def _is_too_late(self, exchange: ServerExchange) -> bool:
-        """Return whether a request certainly came after `refuses_from`: data may be read late."""
+    def _arrived_after_cutoff(self, exchange: ServerExchange) -> bool:
+        """Return whether the last byte of a request certainly arrived after `refuses_from`.
+
+        The event loop may have read it late, so the oldest possible age of the data is subtracted.
+        """
         age = self.decoder.lag.age(self.executor.clock.seconds())
         return exchange.request.received_at - age > self.refuses_from
--- a/myrtlehub/relay/clients/request_headers.py
+++ b/myrtlehub/relay/clients/request_headers.py
@@ -1,13 +1,13 @@
-"""Headers of clients' requests: which ones the relay interprets, and which it forwards to engines."""
+"""Headers of clients' requests: those that the relay interprets and those that it forwards to engines."""
 
 from http import HTTPStatus
 
 from myrtlehub.http1.headers import Headers
 from myrtlehub.relay.errors import RejectedRequestError
 
-MAX_NUMBER_DIGITS = 12  # of a number in a header; enough for any time in ms or length in tokens
+MAX_NUMBER_DIGITS = 12  # enough for any time in ms or length in tokens
 
-# Headers that the relay interprets. None of them may occur more than once in a request.
+# Headers that the relay interprets. Each may occur only once in a request.
 INTERPRETED_HEADERS = frozenset(
     (
         b"x-txn",
@@ -21,9 +21,9 @@
         b"x-estimate",
     )
 )
-# Headers that are not forwarded, because they apply to one connection only (RFC 9110, section 7.6.1) or the
-# relay sends its own. All others are forwarded.
-CONNECTION_HEADERS = frozenset(
+# Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1) and those of which the relay
+# sends its own. All others are forwarded.
+NOT_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -47,13 +47,13 @@
     """Return the interpreted headers by name.
 
     Raises:
-        RejectedRequestError: One of them occurs twice.
+        RejectedRequestError: One of them occurs more than once.
     """
     fields: dict[bytes, bytes] = {}
     for name, value in headers:
         if name in INTERPRETED_HEADERS:
             if name in fields:
-                raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name.decode()} occurs twice")
+                raise RejectedRequestError(HTTPStatus.BAD_REQUEST, f"{name.decode()} occurs more than once")
             fields[name] = value
     return fields
 
@@ -61,19 +61,19 @@
 def forwarded_headers(headers: Headers) -> Headers:
     """Return the headers that are forwarded to engines.
 
-    Headers unknown to the relay are included, because engines interpret some of them. For example, an engine
-    that does not get the Idempotency-Key executes a retry as a new request.
+    They include headers unknown to the relay, because engines interpret some of them. For example, an engine
+    that does not receive the Idempotency-Key executes a retry as a new request.
     """
-    own = _connection_headers(headers)
-    return [header for header in headers if header.name not in own]
+    not_forwarded = _hop_by_hop_headers(headers)
+    return [header for header in headers if header.name not in not_forwarded]
 
 
-def _connection_headers(headers: Headers) -> frozenset[bytes]:
-    """Return the names of the headers not to forward, including those that Connection headers list."""
+def _hop_by_hop_headers(headers: Headers) -> frozenset[bytes]:
+    """Return the names of headers not to forward, including those listed in Connection headers."""
     named = [
         part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
     ]
-    return CONNECTION_HEADERS.union(named) if named else CONNECTION_HEADERS
+    return NOT_FORWARDED_HEADERS.union(named) if named else NOT_FORWARDED_HEADERS
 
 
 def parse_number(text: bytes, name: str) -> int:
@@ -91,7 +91,7 @@
     """Parse the value of X-Labels: comma-separated NAME=VALUE pairs.
 
     Raises:
-        RejectedRequestError: A part is not such a pair, or a name occurs twice.
+        RejectedRequestError: A part is not such a pair, or a name occurs more than once.
     """
     labels: dict[bytes, bytes] = {}
     for part in text.split(b",") if text else ():
--- a/myrtlehub/relay/monitoring/event_log.py
+++ b/myrtlehub/relay/monitoring/event_log.py
@@ -1,4 +1,4 @@
-"""The event log: JSON lines, and a flight recorder with the latest events, which is dumped at violations."""
+"""Event log: JSON lines, and a flight recorder of the latest events that is dumped on a violation."""
 
 import itertools
 import time
@@ -11,7 +11,7 @@
 from myrtlehub.log_events import LogEvent
 from myrtlehub.relay.monitoring.log_writer import LogWriter
 
-# Events that are too frequent to be written by default; they are written if RELAY_LOG=all.
+# Events that are too frequent to be written by default; RELAY_LOG=all writes them.
 DETAILED_EVENTS = frozenset(
     (
         LogEvent.SEQUENCE_ANSWERED,
@@ -30,31 +30,31 @@
 )
 MAX_RECORDED_EVENTS = 2000  # events in the flight recorder
 MAX_DUMPED_EVENTS = 300  # events written by one dump
-DUMP_INTERVAL_S = 10.0  # shortest time between two dumps, so that repeated violations do not flood the log
-TIME_DIGITS = 4  # decimal places of the seconds in a dump
+DUMP_INTERVAL_S = 10.0  # shortest interval between dumps, so that repeated violations do not flood the log
+CLOCK_TIME_DIGITS = 4  # decimal places of the clock time in a dump
 UNIX_TIME_DIGITS = 3  # decimal places of the Unix time of each line
 _line_encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 class RecordedEvent(NamedTuple):
-    """An event in the flight recorder; `at` is in seconds of the node's clock."""
+    """An event in the flight recorder; `recorded_at` is the clock time in seconds."""
 
-    at: float
+    recorded_at: float
     event: LogEvent
     fields: dict[str, object]
 
 
 class EventLog:
-    """Writes events as JSON lines, and records the latest events of all kinds in memory.
+    """Writes events as JSON lines, and keeps the latest events of all kinds in memory.
 
-    It never raises: a node must not fail because it cannot write its log.
+    It never raises, because a node must not fail if it cannot write its log.
 
     Args:
         writer: Writes the lines.
-        now: Returns the node's time in seconds.
+        now: Returns the clock time in seconds.
         log_all: Whether to write detailed events too.
-        unix_time: Returns the wall clock's Unix time in seconds, which each line has as `time`. Nothing but
-            the log may depend on it, because a wall clock can be set.
+        unix_time: Returns the wall-clock time as Unix time in seconds, which is logged as `time`. Only the
+            log may depend on it, because the wall clock can be adjusted.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self._last_dump_at = float("-inf")
 
     def __call__(self, event: LogEvent, /, **fields: object) -> None:
-        """Record an event, and write it unless it is a detailed event and `log_all` is off."""
+        """Record an event, and write it unless it is detailed and `log_all` is off."""
         self._recorded.append(RecordedEvent(self._now(), event, fields))
         if self._log_all or event not in DETAILED_EVENTS:
             self._write(event, fields)
@@ -90,7 +90,7 @@
     def dump(self) -> None:
         """Write the latest recorded events, including detailed ones.
 
-        No effect if all events are written anyway, or within DUMP_INTERVAL_S of the last dump.
+        Does nothing if all events are written anyway, or within DUMP_INTERVAL_S of the last dump.
         """
         now = self._now()
         if self._log_all or now < self._last_dump_at + DUMP_INTERVAL_S:
@@ -98,10 +98,10 @@
         self._last_dump_at = now
         first = max(0, len(self._recorded) - MAX_DUMPED_EVENTS)
         for recorded in list(itertools.islice(self._recorded, first, None)):
-            at = round(recorded.at, TIME_DIGITS)
+            recorded_at = round(recorded.recorded_at, CLOCK_TIME_DIGITS)
             self._write(
                 LogEvent.EVENT_RECORDED,
-                {"recorded_at_s": at, "recorded": recorded.event, **recorded.fields},
+                {"recorded_at_s": recorded_at, "recorded": recorded.event, **recorded.fields},
             )
 
     def flush(self, timeout: float) -> None:
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -1,4 +1,4 @@
-"""Checks of a running node's invariants, and the periodic log line with its counters."""
+"""Periodic checks of a node's invariants, and the periodic log event with its counters."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, Protocol
@@ -23,43 +23,43 @@
 
 CHECK_INTERVAL_S = 0.1
 COUNTERS_INTERVAL_S = 10.0
-# Seconds by which an answer may be late without a violation; clients accept it up to 0.5 s late.
-LATE_ANSWER_TOLERANCE_S = 0.1
-# Checks in a row that have to find a read state held too long: if the process was suspended, the first one
-# may run before the router's wake-up that releases it.
-CHECKS_UNTIL_HELD = 2
+# Time in seconds by which an answer may miss its deadline without a violation; clients accept up to 0.5 s.
+OVERDUE_ANSWER_TOLERANCE_S = 0.1
+# Consecutive checks that have to find a read state retained too long. One is not enough: after the process
+# was suspended, a check may run before the router's wake-up that releases the read state.
+CHECKS_UNTIL_RETENTION_VIOLATION = 2
 
 
 class RecurringTimer(NamedTuple):
-    """A periodic task; `is_armed` returns whether its next run is scheduled."""
+    """A periodic timer; `is_armed` returns whether its next run is scheduled."""
 
     name: str
     is_armed: Callable[[], bool]
 
 
-class NodeFigures(Protocol):
-    """Figures of a node that its counters show."""
+class NodeStatistics(Protocol):
+    """Statistics of a node that are logged with its counters."""
 
     def worst_lag(self) -> float:
         """Return the largest event loop lag so far, in seconds."""
 
     def release_counts(self) -> Mapping[str, int]:
-        """Return the ended releases of read state, by result."""
+        """Return the number of ended releases of read state by result."""
 
 
 class InvariantMonitor(ExecutorObserver):
-    """Checks invariants that no single code path can check, such as overdue answers and stopped timers.
+    """Checks invariants that span several code paths, such as overdue answers and stopped timers.
 
     Attributes:
         counter: Counts withheld sends and violations.
-        timers: The periodic tasks that must always have their next run scheduled.
+        timers: Periodic timers whose next run must always be scheduled.
         on_violation: Called after a violation has been logged.
         executor: Owns the sequences that are checked; set by `attach`.
-        figures: The node's figures for the counters; set by `attach`.
+        statistics: The node's statistics; set by `attach`.
     """
 
     executor: ActionExecutor
-    figures: NodeFigures
+    statistics: NodeStatistics
 
     def __init__(self, clock: Clock, log: Log) -> None:
         self.clock = clock
@@ -67,49 +67,49 @@
         self.counter = InvariantCounter(self._log_violation)
         self.timers: list[RecurringTimer] = []
         self.on_violation: Callable[[], None] = lambda: None
-        self._overdue_at_last_check: set[int] = set()  # by sequence number
-        # By sequence number: the number of checks in a row that found its read states held too long.
-        self._checks_held: dict[int, int] = {}
+        self._overdue_at_last_check: set[int] = set()  # sequence numbers
+        # Number of consecutive checks that found read states retained too long, by sequence number.
+        self._retention_check_counts: dict[int, int] = {}
         self._next_counters_at = clock.seconds() + COUNTERS_INTERVAL_S
 
-    def attach(self, executor: ActionExecutor, figures: NodeFigures) -> None:
-        """Set the executor whose sequences are checked, and observe it; set the source of figures."""
+    def attach(self, executor: ActionExecutor, statistics: NodeStatistics) -> None:
+        """Set and observe the executor whose sequences are checked, and set the source of statistics."""
         self.executor = executor
-        self.figures = figures
+        self.statistics = statistics
         executor.add_observer(self)
 
     def start(self) -> None:
-        """Start the periodic check."""
+        """Start the periodic checks."""
         self.clock.callLater(CHECK_INTERVAL_S, self._check)
 
     def connection_closing(self, reason: CloseReason, exchange: ServerExchange | None) -> None:
-        """Log that the node closes a client's connection, and check that no request on it is unanswered."""
+        """Log that the node closes a client's connection, and check that it has no open request."""
         is_open = exchange is not None and not exchange.is_finished
         self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
         self.counter.check(broken_by_close(is_open))
 
     def log_counters(self) -> None:
-        """Log the counters of answers, withheld sends and violations."""
+        """Log the counters of answers, releases, withheld sends and violations."""
         self.log(
             LogEvent.COUNTERS,
             answers=dict(sorted(self.executor.answer_counts.items())),
             in_flight=len(self.executor.in_flight),
-            oldest_read_state_s=round(self._oldest_read_state(), 3),
-            releases=dict(sorted(self.figures.release_counts().items())),
-            worst_lag_s=round(self.figures.worst_lag(), 3),
+            oldest_read_state_s=round(self._oldest_read_state_age(), 3),
+            releases=dict(sorted(self.statistics.release_counts().items())),
+            worst_lag_s=round(self.statistics.worst_lag(), 3),
             withheld=dict(sorted(self.counter.withheld.items())),
             violations=dict(sorted(self.counter.violations.items())),
         )
 
-    def _oldest_read_state(self) -> float:
-        """Return for how many seconds the oldest read state has not been fetched; 0.0 if there is none."""
+    def _oldest_read_state_age(self) -> float:
+        """Return the age in seconds of the oldest read state that is not fetched; 0.0 if there is none."""
         now = self.clock.seconds()
         return max((now - since for since in self._unfetched_since().values()), default=0.0)
 
     def _unfetched_since(self) -> dict[int, float]:
-        """Return since when read states are neither fetched nor released, by sequence number.
+        """Return the times since which read states are neither fetched nor released, by sequence number.
 
-        When an answer begins, engines free by themselves what they hold for its sequence.
+        Sequences whose answer has started are skipped, because engines then free its read states themselves.
         """
         return {
             number: sequence.unfetched_since
@@ -118,32 +118,32 @@
         }
 
     def _check_states(self, now: float) -> None:
-        """Check that read states are fetched or released in time, unless an attempt has arrived meanwhile."""
-        checks_before, self._checks_held = self._checks_held, {}
+        """Check that read states are fetched or released in time, unless an attempt has since arrived."""
+        previous_counts, self._retention_check_counts = self._retention_check_counts, {}
         for number, since in self._unfetched_since().items():
-            broken = broken_by_holding(now - since, self.executor.config.state_timeout)
-            if broken is None:
+            violated = broken_by_holding(now - since, self.executor.config.state_timeout)
+            if violated is None:
                 continue
-            self._checks_held[number] = checks_before.get(number, 0) + 1
-            if self._checks_held[number] == CHECKS_UNTIL_HELD:
-                self.counter.check(broken, self.executor.in_flight[number].sequence_id)
+            self._retention_check_counts[number] = previous_counts.get(number, 0) + 1
+            if self._retention_check_counts[number] == CHECKS_UNTIL_RETENTION_VIOLATION:
+                self.counter.check(violated, self.executor.in_flight[number].sequence_id)
 
     def _log_violation(self, invariant: Invariant, sequence_id: str) -> None:
         self.log(LogEvent.INVARIANT_VIOLATED, invariant=invariant, sequence_id=sequence_id)
         self.on_violation()
 
     def sequence_forgotten(self, sequence: InFlightSequence) -> None:
-        """Check that a forgotten sequence has its final answer and no unreleased read state."""
-        broken = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
-        self.counter.check(broken, sequence.sequence_id)
+        """Check that a removed sequence has its final answer and no unreleased read state."""
+        violated = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
+        self.counter.check(violated, sequence.sequence_id)
 
     def _check(self) -> None:
         self.clock.callLater(CHECK_INTERVAL_S, self._check)
         now = self.clock.seconds()
         overdue = self._overdue_sequences(now)
         for sequence in overdue:
-            broken = broken_by_waiting(now - sequence.deadline, LATE_ANSWER_TOLERANCE_S)
-            self.counter.check(broken, sequence.sequence_id)
+            violated = broken_by_waiting(now - sequence.deadline, OVERDUE_ANSWER_TOLERANCE_S)
+            self.counter.check(violated, sequence.sequence_id)
         self._check_states(now)
         if now >= self._next_counters_at:
             self._next_counters_at = now + COUNTERS_INTERVAL_S
@@ -154,17 +154,19 @@
             self.executor.abort(sequence, "its deadline has passed")
 
     def _overdue_sequences(self, now: float) -> list[InFlightSequence]:
-        """Return the sequences that are unanswered after their deadline, at this check and at the one before.
+        """Return the sequences that this check and the previous one found unanswered after their deadline.
 
-        One check is not enough: if the process was suspended past a deadline, the check may run before the
-        router's wake-up that answers the sequence.
+        One check is not enough: after the process was suspended past a deadline, the check may run before
+        the router's wake-up that answers the sequence.
         """
-        late = [sequence for sequence in self.executor.in_flight.values() if self._is_overdue(sequence, now)]
-        overdue = [sequence for sequence in late if sequence.number in self._overdue_at_last_check]
-        self._overdue_at_last_check = {sequence.number for sequence in late}
+        overdue_now = [
+            sequence for sequence in self.executor.in_flight.values() if self._is_overdue(sequence, now)
+        ]
+        overdue = [sequence for sequence in overdue_now if sequence.number in self._overdue_at_last_check]
+        self._overdue_at_last_check = {sequence.number for sequence in overdue_now}
         return overdue
 
     @staticmethod
     def _is_overdue(sequence: InFlightSequence, now: float) -> bool:
-        is_late = now > sequence.deadline + LATE_ANSWER_TOLERANCE_S
-        return is_late and sequence.answer.state == AnswerState.PENDING
+        is_past_deadline = now > sequence.deadline + OVERDUE_ANSWER_TOLERANCE_S
+        return is_past_deadline and sequence.answer.state == AnswerState.PENDING
--- a/myrtlehub/relay/monitoring/log_writer.py
+++ b/myrtlehub/relay/monitoring/log_writer.py
@@ -1,4 +1,4 @@
-"""Non-blocking output of log lines: lines that cannot be written are dropped and counted."""
+"""Non-blocking log output: lines that cannot be written are dropped and counted."""
 
 import os
 import select
@@ -6,27 +6,27 @@
 from typing import Protocol
 
 MAX_BUFFERED_BYTES = 256 * 1024
-# A pipe that poll() reports as writable accepts this many bytes without blocking (POSIX, PIPE_BUF).
+# A pipe that poll() reports as writable accepts this many bytes without blocking (PIPE_BUF of POSIX).
 MAX_WRITE_BYTES = select.PIPE_BUF
 DROP_NOTICE = b'{"event":"log_lines_dropped","count":%d}\n'  # LogEvent.LOG_LINES_DROPPED as JSON
 
 
 class Poll(Protocol):
-    """The part of `select.poll()` objects that is used here."""
+    """The methods of `select.poll()` objects that are used here."""
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
-        """Return pairs of a descriptor and its event mask, after waiting up to `timeout` milliseconds."""
+        """Wait up to `timeout` milliseconds and return pairs of a descriptor and its event mask."""
 
 
 class LogWriter:
     """Writes lines to a file descriptor without blocking and without raising.
 
-    Answers to clients must not be delayed by a full device, or by a pipe that is closed or not read. Lines
-    are buffered until the descriptor accepts them. If the bounded buffer is full, further lines are dropped,
-    and a notice with their number is written once the buffer is empty again.
+    A full device, or a pipe that is closed or not read, must not delay answers to clients. Lines are buffered
+    until the descriptor accepts them. While the bounded buffer is full, further lines are dropped; a notice
+    with their number is written once the buffer is empty again.
 
     Attributes:
-        dropped_count: Number of lines dropped so far.
+        dropped_count: Number of dropped lines since the start.
     """
 
     def __init__(self, descriptor: int, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
@@ -44,7 +44,7 @@
             if stat.S_ISREG(os.fstat(descriptor).st_mode):
                 return None
         except OSError:
-            return None  # the descriptor is closed: writes fail at once
+            return None  # the descriptor is closed, so writes fail immediately
         poll = select.poll()
         poll.register(descriptor, select.POLLOUT)
         return poll
@@ -63,13 +63,13 @@
         self.flush()
 
     def flush(self, timeout: float = 0.0) -> None:
-        """Write as much of the buffer as the descriptor accepts within `timeout` seconds per write."""
+        """Write buffered lines, waiting up to `timeout` seconds before each write for the descriptor."""
         try:
             while self._buffer and self._is_writable(timeout):
                 written = os.write(self._descriptor, bytes(self._buffer[:MAX_WRITE_BYTES]))
                 del self._buffer[:written]
         except OSError:
-            pass  # full device or closed reader; the next line causes another try
+            pass  # full device or closed reader: retried with the next line
 
     def _is_writable(self, timeout: float) -> bool:
         if self._poll is None:
--- a/myrtlehub/relay/monitoring/uncaught_errors.py
+++ b/myrtlehub/relay/monitoring/uncaught_errors.py
@@ -1,4 +1,4 @@
-"""Non-blocking output of the tracebacks of uncaught exceptions to standard error."""
+"""Non-blocking output of tracebacks of uncaught exceptions to standard error."""
 
 from typing import Any
 
@@ -10,8 +10,8 @@
 def log_uncaught_errors(writer: LogWriter) -> None:
     """Write Twisted's critical log events, which contain the tracebacks, and discard all others.
 
-    Without an observer, Twisted buffers all log events, and writes critical ones to standard error with
-    blocking calls. A pipe that is not read would then block the process.
+    Without an observer, Twisted buffers all log events and writes critical ones to standard error with
+    blocking calls, so that a pipe that is not read would block the process.
     """
 
     def write(event: dict[str, Any]) -> None:
--- a/myrtlehub/relay/process/__init__.py
+++ b/myrtlehub/relay/process/__init__.py
@@ -1,1 +1,1 @@
-"""The relay as an operating-system process: its port, its start and its shutdown."""
+"""The relay as an operating-system process: listening port, start-up and shutdown."""
--- a/myrtlehub/relay/process/descriptor_budget.py
+++ b/myrtlehub/relay/process/descriptor_budget.py
@@ -1,28 +1,28 @@
-"""The budget of file descriptors: how many connections to clients and engines a process may have."""
+"""Budget of file descriptors: the numbers of connections to clients and engines that a process may have."""
 
 from typing import NamedTuple
 
-# Connections to discovery. While it does not respond, a request is sent every 120 ms and lasts up to 2 s.
+# Connections to discovery. While it does not respond, a request is sent every 120 ms and times out after 2 s.
 MAX_DISCOVERY_CONNECTIONS = 18
-# Connections accepted per reactor turn. The listener cannot close any of them before the next turn.
+# Connections accepted per reactor turn. The listener can close them in the next turn at the earliest.
 MAX_ACCEPTS_PER_TURN = 32
-# For standard streams, selector, wakers, listening port, Twisted's reserve, settings file and late imports.
-PROCESS_DESCRIPTORS = 14
-RESERVED_DESCRIPTORS = MAX_DISCOVERY_CONNECTIONS + MAX_ACCEPTS_PER_TURN + PROCESS_DESCRIPTORS
+# Standard streams, selector, wakers, listening port, Twisted's reserve, settings file and late imports.
+PROCESS_OVERHEAD_DESCRIPTORS = 14
+RESERVED_DESCRIPTORS = MAX_DISCOVERY_CONNECTIONS + MAX_ACCEPTS_PER_TURN + PROCESS_OVERHEAD_DESCRIPTORS
 
-# Fractions of the descriptors that are not reserved:
-CLIENT_SHARE = 0.47  # clients' connections, including lingering ones; a third may have open requests
-BURST_SHARE = 0.13  # new connections of clients beyond that, until the listener has closed unused ones
-ENGINE_SHARE = 0.40  # connections to engines: one per request in flight, and those of releases
+# Fractions of the unreserved descriptors:
+CLIENT_FRACTION = 0.47  # client connections, including lingering ones; a third may have open requests
+CLIENT_BURST_FRACTION = 0.13  # client connections beyond that, until the listener has closed unused ones
+ENGINE_FRACTION = 0.40  # engine connections: one per request in flight, and those of releases
 
 
 class DescriptorBudget(NamedTuple):
-    """Numbers of file descriptors by use.
+    """Maximum numbers of connections by use.
 
     Attributes:
-        clients: Connections of clients.
-        client_burst: Connections of clients beyond `clients`, for a short time.
-        engines: Connections to engines.
+        clients: Client connections.
+        client_burst: Client connections beyond `clients`, for a short time.
+        engines: Engine connections.
     """
 
     clients: int
@@ -31,6 +31,10 @@
 
     @classmethod
     def of(cls, descriptors: int) -> "DescriptorBudget":
-        """Divide the descriptors of a process, except the reserved ones, among the uses."""
-        free = descriptors - RESERVED_DESCRIPTORS
-        return cls(int(CLIENT_SHARE * free), int(BURST_SHARE * free), int(ENGINE_SHARE * free))
+        """Return the budget of a process with the given number of file descriptors."""
+        available = descriptors - RESERVED_DESCRIPTORS
+        return cls(
+            int(CLIENT_FRACTION * available),
+            int(CLIENT_BURST_FRACTION * available),
+            int(ENGINE_FRACTION * available),
+        )
--- a/myrtlehub/relay/process/graceful_shutdown.py
+++ b/myrtlehub/relay/process/graceful_shutdown.py
@@ -1,44 +1,44 @@
-"""Graceful shutdown on SIGTERM: accept late connections, close unused ones, answer all requests."""
+"""Graceful shutdown on SIGTERM: accepts late connections, closes unused ones, answers all requests."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 from myrtlehub.clock import Clock
 
-# Time after SIGTERM during which connections are still accepted, because the load balancer may need this long
-# to stop sending new ones.
+# Time after SIGTERM during which connections are still accepted: the load balancer may take this long to stop
+# opening new ones.
 ACCEPT_PERIOD_S = 0.5
-# Time from the report of what is still pending to the earliest SIGKILL, as the process may be delayed.
+# Time between the report of pending work and the earliest SIGKILL, because the process may be delayed.
 REPORT_MARGIN_S = 0.15
-ACCEPT_RETRY_INTERVAL_S = 0.02  # while clients cannot be accepted, and the port cannot be closed
+ACCEPT_RETRY_INTERVAL_S = 0.02  # while accept() fails, so that the port cannot be closed
 IDLE_CHECK_INTERVAL_S = 0.1  # between checks of whether the node is still busy
 
 
-class Drainable(Protocol):
-    """A set of connections that can be drained."""
+class DrainableListener(Protocol):
+    """A listener whose connections can be drained."""
 
     def drain(self) -> None:
-        """Close unused connections now, and the others after their response; may be called repeatedly."""
+        """Close unused connections now and the others after their response; may be called repeatedly."""
 
 
 class GracefulShutdown:
-    """The graceful shutdown of a process.
+    """Graceful shutdown of a process.
 
     Args:
         clock: Schedules the steps.
-        listener: The connections of clients.
-        is_busy: Returns whether anything in flight still needs the process; see `RelayNode.is_busy`.
-        stop_listening: Closes the port for clients. Returns True if it has to be called again, as clients
-            that wait to be accepted cannot be accepted at present.
-        end: Called once, when the node is no longer busy.
-        report_delay: Seconds after the start at which `report` is called, unless the shutdown has ended.
-        report: Reports what is still pending.
+        listener: Listener for client connections.
+        is_busy: Returns whether work in flight still needs the process; see `RelayNode.is_busy`.
+        stop_listening: Closes the port for clients. Returns True if it has to be called again, because
+            connections in the accept queue currently cannot be accepted.
+        end: Called once, when the node is no longer busy, to end the process.
+        report_delay: Seconds after the start at which `report` is called, unless the process has ended.
+        report: Logs the pending work.
     """
 
     def __init__(
         self,
         clock: Clock,
-        listener: Drainable,
+        listener: DrainableListener,
         is_busy: Callable[[], bool],
         stop_listening: Callable[[], bool],
         end: Callable[[], None],
@@ -55,19 +55,19 @@
         self._is_started = False
 
     def start(self) -> None:
-        """Start the shutdown. Further calls have no effect."""
+        """Start the shutdown. Further calls do nothing."""
         if self._is_started:
             return
         self._is_started = True
-        self.clock.callLater(ACCEPT_PERIOD_S, self._close)
+        self.clock.callLater(ACCEPT_PERIOD_S, self._close_port)
         if self.report is not None:
             self.clock.callLater(self.report_delay, self.report)
         self.listener.drain()
 
-    def _close(self) -> None:
-        """Close the port, or try again soon; the process ends even if a step raises.
+    def _close_port(self) -> None:
+        """Close the port, or retry soon; the process ends even if a step raises.
 
-        Clients in the accept queue need a response, so the port is not closed over them
+        Closing the port would reset connections in the accept queue, whose clients need a response
         (`test_a_client_that_cannot_be_accepted_as_the_port_closes_is_answered_later`).
         """
         must_retry = False
@@ -75,24 +75,24 @@
             must_retry = self.stop_listening()
         finally:
             if must_retry:
-                self.clock.callLater(ACCEPT_RETRY_INTERVAL_S, self._close)
+                self.clock.callLater(ACCEPT_RETRY_INTERVAL_S, self._close_port)
             else:
                 self.clock.callLater(0, self._end_when_idle)
             self.listener.drain()
 
     def _end_when_idle(self) -> None:
-        """End the process once nothing is in flight.
+        """End the process once the node is no longer busy.
 
-        No timeout is needed here, because everything in flight has its own time limit: sequences have their
-        deadlines, partial requests REQUEST_TIMEOUT_S, last responses LINGER_TIMEOUT_S, and releases
-        RELEASE_TIMEOUT_S. A stream ends when the engine ends it, or after SILENCE_TIMEOUT_S without an event.
-        The platform sends SIGKILL no earlier than `PlatformLimits.earliest_kill` after SIGTERM; a process
-        that is still busy shortly before that reports what is pending, and goes on.
+        This needs no timeout, because all work in flight has its own: sequences have their deadlines,
+        partial requests REQUEST_TIMEOUT_S, last responses LINGER_TIMEOUT_S, and releases RELEASE_TIMEOUT_S.
+        A stream ends when the engine ends it, or after SILENCE_TIMEOUT_S without an event. The platform sends
+        SIGKILL no earlier than `PlatformLimits.earliest_kill` after SIGTERM. A process that is still busy
+        shortly before that reports the pending work and continues.
         """
         is_busy = True
         try:
             is_busy = self.is_busy()
-        finally:  # if is_busy() raised, the check is repeated
+        finally:  # the check is repeated if is_busy() raised
             if is_busy:
                 self.clock.callLater(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
         if not is_busy:
--- a/myrtlehub/relay/process/pending_work.py
+++ b/myrtlehub/relay/process/pending_work.py
@@ -1,4 +1,4 @@
-"""What a node still owes to clients and engines, for the log of a process that is about to be killed."""
+"""Counts of a node's pending work, which a process logs shortly before the earliest SIGKILL."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
     READING = "reading"  # for a reader's response
     WRITING = "writing"  # for the first token
     STREAMING = "streaming"  # for the end of its answer
-    ANSWERED = "answered"  # for the end of an attempt, or for nothing: its client has its answer
+    ANSWERED = "answered"  # for the end of an attempt, or for nothing: it has its final answer
 
 
 class ConnectionStage(StrEnum):
@@ -29,12 +29,12 @@
 
 
 class PendingWork(NamedTuple):
-    """Numbers of what is pending, by stage.
+    """Counts of pending work.
 
     Attributes:
-        sequences: In-flight sequences.
-        connections: Clients' connections.
-        releases: Releases of read states without an answer, and second releases that are still to be sent.
+        sequences: Number of in-flight sequences by stage.
+        connections: Number of client connections by stage.
+        releases: Number of unanswered releases of read state and of second releases still to be sent.
     """
 
     sequences: dict[str, int]
@@ -48,7 +48,7 @@
 
 
 def count_connections(connections: Iterable[AdmittedConnection]) -> dict[str, int]:
-    """Return the number of clients' connections in each stage."""
+    """Return the number of client connections in each stage."""
     return dict(sorted(Counter(_connection_stage(connection).value for connection in connections).items()))
 
 
--- a/myrtlehub/relay/settings/__init__.py
+++ b/myrtlehub/relay/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Reading, validation and reload of the node settings."""
+"""Reads, validates and reloads the node settings."""
--- a/myrtlehub/relay/settings/platform_limits.py
+++ b/myrtlehub/relay/settings/platform_limits.py
@@ -1,4 +1,4 @@
-"""Limits that the platform sets for connections and in-flight sequences."""
+"""Limits of the platform for connections, in-flight sequences and shutdown."""
 
 from typing import NamedTuple
 
@@ -8,17 +8,17 @@
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_KEEPALIVE_MS = 30000.0
-DEFAULT_MAX_IN_FLIGHT = 20000  # sequences; used unless the settings state a limit
+DEFAULT_MAX_IN_FLIGHT = 20000  # sequences
 
 
 class PlatformLimits(NamedTuple):
     """Limits of the platform.
 
     Attributes:
-        connect_timeout: Seconds within which a connection to an engine has to be established.
-        keepalive: Seconds after which engines close idle connections.
-        max_in_flight: Largest number of in-flight sequences.
-        earliest_kill: Seconds from SIGTERM to the earliest SIGKILL.
+        connect_timeout: Time in seconds within which a connection to an engine has to be established.
+        keepalive: Time in seconds after which engines close idle connections.
+        max_in_flight: Maximum number of in-flight sequences.
+        earliest_kill: Time in seconds from SIGTERM to the earliest SIGKILL.
     """
 
     connect_timeout: float
@@ -28,21 +28,23 @@
 
 
 def platform_limits_of(settings: NodeSettings) -> PlatformLimits:
-    """Return the limits from the platform's settings; those that are not stated have default values.
+    """Return the limits from the platform's settings, with defaults for those that are absent.
 
     Raises:
         SettingsError: A limit is not a number above 0.
     """
-    caps = settings.platform.get("Caps", {})
+    capabilities = settings.platform.get("Caps", {})
     limits = {
         "ConnectTimeoutMs": DEFAULT_CONNECT_TIMEOUT_MS,
         "KeepaliveMs": DEFAULT_KEEPALIVE_MS,
         "MostHeld": DEFAULT_MAX_IN_FLIGHT,
     }
     for key in limits:
-        value = limits[key] = caps.get(key, limits[key])
+        value = limits[key] = capabilities.get(key, limits[key])
         if not isinstance(value, (int, float)) or value <= 0:
-            raise SettingsError(f"settings.Caps.{key}: {value!r} is no number above 0; write one")
+            raise SettingsError(
+                f"settings.Caps.{key}: {value!r} is not a number above 0; use a positive number"
+            )
     return PlatformLimits(
         connect_timeout=limits["ConnectTimeoutMs"] / 1e3,
         keepalive=limits["KeepaliveMs"] / 1e3,
--- a/myrtlehub/relay/settings/settings_reload.py
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the node settings on SIGHUP."""
+"""Reloads the node settings on SIGHUP."""
 
 from collections.abc import Callable
 
@@ -8,17 +8,16 @@
 
 
 def reload_settings(
-    path: str, current: NodeSettings, follow_discovery_at: Callable[[str], None], log: Log
+    path: str, current: NodeSettings, set_discovery_address: Callable[[str], None], log: Log
 ) -> None:
-    """Read the settings file again, and apply the address of discovery if the file is valid.
+    """Read the settings file again, and apply the discovery address if the file is valid.
 
-    Other settings take effect only at the next start of the node. Those of them that differ from `current`
-    are logged.
+    Other settings take effect at the next start of the node; those that differ from `current` are logged.
 
     Args:
         path: The settings file.
-        current: The settings that the node was started with.
-        follow_discovery_at: Called with the HOST:PORT of the discovery service.
+        current: The settings with which the node was started.
+        set_discovery_address: Called with the HOST:PORT of the discovery service.
         log: The event log.
     """
     try:
@@ -26,7 +25,7 @@
     except SettingsError as error:
         log(LogEvent.SETTINGS_RELOAD_FAILED, reason=str(error))
         return
-    is_changed = {
+    changes = {
         "name": settings.name != current.name,
         "listen": settings.listen != current.listen,
         "limits": settings.descriptors != current.descriptors,
@@ -35,6 +34,6 @@
     log(
         LogEvent.SETTINGS_RELOADED,
         discovery=settings.discovery,
-        not_applied=sorted(key for key, differs in is_changed.items() if differs),
+        not_applied=sorted(key for key, is_changed in changes.items() if is_changed),
     )
-    follow_discovery_at(settings.discovery)
+    set_discovery_address(settings.discovery)
