--- a/tests/relay/test_log_writer.py
+++ b/tests/relay/test_log_writer.py
@@ -1,4 +1,4 @@
-"""The log writer is bounded, neither blocks nor raises, and counts the lines that it drops."""
+"""The log writer is bounded, neither blocks nor raises, and counts dropped lines."""
 
 import os
 from collections.abc import Iterator
@@ -14,33 +14,33 @@
 
 
 class Pipe:
-    """A pipe that is read on demand only."""
+    """A pipe that is read only on demand."""
 
     def __init__(self) -> None:
-        self.reading, self.writing = os.pipe()
-        os.set_blocking(self.reading, False)
+        self.read_descriptor, self.write_descriptor = os.pipe()
+        os.set_blocking(self.read_descriptor, False)
 
     def read_all(self) -> bytes:
-        """Read and return all bytes in the pipe."""
-        parts = []
+        """Return all bytes in the pipe."""
+        blocks = []
         try:
-            while part := os.read(self.reading, 65536):
-                parts.append(part)
+            while block := os.read(self.read_descriptor, 65536):
+                blocks.append(block)
         except BlockingIOError:
             pass
-        return b"".join(parts)
+        return b"".join(blocks)
 
 
 @pytest.fixture(name="pipe")
 def open_pipe() -> Iterator[Pipe]:
     pipe = Pipe()
     yield pipe
-    os.close(pipe.reading)
-    os.close(pipe.writing)
+    os.close(pipe.read_descriptor)
+    os.close(pipe.write_descriptor)
 
 
-def test_lines_are_complete_and_in_order_however_much_is_read_at_once(pipe: Pipe) -> None:
-    writer = LogWriter(pipe.writing, max_bytes=1 << 20)
+def test_lines_are_complete_and_in_order_for_any_read_size(pipe: Pipe) -> None:
+    writer = LogWriter(pipe.write_descriptor, max_bytes=1 << 20)
     lines = [b"%05d" % number + b"y" * (number % 5000) + b"\n" for number in range(200)]
     read = b""
     for line in lines:
@@ -54,7 +54,7 @@
 
 
 def test_lines_that_a_full_pipe_does_not_accept_are_dropped_and_reported_once(pipe: Pipe) -> None:
-    writer = LogWriter(pipe.writing, max_bytes=8 * len(LINE))
+    writer = LogWriter(pipe.write_descriptor, max_bytes=8 * len(LINE))
     for _ in range(200):
         writer.write_line(LINE)
     dropped = writer.dropped_count
@@ -69,7 +69,7 @@
     assert tail == [b'{"event":"log_lines_dropped","count":%d}' % dropped, b"next", b"last"]
 
 
-def test_a_full_device_and_a_closed_descriptor_raise_nothing() -> None:
+def test_writing_to_a_full_device_or_a_closed_descriptor_does_not_raise() -> None:
     with Path("/dev/full").open("wb") as full:
         writer = LogWriter(full.fileno(), max_bytes=2 * len(LINE))
         for _ in range(4):
@@ -79,16 +79,16 @@
     assert writer.dropped_count == 3
 
 
-class Unreadable:
+class UnconvertibleValue:
     """A field value that cannot be converted to text."""
 
     def __str__(self) -> str:
         raise ValueError
 
 
-def test_a_field_that_cannot_be_encoded_raises_nothing(pipe: Pipe) -> None:
-    log = EventLog(LogWriter(pipe.writing), lambda: 0.0)
-    log("odd", value=Unreadable())
+def test_logging_a_field_that_cannot_be_encoded_does_not_raise(pipe: Pipe) -> None:
+    log = EventLog(LogWriter(pipe.write_descriptor), lambda: 0.0)
+    log("odd", value=UnconvertibleValue())
     log("odd", value="\ud800")
     log("fine", value=object)
     lines = pipe.read_all().splitlines()
@@ -97,12 +97,12 @@
 
 def test_detailed_events_stay_in_memory_until_a_dump_which_is_bounded_and_rate_limited(pipe: Pipe) -> None:
     now = [100.0]
-    log = EventLog(LogWriter(pipe.writing, max_bytes=1 << 20), lambda: now[0])
+    log = EventLog(LogWriter(pipe.write_descriptor, max_bytes=1 << 20), lambda: now[0])
     for number in range(5000):
         log(LogEvent.ATTEMPT_ENDED, number=number)
     assert pipe.read_all() == b""
     log.dump()
-    log.dump()  # too soon after the first: writes nothing
+    log.dump()  # within DUMP_INTERVAL_S of the first one: writes nothing
     lines = pipe.read_all().splitlines()
     assert (
         len(lines) == MAX_DUMPED_EVENTS
--- a/tests/relay/test_relay_memory.py
+++ b/tests/relay/test_relay_memory.py
@@ -1,4 +1,4 @@
-"""Memory of a relay node: the objects of answered requests are freed at once."""
+"""Memory of a relay node: objects of answered requests are freed immediately."""
 
 import gc
 from collections import Counter
@@ -14,7 +14,7 @@
 from myrtlehub.relay.clients.request_decoder import DecodedRequest, EngineRequest
 from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
 
-# Classes whose instances refer to a request. Not their names, so that a renamed class is not missed.
+# Classes whose instances refer to a request; not their names, so that a rename cannot hide a class.
 REQUEST_CLASSES = (
     InFlightSequence,
     ExchangeSink,
@@ -29,7 +29,10 @@
 
 
 def test_answered_requests_are_freed_without_the_garbage_collector() -> None:
-    """Each refers to a whole request: between two full collections they would add up to tens of MB."""
+    """Guards against reference cycles through complete requests.
+
+    Between two full garbage collections, the objects in such cycles would add up to tens of MB.
+    """
     rig = RelayRig("r1 w1 w2")
 
     def malformed_stream(connection: PeerConnection, head: h11.Request, body: bytes) -> None:
@@ -48,9 +51,9 @@
         rig.run(9.0)
         gc.set_debug(gc.DEBUG_SAVEALL)
         gc.collect()
-        garbage = Counter(type(item) for item in gc.garbage)
+        garbage = Counter(type(instance) for instance in gc.garbage)
     finally:
         gc.set_debug(0)
         gc.garbage.clear()
         gc.enable()
-    assert not {kind: garbage[kind] for kind in REQUEST_CLASSES if garbage[kind]}
+    assert not {leaked: garbage[leaked] for leaked in REQUEST_CLASSES if garbage[leaked]}
--- a/tests/relay/test_relay_memory_process.py
+++ b/tests/relay/test_relay_memory_process.py
@@ -1,4 +1,4 @@
-"""Memory of the relay process: objects that the reactor keeps must not refer to requests."""
+"""Memory of the relay process: objects that the reactor references must not refer to requests."""
 
 import sys
 
@@ -6,7 +6,7 @@
 from relaymessages import LAST_CHUNK, LONG_PROMPT, chat_request
 from socketrig import Client, SocketRig
 
-# Classes of objects that belong to one request and are freed with its end.
+# Classes of objects that belong to one request and are freed when it ends.
 REQUEST_CLASSES = (
     "Attempt",
     "AttemptResponseHandler",
@@ -19,14 +19,17 @@
     "ServerExchange",
     "ServerRequest",
 )
-# Classes of connections, which are freed when they close.
+# Classes of connections, whose objects are freed when they close.
 CONNECTION_CLASSES = ("ServerConnection",)
 REQUEST_COUNT = 60
-MAX_LEFT = 12  # watches, idle connections and requests of the last reactor turns
+MAX_REMAINING_OBJECTS = 12  # watches, idle connections and requests of the last reactor turns
 
 
 def test_a_request_is_freed_with_its_end_though_its_connection_stays_open(rig: SocketRig) -> None:
-    """Seen in a run of 45 minutes: 84 of 96 MB, as a connection's factory referred to its first request."""
+    """Guards against a leak: the protocol factory of a connection referred to its first request.
+
+    After a run of 45 minutes, such requests took 84 of the 96 MB of the process.
+    """
     launcher = str(TESTS / "support" / "object_counter.py")
     node = rig.start("r1 w1 w2", argv=[sys.executable, launcher])
     for number in range(REQUEST_COUNT):
@@ -40,5 +43,5 @@
             rig.discovery.change_health(w2="leaving" if number % 20 else "active")
     node.signal("USR1")
     counts = node.wait_for_log("objects")["counts"]
-    left = {name: counts.get(name, 0) for name in (*REQUEST_CLASSES, *CONNECTION_CLASSES)}
-    assert {name: count for name, count in left.items() if count > MAX_LEFT} == {}
+    remaining = {name: counts.get(name, 0) for name in (*REQUEST_CLASSES, *CONNECTION_CLASSES)}
+    assert {name: count for name, count in remaining.items() if count > MAX_REMAINING_OBJECTS} == {}
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -30,17 +30,17 @@
 
 
 def test_half_a_request_at_sigterm_is_still_answered(rig: SocketRig) -> None:
-    """Its first bytes are read before the signal, and its last ones are sent after the port has closed.
+    """The node reads the start of a request before the signal, and the rest after its port has closed.
 
-    They come so late that an answer may not be complete before the earliest SIGKILL, so the answer is a
-    rejection; `test_a_request_that_is_complete_in_time_after_sigterm_is_served` has one that comes earlier.
+    The rest arrives too late for an answer that is complete before the earliest SIGKILL, so the request is
+    rejected; `test_a_request_that_is_complete_in_time_after_sigterm_is_served` covers an earlier one.
     """
     node = rig.start("w1")
     client = Client(node.address).send(chat_request("a1")[:-5])
     node.wait_for_unread(client, 0)
     node.signal("TERM")
     node.wait_for_closed_port()
-    # Without the partial request it would have exited 0.3 s after its port was closed.
+    # Without the partial request, the process would exit 0.3 s after its port was closed.
     assert node.exit_code(timeout=0.45) is None
     client.send(chat_request("a1")[-5:])
     assert client.read_status() == 503
@@ -52,7 +52,7 @@
 def test_a_process_that_is_not_done_shortly_before_the_earliest_sigkill_logs_what_it_owes(
     rig: SocketRig,
 ) -> None:
-    """The deployment's longest deadline is 0.4 s, so SIGKILL may come 1.1 s after SIGTERM."""
+    """The longest deadline in the settings is 0.4 s, so SIGKILL may follow 1.1 s after SIGTERM."""
     classes = [{**traffic, "GiveUpMs": 400.0} for traffic in SETTINGS["Classes"]]
     node = rig.start("r1 w1", Classes=classes)
     rig.engines["w1"].script = lambda connection, request: connection.send(STREAM_HEAD + chunk(EVENT))
@@ -66,29 +66,29 @@
 
 
 def test_clients_accepted_as_the_port_closes_are_answered(rig: SocketRig) -> None:
-    """They connect while the node is stopped, and are accepted in the reactor turn that closes the port."""
+    """They connect while the node is suspended, and are accepted in the reactor turn that closes the port."""
     node = rig.start("w1")
-    first = Client(node.address).send(chat_request("a0", remaining_ms=3000))
-    first.read_until(LAST_CHUNK)
+    early_client = Client(node.address).send(chat_request("a0", remaining_ms=3000))
+    early_client.read_until(LAST_CHUNK)
     node.signal("TERM")
-    assert first.read_rest() == b""
-    first.close()
+    assert early_client.read_rest() == b""
+    early_client.close()
     node.suspend()
-    late = [Client(node.address).send(chat_request(f"b{i}")) for i in range(5)]
+    late_clients = [Client(node.address).send(chat_request(f"b{i}")) for i in range(5)]
     let_time_pass(0.7)
     node.resume()
-    assert [client.read_status() for client in late] == [200] * 5
+    assert [client.read_status() for client in late_clients] == [200] * 5
     node.assert_clean_exit()
 
 
 def test_the_process_exits_only_once_an_engine_has_answered_its_releases(rig: SocketRig) -> None:
-    """The last client disconnects after the port has closed; no engine answers a release for some time."""
+    """The last client disconnects after the port has closed; engines do not answer releases for some time."""
     node = rig.start("r1 w1")
     answers_releases = threading.Event()
     releases: list[ReceivedRequest] = []
 
     def read_or_collect_release(connection: PeerConnection, request: ReceivedRequest) -> None:
-        """Read prompts; answer releases only from the moment when `answers_releases` is set."""
+        """Answer reads immediately, and releases only after `answers_releases` is set."""
         if request.method == b"DELETE":
             releases.append(request)
             if answers_releases.is_set():
@@ -103,7 +103,7 @@
     node.signal("TERM")
     node.wait_for_closed_port()
     client.close()
-    # Each release is sent twice to the reader and once to the writer, then again; this is the third round.
+    # A round sends a release twice to the reader and once to the writer; request 9 ends the third round.
     node.wait_for_log(LogEvent.RELEASE_SENT, sequence_id="a1", engine="w1", request=9)
     assert node.exit_code(timeout=0.3) is None
     answers_releases.set()
@@ -123,16 +123,16 @@
     node.wait_for_closed_port()
     client.close()
     node.assert_clean_exit()
-    # One while the write is unanswered, and two after the disconnect, as the write was cancelled.
+    # One while the write is unanswered, and two after the disconnect, because the write was cancelled.
     assert rig.engines["r1"].sequence_ids(b"DELETE") == ["a1", "a1", "a1"]
 
 
 def test_a_slow_client_gets_the_end_of_its_response(rig: SocketRig) -> None:
-    """Its stream is complete and buffered in the node when SIGTERM arrives."""
+    """The node has buffered the complete stream when SIGTERM arrives."""
     node = rig.start("w1")
-    big = b'data: {"choices":[{"delta":{"content":"' + b"y" * 60_000 + b'"}}]}\n\n'
+    large_event = b'data: {"choices":[{"delta":{"content":"' + b"y" * 60_000 + b'"}}]}\n\n'
     rig.engines["w1"].script = lambda connection, request: connection.send(
-        STREAM_HEAD + chunk(big) * 120 + chunk(USAGE + DONE) + LAST_CHUNK
+        STREAM_HEAD + chunk(large_event) * 120 + chunk(USAGE + DONE) + LAST_CHUNK
     )
     client = Client(node.address, window=4096).send(chat_request("a1"))
     received = b""
@@ -141,8 +141,8 @@
     node.signal("TERM")
     assert node.exit_code(timeout=1.2) is None
     received += client.read_rest()
-    assert received.endswith(chunk(USAGE + DONE) + LAST_CHUNK) and len(received) > 120 * len(big)
-    assert received.count(chunk(big)) == 120
+    assert received.endswith(chunk(USAGE + DONE) + LAST_CHUNK) and len(received) > 120 * len(large_event)
+    assert received.count(chunk(large_event)) == 120
     node.assert_clean_exit()
 
 
@@ -155,16 +155,16 @@
     node.wait_for_closed_port()
     for _ in range(3):
         rig.engines["w1"].connections[0].send(chunk(EVENT))
-        client.read_until(EVENT)  # forwarded before the next event is written: not delayed or merged
+        client.read_until(EVENT)  # forwarded before the next one is sent: not delayed or merged
     rig.engines["w1"].connections[0].send(chunk(DONE) + LAST_CHUNK)
     assert client.read_rest().endswith(LAST_CHUNK)
     node.assert_clean_exit()
 
 
 def test_sigterm_before_the_first_list_answers_waiting_clients(rig: SocketRig) -> None:
-    """No client was accepted yet, as discovery is silent."""
+    """No client has been accepted yet, because discovery does not respond."""
     node = rig.start("w1", silent=True)
-    listening = f":{int(node.address.rpartition(':')[2]):04X} 00000000:0000 0A "  # 0A is the state LISTEN
+    listening = f":{int(node.address.rpartition(':')[2]):04X} 00000000:0000 0A "  # 0A: state LISTEN
     wait_for_file(lambda: "/proc/net/tcp", lambda text: listening in text)
     client = Client(node.address).send(chat_request("a1", remaining_ms=1500))
     rig.discovery.next_request()
@@ -192,7 +192,7 @@
 
 
 def test_sighup_to_a_process_that_has_just_started_does_not_end_it(rig: SocketRig) -> None:
-    """It arrives before any line of the program has run."""
+    """The signal arrives before the program has executed any code."""
     rig.start("w1")
     node = rig.start_relay(argv=deployed_argv())
     wait_for_file(lambda: f"/proc/{node.process.pid}/cmdline", lambda text: not text.startswith("/bin/sh"))
@@ -252,7 +252,7 @@
         fields = {"settings": {**SETTINGS, **fields["settings"]}}
     base = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path.write_text(json.dumps({**base, **fields}))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "myrtlehub.relay"],
         capture_output=True,
         text=True,
@@ -260,12 +260,12 @@
         env={"RELAY_CONFIG": str(path)},
         cwd=ROOT,
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1, done.stderr
-    assert f"{path}: {key}" in done.stderr and "; " in done.stderr  # file, key, fault and remedy
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1, result.stderr
+    assert f"{path}: {key}" in result.stderr and "; " in result.stderr  # file, key, fault and remedy
 
 
 def test_the_return_of_discovery_is_noticed_while_idle_clients_fill_the_descriptors(rig: SocketRig) -> None:
-    """Silent connections use all descriptors of the process, and more of them wait to be accepted."""
+    """Silent connections use all file descriptors of the process, and more are in the accept queue."""
     node = rig.start("w1 w2", descriptors=128)
     rig.discovery.stop_responding()
     node.wait_for_log(LogEvent.DISCOVERY_UNREACHABLE)
@@ -273,9 +273,9 @@
     wait_for_file(lambda: f"/proc/{node.process.pid}/stat", lambda text: node.descriptor_count() > 60)
     rig.discovery.entries["w1"] = entry_of(rig.engines["w1"], "leaving")
     rig.discovery.version += 1
-    back = rig.discovery.resume_responding()
+    resumed_at = rig.discovery.resume_responding()
     node.wait_for_log(LogEvent.ENGINE_STATE_CHANGED, engine="w1", engine_state="draining")
-    assert time.monotonic() - back < 6.0
+    assert time.monotonic() - resumed_at < 6.0
     ids = [f"a{i}" for i in range(10)]
     requests = [chat_request(sequence_id, remaining_ms=3000) for sequence_id in ids]
     assert [Client(node.address).send(request).read_status() for request in requests] == [200] * 10
@@ -287,20 +287,20 @@
 
 def test_nine_of_ten_processes_restarted_together_are_ready_within_10_s(rig: SocketRig) -> None:
     rig.start("w1")
-    first = [rig.start_relay() for _ in range(9)]
-    for node in first:
+    first_nodes = [rig.start_relay() for _ in range(9)]
+    for node in first_nodes:
         node.wait_for_log(LogEvent.READY)
     for node in rig.relays:
         node.kill()
-    at = time.monotonic()
-    again = [
+    killed_at = time.monotonic()
+    restarted_nodes = [
         rig.start_relay(listen=node.address, fallback_list=rig.discovery.complete_list())
         for node in list(rig.relays)
     ]
-    took = []
-    for node in again:
+    durations = []
+    for node in restarted_nodes:
         node.wait_for_log(LogEvent.READY)
-        took.append(time.monotonic() - at)
-    assert len(took) == 10 and sorted(took)[8] < 10.0
-    for node in again:
+        durations.append(time.monotonic() - killed_at)
+    assert len(durations) == 10 and sorted(durations)[8] < 10.0
+    for node in restarted_nodes:
         assert Client(node.address).send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").read_status() == 200
--- a/tests/relay/test_relay_requests.py
+++ b/tests/relay/test_relay_requests.py
@@ -36,8 +36,8 @@
     assert not rig.engines["r1"].requests and not client.lost and not rig.node.executor.in_flight
 
 
-def test_all_but_connection_headers_are_forwarded_to_engines() -> None:
-    """Seen at ribeira-alta: the Idempotency-Key, by which engines recognise a retry, was not forwarded."""
+def test_all_but_hop_by_hop_headers_are_forwarded_to_engines() -> None:
+    """At site ribeira-alta, the Idempotency-Key, by which engines recognise a retry, was not forwarded."""
     rig = RelayRig()
     rig.request(
         "a1",
@@ -63,10 +63,10 @@
     read, written = rig.engines["r1"].chat_requests(), rig.engines["w1"].chat_requests()
     assert len(read) == len(written) == 1
     assert (read[0].target, read[0].body) == (written[0].target, written[0].body)
-    assert rig.engines["r1"].released_paths() == []  # the writer fetched it
+    assert rig.engines["r1"].released_paths() == []  # the writer fetched the read state
 
 
-def test_load_reports_reach_the_router_from_heads_and_from_the_end_of_streams() -> None:
+def test_load_reports_in_response_heads_and_stream_ends_reach_the_router() -> None:
     rig = RelayRig()
     reports = []
     rig.node.executor.router.estimates.load_reported = lambda engine, load: reports.append(load)
@@ -83,14 +83,14 @@
         assert parse_load_report(unreadable) is None
 
 
-def test_outcomes_of_the_table_and_of_responses_outside_of_it() -> None:
+def test_responses_have_the_listed_outcome_and_all_others_are_errors() -> None:
     for head, end in END_BY_RESPONSE.items():
         assert end_by_response(*head) == end
-    for reads in (True, False):
+    for is_read in (True, False):
         for status in (201, 204, 301, 400, 404, 410, 429, 500, 502, 503, 504):
-            # Without the header of a rejection, the request may have been executed.
-            assert end_by_response(reads, status, False).outcome == contract.Outcome.ERROR
-        assert end_by_response(reads, 500, True).outcome == contract.Outcome.ERROR
+            # Without X-Turned-Away, the request may have been executed.
+            assert end_by_response(is_read, status, False).outcome == contract.Outcome.ERROR
+        assert end_by_response(is_read, 500, True).outcome == contract.Outcome.ERROR
     assert end_by_response(True, 200, False).outcome == contract.Outcome.ERROR
     assert end_by_response(False, 202, False).outcome == contract.Outcome.ERROR
     assert end_by_failure(False).outcome == contract.Outcome.UNREACHED
@@ -103,10 +103,10 @@
         ("ask", response(500), 200),  # idempotent: retried
         ("post", response(500), 502),  # may have run: aborted
         ("post", response(503, rejected=True), 200),  # did not run: retried
-        ("post", response(503), 502),  # without the header of a rejection it may have run
+        ("post", response(503), 502),  # may have run, without X-Turned-Away
         ("post", b"\x00\x01noise\r\n\r\n", 502),
         ("ask", b"\x00\x01noise\r\n\r\n", 200),
-        ("post", b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000, 502),  # a head without an end
+        ("post", b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20000, 502),  # a head that does not end
         ("post", STREAM_HEAD + b"zz\r\n" + EVENT, 502),  # a malformed chunk size
         ("post", STREAM_HEAD + chunk(b"\x8a\x93 noise"), 502),
         ("post", STREAM_HEAD + LAST_CHUNK, 502),  # a stream without an event
@@ -161,7 +161,7 @@
     assert first.statuses == [200]
 
 
-def test_many_ids_and_connections_leave_nothing_behind() -> None:
+def test_closed_connections_and_answered_sequences_leave_no_objects_in_the_node() -> None:
     rig = RelayRig("r1 w1")
     for i in range(300):
         rig.request(f"a{i}", LONG_PROMPT if i % 3 == 0 else 100).transport.loseConnection()
@@ -177,18 +177,18 @@
 
 
 def test_an_at_most_once_request_whose_last_byte_never_left_is_retried_elsewhere() -> None:
-    """In memory, because the socket buffer of a real system accepts 256 KiB at once."""
+    """Uses the in-memory network, because the buffer of a real socket accepts 256 KiB immediately."""
     rig = RelayRig("w1 w2")
     client = rig.client()
     client.send(chat_request("a1", traffic="post"))
-    near: list[Pipe] = []
-    while not near:
+    pipes_to_writers: list[Pipe] = []
+    while not pipes_to_writers:
         rig.run(0.0)
-        near = [pipe for pipe in rig.net.pipes if _leads_to_a_writer(pipe)]
-        for pipe in near:
-            pipe.stalled = True  # no byte leaves the node
+        pipes_to_writers = [pipe for pipe in rig.net.pipes if _leads_to_a_writer(pipe)]
+        for pipe in pipes_to_writers:
+            pipe.stalled = True  # no byte is sent
     rig.run(0.1)
-    rig.net.cut(near[0])
+    rig.net.cut(pipes_to_writers[0])
     rig.run(0.3)
     assert client.statuses == [200]
     assert len(rig.engines["w1"].chat_requests() + rig.engines["w2"].chat_requests()) == 1
@@ -198,7 +198,7 @@
     rig = RelayRig("w1 w2")
     rig.node.pool.max_connections = 0
     client = rig.request("a1", traffic="post")
-    assert not client.statuses  # each of five attempts waits for a connection
+    assert not client.statuses  # each of the five attempts waits for a connection
     rig.run(2.0)
     assert client.statuses == [503]  # rejected, as nothing has run
     estimates = rig.node.executor.router.estimates
@@ -217,8 +217,8 @@
     readers = (rig.engines["r1"], rig.engines["r2"])
     first_reads = [request for reader in readers for request in reader.chat_requests()]
     rig.run(3.0)  # the read times out and is retried
-    reads = [request for reader in readers for request in reader.chat_requests()]
-    assert len(first_reads) == 4 + 1 and len(reads) == 4 + 2
-    (retry,) = [request for request in reads if request not in first_reads]
+    all_reads = [request for reader in readers for request in reader.chat_requests()]
+    assert len(first_reads) == 4 + 1 and len(all_reads) == 4 + 2
+    (retry,) = [request for request in all_reads if request not in first_reads]
     before = [request for request in retry.connection.peer.requests if request is not retry]
     assert retry.connection not in [request.connection for request in before]
--- a/tests/relay/test_relay_settings.py
+++ b/tests/relay/test_relay_settings.py
@@ -1,4 +1,4 @@
-"""Node settings: invalid files, what a reload applies, and which modules the program imports."""
+"""Node settings: invalid files and reloads; also the modules that the program imports."""
 
 import json
 import subprocess
@@ -54,7 +54,7 @@
         ('{"listen":"a:1","discovery":"a:1","settings":{},"limits":{"sockets":"many"}}', "limits.sockets"),
     ],
 )
-def test_invalid_settings_are_named_by_their_key(tmp_path: Path, text: str | None, key: str) -> None:
+def test_errors_of_invalid_settings_name_the_key(tmp_path: Path, text: str | None, key: str) -> None:
     path = tmp_path / "c.json"
     if text is not None:
         path.write_text(text)
@@ -62,15 +62,15 @@
         read_node_settings(str(path))
 
 
-def test_the_program_exits_with_2_and_one_line_where_settings_lack_a_key(tmp_path: Path) -> None:
+def test_the_program_exits_with_2_and_one_line_if_settings_lack_a_key(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     path.write_text('{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"Zones":[]}}')
     for env in ({"RELAY_CONFIG": str(path)}, {}):
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "myrtlehub.relay"], env=env, capture_output=True, text=True, check=False
         )
-        assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
-        assert "RELAY_CONFIG" in done.stderr or "listen" in done.stderr or "Classes" in done.stderr
+        assert result.returncode == 2 and len(result.stderr.splitlines()) == 1
+        assert "RELAY_CONFIG" in result.stderr or "listen" in result.stderr or "Classes" in result.stderr
 
 
 def test_the_program_does_not_import_other_fronts_and_their_libraries() -> None:
@@ -99,5 +99,5 @@
     assert not unwanted & set(modules) and "myrtlehub.routing.policy.router" in modules
 
 
-def test_settings_have_the_keys_of_the_simulators_first_message() -> None:
+def test_the_test_settings_have_the_keys_of_the_simulators_first_message() -> None:
     assert {"Classes", "Caps", "Invariants", "Specifics", "MachineTypes"} <= set(SETTINGS)
--- a/tests/relay/test_relay_shutdown.py
+++ b/tests/relay/test_relay_shutdown.py
@@ -18,37 +18,37 @@
 from myrtlehub.relay.process.graceful_shutdown import GracefulShutdown
 
 
-def test_sigterm_answers_accepted_and_late_requests_then_ends() -> None:
+def test_sigterm_answers_accepted_and_late_requests_and_then_ends_the_process() -> None:
     rig = RelayRig("w1")
     idle = rig.request("a0")
     rig.engines["w1"].script = never_respond
     accepted = rig.request("a1")
-    ended: list[float] = []
-    stopped: list[float] = []
+    ended_at: list[float] = []
+    stopped_at: list[float] = []
     shutdown = GracefulShutdown(
         rig.clock,
         rig.node.listener,
         rig.node.is_busy,
-        lambda: stopped.append(rig.clock.seconds()),
-        lambda: ended.append(rig.clock.seconds()),
+        lambda: stopped_at.append(rig.clock.seconds()),
+        lambda: ended_at.append(rig.clock.seconds()),
     )
-    at = rig.clock.seconds()
+    started_at = rig.clock.seconds()
     shutdown.start()
     shutdown.start()
     rig.run(0.2)
     assert idle.lost and not accepted.lost
-    late = rig.request("a2")  # the load balancer in front has not noticed the shutdown yet
+    late = rig.request("a2")  # the load balancer has not noticed the shutdown yet
     rig.run(2.0)
-    assert stopped and stopped[0] - at >= 0.5 and not ended
+    assert stopped_at and stopped_at[0] - started_at >= 0.5 and not ended_at
     for connection in rig.engines["w1"].connections:
         connection.send(COMPLETE_STREAM) if not connection.lost else None
     rig.run(1.0)
     assert accepted.statuses == late.statuses == [200] and b"Connection: close" in accepted.received
-    assert accepted.lost and late.lost and ended
+    assert accepted.lost and late.lost and ended_at
 
 
 def test_a_request_that_is_complete_in_time_after_sigterm_is_served() -> None:
-    """Requests that are complete later are rejected: their answers may not be complete before SIGKILL."""
+    """Later ones are rejected, because their answers might not be complete before SIGKILL."""
     rig = RelayRig("w1")
     early, late = rig.client(), rig.client()
     for client, sequence_id in ((early, "a1"), (late, "a2")):
@@ -76,7 +76,7 @@
 
 
 def test_a_stream_that_ends_after_sigterm_closes_its_connection() -> None:
-    """Its head was sent without `Connection: close`, so the client may send its next request."""
+    """Its head was sent without `Connection: close`, so the client may send another request."""
     rig = RelayRig("w1")
     streams: list[PeerConnection] = []
 
@@ -86,20 +86,20 @@
 
     rig.engines["w1"].script = begin_stream
     client = rig.request("a1")
-    ended: list[float] = []
+    ended_at: list[float] = []
     shutdown = GracefulShutdown(
         rig.clock,
         rig.node.listener,
         rig.node.is_busy,
         lambda: None,
-        lambda: ended.append(rig.clock.seconds()),
+        lambda: ended_at.append(rig.clock.seconds()),
     )
     assert client.received.endswith(chunk(EVENT)) and b"Connection: close" not in client.received
     shutdown.start()
     rig.run(1.5)
     streams[0].send(chunk(EVENT) + chunk(DONE) + LAST_CHUNK)
     rig.run(0.01)
-    client.send(chat_request("a2"))  # crosses the close, or arrives after it
+    client.send(chat_request("a2"))  # is in transit during the close, or arrives after it
     rig.run(1.0)
     assert stream_of(client.received).endswith(DONE + b"<end>") and client.lost
-    assert len(streams) == 1 and ended and rig.node.executor.accepted_count == 1
+    assert len(streams) == 1 and ended_at and rig.node.executor.accepted_count == 1
--- a/tests/relay/test_relay_streams.py
+++ b/tests/relay/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""Streams of engines through a relay node: malformed, endless, silent and paused ones."""
+"""Engine streams through a relay node: malformed, endless, silent and paused ones."""
 
 import pytest
 from hypothesis import given
@@ -24,7 +24,7 @@
     rig.run(4.0)
     assert client.lost and not stream_of(client.received).endswith(b"<end>")
     assert stream_of(client.received).startswith(EVENT) and client.statuses == [200]
-    assert len(rig.engines["w1"].chat_requests()) == 1  # a stream that has begun is not retried
+    assert len(rig.engines["w1"].chat_requests()) == 1  # a stream that has started is not retried
 
 
 def test_an_endless_chunk_ends_the_stream_within_5_s() -> None:
@@ -35,7 +35,7 @@
     client = rig.request("a1")
     connection = rig.engines["w1"].connections[0]
     for _ in range(9):
-        connection.send(b"data: xxxx")  # never completes an event, so it is no progress
+        connection.send(b"data: xxxx")  # completes no event, so it does not count as progress
         rig.run(0.5)
     assert client.lost and connection.lost
 
@@ -54,22 +54,22 @@
     rig = RelayRig("w1")
     rig.engines["w1"].script = lambda connection, head, body: connection.send(STREAM_HEAD + chunk(EVENT))
     client = rig.request("a1")
-    rig.run(4.9)  # the limit is 5 s after the last event
+    rig.run(4.9)  # it must be ended within 5 s of the last event
     assert client.lost and not rig.node.executor.in_flight
 
 
-def test_a_client_that_reads_nothing_pauses_its_writer_alone() -> None:
+def test_a_client_that_reads_nothing_pauses_its_own_writer_stream() -> None:
     rig = RelayRig("w1")
     rig.engines["w1"].script = lambda connection, head, body: connection.send(STREAM_HEAD + chunk(EVENT))
     client = rig.request("a1")
-    near = client.transport.other
-    near.stalled = True
+    node_pipe = client.transport.other
+    node_pipe.stalled = True
     engine = rig.engines["w1"].connections[0]
     engine.send(chunk(EVENT))
     rig.run(0.05)
     assert engine.transport.other.paused  # the node has stopped reading the engine's stream
-    near.stalled = False
-    near.producer.resumeProducing()
+    node_pipe.stalled = False
+    node_pipe.producer.resumeProducing()
     engine.send(chunk(USAGE + DONE) + LAST_CHUNK)
     rig.run(0.05)
     assert stream_of(client.received) == EVENT + EVENT + USAGE + DONE + b"<end>"
@@ -79,17 +79,17 @@
 def test_events_are_split_the_same_for_any_segmentation(cuts: list[int]) -> None:
     text = EVENT + USAGE + b': X-Pressure: {"x0":0.5}\n\n' + DONE
     events = EventStreamParser()
-    out = b""
-    at = 0
+    parsed = b""
+    position = 0
     for cut in [*cuts, len(text)]:
-        out += events.feed(text[at : at + cut])
-        at += cut
+        parsed += events.feed(text[position : position + cut])
+        position += cut
     events.end()
-    assert out == text and events.cached_tokens == 64.0 and events.is_done
+    assert parsed == text and events.cached_tokens == 64.0 and events.is_done
     assert events.load == contract.LoadReport(memory_share=0.5)
 
 
-def test_an_endless_event_and_half_an_event_at_the_end_are_errors() -> None:
+def test_an_oversized_event_and_an_incomplete_last_event_are_errors() -> None:
     events = EventStreamParser()
     with pytest.raises(EventStreamError):
         events.feed(b"data: " + b"x" * MAX_EVENT_BYTES)
