--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -45,24 +45,24 @@
 
     def generated(self, tokens: int) -> None:
         """End the stream after a complete answer."""
-        self._detach_with_final_answer()
+        self._detach_answered()
         self.exchange.finish()
 
     def rejected(self, retry_after: float) -> None:
         """Respond with 503, and with a Retry-After header in seconds unless `retry_after` is 0."""
-        self._detach_with_final_answer()
+        self._detach_answered()
         headers = (Header(b"Retry-After", b"%.3f" % retry_after),) if retry_after else ()
         self.exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE, headers)
 
     def aborted(self, reason: str) -> None:
         """Respond with 502, or close the connection without a last chunk if the stream has started."""
-        self._detach_with_final_answer()
+        self._detach_answered()
         if self.exchange.is_started:
             self.exchange.abort()
         else:
             self.exchange.respond(HTTPStatus.BAD_GATEWAY)
 
-    def _detach_with_final_answer(self) -> None:
+    def _detach_answered(self) -> None:
         """Check the invariant that a sequence gets one final answer only, then detach from the sequence."""
         has_final_answer = self.sequence_id not in self.front.open_sinks
         self.front.invariants.check(broken_by_answer(has_final_answer), self.sequence_id)
@@ -162,14 +162,14 @@
         sequence_id = decoded.sequence_id
         sink = ExchangeSink(self, exchange, sequence_id)
         self.open_sinks[sequence_id] = sink
-        if self._arrived_after_cutoff(exchange) or len(self.executor.in_flight) >= self.max_in_flight:
+        if self._is_too_late(exchange) or len(self.executor.in_flight) >= self.max_in_flight:
             sink.rejected(self.executor.config.max_retry_after)
             return
         sequence = self.executor.accept(decoded.engine_request, decoded.arrival, sink, sequence_id)
         if sequence_id in self.open_sinks:  # accept() may already have answered it
             sink.sequence = sequence
 
-    def _arrived_after_cutoff(self, exchange: ServerExchange) -> bool:
+    def _is_too_late(self, exchange: ServerExchange) -> bool:
         """Return whether the last byte of a request certainly arrived after `refuses_from`.
 
         The event loop may have read it late, so the oldest possible age of the data is subtracted.
--- a/myrtlehub/relay/clients/request_headers.py
+++ b/myrtlehub/relay/clients/request_headers.py
@@ -64,16 +64,16 @@
     They include headers unknown to the relay, because engines interpret some of them. For example, an engine
     that does not receive the Idempotency-Key executes a retry as a new request.
     """
-    not_forwarded = _hop_by_hop_headers(headers)
+    not_forwarded = _names_not_forwarded(headers)
     return [header for header in headers if header.name not in not_forwarded]
 
 
-def _hop_by_hop_headers(headers: Headers) -> frozenset[bytes]:
+def _names_not_forwarded(headers: Headers) -> frozenset[bytes]:
     """Return the names of headers not to forward, including those listed in Connection headers."""
-    named = [
+    connection_options = [
         part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
     ]
-    return NOT_FORWARDED_HEADERS.union(named) if named else NOT_FORWARDED_HEADERS
+    return NOT_FORWARDED_HEADERS.union(connection_options) if connection_options else NOT_FORWARDED_HEADERS
 
 
 def parse_number(text: bytes, name: str) -> int:
--- a/myrtlehub/relay/settings/node_settings.py
+++ b/myrtlehub/relay/settings/node_settings.py
@@ -55,7 +55,7 @@
     descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
     if not isinstance(descriptors, int) or descriptors < MIN_DESCRIPTORS:
         raise SettingsError(
-            f"limits.sockets: {descriptors!r} is not an integer of at least {MIN_DESCRIPTORS}; raise it"
+            f"limits.sockets: {descriptors!r} is not an integer of at least {MIN_DESCRIPTORS}; correct it"
         )
     fallback_list = fields.get("known")
     return NodeSettings(
