--- a/myrtlehub/rollout/canary_analysis.py
+++ b/myrtlehub/rollout/canary_analysis.py
@@ -1,7 +1,7 @@
 """Canary analysis: whether changed nodes of a fleet do worse than unchanged ones over the same period.
 
-A verdict may be requested after every sample window. Windows with a disturbance are left out. `statistics`
-defines the comparison of the two groups.
+A verdict may be requested after every sample window. Zones in which a window is disturbed are excluded from
+it. `statistics` defines the comparison of the two groups.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 from myrtlehub.rollout.disturbance import SERVED_KEY, DisturbanceDetector
 from myrtlehub.rollout.metric_tally import MetricTally, TallySnapshot
 from myrtlehub.rollout.samples import MetricKey, NodeRole, SampleWindow
-from myrtlehub.rollout.statistics import MIN_WINDOWS, Comparison, ErrorBudget, Guard, compare_metric
+from myrtlehub.rollout.statistics import MIN_WINDOWS, BoundParameters, Comparison, Guard, compare_metric
 from myrtlehub.rollout.verdict_text import (
     describe_disturbance,
     describe_loss,
@@ -43,7 +43,7 @@
 
 
 class AnalysisSnapshot(TypedDict):
-    """What the analysis has learned, as a JSON object of the journal; its field names are stored there."""
+    """The accumulated data of an analysis, stored in the journal as a JSON object with these field names."""
 
     usual: list[float]  # served fraction by window, before the change
     asked: list[float]  # utility offered to the fleet by window, before the change
@@ -60,7 +60,7 @@
         zones: Sequence[str],
         observation_windows: int,
         false_alarm_rate: float = DEFAULT_FALSE_ALARM_RATE,
-        max_lost: float = float("inf"),
+        max_lost_utility: float = float("inf"),
     ) -> None:
         """Start without windows.
 
@@ -70,22 +70,22 @@
             observation_windows: number of windows for which a stage is observed.
             false_alarm_rate: permitted probability that a stage is stopped although the new version is no
                 worse, over all guards and evaluations together.
-            max_lost: utility that the rollout may cost, in units of the utility offered to the fleet in a
-                window.
+            max_lost_utility: utility that the rollout may lose, in units of the utility offered to the fleet
+                in one window.
         """
         zone_names = sorted(set(zones))
         node_zones = np.array([zone_names.index(zone) for zone in zones])
         self.guards = tuple(guards)
         self.observation_windows = observation_windows
-        self.max_lost = max_lost
+        self.max_lost_utility = max_lost_utility
         self.tallies = {
             MetricKey(guard.metric, guard.traffic): MetricTally(node_zones, len(zone_names))
             for guard in self.guards
         }
         self.disturbance = DisturbanceDetector(zone_names, observation_windows)
-        self._error_budget = ErrorBudget(false_alarm_rate, len(self.guards), observation_windows)
+        self._bound_parameters = BoundParameters(false_alarm_rate, len(self.guards), observation_windows)
         self._baseline_offered: list[float] = []  # utility offered to the fleet by window, before the change
-        self._changed_offered = 0.0  # utility offered to changed nodes
+        self._offered_to_changed = 0.0  # utility offered to changed nodes
 
     def add(self, window: SampleWindow) -> None:
         """Add a sample window."""
@@ -94,7 +94,7 @@
             offered = window.metrics[SERVED_KEY].denominator
             if window.is_baseline:
                 self._baseline_offered.append(float(offered.sum()))
-            self._changed_offered += float(offered[window.roles == NodeRole.CHANGED].sum())
+            self._offered_to_changed += float(offered[window.roles == NodeRole.CHANGED].sum())
         if disturbed.all():
             return
         for key, tally in self.tallies.items():
@@ -117,7 +117,7 @@
     def compare(self, guard: Guard) -> Comparison | None:
         """Compare changed with unchanged nodes by a guard's metric; None if windows or nodes are too few."""
         tally = self.tallies[MetricKey(guard.metric, guard.traffic)]
-        return compare_metric(guard, tally, self._error_budget)
+        return compare_metric(guard, tally, self._bound_parameters)
 
     def verdict(self) -> Verdict:
         """Return the verdict on the current stage."""
@@ -126,7 +126,7 @@
         return (
             self._harm_verdict(comparisons)
             or self._disturbance_verdict(comparisons)
-            or self._progress_verdict(comparisons)
+            or self._undecided_verdict(comparisons)
             or _pass_verdict(comparisons)
         )
 
@@ -139,8 +139,8 @@
         if worse:
             return Verdict(Outcome.WORSE, describe_worse(worse), worse)
         lost = self._lost_utility(comparisons)
-        if lost > self.max_lost:
-            return Verdict(Outcome.WORSE, describe_loss(lost, self.max_lost), comparisons)
+        if lost > self.max_lost_utility:
+            return Verdict(Outcome.WORSE, describe_loss(lost, self.max_lost_utility), comparisons)
         return None
 
     def _disturbance_verdict(self, comparisons: tuple[Comparison, ...]) -> Verdict | None:
@@ -151,8 +151,8 @@
             return Verdict(Outcome.WORSE, attribution, comparisons)
         return Verdict(Outcome.DISTURBANCE, describe_disturbance(self.disturbance.reason), comparisons)
 
-    def _progress_verdict(self, comparisons: tuple[Comparison, ...]) -> Verdict | None:
-        windows = self.disturbance.windows - self.disturbance.observed_from
+    def _undecided_verdict(self, comparisons: tuple[Comparison, ...]) -> Verdict | None:
+        windows = self.disturbance.windows - self.disturbance.observation_start
         if windows >= self.observation_windows:
             return None
         is_harmless = comparisons and all(comparison.high < comparison.margin for comparison in comparisons)
@@ -161,29 +161,29 @@
         return Verdict(Outcome.UNDECIDED, describe_progress(windows, self.observation_windows), comparisons)
 
     def _lost_utility(self, comparisons: tuple[Comparison, ...]) -> float:
-        """Return the utility that the rollout has cost, in units of the fleet's offered utility per window.
+        """Return the utility lost to the rollout, in units of the fleet's offered utility per window.
 
-        It is 0 unless the lower bound of the comparison shows a loss.
+        The result is 0 if the lower bound of the harm is not above 0.
         """
         for comparison in comparisons:
             if MetricKey(comparison.guard.metric, comparison.guard.traffic) == SERVED_KEY:
                 if comparison.low <= 0.0 or not self._baseline_offered:
                     return 0.0
                 baseline = sum(self._baseline_offered) / len(self._baseline_offered)
-                return comparison.harm * self._changed_offered / baseline
+                return comparison.harm * self._offered_to_changed / baseline
         return 0.0
 
     def snapshot(self) -> AnalysisSnapshot:
-        """Return everything learned so far as plain numbers, for `restore` in another process."""
+        """Return the accumulated data as plain numbers, for `restore` in another process."""
         return {
             "usual": self.disturbance.baseline_served,
             "asked": self._baseline_offered,
-            "got": self._changed_offered,
+            "got": self._offered_to_changed,
             "tallies": {" ".join(key): tally.snapshot() for key, tally in self.tallies.items()},
         }
 
     def restore(self, snapshot: AnalysisSnapshot) -> None:
-        """Continue from a snapshot. The current stage has to be observed again from its beginning.
+        """Continue from a snapshot. The observation of the current stage has to start again.
 
         Raises:
             KeyError: a part is missing, because another version wrote the snapshot.
@@ -193,9 +193,9 @@
             tally.restore(snapshot["tallies"][" ".join(key)])
         self.disturbance.baseline_served = list(snapshot["usual"])
         self._baseline_offered = list(snapshot["asked"])
-        self._changed_offered = float(snapshot["got"])
+        self._offered_to_changed = float(snapshot["got"])
 
 
 def _pass_verdict(comparisons: tuple[Comparison, ...]) -> Verdict:
-    doubtful = [comparison for comparison in comparisons if comparison.high >= comparison.margin]
-    return Verdict(Outcome.PASS, describe_pass(doubtful), comparisons)
+    inconclusive = [comparison for comparison in comparisons if comparison.high >= comparison.margin]
+    return Verdict(Outcome.PASS, describe_pass(inconclusive), comparisons)
--- a/myrtlehub/rollout/metric_tally.py
+++ b/myrtlehub/rollout/metric_tally.py
@@ -40,15 +40,17 @@
     WEIGHT = "weight"
     SQUARE = "square"  # of the offset, times the weight
     COUNT = "count"  # of the windows in which the node has a weight
-    # Sums over pairs of consecutive windows, from which the autocorrelation is computed. A pair is weighted
-    # by the square root of the product of the weights of its two windows.
+    # Sums over pairs of consecutive windows, from which the autocorrelation is computed. The weight of a pair
+    # is the geometric mean of the weights of its two windows.
     PAIR_PRODUCT = "both_ab"
-    PAIR_NEW = "both_a"  # offset in the later window
-    PAIR_LAST = "both_b"  # offset in the earlier window
+    PAIR_LATER = "both_a"  # offset in the later window
+    PAIR_EARLIER = "both_b"  # offset in the earlier window
     PAIR_WEIGHT = "both_weight"
     PAIR_COUNT = "both_count"
-    LAST_OFFSET = "last_off"  # of the newest window, without weight: for the next pair
-    LAST_WEIGHT = "last_weight"
+    PREVIOUS_OFFSET = (
+        "last_off"  # offset in the last window added, not a sum; the first half of the next pair
+    )
+    PREVIOUS_WEIGHT = "last_weight"
 
 
 class ZoneSum(StrEnum):
@@ -59,7 +61,7 @@
 
 
 class _GroupSums(NamedTuple):
-    """The sums of one group of the comparison."""
+    """The names of the sums of one group of the comparison."""
 
     offset: TallySum
     weight: TallySum
@@ -104,7 +106,7 @@
         Args:
             ratios: the metric in this window.
             window: the window.
-            disturbed: whether each zone was disturbed; disturbed zones are left out.
+            disturbed: whether each zone was disturbed; the nodes of disturbed zones are not counted.
         """
         is_counted = (ratios.denominator > 0.0) & (window.roles != NodeRole.UNAVAILABLE)
         is_counted &= ~disturbed[self.node_zones]
@@ -130,16 +132,16 @@
 
     def _add_group(
         self,
-        names: _GroupSums,
+        group: _GroupSums,
         members: BoolArray,
         offset: FloatArray,
         weight: FloatArray,
         ratios: NodeRatios,
     ) -> None:
-        self.sums[names.offset] += np.where(members, offset * weight, 0.0)
-        self.sums[names.weight] += np.where(members, weight, 0.0)
-        self.sums[names.numerator] += np.where(members, ratios.numerator, 0.0)
-        self.sums[names.denominator] += np.where(members, ratios.denominator, 0.0)
+        self.sums[group.offset] += np.where(members, offset * weight, 0.0)
+        self.sums[group.weight] += np.where(members, weight, 0.0)
+        self.sums[group.numerator] += np.where(members, ratios.numerator, 0.0)
+        self.sums[group.denominator] += np.where(members, ratios.denominator, 0.0)
 
     def _add_totals(self, offset: FloatArray, weight: FloatArray) -> None:
         self.sums[TallySum.OFFSET] += offset * weight
@@ -149,20 +151,20 @@
 
     def _add_pairs(self, offset: FloatArray, weight: FloatArray) -> None:
         sums = self.sums
-        pair_weight = np.sqrt(weight * sums[TallySum.LAST_WEIGHT])
-        sums[TallySum.PAIR_PRODUCT] += pair_weight * offset * sums[TallySum.LAST_OFFSET]
-        sums[TallySum.PAIR_NEW] += pair_weight * offset
-        sums[TallySum.PAIR_LAST] += pair_weight * sums[TallySum.LAST_OFFSET]
+        pair_weight = np.sqrt(weight * sums[TallySum.PREVIOUS_WEIGHT])
+        sums[TallySum.PAIR_PRODUCT] += pair_weight * offset * sums[TallySum.PREVIOUS_OFFSET]
+        sums[TallySum.PAIR_LATER] += pair_weight * offset
+        sums[TallySum.PAIR_EARLIER] += pair_weight * sums[TallySum.PREVIOUS_OFFSET]
         sums[TallySum.PAIR_WEIGHT] += pair_weight
         sums[TallySum.PAIR_COUNT] += pair_weight > 0.0
-        sums[TallySum.LAST_OFFSET] = offset
-        sums[TallySum.LAST_WEIGHT] = weight
+        sums[TallySum.PREVIOUS_OFFSET] = offset
+        sums[TallySum.PREVIOUS_WEIGHT] = weight
 
     def _reference(self, value: FloatArray, weight: FloatArray, is_baseline: bool) -> FloatArray:
         """Return for each node the metric of the unchanged nodes of its zone.
 
-        For a zone without unchanged nodes, it is the metric of all unchanged nodes plus the zone's mean
-        offset from the fleet before the change.
+        For a zone without unchanged nodes, return the metric of all unchanged nodes plus the mean offset of
+        the zone from the fleet before the change.
 
         Args:
             value: the metric by node.
@@ -173,16 +175,16 @@
         weight_by_zone = np.bincount(self.node_zones, weight, len(zone_offset))
         sum_by_zone = np.bincount(self.node_zones, value * weight, len(zone_offset))
         total = float(weight.sum())
-        fleet = float(sum_by_zone.sum()) / total if total > 0.0 else float("nan")
+        fleet_value = float(sum_by_zone.sum()) / total if total > 0.0 else float("nan")
         unknown = np.full(len(zone_offset), np.nan)
-        own = np.divide(sum_by_zone, weight_by_zone, out=unknown, where=weight_by_zone > 0.0)
+        zone_value = np.divide(sum_by_zone, weight_by_zone, out=unknown, where=weight_by_zone > 0.0)
         if is_baseline and total > 0.0:
-            is_known = ~np.isnan(own)
-            zone_offset[is_known] += own[is_known] - fleet
+            is_known = ~np.isnan(zone_value)
+            zone_offset[is_known] += zone_value[is_known] - fleet_value
             self.zone_sums[ZoneSum.WINDOWS] += is_known
         mean_offset = zone_offset / np.maximum(self.zone_sums[ZoneSum.WINDOWS], 1.0)
-        by_zone: FloatArray = np.where(np.isnan(own), fleet + mean_offset, own)
-        return by_zone[self.node_zones]
+        reference: FloatArray = np.where(np.isnan(zone_value), fleet_value + mean_offset, zone_value)
+        return reference[self.node_zones]
 
     def snapshot(self) -> TallySnapshot:
         """Return all sums as plain numbers, for `restore` in another process."""
@@ -213,5 +215,7 @@
     for name in sums:
         row = np.array(snapshot[name], float)
         if row.shape != sums[name].shape:
-            raise SnapshotMismatchError(f"{name}: {row.shape} values, and there are {sums[name].shape}")
+            raise SnapshotMismatchError(
+                f"{name}: the snapshot has shape {row.shape}, this fleet needs {sums[name].shape}"
+            )
         sums[name] = row
--- a/myrtlehub/rollout/verdict_text.py
+++ b/myrtlehub/rollout/verdict_text.py
@@ -17,8 +17,8 @@
         f"{comparison.changed:.4f} on {comparison.nodes.changed} changed nodes, "
         f"{comparison.unchanged:.4f} on {comparison.nodes.unchanged} unchanged ones; "
         f"worse by {comparison.harm:.4f} "
-        f"({comparison.low:.4f} to {comparison.high:.4f}) over {comparison.windows} blocks, "
-        f"{comparison.margin:.4f} is acceptable"
+        f"({comparison.low:.4f} to {comparison.high:.4f}) over {comparison.windows} windows, "
+        f"the margin is {comparison.margin:.4f}"
     )
 
 
@@ -27,26 +27,27 @@
     return "; ".join(map(describe_comparison, comparisons))
 
 
-def describe_loss(lost: float, max_lost: float) -> str:
-    """Describe a loss of utility above the limit; both are in windows of the whole fleet."""
+def describe_loss(lost: float, max_lost_utility: float) -> str:
+    """Describe a loss of utility above the limit, in units of the utility offered to the fleet per window."""
     return (
-        f"the change has cost the utility of {lost:.1f} blocks of the whole fleet, {max_lost:.1f} may be lost"
+        f"the rollout has lost the utility offered to the whole fleet in {lost:.1f} windows, "
+        f"the limit is {max_lost_utility:.1f}"
     )
 
 
 def describe_disturbance(reason: str) -> str:
     """Describe a disturbance that is not attributed to the change."""
-    return f"{reason}: not put down to the change"
+    return f"{reason}: not attributed to the change"
 
 
 def describe_progress(windows: int, observation_windows: int) -> str:
     """Describe how many windows of the observation have passed."""
-    return f"{windows} of {observation_windows} blocks watched"
+    return f"{windows} of {observation_windows} windows observed"
 
 
-def describe_pass(doubtful: list[Comparison]) -> str:
-    """Describe a pass, naming the metrics whose harm was not shown to be below the margin."""
-    if not doubtful:
+def describe_pass(inconclusive: list[Comparison]) -> str:
+    """Describe a pass; name the metrics whose harm is not shown to be below the margin."""
+    if not inconclusive:
         return "within all margins"
-    metrics = ", ".join(describe_guard(comparison.guard) for comparison in doubtful)
-    return f"not shown to be worse; less than the margin is not shown either for {metrics}"
+    metrics = ", ".join(describe_guard(comparison.guard) for comparison in inconclusive)
+    return f"not shown to be worse, but not shown to be within the margin either for {metrics}"
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The canary analysis on modelled fleets: changes that are stopped, changes that pass, and disturbances."""
+"""The canary analysis on simulated fleets: changes that are stopped, changes that pass, and disturbances."""
 
 import json
 
@@ -29,7 +29,11 @@
     disturbances: tuple[Disturbance, ...] = (),
     **options: float,
 ) -> tuple[Verdict, CanaryAnalysis, int]:
-    """Measure a baseline of 24 windows, then observe until the verdict is final."""
+    """Measure a baseline of 24 windows, then observe until the verdict is final.
+
+    Returns:
+        The last verdict, the analysis, and the number of windows observed.
+    """
     fleet = FleetModel(nodes, 2, seed, 5.0, harm, disturbances)
     analysis = CanaryAnalysis(GUARDS, fleet.zones, 12, **options)
     for _ in range(24):
@@ -40,11 +44,11 @@
         verdict = analysis.verdict()
         if verdict.outcome in (Outcome.WORSE, Outcome.PASS):
             break
-    return verdict, analysis, analysis.disturbance.windows - analysis.disturbance.observed_from
+    return verdict, analysis, analysis.disturbance.windows - analysis.disturbance.observation_start
 
 
 @pytest.mark.parametrize("nodes", [24, 200])
-def test_equal_versions_pass(nodes: int) -> None:
+def test_a_version_that_is_no_worse_passes(nodes: int) -> None:
     for seed in range(20):
         verdict, _, _ = observe(nodes, nodes // 10, seed)
         assert verdict.outcome == Outcome.PASS, (seed, verdict.reason)
@@ -67,20 +71,19 @@
         )
         worst = verdict.comparisons[0]
         assert worst.low > 0.0 and worst.harm >= worst.margin and worst.nodes == (3, 21)
-        assert "3 changed nodes" in describe_comparison(worst) and "21 unchanged ones" in describe_comparison(
-            worst
-        )
+        description = describe_comparison(worst)
+        assert "3 changed nodes" in description and "21 unchanged ones" in description
 
 
-def test_an_engine_failure_in_the_zone_of_the_only_changed_node_does_not_stop_it() -> None:
-    """One zone loses a third of its engines and a tenth of its utility while stage one is observed."""
+def test_an_engine_failure_in_the_zone_of_the_only_changed_node_does_not_stop_the_rollout() -> None:
+    """The zone loses a third of its engines and a tenth of its utility while the first stage is observed."""
     for seed in range(10):
         verdict, analysis, windows = observe(24, 1, seed, disturbances=(Disturbance(28, 8, 0, 0.1, 0.35),))
         assert verdict.outcome == Outcome.PASS and windows >= 12, (seed, verdict)
         assert any(zones.any() for zones in analysis.disturbance.disturbed_zones)
 
 
-def test_a_burst_in_the_whole_fleet_is_a_named_disturbance() -> None:
+def test_a_burst_in_the_whole_fleet_is_a_disturbance_with_a_reason() -> None:
     verdict, analysis, _ = observe(
         24, 3, 1, max_windows=6, disturbances=(Disturbance(26, 99, None, 0.2, 0.0),)
     )
@@ -94,12 +97,12 @@
 def test_a_change_that_harms_unchanged_nodes_is_stopped_once_it_has_outlasted_a_burst() -> None:
     for seed in range(5):
         verdict, analysis, windows = observe(24, 12, seed, harm=Regression(0.05, others_from=0.5))
-        assert verdict.outcome == Outcome.WORSE and "hurts the others" in verdict.reason, (
+        assert verdict.outcome == Outcome.WORSE and "harms the unchanged nodes" in verdict.reason, (
             seed,
             verdict.reason,
         )
         assert 2 * analysis.observation_windows <= windows < 40 and not any(
-            c.low > 0.0 for c in verdict.comparisons
+            comparison.low > 0.0 for comparison in verdict.comparisons
         )
 
 
@@ -142,25 +145,24 @@
     verdict, _, _ = observe(24, 3, 3, max_windows=2, harm=Regression(0.5))
     assert verdict.outcome == Outcome.UNDECIDED and not verdict.comparisons
     all_changed, _, _ = observe(24, 24, 3)
-    assert (
-        all_changed.outcome == Outcome.PASS and not all_changed.comparisons
-    )  # there is no unchanged node to compare with: the fleet is only observed
+    # Without an unchanged node there is no comparison; the fleet is only observed.
+    assert all_changed.outcome == Outcome.PASS and not all_changed.comparisons
 
 
 def test_the_limit_on_lost_utility_stops_a_change_whose_harm_is_below_every_margin() -> None:
-    loose = (Guard(Metric.SERVED, 0.5, -1.0),)
+    wide_margin = (Guard(Metric.SERVED, 0.5, -1.0),)
     fleet = FleetModel(24, 2, 5, 5.0, Regression(0.2))
-    analysis = CanaryAnalysis(loose, fleet.zones, 12, max_lost=0.2)
+    analysis = CanaryAnalysis(wide_margin, fleet.zones, 12, max_lost_utility=0.2)
     for _ in range(24):
         analysis.add(fleet.advance(roles_of(24, 0), True))
     analysis.restart_observation()
     for _ in range(12):
         analysis.add(fleet.advance(roles_of(24, 6)))
     verdict = analysis.verdict()
-    assert verdict.outcome == Outcome.WORSE and "may be lost" in verdict.reason
+    assert verdict.outcome == Outcome.WORSE and "the limit is 0.2" in verdict.reason
 
 
-def test_an_unavailable_node_is_not_counted() -> None:
+def test_an_unavailable_node_is_excluded_from_the_comparison() -> None:
     fleet = FleetModel(6, 2, 9)
     analysis = CanaryAnalysis(GUARDS, fleet.zones, 3)
     for _ in range(5):
@@ -170,7 +172,7 @@
     for _ in range(5):
         window = fleet.advance(roles)
         for numerator, denominator in window.metrics.values():
-            numerator[1], denominator[1] = -1e9, 1.0  # values that would dominate every comparison
+            numerator[1], denominator[1] = -1e9, 1.0  # would dominate every comparison if it were counted
         analysis.add(window)
     compared = analysis.compare(GUARDS[0])
     assert compared.nodes == (1, 4) and abs(compared.harm) < 0.2 and np.isfinite(compared.low)
