--- a/myrtlehub/rollout/journal_details.py
+++ b/myrtlehub/rollout/journal_details.py
@@ -1,6 +1,6 @@
-"""The details of journal entries, by event. The field names on disk are those of earlier versions.
+"""The details of journal entries, by event. The field names on disk are compatible with earlier versions.
 
-`encode_details` returns the JSON object that an entry stores, `decode_details` reads it again.
+`encode_details` returns the JSON object that an entry stores, `decode_details` decodes it.
 """
 
 from typing import TypeVar
@@ -10,11 +10,11 @@
 from myrtlehub.rollout.journal_format import JsonObject
 from myrtlehub.rollout.node_status import Revision
 
-UNKNOWN_START = 0  # stands for the start time of a process if it is not known
+UNKNOWN_START = 0  # in place of an unknown start time of a process
 
 
 class ControllerDetails(msgspec.Struct):
-    """Details of `BookkeepingEvent.CONTROLLER`: the controller that writes the entries from here on."""
+    """Details of `BookkeepingEvent.CONTROLLER`: the controller that writes the entries that follow."""
 
     generation: int
     controller: str
@@ -27,11 +27,11 @@
 
 
 class ProcessDetails(msgspec.Struct):
-    """Details of `BookkeepingEvent.PROCESS`: the process that answers for a node from here on."""
+    """Details of `BookkeepingEvent.PROCESS`: the process that runs as a node from this entry on."""
 
     incarnation: str = msgspec.field(name="run")
     pid: int
-    start_ticks: int = msgspec.field(name="born", default=UNKNOWN_START)  # since the start of the machine
+    start_ticks: int = msgspec.field(name="born", default=UNKNOWN_START)  # since boot
 
 
 class BeginDetails(msgspec.Struct):
--- a/myrtlehub/rollout/journal_format.py
+++ b/myrtlehub/rollout/journal_format.py
@@ -1,7 +1,7 @@
 """The format of the journal file: one entry per line, each line with its own checksum.
 
-Replaying the events of a journal restores the state of its rollout. A line is on disk before the actions that
-follow from it are executed. An incomplete last line is dropped. Any other damaged line is an error, because
+Replaying the events of a journal restores the state of its rollout. Each line is on disk before the actions
+that it requires are executed. An incomplete last line is dropped. Any other damaged line is an error, because
 the entries after it cannot be trusted either.
 """
 
@@ -19,19 +19,19 @@
 
 
 class JournalFormatError(Exception):
-    """The rollout cannot be resumed from this journal; the text says why."""
+    """The rollout cannot be resumed from this journal; the message gives the reason."""
 
 
 class BookkeepingEvent(StrEnum):
     """Events of entries that change neither the state of a node nor that of the rollout."""
 
-    CONTROLLER = "controller"  # a controller begins or resumes, with a higher generation than before
+    CONTROLLER = "controller"  # a controller begins or resumes the rollout, with a higher generation
     REVISION = "revision"  # the revision that the new program reports
-    PROCESS = "process"  # another process answers for a node
+    PROCESS = "process"  # another process runs as a node
 
 
 class JournalEntry(msgspec.Struct, omit_defaults=True):
-    """One line of the journal. `wall_time` is informative only; nothing is computed from it."""
+    """One line of the journal. `wall_time` is for information only; nothing is computed from it."""
 
     wall_time: float = msgspec.field(name="at")
     event: str
@@ -45,7 +45,7 @@
 
     format: int
     plan: str  # digest of the plan's text
-    nodes: list[str]  # names of the nodes, in the order of their indices
+    nodes: list[str]  # names of the nodes, by index
 
 
 class DecodedJournal(NamedTuple):
@@ -66,7 +66,7 @@
     """Decode the intact part of a journal file.
 
     Raises:
-        JournalFormatError: the file is not a journal, has a later format, or is damaged before its last line.
+        JournalFormatError: the file is not a journal, has a newer format, or is damaged before its last line.
     """
     header: JournalHeader | None = None
     entries: list[JournalEntry] = []
@@ -76,12 +76,12 @@
         checksum, _, body = line.partition(b" ")
         if _checksum(body) != checksum:
             if number == len(lines) - 1:
-                # The machine lost power after the file was extended and before a page of the last line was
-                # written: the line is dropped like an incomplete one
+                # After a power failure, a file can have its new length although a page of its last line was
+                # not written. The line is dropped like an incomplete one
                 # (test_a_journal_cut_at_any_byte_gives_its_complete_lines).
                 break
             raise JournalFormatError(
-                f"line {number} is not whole, and others follow it; nothing after it is sure"
+                f"line {number} is damaged and is not the last one; the entries after it cannot be trusted"
             )
         if header is None:
             header = _decode_header(body)
@@ -89,12 +89,12 @@
             entries.append(msgspec.json.decode(body, type=JournalEntry))
         intact_size += len(line) + 1
     if header is None:
-        raise JournalFormatError("it has no first line that is whole")
+        raise JournalFormatError("the header line is missing or incomplete")
     return DecodedJournal(header, entries, intact_size)
 
 
 def last_generation(entries: Iterable[JournalEntry]) -> int:
-    """Return the highest generation of a controller in this journal; 0 if there is none."""
+    """Return the highest controller generation in these entries; 0 if there is none."""
     return max(
         (
             int(entry.details.get("generation", 0))
@@ -113,10 +113,10 @@
     try:
         header = msgspec.json.decode(body, type=JournalHeader)
     except msgspec.DecodeError as error:
-        raise JournalFormatError(f"its first line is not one of ours: {error}") from error
+        raise JournalFormatError(f"the first line is not a journal header: {error}") from error
     if header.format > FORMAT_VERSION:
         raise JournalFormatError(
-            f"it is in format {header.format}, and this version knows formats up to {FORMAT_VERSION}; "
-            "go on with the version that wrote it"
+            f"the journal has format {header.format}, but this version supports formats up to "
+            f"{FORMAT_VERSION}; resume the rollout with the version that wrote it"
         )
     return header
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -1,7 +1,7 @@
 """A model of a rollout for `state.model_checker`: the progress, the processes of the nodes, and faults.
 
-Nodes and the controller may fail at any point. The model holds the actual state of each process in addition
-to what the controller knows of it, and the invariants are checked against the actual state.
+Nodes and the controller may fail at any point. The model contains the actual state of each process in
+addition to the controller's view of it, and the invariants are checked against the actual state.
 """
 
 from collections.abc import Iterator
@@ -41,7 +41,7 @@
 
 
 class ProgramFault(StrEnum):
-    """How the program of a revision fails after a node starts it."""
+    """How the program of a revision fails after its start."""
 
     NONE = ""
     EXITS = "exits"
@@ -55,8 +55,8 @@
     is_up: bool = True
     is_draining: bool = False
     is_ready: bool = True
-    is_own_child: bool = False  # started by the running controller, which therefore sees it exit
-    was_killed: bool = False  # by a fault, so that it does not count as unavailable by order
+    is_own_child: bool = False  # child of the running controller, which is therefore notified of its exit
+    was_killed: bool = False  # by a fault, so that its unavailability is not due to an order
 
 
 class ModelState(NamedTuple):
@@ -64,8 +64,8 @@
 
     rollout: RolloutState
     processes: tuple[ProcessState, ...]  # by node
-    pending: tuple[Action, ...] = ()  # required and not yet executed
-    faults: int = 0
+    pending: tuple[Action, ...] = ()  # required actions that are not executed yet
+    faults: int = 0  # number of faults so far
 
 
 class ModelStep(NamedTuple):
@@ -73,11 +73,11 @@
 
     label: str
     state: ModelState  # after the step
-    violation: str = ""  # the invariant that the state violates; empty if it violates none
+    violation: str = ""  # describes the invariant that the state violates; empty if it violates none
 
 
 class ModelConfig(NamedTuple):
-    """The size of the model and the faults that may happen."""
+    """The size of the model and the faults that may occur."""
 
     plan: RolloutPlan
     max_faults: int = 1  # node kills, controller restarts and operator rollbacks, together, in one run
@@ -91,7 +91,7 @@
 
 
 class ModelTransitions:
-    """The possible steps; an instance is called with a state and yields the steps from it."""
+    """The possible steps; an instance is called with a state and yields all steps from it."""
 
     def __init__(self, config: ModelConfig) -> None:
         """Create the steps of a model with this configuration."""
@@ -101,7 +101,7 @@
     def __call__(self, state: ModelState) -> Iterator[ModelStep]:
         """Yield all steps from a state."""
         if state.pending:
-            yield self._execute_action(state)
+            yield self._execute_next_action(state)
         else:
             yield from self._status_steps(state)
             yield from self._timer_steps(state)
@@ -119,64 +119,67 @@
         except InvalidTransitionError as error:
             return ModelStep(label, state, f"invalid transition: {error}")
         node_actions = tuple(action for action in result.actions if action.node != FLEET)
-        after = state._replace(rollout=result.state, pending=state.pending + node_actions)
-        return self._checked(label, after)
+        next_state = state._replace(rollout=result.state, pending=state.pending + node_actions)
+        return self._with_violation(label, next_state)
 
-    def _checked(self, label: str, after: ModelState) -> ModelStep:
-        return ModelStep(label, after, self._violation(after))
+    def _with_violation(self, label: str, next_state: ModelState) -> ModelStep:
+        return ModelStep(label, next_state, self._violation(next_state))
 
     def _violation(self, state: ModelState) -> str:
         rollout = state.rollout
         if rollout.stage > rollout.stages_passed:
-            return f"stage {rollout.stage} began with {rollout.stages_passed} verdicts"
+            return f"stage {rollout.stage} began after {rollout.stages_passed} passed stages"
         if rollout.phase is RolloutPhase.COMMITTED and not all(
             state.processes[node].revision == NEW for stage in self.plan.stages for node in stage
         ):
-            return "committed, and a node has the old revision"
+            return "committed although a node has the old revision"
         if rollout.phase is RolloutPhase.ROLLED_BACK and any(
             process.is_up and process.revision == NEW and not process.is_draining
             for process in state.processes
         ):
-            return "rolled back, and a node has the new revision"
+            return "rolled back although a node has the new revision"
         unavailable = [
             node
             for node, process in enumerate(state.processes)
             if (not process.is_up or process.is_draining) and not process.was_killed
         ]
         if len(unavailable) > self.plan.max_unavailable:
-            return f"nodes {unavailable} are unavailable by order, {self.plan.max_unavailable} may be"
+            return (
+                f"nodes {unavailable} are unavailable because of orders, "
+                f"the limit is {self.plan.max_unavailable}"
+            )
         return ""
 
-    def _execute_action(self, state: ModelState) -> ModelStep:
+    def _execute_next_action(self, state: ModelState) -> ModelStep:
         kind, node = state.pending[0]
-        after = state._replace(pending=state.pending[1:])
+        next_state = state._replace(pending=state.pending[1:])
         process = state.processes[node]
         is_up = process.is_up
         if kind is NodeAction.DRAIN and is_up:
-            after = _with_process(after, node, process._replace(is_draining=True))
+            next_state = _with_process(next_state, node, process._replace(is_draining=True))
         elif kind is NodeAction.APPLY_NEW and is_up:
-            after = _with_process(after, node, process._replace(revision=NEW))
+            next_state = _with_process(next_state, node, process._replace(revision=NEW))
         elif kind is NodeAction.APPLY_OLD and is_up:
-            after = _with_process(after, node, process._replace(revision=OLD))
+            next_state = _with_process(next_state, node, process._replace(revision=OLD))
         elif kind is NodeAction.START_NEW and not is_up:
-            after = self._started(after, node, NEW)
+            next_state = self._with_started_process(next_state, node, NEW)
         elif kind is NodeAction.START_OLD and not is_up:
-            after = self._started(after, node, OLD)
+            next_state = self._with_started_process(next_state, node, OLD)
         elif kind is NodeAction.KILL:
-            after = _with_process(after, node, process._replace(is_up=False, is_draining=False))
-        return self._checked(f"{kind} {node}", after)
+            next_state = _with_process(next_state, node, process._replace(is_up=False, is_draining=False))
+        return self._with_violation(f"{kind} {node}", next_state)
 
-    def _started(self, state: ModelState, node: int, revision: ModelRevision) -> ModelState:
+    def _with_started_process(self, state: ModelState, node: int, revision: ModelRevision) -> ModelState:
         process = state.processes[node]._replace(
             revision=revision,
-            is_up=self._fault_of(revision) is not ProgramFault.EXITS,
+            is_up=self._program_fault(revision) is not ProgramFault.EXITS,
             is_draining=False,
             is_ready=False,
             is_own_child=True,
         )
         return _with_process(state, node, process)
 
-    def _fault_of(self, revision: ModelRevision) -> ProgramFault:
+    def _program_fault(self, revision: ModelRevision) -> ProgramFault:
         return self.config.new_fault if revision == NEW else self.config.old_fault
 
     def _status_steps(self, state: ModelState) -> Iterator[ModelStep]:
@@ -213,9 +216,11 @@
         for node, process in enumerate(state.processes):
             if process.is_draining:
                 exited = process._replace(is_up=False, is_draining=False, is_own_child=False)
-                yield self._checked(f"{node} has drained and exited", _with_process(state, node, exited))
-            never_ready = self._fault_of(process.revision) is ProgramFault.NEVER_READY
-            if process.is_up and not process.is_ready and not never_ready:
+                yield self._with_violation(
+                    f"{node} has drained and exited", _with_process(state, node, exited)
+                )
+            stays_unready = self._program_fault(process.revision) is ProgramFault.NEVER_READY
+            if process.is_up and not process.is_ready and not stays_unready:
                 ready = process._replace(is_ready=True)
                 yield ModelStep(f"{node} becomes ready", _with_process(state, node, ready))
 
--- a/myrtlehub/rollout/node_status.py
+++ b/myrtlehub/rollout/node_status.py
@@ -1,4 +1,4 @@
-"""The status of a node, and the node events that follow from a status or from elapsed time."""
+"""The status of a node, and the node events that are derived from a status or from elapsed time."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 class NodeStatus(NamedTuple):
-    """A node's own report on itself."""
+    """What a node reports about itself."""
 
     revision: Revision
     incarnation: str
@@ -30,12 +30,12 @@
 
 
 def event_of_status(status: NodeStatus, old: Revision, new: Revision) -> NodeEvent:
-    """Return the event that a node's status represents.
+    """Return the event for the status that a node reports.
 
     Args:
         status: the status.
         old: the node's revision before the rollout.
-        new: the revision of the rollout. An unknown part matches any value except the old one.
+        new: the revision of the rollout. An unknown digest matches any value except the old one.
     """
     if status.is_draining:
         return NodeEvent.SEEN_DRAINING
@@ -46,10 +46,10 @@
     return NodeEvent.OTHER_REVISION
 
 
-def _is_new(found: Revision, new: Revision, old: Revision) -> bool:
+def _is_new(reported: Revision, new: Revision, old: Revision) -> bool:
     return all(
-        part == wanted or (not wanted and part != former)
-        for part, wanted, former in zip(found, new, old, strict=True)
+        digest == new_digest or (not new_digest and digest != old_digest)
+        for digest, new_digest, old_digest in zip(reported, new, old, strict=True)
     )
 
 
@@ -64,12 +64,12 @@
 def timer_event(
     state: NodeState, elapsed: float, is_absent: bool, timeouts: NodeTimeouts
 ) -> NodeEvent | None:
-    """Return the event that is due because of the time spent in a state, if any.
+    """Return the event that is due after the time spent in a state, if any.
 
     Args:
         state: the node's state.
         elapsed: seconds since the node entered the state.
-        is_absent: whether the node had no process at the last observation.
+        is_absent: whether the node had no process at the last poll.
         timeouts: the limits.
     """
     if state is NodeState.WARMING and not is_absent and elapsed >= timeouts.warm_up:
--- a/myrtlehub/rollout/node_table.py
+++ b/myrtlehub/rollout/node_table.py
@@ -3,7 +3,7 @@
 from myrtlehub.rollout.states import NodeEffect, NodeEvent, NodeState
 from myrtlehub.state.state_machine import Row, TransitionTable, forbid, on
 
-# Row of each state in which a node must not be scheduled and takes no part in the observation of its stage.
+# Row of the states in which a node must not be scheduled and is not part of the observation of its stage.
 NO_STAGE_EVENTS_ROW: Row[NodeState, NodeEvent] = forbid(
     NodeEvent.REPLACE_SCHEDULED,
     NodeEvent.APPLY_SCHEDULED,
@@ -11,7 +11,7 @@
     NodeEvent.WARMED_UP,
     NodeEvent.STAGE_PASSED,
 )
-# Rows of each state in which a node serves with the new revision.
+# Rows of the states in which a node serves with the new revision.
 SERVING_NEW_ROWS: tuple[Row[NodeState, NodeEvent], ...] = (
     on(NodeEvent.NEW_STARTED, NodeEvent.NEW_READY, NodeEvent.SEEN_DRAINING),
     on(NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED, effect=NodeEffect.COUNT_EXIT),
@@ -26,7 +26,7 @@
     on(NodeEvent.ORDER_REJECTED),
     on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
 )
-# Rows of each state in which a node waits for a rollback or for an operator.
+# Rows of the states in which a node waits for a rollback or for an operator.
 FAILED_ROWS: tuple[Row[NodeState, NodeEvent], ...] = (
     on(NodeEvent.ROLL_BACK, to=NodeState.ROLLING_BACK, effect=NodeEffect.REVERT),
     on(
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -1,7 +1,7 @@
 """Progress of a rollout: `step` takes one event and returns the new state and the actions that it requires.
 
 `RolloutState` is the complete state. A controller that resumes a rollout restores it by replaying the events
-of the journal. Every action is idempotent: it names the wanted revision and has no effect if the node has it
+of the journal. Every action is idempotent: it names the target revision and has no effect if the node has it
 already.
 """
 
@@ -39,7 +39,7 @@
     TransitionTable,
 )
 
-MAX_TOLERATED_EXITS = 1  # unexpected exits of one changed node: a single one may have an unrelated cause
+MAX_TOLERATED_EXITS = 1  # unexpected exits of one changed node; a single exit may have an unrelated cause
 
 _PROCESS_ENDED = frozenset({NodeEvent.PROCESS_MISSING, NodeEvent.PROCESS_EXITED})
 _PROCESS_SEEN = frozenset(
@@ -52,7 +52,7 @@
         NodeEvent.OTHER_REVISION,
     }
 )
-_DIRECT_ACTIONS: dict[StrEnum, NodeAction] = {
+_ACTIONS_BY_EFFECT: dict[StrEnum, NodeAction] = {
     NodeEffect.START_NEW: NodeAction.START_NEW,
     NodeEffect.START_OLD: NodeAction.START_OLD,
     NodeEffect.KILL: NodeAction.KILL,
@@ -124,16 +124,16 @@
             self._add(NodeAction.APPLY_NEW if in_place else NodeAction.DRAIN, node)
         elif effect is NodeEffect.REVERT:
             self._add(NodeAction.APPLY_OLD if in_place else NodeAction.DRAIN, node)
-        elif effect in _DIRECT_ACTIONS:
-            self._add(_DIRECT_ACTIONS[effect], node)
+        elif effect in _ACTIONS_BY_EFFECT:
+            self._add(_ACTIONS_BY_EFFECT[effect], node)
         elif effect is NodeEffect.FAIL:
             self._add(NodeAction.REPORT, node)
             self.apply_rollout_event(RolloutEvent.NODE_FAILED)
         elif effect is NodeEffect.COUNT_EXIT:
-            self._count_unexpected_exit(node)
+            self._handle_unexpected_exit(node)
 
-    def _count_unexpected_exit(self, node: int) -> None:
-        """Restart the process; hold the stage, or roll back if the node has exited too often."""
+    def _handle_unexpected_exit(self, node: int) -> None:
+        """Count the exit and restart the process; hold the stage, or roll back after too many exits."""
         exits = min(self.state.unexpected_exits[node] + 1, MAX_TOLERATED_EXITS + 1)
         all_exits = _replace_item(self.state.unexpected_exits, node, exits)
         self.state = self.state._replace(unexpected_exits=all_exits)
@@ -162,7 +162,7 @@
         self.state = self.state._replace(stages_passed=self.state.stages_passed + 1)
 
     def advance(self) -> None:
-        """Apply the events that follow from the state alone: scheduled nodes and completed steps."""
+        """Apply the events that follow from the state alone: scheduled nodes and completed phases."""
         stage = stage_nodes(self.plan, self.state)
         if self.state.phase is RolloutPhase.CHANGING:
             self._change_stage(stage)
@@ -172,7 +172,7 @@
             self._roll_back()
 
     def _change_stage(self, stage: tuple[int, ...]) -> None:
-        """Schedule nodes up to the limit of unavailable ones; end the phase once all nodes are ready."""
+        """Schedule nodes up to the limit of unavailable nodes; end the phase once the stage is ready."""
         in_place = self.plan.method is ChangeMethod.IN_PLACE
         scheduled = NodeEvent.APPLY_SCHEDULED if in_place else NodeEvent.REPLACE_SCHEDULED
         for node in stage:
@@ -184,20 +184,21 @@
             self.apply_rollout_event(RolloutEvent.STAGE_READY)
 
     def _roll_back(self) -> None:
-        """Continue the rollback, and end it once no node has the change."""
+        """Continue the rollback, and complete it once no node has the change."""
         if self.state.phase is RolloutPhase.ROLLING_BACK:
             self._schedule_rollbacks()
         if all(state in _UNCHANGED_STATES for state in self.state.nodes):
             self.apply_rollout_event(RolloutEvent.ALL_ROLLED_BACK)
             return
-        is_changing = any(state in CHANGING_STATES for state in self.state.nodes)
-        if self.state.phase is RolloutPhase.ROLLING_BACK and not is_changing:
-            # A node was rolled back, and its old program did not start: rolling back further nodes could lose
-            # them as well (test_an_old_program_that_does_not_start_leaves_the_node_stuck_and_reported).
+        is_any_changing = any(state in CHANGING_STATES for state in self.state.nodes)
+        if self.state.phase is RolloutPhase.ROLLING_BACK and not is_any_changing:
+            # A node was rolled back and its old program did not start, so rolling back further nodes could
+            # make them unavailable as well
+            # (test_an_old_program_that_does_not_start_leaves_the_node_stuck_and_reported).
             self.apply_rollout_event(RolloutEvent.ROLLBACK_BLOCKED)
 
     def _schedule_rollbacks(self) -> None:
-        """Roll back unavailable nodes first, then others up to the limit of unavailable ones."""
+        """Schedule rollbacks: unavailable nodes first, then others up to the limit of unavailable nodes."""
         changed = [
             node
             for node, state in enumerate(self.state.nodes)
@@ -205,8 +206,8 @@
         ]
         unavailable = unavailable_nodes(self.state)
         for node in sorted(changed, key=lambda node: (node not in unavailable, node)):
-            # Unchanged nodes without a process do not count here: one that never returns may delay the change
-            # of further nodes, but must not delay a rollback.
+            # Unchanged nodes without a process are not counted: a node that never comes back may delay the
+            # change of further nodes, but must not delay a rollback.
             counted = {
                 other
                 for other in unavailable_nodes(self.state)
--- a/myrtlehub/rollout/rollout_state.py
+++ b/myrtlehub/rollout/rollout_state.py
@@ -16,12 +16,12 @@
 )
 from myrtlehub.state.state_machine import TransitionTable
 
-FLEET = -1  # stands for the whole rollout instead of a node's index; the journal omits it as the default
-BEFORE_FIRST_STAGE = -1  # in place of a stage's index; the next one is 0
+FLEET = -1  # in place of a node's index, for the whole rollout; journal entries omit it as the default
+BEFORE_FIRST_STAGE = -1  # in place of a stage's index; incremented to the first index, 0
 
 
 class ChangeMethod(StrEnum):
-    """How a node gets another revision."""
+    """How the revision of a node is changed."""
 
     IN_PLACE = "in place"
     REPLACE = "replace"
@@ -47,10 +47,10 @@
 
 
 class RolloutPlan(NamedTuple):
-    """The part of a plan that progress depends on. Nodes are indices throughout this package."""
+    """The part of a plan that progress depends on. Throughout this package, nodes are given by index."""
 
     node_count: int
-    stages: tuple[tuple[int, ...], ...]  # names each node at most once, in the order of the changes
+    stages: tuple[tuple[int, ...], ...]  # each node at most once, in the order in which nodes are changed
     method: ChangeMethod = ChangeMethod.REPLACE
     max_unavailable: int = 1  # nodes
     node_table: TransitionTable[NodeState, NodeEvent] = NODE_TABLE
@@ -63,22 +63,24 @@
     phase: RolloutPhase
     stage: int  # index of the current stage, or BEFORE_FIRST_STAGE
     nodes: tuple[NodeState, ...]
-    absent: frozenset[int] = frozenset()  # nodes without a process at the last observation
-    unexpected_exits: tuple[int, ...] = ()  # by node: processes that exited unexpectedly since the change
-    stages_passed: int = 0  # number of stages that a verdict has passed
+    absent: frozenset[int] = frozenset()  # nodes without a process at the last poll
+    unexpected_exits: tuple[int, ...] = ()  # by node: number of unexpected process exits since the change
+    stages_passed: int = 0  # number of stages that passed the canary analysis
 
 
 def initial_state(plan: RolloutPlan) -> RolloutState:
     """Return the state before the rollout begins.
 
     Raises:
-        StagePlanError: the stages name a node twice or an unknown node, or the plan cannot change anything.
+        StagePlanError: the stages contain a node twice or an unknown node, or the plan cannot be carried out.
     """
-    named = [node for stage in plan.stages for node in stage]
-    if sorted(named) != sorted(set(named)) or not set(named) <= set(range(plan.node_count)):
-        raise StagePlanError("stages have to name each node once, and none that is not in the fleet")
+    staged = [node for stage in plan.stages for node in stage]
+    if sorted(staged) != sorted(set(staged)) or not set(staged) <= set(range(plan.node_count)):
+        raise StagePlanError("stages must contain each node at most once, and only nodes of the fleet")
     if not all(plan.stages) or not plan.stages or plan.max_unavailable < 1:
-        raise StagePlanError("a plan needs a stage, no empty one, and at least one node that may be away")
+        raise StagePlanError(
+            "a plan must have a stage, no empty stage, and a limit of at least one unavailable node"
+        )
     return RolloutState(
         phase=RolloutPhase(plan.rollout_table.initial),
         stage=BEFORE_FIRST_STAGE,
@@ -88,7 +90,7 @@
 
 
 def unavailable_nodes(state: RolloutState) -> set[int]:
-    """Return the nodes that are possibly not serving at present."""
+    """Return the nodes that may not be serving at present."""
     changing = {node for node, node_state in enumerate(state.nodes) if node_state in CHANGING_STATES}
     return changing | state.absent
 
--- a/myrtlehub/rollout/rollout_table.py
+++ b/myrtlehub/rollout/rollout_table.py
@@ -3,7 +3,7 @@
 from myrtlehub.rollout.states import RolloutEffect, RolloutEvent, RolloutPhase
 from myrtlehub.state.state_machine import Row, TransitionTable, forbid, on
 
-# Row of each phase in which nodes are changed or observed.
+# Row of the phases in which nodes are changed or observed.
 ROLL_BACK_ROW = on(
     RolloutEvent.WORSE,
     RolloutEvent.NODE_FAILED,
@@ -13,13 +13,13 @@
     to=RolloutPhase.ROLLING_BACK,
     effect=RolloutEffect.ROLL_BACK,
 )
-# Row of each phase of a rollback: no verdict can pass anything.
+# Row of the phases of a rollback, in which no stage can pass.
 NO_PASS_ROW: Row[RolloutPhase, RolloutEvent] = forbid(
     RolloutEvent.BASELINE_MEASURED, RolloutEvent.STAGE_PASSED, RolloutEvent.LAST_STAGE_PASSED
 )
 
 ROLLOUT_TABLE = TransitionTable.build(
-    "change",
+    "rollout",
     initial=RolloutPhase.PLANNED,
     finals=(RolloutPhase.ROLLED_BACK,),
     events=RolloutEvent,
--- a/myrtlehub/rollout/samples.py
+++ b/myrtlehub/rollout/samples.py
@@ -1,4 +1,4 @@
-"""Samples of the fleet: the counters of each node, and the sample windows that are compared."""
+"""Samples of the fleet: the counters of each node, and the sample windows computed from them."""
 
 from collections.abc import Mapping
 from enum import IntEnum, StrEnum
@@ -16,7 +16,7 @@
 
 
 class Metric(StrEnum):
-    """A metric of the canary analysis; the values are stored in journals and written in plans."""
+    """A metric of the canary analysis; the values are stored in journals and used in plans."""
 
     SERVED = "served"  # utility earned, as a fraction of the utility offered
     REJECTED = "rejected"  # fraction of requests
@@ -80,5 +80,5 @@
 
     roles: IntArray  # by node, of NodeRole
     metrics: WindowMetrics
-    serving_engines: dict[str, int]  # by zone, the median over all nodes
-    is_baseline: bool = False  # sampled before the first node was changed
+    serving_engines: dict[str, int]  # by zone: the median of the nodes' counts
+    is_baseline: bool = False  # whether it was sampled before the first node was changed
--- a/myrtlehub/rollout/states.py
+++ b/myrtlehub/rollout/states.py
@@ -1,8 +1,8 @@
 """States, events and effects of one node and of the whole rollout.
 
 `node_table` and `rollout_table` define the transitions, `progress` decides when each node is changed, and
-`canary_analysis` decides what the metrics show. The values of the enumerations are stored in journals,
-printed in events and shown in diagrams, so they never change.
+`canary_analysis` evaluates the metrics. The values of the enumerations are stored in journals, logged in
+events and shown in diagrams, so they must never change.
 """
 
 from enum import StrEnum
@@ -12,24 +12,24 @@
     """The state of one node in the rollout."""
 
     WAITING = "waiting"  # unchanged; the node has not been scheduled yet
-    DRAINING = "draining"  # ordered to drain, so that its process can be replaced
+    DRAINING = "draining"  # ordered to drain, before its process is replaced
     STARTING = "starting"  # receiving the new revision
     READY = "ready"  # runs the new revision and has generated a sequence
-    WARMING = "warming"  # serves, but is not compared yet
+    WARMING = "warming"  # serves, but is not compared with unchanged nodes yet
     OBSERVED = "watched"  # compared with the unchanged nodes
     COMMITTED = "kept"  # its stage has passed
     ROLLING_BACK = "undoing"
-    RESTARTING_OLD = "returning"  # its process starts with the old revision
+    RESTARTING_OLD = "returning"  # its process is being started with the old revision
     FAILED = "failed"  # the change failed and has not been rolled back yet
-    STUCK = "stuck"  # the rollback failed, or the node runs a revision that no order asked for
+    STUCK = "stuck"  # the rollback failed, or the node runs a revision that was not ordered
     ROLLED_BACK = "undone"
 
 
 class NodeEvent(StrEnum):
     """An observation of a node, a scheduling decision or a timeout."""
 
-    REPLACE_SCHEDULED = "go"  # the node is next, and its process is to be replaced
-    APPLY_SCHEDULED = "put"  # the node is next, and its running process is to apply the new settings
+    REPLACE_SCHEDULED = "go"  # the node is scheduled for a replacement of its process
+    APPLY_SCHEDULED = "put"  # the node is scheduled to apply the new settings in its running process
     SEEN_DRAINING = "leaving"
     OLD_STARTED = "was"  # a process with the old revision answers
     OLD_READY = "old"  # that process has an endpoint list and has generated a sequence
@@ -47,14 +47,14 @@
 
 
 class NodeEffect(StrEnum):
-    """What a transition of a node requires, in addition to `CommonEffect`."""
+    """Effects of a node's transitions, in addition to `CommonEffect`."""
 
     CHANGE = "change"  # install the new revision: drain and restart the process, or apply in place
     REVERT = "unchange"  # install the old revision in the same way
     START_NEW = "begin"
     START_OLD = "begin old"
     KILL = "kill"
-    FAIL = "fail"  # report the node and roll the rollout back
+    FAIL = "fail"  # report the node to the operators, and apply `RolloutEvent.NODE_FAILED`
     COUNT_EXIT = "died"  # count an unexpected exit and restart the process
     REPORT = "tell"  # report the node to the operators
 
@@ -67,7 +67,7 @@
     CHANGING = "changing"  # nodes of the current stage receive the new revision
     SETTLING = "settling"  # nodes of the current stage warm up
     OBSERVING = "watching"  # changed nodes are compared with unchanged ones
-    ON_HOLD = "holding"  # a disturbance affects the fleet, and the stage waits for its end
+    ON_HOLD = "holding"  # a disturbance affects the fleet; the stage waits for it to end
     ROLLING_BACK = "undoing"
     STUCK = "stuck"  # a node could not be rolled back; an operator has to intervene
     COMMITTED = "kept"
@@ -94,7 +94,7 @@
 
 
 class RolloutEffect(StrEnum):
-    """What a transition of the rollout requires, in addition to `CommonEffect`."""
+    """Effects of the rollout's transitions, in addition to `CommonEffect`."""
 
     MEASURE = "measure"
     NEXT_STAGE = "next"
@@ -112,5 +112,5 @@
 ROLLBACK_STATES = frozenset({NodeState.ROLLING_BACK, NodeState.RESTARTING_OLD})
 SERVING_STATES = frozenset({NodeState.READY, NodeState.WARMING, NodeState.OBSERVED, NodeState.COMMITTED})
 COMPARED_STATES = frozenset({NodeState.OBSERVED, NodeState.COMMITTED})
-# The change has been ordered for a node in one of these states and may have to be rolled back.
+# A node in one of these states was ordered to change and may have to be rolled back.
 CHANGED_STATES = CHANGING_STATES | SERVING_STATES | {NodeState.FAILED}
--- a/myrtlehub/rollout/window_sampler.py
+++ b/myrtlehub/rollout/window_sampler.py
@@ -1,4 +1,4 @@
-"""Computes sample windows from the counters at their two ends."""
+"""Computes sample windows from the nodes' counters at the start and the end of each window."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 )
 from myrtlehub.rollout.states import COMPARED_STATES, NodeState
 
-TAIL_QUANTILE = 0.95  # of the baseline's times to first token; longer times are in the slow tail
+TAIL_QUANTILE = 0.95  # of the times to first token in the baseline; longer times are in the slow tail
 BYTES_PER_MEGABYTE = 1e6
 SECONDS_PER_MINUTE = 60.0
 
@@ -32,7 +32,7 @@
 
 
 class WindowSampler:
-    """Computes each sample window from the counters at its two ends."""
+    """Computes each sample window from the counters at its start and its end."""
 
     def __init__(self, node_count: int) -> None:
         """Start without samples.
@@ -41,8 +41,8 @@
             node_count: number of nodes in the fleet.
         """
         self.node_count = node_count
-        # Microseconds; first tokens that took longer are in the slow tail. 0.0 stands for "not measured yet",
-        # as in journals.
+        # Microseconds; longer times to first token are in the slow tail. 0.0 means "not measured yet", as in
+        # journals.
         self.slow_first_token_us = 0.0
         self._last_counters: list[NodeCounters | None] = [None] * node_count
         self._last_states: list[NodeState | None] = [None] * node_count
@@ -57,7 +57,7 @@
     ) -> SampleWindow:
         """Return the sample window between the previous call and this one.
 
-        A node is available in the window if it had the same process and the same state at both ends.
+        A node is available in the window if its process and its state were the same at the start and the end.
 
         Args:
             counters: the counters of each node at the last poll; None for a node that did not answer.
@@ -67,60 +67,67 @@
         """
         roles = np.full(self.node_count, NodeRole.UNAVAILABLE)
         metrics: WindowMetrics = {}
-        for node, (now, before) in enumerate(zip(counters, self._last_counters, strict=True)):
-            if now is None or before is None or now.incarnation != before.incarnation:
+        for node, (current, previous) in enumerate(zip(counters, self._last_counters, strict=True)):
+            if current is None or previous is None or current.incarnation != previous.incarnation:
                 continue
             if states[node] != self._last_states[node]:
                 continue
             roles[node] = _role_of(states[node])
             if roles[node] != NodeRole.UNAVAILABLE:
-                self._add_node(metrics, node, now, before, is_baseline)
-                memory = (now.memory_bytes - before.memory_bytes) / BYTES_PER_MEGABYTE
+                self._add_node_metrics(metrics, node, current, previous, is_baseline)
+                memory = (current.memory_bytes - previous.memory_bytes) / BYTES_PER_MEGABYTE
                 growth = _MetricSums(Metric.MEMORY, memory, seconds / SECONDS_PER_MINUTE)
-                self._add(metrics, node, ALL_TRAFFIC, growth)
+                self._add_sums(metrics, node, ALL_TRAFFIC, growth)
         self._last_counters = list(counters)
         self._last_states = list(states)
         if is_baseline:
             self.slow_first_token_us = self._baseline_quantile()
         return SampleWindow(roles, metrics, _median_engines(counters), is_baseline)
 
-    def _add_node(
-        self, metrics: WindowMetrics, node: int, now: NodeCounters, before: NodeCounters, is_baseline: bool
+    def _add_node_metrics(
+        self,
+        metrics: WindowMetrics,
+        node: int,
+        current: NodeCounters,
+        previous: NodeCounters,
+        is_baseline: bool,
     ) -> None:
-        for traffic, counters in now.traffic.items():
-            earlier = before.traffic.get(traffic, TrafficCounters())
-            traffic_sums = self._traffic_sums(counters, earlier, is_baseline)
+        for traffic, counters in current.traffic.items():
+            previous_counters = previous.traffic.get(traffic, TrafficCounters())
+            traffic_sums = self._traffic_sums(counters, previous_counters, is_baseline)
             for key_traffic in (traffic, ALL_TRAFFIC):
                 for sums in traffic_sums:
-                    self._add(metrics, node, key_traffic, sums)
+                    self._add_sums(metrics, node, key_traffic, sums)
 
     def _traffic_sums(
-        self, now: TrafficCounters, before: TrafficCounters, is_baseline: bool
+        self, current: TrafficCounters, previous: TrafficCounters, is_baseline: bool
     ) -> list[_MetricSums]:
-        requests = now.requests - before.requests
-        started = now.answers_started - before.answers_started
-        offered_utility = now.offered_utility - before.offered_utility
-        first_token_log_sum = now.first_token_log_sum - before.first_token_log_sum
+        requests = current.requests - previous.requests
+        started = current.answers_started - previous.answers_started
+        offered_utility = current.offered_utility - previous.offered_utility
+        first_token_log_sum = current.first_token_log_sum - previous.first_token_log_sum
         return [
-            _MetricSums(Metric.SERVED, now.earned_utility - before.earned_utility, offered_utility),
-            _MetricSums(Metric.REJECTED, now.rejected - before.rejected, requests),
-            _MetricSums(Metric.ABORTED, now.aborted - before.aborted, requests),
-            _MetricSums(Metric.ATTEMPTS, now.attempts - before.attempts, requests),
+            _MetricSums(Metric.SERVED, current.earned_utility - previous.earned_utility, offered_utility),
+            _MetricSums(Metric.REJECTED, current.rejected - previous.rejected, requests),
+            _MetricSums(Metric.ABORTED, current.aborted - previous.aborted, requests),
+            _MetricSums(Metric.ATTEMPTS, current.attempts - previous.attempts, requests),
             _MetricSums(Metric.FIRST_TOKEN, first_token_log_sum, started),
-            _MetricSums(Metric.TAIL, self._slow_first_tokens(now, before, is_baseline), started),
+            _MetricSums(Metric.TAIL, self._slow_first_tokens(current, previous, is_baseline), started),
         ]
 
-    def _add(self, metrics: WindowMetrics, node: int, traffic: str, sums: _MetricSums) -> None:
+    def _add_sums(self, metrics: WindowMetrics, node: int, traffic: str, sums: _MetricSums) -> None:
         key = MetricKey(sums.metric, traffic)
         if key not in metrics:
             metrics[key] = NodeRatios(np.zeros(self.node_count), np.zeros(self.node_count))
         metrics[key].numerator[node] += sums.numerator
         metrics[key].denominator[node] += sums.denominator
 
-    def _slow_first_tokens(self, now: TrafficCounters, before: TrafficCounters, is_baseline: bool) -> float:
-        """Count the first tokens in the slow tail; in the baseline, also record all of them."""
-        counts = dict(now.first_token_histogram)
-        for microseconds, count in before.first_token_histogram:
+    def _slow_first_tokens(
+        self, current: TrafficCounters, previous: TrafficCounters, is_baseline: bool
+    ) -> float:
+        """Count the first tokens in the slow tail; in a baseline window, also add all to the baseline."""
+        counts = dict(current.first_token_histogram)
+        for microseconds, count in previous.first_token_histogram:
             counts[microseconds] = counts.get(microseconds, 0) - count
         if is_baseline:
             baseline = self._baseline_first_tokens
@@ -134,10 +141,10 @@
 
     def _baseline_quantile(self) -> float:
         total = sum(self._baseline_first_tokens.values())
-        count_so_far = 0
+        cumulative_count = 0
         for microseconds in sorted(self._baseline_first_tokens):
-            count_so_far += self._baseline_first_tokens[microseconds]
-            if count_so_far >= TAIL_QUANTILE * total:
+            cumulative_count += self._baseline_first_tokens[microseconds]
+            if cumulative_count >= TAIL_QUANTILE * total:
                 return float(microseconds)
         return 0.0
 
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -1,4 +1,8 @@
-"""Progress of a rollout: complete tables, an exhaustively checked model, seeded faults that are found."""
+"""Transition tables, model, stages, journal format, orders and sampling of a rollout.
+
+The model checker explores the model of a small fleet exhaustively and has to find each injected fault of the
+transition tables.
+"""
 
 import pytest
 from paths import ROOT
@@ -52,13 +56,13 @@
 @pytest.mark.parametrize("table", TABLES, ids=[table.name for table in TABLES])
 def test_every_event_has_a_transition_in_every_state(table: TransitionTable) -> None:
     assert not table.missing()
-    reached, todo = {table.initial}, [table.initial]
-    while todo:
-        state = todo.pop()
+    reached, unvisited = {table.initial}, [table.initial]
+    while unvisited:
+        state = unvisited.pop()
         for (origin, _), transition in table.transitions.items():
             if origin == state and transition.next_state not in reached:
                 reached.add(transition.next_state)
-                todo.append(transition.next_state)
+                unvisited.append(transition.next_state)
     assert reached == set(table.states())
     assert f"```mermaid\n{table.mermaid()}\n```" in PAGE.read_text(), f"{PAGE.name} is stale: {table.name}"
 
@@ -72,39 +76,39 @@
         {"new_fault": ProgramFault.NEVER_READY},
         {"old_fault": ProgramFault.EXITS},
     ],
-    ids=["sound", "new exits", "new never ready", "old exits"],
+    ids=["no fault", "new exits", "new never ready", "old exits"],
 )
-def test_a_small_fleet_is_checked_exhaustively_and_every_history_can_end(
+def test_a_small_fleet_violates_no_invariant_and_can_reach_an_end_from_every_state(
     method: ChangeMethod, faults: dict[str, ProgramFault]
 ) -> None:
-    """One fault may happen at any point: a killed node, a resumed controller, an operator's rollback."""
+    """One fault may occur at any point: a killed node, a resumed controller, or a requested rollback."""
     config = ModelConfig(THREE_NODES._replace(method=method), **faults)
-    first, transitions = initial_model_state(config), ModelTransitions(config)
-    found = check_model(first, transitions, 200)
-    assert found.is_complete and not found.violation, (found.violation, found.trace)
+    initial, transitions = initial_model_state(config), ModelTransitions(config)
+    result = check_model(initial, transitions, 200)
+    assert result.is_complete and not result.violation, (result.violation, result.trace)
     successors: dict = {}
-    todo = [first]
-    while todo:
-        state = todo.pop()
+    unvisited = [initial]
+    while unvisited:
+        state = unvisited.pop()
         if state not in successors:
-            successors[state] = [move.state for move in transitions(state)]
-            todo += successors[state]
-    assert len(successors) == found.states > 200
+            successors[state] = [model_step.state for model_step in transitions(state)]
+            unvisited += successors[state]
+    assert len(successors) == result.states > 200
     predecessors: dict = {}
     for state, next_states in successors.items():
         for next_state in next_states:
             predecessors.setdefault(next_state, []).append(state)
     # An end is reachable from every state, so that a rollback always completes.
     ends = [state for state in successors if state.rollout.phase in END_PHASES]
-    always = {RolloutPhase.ROLLED_BACK}
-    expected = always if faults.get("new_fault") else always | {RolloutPhase.COMMITTED}
+    always_reachable = {RolloutPhase.ROLLED_BACK}
+    expected = always_reachable if faults.get("new_fault") else always_reachable | {RolloutPhase.COMMITTED}
     assert {state.rollout.phase for state in ends} >= expected
-    can_end, todo = set(ends), list(ends)
-    while todo:
-        for state in predecessors.get(todo.pop(), ()):
+    can_end, unvisited = set(ends), list(ends)
+    while unvisited:
+        for state in predecessors.get(unvisited.pop(), ()):
             if state not in can_end:
                 can_end.add(state)
-                todo.append(state)
+                unvisited.append(state)
     assert len(can_end) == len(successors)
 
 
@@ -130,7 +134,7 @@
 TO_NEXT_STAGE = Transition(RolloutPhase.CHANGING, RolloutEffect.NEXT_STAGE)
 ROLLED_BACK = Transition(NodeState.ROLLED_BACK, CommonEffect.NOTHING)
 FAULTS = {
-    "a stage is promoted as soon as it is warm": with_rollout_fault(
+    "a stage passes as soon as it has warmed up": with_rollout_fault(
         {(RolloutPhase.SETTLING, RolloutEvent.WARMED_UP): TO_NEXT_STAGE}
     ),
     "a disturbance counts as a pass": with_rollout_fault(
@@ -167,13 +171,13 @@
             ),
         }
     ),
-    "a node is rolled back by leaving it as it is": with_node_fault(
+    "a node counts as rolled back without any action": with_node_fault(
         {
             (NodeState.COMMITTED, NodeEvent.ROLL_BACK): ROLLED_BACK,
             (NodeState.OBSERVED, NodeEvent.ROLL_BACK): ROLLED_BACK,
         }
     ),
-    "a waiting node is ordered to drain when it is seen": with_node_fault(
+    "a waiting node is ordered to drain when its process is seen": with_node_fault(
         {(NodeState.WAITING, NodeEvent.OLD_READY): Transition(NodeState.WAITING, NodeEffect.CHANGE)}
     ),
     "a rollout is committed while it is on hold": with_rollout_fault(
@@ -194,15 +198,15 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_seeded_fault_is_found_and_its_trace_replays(name: str) -> None:
+def test_an_injected_fault_is_found_and_its_trace_replays(name: str) -> None:
     config = ModelConfig(FAULTS[name])
-    first, transitions = initial_model_state(config), ModelTransitions(config)
-    found = check_model(first, transitions, 200)
-    assert found.violation, name
-    assert replay(first, transitions, found.trace)[1] == found.violation
+    initial, transitions = initial_model_state(config), ModelTransitions(config)
+    result = check_model(initial, transitions, 200)
+    assert result.violation, name
+    assert replay(initial, transitions, result.trace)[1] == result.violation
 
 
-def test_a_second_exit_of_a_changed_node_rolls_back_and_the_first_one_holds() -> None:
+def test_the_first_exit_of_a_changed_node_holds_the_stage_and_the_second_one_rolls_back() -> None:
     state = initial_state(THREE_NODES)
     for node, event in (
         (FLEET, RolloutEvent.BEGIN),
@@ -226,9 +230,8 @@
 def test_no_node_is_scheduled_while_others_are_unavailable() -> None:
     plan = RolloutPlan(4, ((0, 1, 2),), max_unavailable=2)
     state, _ = step(plan, initial_state(plan), FLEET, RolloutEvent.BEGIN)
-    state, _ = step(
-        plan, state, 3, NodeEvent.PROCESS_MISSING
-    )  # an unchanged node, which no order made unavailable
+    # An unchanged node, which is unavailable for a reason other than an order.
+    state, _ = step(plan, state, 3, NodeEvent.PROCESS_MISSING)
     state, actions = step(plan, state, FLEET, RolloutEvent.BASELINE_MEASURED)
     assert state.nodes == ("draining", "waiting", "waiting", "waiting") and ("leave", 0) in actions
     state, actions = step(plan, state, 3, NodeEvent.OLD_READY)
@@ -237,13 +240,10 @@
 
 def test_stages_are_assigned_by_zone() -> None:
     zones = ["a", "b", "a", "b", "a", "c"]
-    assert assign_stages(zones, [1, 0.5, 1.0], 1) == (
-        (0,),
-        (2, 1),
-        (4, 3, 5),
-    )  # a third, a half and all of the nodes of each zone
+    # One node of the largest zone, then nodes of two zones up to half of the fleet, then all others.
+    assert assign_stages(zones, [1, 0.5, 1.0], 1) == ((0,), (2, 1), (4, 3, 5))
     assert assign_stages(zones, [2, 1.0], 1)[0] == (0, 2)
-    with pytest.raises(StagePlanError, match="largest, 'a', has 3"):
+    with pytest.raises(StagePlanError, match="largest zone, 'a', has only 3"):
         assign_stages(zones, [4, 1.0], 1)
     with pytest.raises(StagePlanError, match="have to grow"):
         assign_stages(zones, [2, 2], 0)
@@ -263,20 +263,19 @@
             continue
         header, entries, size = decode_journal(data[:cut])
         assert header.nodes == ["a", "b"] and len(entries) == complete - 1 and size == ends[complete - 1]
-    _, entries, _ = decode_journal(
-        data + b"0123456789abcdef {}\n"
-    )  # a last line with a wrong checksum: a torn page
+    wrong_checksum = b"0123456789abcdef {}\n"  # as after a torn write of the last line
+    _, entries, _ = decode_journal(data + wrong_checksum)
     assert len(entries) == 4
     assert last_generation([JournalEntry(0.0, "controller", details={"generation": 3}), *entries]) == 3
     flipped = bytearray(data)
     flipped[ends[0] + 30] ^= 1
-    with pytest.raises(JournalFormatError, match="line 2 is not whole"):
+    with pytest.raises(JournalFormatError, match="line 2 is damaged"):
         decode_journal(bytes(flipped))
-    with pytest.raises(JournalFormatError, match=f"in format {FORMAT_VERSION + 1}"):
+    with pytest.raises(JournalFormatError, match=f"has format {FORMAT_VERSION + 1}"):
         decode_journal(encode_line(JournalHeader(FORMAT_VERSION + 1, "p", [])))
 
 
-def test_a_line_has_the_bytes_of_earlier_versions() -> None:
+def test_a_journal_line_has_the_same_bytes_as_in_earlier_versions() -> None:
     entry = JournalEntry(1.5, "quit", 2, "w", {"a": 1})
     line = b'15be43bb2f545f5c {"at":1.5,"event":"quit","who":2,"why":"w","more":{"a":1}}\n'
     assert encode_line(entry) == line
@@ -285,7 +284,7 @@
     assert decode_journal(header + line).entries == [entry]
 
 
-def test_orders_of_an_older_controller_are_rejected_with_a_reason() -> None:
+def test_orders_of_a_superseded_controller_are_rejected_with_a_reason() -> None:
     validator = OrderValidator("run1")
     assert not validator.rejection_reason(
         Order(FORMAT_VERSION, 2, "x", "run1")
@@ -295,21 +294,21 @@
     assert "obeys 3" in validator.rejection_reason(Order(FORMAT_VERSION, 2, "x"))
     assert "for process run0" in validator.rejection_reason(Order(FORMAT_VERSION, 4, "y", "run0"))
     assert (
-        f"format {FORMAT_VERSION + 1}" in validator.rejection_reason(Order(FORMAT_VERSION + 1, 9, "z"))
+        f"has format {FORMAT_VERSION + 1}" in validator.rejection_reason(Order(FORMAT_VERSION + 1, 9, "z"))
         and validator.generation == 3
     )
-    assert "name its generation" in validator.rejection_reason(Order(FORMAT_VERSION, 0, "z"))
+    assert "does not name its generation" in validator.rejection_reason(Order(FORMAT_VERSION, 0, "z"))
 
 
-def test_a_node_status_gives_an_event() -> None:
+def test_events_are_derived_from_a_status_and_from_elapsed_time() -> None:
     old, new = Revision("p", "s"), Revision("p", "t")
     assert event_of_status(NodeStatus(old, "1"), old, new) is NodeEvent.OLD_READY
     assert event_of_status(NodeStatus(new, "1", is_ready=False), old, new) is NodeEvent.NEW_STARTED
     assert event_of_status(NodeStatus(new, "1", is_draining=True), old, new) is NodeEvent.SEEN_DRAINING
     other = NodeStatus(Revision("q", "s"), "1")
     assert event_of_status(other, old, new) is NodeEvent.OTHER_REVISION
-    unstated = Revision("", "s")  # the program is unknown
-    assert event_of_status(other, old, unstated) is NodeEvent.NEW_READY
+    unknown_program = Revision("", "s")
+    assert event_of_status(other, old, unknown_program) is NodeEvent.NEW_READY
     timeouts = NodeTimeouts(drain=9.0, start=9.0, warm_up=5.0)
     assert timer_event(NodeState.WARMING, 5.0, False, timeouts) is NodeEvent.WARMED_UP
     assert timer_event(NodeState.WARMING, 5.0, True, timeouts) is None
@@ -319,20 +318,20 @@
     assert timer_event(NodeState.WAITING, 99.0, True, NodeTimeouts(1.0, 1.0, 1.0)) is None
 
 
-def test_windows_exclude_nodes_with_another_process_or_state() -> None:
-    def counted(run: str, count: float) -> NodeCounters:
+def test_a_window_excludes_nodes_whose_process_or_state_changed() -> None:
+    def counters(incarnation: str, count: float) -> NodeCounters:
         histogram = ((100, int(count) - 1), (900, 1))
-        sums = TrafficCounters(count, count, count - 1, 1, 0, count, count, 0.0, histogram)
-        return NodeCounters(run, {"ask": sums}, 1e6 * count, {"a": 4})
+        ask = TrafficCounters(count, count, count - 1, 1, 0, count, count, 0.0, histogram)
+        return NodeCounters(incarnation, {"ask": ask}, 1e6 * count, {"a": 4})
 
     sampler = WindowSampler(3)
     waiting = [NodeState.WAITING] * 3
-    sampler.window([counted("1", 10)] * 3, waiting, 5.0, True)
-    window = sampler.window([counted("1", 30), counted("2", 30), None], waiting, 5.0, True)
+    sampler.window([counters("1", 10)] * 3, waiting, 5.0, True)
+    window = sampler.window([counters("1", 30), counters("2", 30), None], waiting, 5.0, True)
     assert window.roles.tolist() == [1, 0, 0] and window.metrics["served", ""][0].tolist() == [20.0, 0.0, 0.0]
     assert window.serving_engines == {"a": 4} and window.metrics["memory", ""][0][0] == 20.0
     states = [NodeState.OBSERVED, NodeState.WAITING, NodeState.WAITING]
-    window = sampler.window([counted("1", 40), counted("2", 40), counted("1", 40)], states, 5.0, False)
-    assert window.roles.tolist() == [0, 1, 0]  # the first changed its state, the third did not answer before
-    window = sampler.window([counted("1", 60), counted("2", 60), counted("1", 60)], states, 5.0, False)
+    window = sampler.window([counters("1", 40), counters("2", 40), counters("1", 40)], states, 5.0, False)
+    assert window.roles.tolist() == [0, 1, 0]  # node 0 changed its state, node 2 did not answer before
+    window = sampler.window([counters("1", 60), counters("2", 60), counters("1", 60)], states, 5.0, False)
     assert window.roles.tolist() == [2, 1, 1] and window.metrics["rejected", "ask"][1].tolist() == [20.0] * 3
