--- a/myrtlehub/rollout/node_orders.py
+++ b/myrtlehub/rollout/node_orders.py
@@ -39,9 +39,7 @@
 
     def _format_error(self, order: Order) -> str | None:
         if order.format > FORMAT_VERSION:
-            return (
-                f"the order has format {order.format}, but this node supports formats up to {FORMAT_VERSION}"
-            )
+            return f"the order has format {order.format}, but this node knows formats up to {FORMAT_VERSION}"
         if not order.generation or not order.controller:
             return "the order does not name its generation and its controller"
         return None
