--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -14,7 +14,7 @@
 
 # A zone is disturbed if the number of its serving engines changes by more than this fraction within
 # QUIET_WINDOWS windows.
-MIN_ENGINE_CHANGE = 0.1
+ENGINE_CHANGE_THRESHOLD = 0.1
 # A window is disturbed if the unchanged nodes' served fraction in it is below the baseline by more than this.
 # The drop also has to exceed SUDDEN_DROP_DEVIATIONS standard deviations of the baseline, because the windows
 # of a noisy fleet vary that much.
@@ -47,9 +47,9 @@
         self.disturbed_zones: list[BoolArray] = []  # by window, then by zone
         self.reason = ""  # describes the last disturbance
         self.observation_start = 0  # index of the first window in which the current stage is observed
-        self._engines: list[dict[str, int]] = []  # serving engines by zone, in the last windows
+        self._recent_engines: list[dict[str, int]] = []  # serving engines by zone, in the last windows
         self._stage_engines: dict[str, int] = {}  # serving engines by zone at the start of the current stage
-        self._served: list[float] = []  # served fraction of the unchanged nodes, by window
+        self._served_fractions: list[float] = []  # served fraction of the unchanged nodes, by window
         self._stage_start = 0  # index of the window in which the first node of the current stage was changed
         # Index of the first window of a drop of the served fraction while the number of engines is stable;
         # None if there is no drop.
@@ -58,13 +58,13 @@
     def add(self, window: SampleWindow) -> BoolArray:
         """Add a window and return whether each zone is disturbed in it."""
         self.windows += 1
-        self._engines = [*self._engines[-QUIET_WINDOWS:], window.serving_engines]
+        self._recent_engines = [*self._recent_engines[-QUIET_WINDOWS:], window.serving_engines]
         if window.is_baseline:
             self._stage_engines = window.serving_engines
-        self._served.append(_served_fraction(window))
-        if window.is_baseline and not np.isnan(self._served[-1]):
-            self.baseline_served.append(self._served[-1])
-        disturbed = self._disturbed(window.is_baseline)
+        self._served_fractions.append(_served_fraction(window))
+        if window.is_baseline and not np.isnan(self._served_fractions[-1]):
+            self.baseline_served.append(self._served_fractions[-1])
+        disturbed = self._detect(window.is_baseline)
         self.disturbed_zones.append(disturbed)
         return disturbed
 
@@ -76,8 +76,8 @@
         """Record that nodes of the next stage are changed from the next window on."""
         self._stage_start = self.windows
         self._drop_start = None
-        if self._engines:
-            self._stage_engines = self._engines[-1]
+        if self._recent_engines:
+            self._stage_engines = self._recent_engines[-1]
 
     @property
     def is_active(self) -> bool:
@@ -105,21 +105,21 @@
         )
 
     def _engines_differ_from_stage_start(self) -> bool:
-        engines = self._engines[-1]
+        engines = self._recent_engines[-1]
         return any(
             _differ(engines.get(zone, 0), self._stage_engines.get(zone, 0)) for zone in self.zone_names
         )
 
     def _is_drop_ongoing(self) -> bool:
-        newest = self._served[-max(1, self.observation_windows // 2) :]
+        newest = self._served_fractions[-max(1, self.observation_windows // 2) :]
         baseline = float(np.mean(self.baseline_served))
         return not np.isnan(newest).any() and baseline - float(np.mean(newest)) > SUSTAINED_DROP
 
-    def _disturbed(self, is_baseline: bool) -> BoolArray:
+    def _detect(self, is_baseline: bool) -> BoolArray:
         """Return whether each zone is disturbed in the newest window, and update the reason and the drop."""
         disturbed = np.zeros(len(self.zone_names), bool)
         for index, zone in enumerate(self.zone_names):
-            counts = [engines.get(zone, 0) for engines in self._engines]
+            counts = [engines.get(zone, 0) for engines in self._recent_engines]
             if counts and _differ(max(counts), min(counts)):
                 disturbed[index] = True
                 self.reason = f"the serving engines of zone {zone} changed from {counts[0]} to {counts[-1]}"
@@ -141,7 +141,7 @@
         (test_a_change_that_harms_unchanged_nodes_is_stopped_once_it_has_outlasted_a_burst).
         """
         baseline = np.array(self.baseline_served)
-        newest = self._served[-1]
+        newest = self._served_fractions[-1]
         if len(baseline) < MIN_WINDOWS or np.isnan(newest):
             return None
         mean = float(baseline.mean())
@@ -149,7 +149,7 @@
         if mean - newest > max(SUDDEN_DROP, SUDDEN_DROP_DEVIATIONS * deviation):
             return f"the fleet serves {newest:.3f} of the offered utility, {mean:.3f} before the change"
         start = max(self.observation_start, self.windows - self.observation_windows)
-        observed = np.array(self._served[start:])
+        observed = np.array(self._served_fractions[start:])
         if len(observed) < self.observation_windows // 2 or np.isnan(observed).any():
             return None
         standard_error = (
@@ -168,7 +168,7 @@
 
 def _differ(count: int, other_count: int) -> bool:
     """Return whether two counts of a zone's serving engines differ enough to indicate a disturbance."""
-    return abs(count - other_count) > MIN_ENGINE_CHANGE * max(count, other_count)
+    return abs(count - other_count) > ENGINE_CHANGE_THRESHOLD * max(count, other_count)
 
 
 def _served_fraction(window: SampleWindow) -> float:
--- a/myrtlehub/rollout/model.py
+++ b/myrtlehub/rollout/model.py
@@ -110,7 +110,7 @@
         if state.faults < self.config.max_faults:
             yield from self._fault_steps(state)
 
-    def _apply(
+    def _apply_event(
         self, state: ModelState, node: int, event: NodeEvent | RolloutEvent, label: str = ""
     ) -> ModelStep:
         label = label or f"{event} {'' if node == FLEET else node}".strip()
@@ -123,9 +123,9 @@
         return self._with_violation(label, next_state)
 
     def _with_violation(self, label: str, next_state: ModelState) -> ModelStep:
-        return ModelStep(label, next_state, self._violation(next_state))
+        return ModelStep(label, next_state, self._find_violation(next_state))
 
-    def _violation(self, state: ModelState) -> str:
+    def _find_violation(self, state: ModelState) -> str:
         rollout = state.rollout
         if rollout.stage > rollout.stages_passed:
             return f"stage {rollout.stage} began after {rollout.stages_passed} passed stages"
@@ -185,7 +185,7 @@
     def _status_steps(self, state: ModelState) -> Iterator[ModelStep]:
         for node, process in enumerate(state.processes):
             event = _status_event(process)
-            model_step = self._apply(state, node, event, f"{node} is seen {event}")
+            model_step = self._apply_event(state, node, event, f"{node} is seen {event}")
             if model_step.violation or model_step.state != state:
                 yield model_step
 
@@ -193,24 +193,24 @@
         rollout = state.rollout
         for node, node_state in enumerate(rollout.nodes):
             if node_state is NodeState.WARMING:
-                yield self._apply(state, node, NodeEvent.WARMED_UP)
+                yield self._apply_event(state, node, NodeEvent.WARMED_UP)
             is_restarting = node_state is NodeState.RESTARTING_OLD
             if node_state in CHANGING_STATES and (state.processes[node].is_up or is_restarting):
-                yield self._apply(state, node, NodeEvent.TIMED_OUT)
+                yield self._apply_event(state, node, NodeEvent.TIMED_OUT)
         if rollout.phase in (RolloutPhase.CHANGING, RolloutPhase.SETTLING, RolloutPhase.ON_HOLD):
-            yield self._apply(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
+            yield self._apply_event(state, FLEET, RolloutEvent.PHASE_TIMED_OUT)
 
     def _verdict_steps(self, state: ModelState) -> Iterator[ModelStep]:
         is_last = state.rollout.stage == len(self.plan.stages) - 1
-        passed = RolloutEvent.LAST_STAGE_PASSED if is_last else RolloutEvent.STAGE_PASSED
+        pass_event = RolloutEvent.LAST_STAGE_PASSED if is_last else RolloutEvent.STAGE_PASSED
         events = {
             RolloutPhase.PLANNED: (RolloutEvent.BEGIN,),
             RolloutPhase.MEASURING: (RolloutEvent.BASELINE_MEASURED,),
-            RolloutPhase.OBSERVING: (passed, RolloutEvent.WORSE, RolloutEvent.DISTURBANCE),
+            RolloutPhase.OBSERVING: (pass_event, RolloutEvent.WORSE, RolloutEvent.DISTURBANCE),
             RolloutPhase.ON_HOLD: (RolloutEvent.DISTURBANCE_OVER, RolloutEvent.WORSE),
         }
         for event in events.get(state.rollout.phase, ()):
-            yield self._apply(state, FLEET, event)
+            yield self._apply_event(state, FLEET, event)
 
     def _process_steps(self, state: ModelState) -> Iterator[ModelStep]:
         for node, process in enumerate(state.processes):
@@ -225,18 +225,18 @@
                 yield ModelStep(f"{node} becomes ready", _with_process(state, node, ready))
 
     def _fault_steps(self, state: ModelState) -> Iterator[ModelStep]:
-        faulty = state._replace(faults=state.faults + 1)
+        with_fault = state._replace(faults=state.faults + 1)
         phase = state.rollout.phase
         if phase is not RolloutPhase.PLANNED and phase not in END_PHASES:
-            yield self._apply(faulty, FLEET, RolloutEvent.ROLL_BACK, "the operator rolls back")
-        orphans = tuple(process._replace(is_own_child=False) for process in faulty.processes)
+            yield self._apply_event(with_fault, FLEET, RolloutEvent.ROLL_BACK, "the operator rolls back")
+        orphans = tuple(process._replace(is_own_child=False) for process in with_fault.processes)
         yield ModelStep(
-            "the controller is killed and resumed", faulty._replace(pending=(), processes=orphans)
+            "the controller is killed and resumed", with_fault._replace(pending=(), processes=orphans)
         )
         for node, process in enumerate(state.processes):
             if process.is_up and not process.is_draining:
                 killed = process._replace(is_up=False, was_killed=True)
-                yield ModelStep(f"{node} is killed", _with_process(faulty, node, killed))
+                yield ModelStep(f"{node} is killed", _with_process(with_fault, node, killed))
 
 
 def _status_event(process: ProcessState) -> NodeEvent:
--- a/myrtlehub/rollout/progress.py
+++ b/myrtlehub/rollout/progress.py
@@ -121,13 +121,13 @@
     def _apply_node_effect(self, node: int, effect: StrEnum) -> None:
         in_place = self.plan.method is ChangeMethod.IN_PLACE
         if effect is NodeEffect.CHANGE:
-            self._add(NodeAction.APPLY_NEW if in_place else NodeAction.DRAIN, node)
+            self._add_action(NodeAction.APPLY_NEW if in_place else NodeAction.DRAIN, node)
         elif effect is NodeEffect.REVERT:
-            self._add(NodeAction.APPLY_OLD if in_place else NodeAction.DRAIN, node)
+            self._add_action(NodeAction.APPLY_OLD if in_place else NodeAction.DRAIN, node)
         elif effect in _ACTIONS_BY_EFFECT:
-            self._add(_ACTIONS_BY_EFFECT[effect], node)
+            self._add_action(_ACTIONS_BY_EFFECT[effect], node)
         elif effect is NodeEffect.FAIL:
-            self._add(NodeAction.REPORT, node)
+            self._add_action(NodeAction.REPORT, node)
             self.apply_rollout_event(RolloutEvent.NODE_FAILED)
         elif effect is NodeEffect.COUNT_EXIT:
             self._handle_unexpected_exit(node)
@@ -135,9 +135,9 @@
     def _handle_unexpected_exit(self, node: int) -> None:
         """Count the exit and restart the process; hold the stage, or roll back after too many exits."""
         exits = min(self.state.unexpected_exits[node] + 1, MAX_TOLERATED_EXITS + 1)
-        all_exits = _replace_item(self.state.unexpected_exits, node, exits)
-        self.state = self.state._replace(unexpected_exits=all_exits)
-        self._add(NodeAction.START_NEW, node)
+        unexpected_exits = _replace_item(self.state.unexpected_exits, node, exits)
+        self.state = self.state._replace(unexpected_exits=unexpected_exits)
+        self._add_action(NodeAction.START_NEW, node)
         has_failed = exits > MAX_TOLERATED_EXITS
         self.apply_rollout_event(RolloutEvent.NODE_FAILED if has_failed else RolloutEvent.DISTURBANCE)
 
@@ -155,7 +155,7 @@
             self._pass_stage()
         self.state = self.state._replace(phase=RolloutPhase(next_phase))
         if isinstance(effect, RolloutEffect):
-            self._add(effect, FLEET)
+            self._add_action(effect, FLEET)
 
     def _pass_stage(self) -> None:
         self._apply_node_events(stage_nodes(self.plan, self.state), NodeEvent.STAGE_PASSED)
@@ -208,12 +208,12 @@
         for node in sorted(changed, key=lambda node: (node not in unavailable, node)):
             # Unchanged nodes without a process are not counted: a node that never comes back may delay the
             # change of further nodes, but must not delay a rollback.
-            counted = {
+            counted_unavailable = {
                 other
                 for other in unavailable_nodes(self.state)
                 if self.state.nodes[other] is not NodeState.WAITING
             }
-            if node in counted or len(counted | {node}) <= self.plan.max_unavailable:
+            if node in counted_unavailable or len(counted_unavailable | {node}) <= self.plan.max_unavailable:
                 self.apply_node_event(node, NodeEvent.ROLL_BACK)
 
     def _apply_node_events(self, nodes: Iterable[int], event: NodeEvent) -> None:
@@ -223,7 +223,7 @@
     def _all_in(self, nodes: Iterable[int], state: NodeState) -> bool:
         return all(self.state.nodes[node] is state for node in nodes)
 
-    def _add(self, kind: NodeAction | RolloutEffect, node: int) -> None:
+    def _add_action(self, kind: NodeAction | RolloutEffect, node: int) -> None:
         self.actions.append(Action(kind, node))
 
 
