--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -1,6 +1,6 @@
 """Transition tables, model, stages, journal format, orders and sampling of a rollout.
 
-The model checker explores the model of a small fleet exhaustively and has to find each injected fault of the
+The model checker explores the model of a small fleet exhaustively and has to find each seeded fault of the
 transition tables.
 """
 
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_an_injected_fault_is_found_and_its_trace_replays(name: str) -> None:
+def test_a_seeded_fault_is_found_and_its_trace_replays(name: str) -> None:
     config = ModelConfig(FAULTS[name])
     initial, transitions = initial_model_state(config), ModelTransitions(config)
     result = check_model(initial, transitions, 200)
