--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -1,7 +1,7 @@
-"""Limits on clients: memory is accounted to each, and those that read too slowly or use too much are aborted.
+"""Limits on clients: accounts memory to each client, and disconnects slow readers and excessive users.
 
-`ClientLimits` checks all open streams a few times a second; between checks a message costs two additions. The
-decisions are in `limits/`.
+`ClientLimits` checks all open streams every `CHECK_INTERVAL`; between checks, a message costs two additions.
+The decisions are made by `myrtlehub.limits`.
 """
 
 from collections import deque
@@ -25,11 +25,11 @@
 from myrtlehub.log_events import Log, LogEvent
 from myrtlehub.rpc.server_call import ServerCall
 
-MAX_CUTS = 50  # number of latest disconnects that are stored for the admin service
+MAX_RECENT_DISCONNECTS = 50  # stored for the admin service
 
 
 class LimitCounter(StrEnum):
-    """Counted causes of rejections and disconnects; the values are the keys of `LimitsState.counts`."""
+    """Causes of rejections and disconnects; the values are keys of the protocol's `LimitsState.counts`."""
 
     SLOW = "slow"
     MEMORY = "memory"
@@ -37,8 +37,8 @@
     RETRY_REJECTED = "repeats turned away"
 
 
-class CutOff(NamedTuple):
-    """A client that was disconnected for exceeding a limit."""
+class Disconnect(NamedTuple):
+    """The disconnection of a client that exceeded a limit."""
 
     at: float
     peer: str
@@ -47,40 +47,40 @@
 
 
 class NearLimit(NamedTuple):
-    """A peer or tenant that uses over half of its budget."""
+    """A peer or tenant that uses more than half of its memory budget."""
 
     scope: BudgetScope
     name: str
     in_use: int  # bytes
-    limit: int
+    limit: int  # bytes
 
 
 class RecordedCounters(NamedTuple):
-    """A stream's counters when they were last recorded in the ledger."""
+    """The counters of a stream, in bytes, when they were last recorded in the ledger."""
 
-    queued: int  # bytes
+    queued: int
     sent: int
     dropped: int
-    is_over: bool
+    is_call_over: bool
 
 
 @dataclass(slots=True, eq=False)
 class LimitedCall:
-    """One call of a client. `abort(reason)` ends it with an aborted answer, if it has none yet."""
+    """A client's call to which the limits apply."""
 
     call: ServerCall
     name: str  # for the log: the idempotency key of a chat request, or "batch"
     tenant: str
     utility: float
-    request_size: int  # bytes of the request, which are in memory until the call is over
-    abort: Callable[[str], None]
+    request_size: int  # bytes of the request, which stay in memory until the call is over
+    abort: Callable[[str], None]  # aborts the call with a reason, unless it has a final answer
     rate: MinimumRateMonitor | None = None  # set while the stream has unread data
-    is_cut_off: bool = False
+    is_disconnected: bool = False
     recorded: RecordedCounters | None = None
 
 
 class ClientLimits:
-    """The limits on all clients' calls of a node."""
+    """The limits on the calls of all clients of a node."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
             MemoryBudgets(limits.held_bytes, limits.peer_share, limits.tenant_share)
         )
         self.calls: dict[int, LimitedCall] = {}
-        self.cuts: deque[CutOff] = deque(maxlen=MAX_CUTS)
+        self.cuts: deque[Disconnect] = deque(maxlen=MAX_RECENT_DISCONNECTS)
         self.counts: dict[str, int] = dict.fromkeys(LimitCounter, 0)
         self._next_key = 0
         self._timer: Timer | None = None
@@ -107,39 +107,43 @@
     def retry_after(
         self, call: ServerCall, tenant: str, is_retry: bool, size: int, is_full: bool
     ) -> float | None:
-        """Return None to admit a request of `size` bytes, else the Retry-After of its rejection in seconds.
+        """Return None to admit a request of `size` bytes, or the Retry-After in seconds to reject it with.
 
-        A request is rejected if its tenant's retry budget is spent, if the node is full, or if it would
-        exceed a memory budget.
+        A request is rejected if it is a retry and its tenant's retry budget is spent, if the node is full, or
+        if it would exceed a memory budget.
         """
-        wait = self._wait_for_retry_budget(tenant, is_retry)
-        if wait is None and (is_full or not self._fits(call, tenant, size)):
-            wait = self.max_retry_after
-        return wait
+        retry_after = self._retry_after_by_budget(tenant, is_retry)
+        if retry_after is None and (is_full or not self._fits_memory_budgets(call, tenant, size)):
+            retry_after = self.max_retry_after
+        return retry_after
 
-    def _wait_for_retry_budget(self, tenant: str, is_retry: bool) -> float | None:
+    def _retry_after_by_budget(self, tenant: str, is_retry: bool) -> float | None:
         if self.retry_budget is None:
             return None
         now = self.clock.seconds()
         if not is_retry:
             self.retry_budget.record_first_attempt(now, tenant)
             return None
-        wait = self.retry_budget.spend_retry(now, tenant, self.max_retry_after)
-        if wait is not None:
+        retry_after = self.retry_budget.spend_retry(now, tenant, self.max_retry_after)
+        if retry_after is not None:
             self.counts[LimitCounter.RETRY_REJECTED] += 1
-        return wait
+        return retry_after
 
-    def _fits(self, call: ServerCall, tenant: str, size: int) -> bool:
-        exceeded = self.ledger.exceeded_by(host_of(call.peer), tenant, size)
-        if exceeded:
+    def _fits_memory_budgets(self, call: ServerCall, tenant: str, size: int) -> bool:
+        exceeded_budget = self.ledger.exceeded_by(host_of(call.peer), tenant, size)
+        if exceeded_budget:
             self.counts[LimitCounter.REJECTED] += 1
             self.log(
-                LogEvent.REQUEST_REJECTED, peer=call.peer, tenant=tenant, budget=exceeded, size_bytes=size
+                LogEvent.REQUEST_REJECTED,
+                peer=call.peer,
+                tenant=tenant,
+                budget=exceeded_budget,
+                size_bytes=size,
             )
-        return not exceeded
+        return not exceeded_budget
 
     def track(self, limited: LimitedCall) -> None:
-        """Account for an accepted call, until it is over and its client has read the whole answer."""
+        """Apply the limits to an accepted call until it is over and its client has read the whole answer."""
         key = self._next_key
         self._next_key += 1
         self.calls[key] = limited
@@ -150,17 +154,19 @@
 
     def _record(self, key: int, limited: LimitedCall) -> None:
         stream = limited.call.stream
-        is_over = limited.call.over
-        counters = RecordedCounters(stream.bytes_queued, stream.bytes_sent, stream.bytes_dropped, is_over)
+        is_call_over = limited.call.over
+        counters = RecordedCounters(
+            stream.bytes_queued, stream.bytes_sent, stream.bytes_dropped, is_call_over
+        )
         if limited.recorded == counters:
-            return  # the usual case: nothing has changed since the last check
+            return  # the most frequent case, which should cost little
         limited.recorded = counters
         size = limited.request_size
         current = Counters(
             received=stream.bytes_queued + size,
-            delivered=stream.bytes_sent + (size if is_over else 0),
+            delivered=stream.bytes_sent + (size if is_call_over else 0),
             dropped=stream.bytes_dropped,
-            in_use=stream.buffered + (0 if is_over else size),
+            in_use=stream.buffered + (0 if is_call_over else size),
         )
         self.ledger.update(key, current)
 
@@ -183,10 +189,10 @@
             del self.calls[key]
         elif not stream.buffered:
             limited.rate = None
-        elif self._is_too_slow(limited, now) and not limited.is_cut_off:
-            least_rate = self.limits.least_rate
-            self._cut_off(
-                key, LimitCounter.SLOW, f"it took under {least_rate:g} bytes a second of what waited"
+        elif self._is_too_slow(limited, now) and not limited.is_disconnected:
+            min_rate = self.limits.least_rate
+            self._disconnect(
+                key, LimitCounter.SLOW, f"it took under {min_rate:g} bytes a second of what waited"
             )
 
     def _is_too_slow(self, limited: LimitedCall, now: float) -> bool:
@@ -200,29 +206,31 @@
             streams = [
                 self._usage(key, now)
                 for key in self.ledger.streams_of(scope, name)
-                if not self.calls[key].is_cut_off
+                if not self.calls[key].is_disconnected
             ]
             limit = self.ledger.limit(scope)
             for key in select_streams_to_shed(streams, excess):
-                self._cut_off(key, LimitCounter.MEMORY, f"the {scope} holds more than its {limit} bytes here")
+                self._disconnect(
+                    key, LimitCounter.MEMORY, f"the {scope} holds more than its {limit} bytes here"
+                )
 
     def _usage(self, key: int, now: float) -> StreamUsage[int]:
         limited = self.calls[key]
         stalled = limited.rate.stalled_seconds(now) if limited.rate else 0.0
         return StreamUsage(key, self.ledger.usage(key), limited.utility, stalled)
 
-    def _cut_off(self, key: int, counter: LimitCounter, reason: str) -> None:
-        """Discard a client's unread data and abort its call.
+    def _disconnect(self, key: int, counter: LimitCounter, reason: str) -> None:
+        """Discard the unread data of a client and abort its call.
 
-        The stream is reset at once if the answer was complete. Otherwise it is reset if it is still open
-        after `linger` seconds.
+        The stream is reset: at once if the call is over, otherwise after `linger` seconds unless it is closed
+        by then.
         """
         limited = self.calls[key]
-        limited.is_cut_off = True
+        limited.is_disconnected = True
         call = limited.call
         stream = call.stream
         self.counts[counter] += 1
-        self.cuts.append(CutOff(self.clock.seconds(), call.peer, limited.tenant, reason))
+        self.cuts.append(Disconnect(self.clock.seconds(), call.peer, limited.tenant, reason))
         self.log(
             LogEvent.CLIENT_DISCONNECTED,
             sequence_id=limited.name,
@@ -232,7 +240,7 @@
             buffered_bytes=stream.buffered,
         )
         if call.over:
-            stream.reset()  # the answer was complete, and the client did not read it
+            stream.reset()  # the answer is complete, but the client has not read it
         else:
             stream.drop()
             limited.abort(reason)
@@ -240,7 +248,7 @@
         self._record(key, limited)
 
     def near_limits(self) -> list[NearLimit]:
-        """Return the peers and tenants that use over half of their budget."""
+        """Return the peers and tenants that use more than half of their memory budget."""
         near = []
         for scope, accounts in (
             (BudgetScope.PEER, self.ledger.peers),
@@ -256,5 +264,5 @@
 
 
 def host_of(peer: str) -> str:
-    """Return a peer's address without the port, because all connections of a host count together."""
+    """Return a peer's address without the port, because the budget of a peer covers all its connections."""
     return peer.rsplit(":", 1)[0]
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -1,6 +1,6 @@
-"""A complete node: its servers, its endpoint list and the runtime of its settings.
+"""A complete node: its servers, its endpoint list and the runtime of its current settings.
 
-The node opens no ports: the process listens, and the servers handle its connections.
+A node opens no ports: its process listens and passes connections to the node's servers.
 """
 
 from collections.abc import Callable
@@ -31,20 +31,20 @@
 from myrtlehub.rpc.server import Server
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-MIN_LOGGED_LAG = 0.1  # seconds; a new maximum of the event loop lag is logged if it is above this
-IDLE_CHECK_INTERVAL = 0.5  # seconds between two checks whether replaced runtimes have become idle
+MIN_LOGGED_LAG = 0.1  # seconds; a new maximum of the event loop lag is logged only above this
+IDLE_CHECK_INTERVAL = 0.5  # seconds between checks for replaced runtimes that have become idle
 
 
 class NodeEnvironment(NamedTuple):
-    """What a process, or a test, gives its node: clock, network, log and files.
+    """What a process or a test provides to its node: clock, network, log and files.
 
     Attributes:
-        clock: its only clock.
-        dial: returns how a channel connects to an address.
-        incarnation: identifies this process among those of the same node; part of sequence ids.
-        log: writes log events.
-        executor_class: executes the actions of its router.
-        files: access to the files of its endpoint list.
+        clock: The only clock of the node.
+        dial: Returns how a channel connects to an address.
+        incarnation: Identifies this process among those of the same node; part of sequence ids.
+        log: Writes log events.
+        executor_class: Executes the actions of the router.
+        files: How the files of the endpoint list are read.
     """
 
     clock: Clock
@@ -56,11 +56,11 @@
 
 
 def _ignore_drain_request() -> None:
-    """Do nothing; the default of a node whose process cannot be ended by an order."""
+    """Do nothing; the default for a process that the admin service cannot end."""
 
 
 class _EndpointRepublisher(ExecutorObserver):
-    """Publishes the complete endpoint list whenever the router asks for it."""
+    """Publishes the complete endpoint list when the router requests it."""
 
     def __init__(self, source: EndpointSource) -> None:
         self._source = source
@@ -74,20 +74,20 @@
     """One node on a clock.
 
     Attributes:
-        server: serves clients; the process listens with it.
-        admin: serves the admin service; the process listens with it.
-        on_drain_requested: called when the admin service is asked to drain the node; set by the process.
+        server: Serves clients on the connections that the process accepts.
+        admin: Serves the admin service on the connections that the process accepts.
+        on_drain_requested: Called when the admin service is asked to drain the node; set by the process.
     """
 
-    def __init__(self, sheet: NodeConfig, environment: NodeEnvironment) -> None:
-        """Start a node with the settings `sheet`."""
+    def __init__(self, settings: NodeConfig, environment: NodeEnvironment) -> None:
+        """Start a node with these settings."""
         self.clock = environment.clock
         self.log = environment.log
         self.incarnation = environment.incarnation
         self.program = program_digest()
         self.started_at = self.clock.seconds()
         self.counters = TrafficCounters()
-        self.replication = self._make_replication(sheet, environment.dial)
+        self.replication = self._make_replication(settings, environment.dial)
         self.context = RuntimeContext(
             self.clock,
             environment.dial,
@@ -97,17 +97,17 @@
             self.counters,
             self.replication,
         )
-        self.runtime = NodeRuntime(sheet, self.context)
-        self._follow_replication()
-        self.replaced_runtimes: list[NodeRuntime] = []  # those that still have sequences in flight
-        self._generated_before = 0  # answers generated before the present settings were applied
+        self.runtime = NodeRuntime(settings, self.context)
+        self._set_up_takeover()
+        self.replaced_runtimes: list[NodeRuntime] = []  # may still have sequences in flight
+        self._generated_with_previous_settings = 0  # answers generated before the current settings applied
         self.is_draining = False
         self._drain: Drain | None = None
         self.on_drain_requested: Callable[[], None] = _ignore_drain_request
         self.server = self._make_server()
         self.runtime.serve(self.server)
         self.endpoint_source = make_endpoint_source(
-            sheet, environment.files, self.clock, self.log, lambda: self.transport.unreachable_engines()
+            settings, environment.files, self.clock, self.log, lambda: self.transport.unreachable_engines()
         )
         self.admin = Server(self.clock)
         self.admin_service = NodeAdmin(self)
@@ -118,20 +118,22 @@
 
     # -- construction ------------------------------------------------------------------------------------
 
-    def _make_replication(self, sheet: NodeConfig, dial: Dialer) -> Replication | None:
-        if not sheet.takeover:
+    def _make_replication(self, settings: NodeConfig, dial: Dialer) -> Replication | None:
+        if not settings.takeover:
             return None
-        return Replication(sheet.takeover, sheet.node.name, self.incarnation, self.clock, dial, self.log)
+        return Replication(
+            settings.takeover, settings.node.name, self.incarnation, self.clock, dial, self.log
+        )
 
-    def _follow_replication(self) -> None:
+    def _set_up_takeover(self) -> None:
         if self.replication is None:
             return
         self.replication.service.on_abandoned = lambda record: close_at_engines(self.transport, record)
         if not self.sheet.engines_may.claims:
             self.log(
                 LogEvent.TAKEOVER_LIMITED,
-                reason="engines answer no claims here: streams end with their node, and what "
-                "may have run is not sent again",
+                reason="the engines do not support claims: a stream ends when its node is lost, and a "
+                "sequence that may have run is not sent again",
             )
 
     def _make_server(self) -> Server:
@@ -145,39 +147,39 @@
 
     @property
     def sheet(self) -> NodeConfig:
-        """The present settings."""
+        """The current settings."""
         return self.runtime.sheet
 
     @property
     def executor(self) -> ActionExecutor:
-        """The action executor of the present settings."""
+        """The action executor of the current settings."""
         return self.runtime.executor
 
     @property
     def transport(self) -> GrpcEngineTransport:
-        """The engine transport of the present settings."""
+        """The engine transport of the current settings."""
         return self.runtime.transport
 
     @property
     def batches(self) -> BatchCoordinator:
-        """The batches of the present settings."""
+        """The batch coordinator of the current settings."""
         return self.runtime.batches
 
     @property
     def front(self) -> ChatFront:
-        """The chat front of the present settings."""
+        """The chat front of the current settings."""
         return self.runtime.front
 
     @property
     def client_limits(self) -> ClientLimits:
-        """The limits on clients of the present settings."""
+        """The limits on clients of the current settings."""
         return self.runtime.client_limits
 
     @property
     def is_proven(self) -> bool:
-        """Whether the node has an endpoint list and has generated an answer with its present settings."""
+        """Whether the node has an endpoint list and has generated an answer with the current settings."""
         has_endpoints = bool(self.executor.decoder.engines.index_of)
-        return has_endpoints and self.counters.generated > self._generated_before
+        return has_endpoints and self.counters.generated > self._generated_with_previous_settings
 
     def _all_runtimes(self) -> tuple[NodeRuntime, ...]:
         return (self.runtime, *self.replaced_runtimes)
@@ -189,56 +191,58 @@
 
     # -- change of settings -----------------------------------------------------------------------
 
-    def apply(self, sheet: NodeConfig) -> None:
-        """Apply settings that `settings_change.validate_change` accepted, from the next sequence on."""
-        former = self.runtime
-        endpoints = self.endpoint_source.endpoints(sheet.list.engines if not sheet.list.pushed else None)
-        self.runtime = NodeRuntime(sheet, self.context, former.number + 1, former)
-        self._generated_before = self.counters.generated
-        self.front.is_closed = former.front.is_closed
+    def apply(self, settings: NodeConfig) -> None:
+        """Apply settings that `settings_change.validate_change` accepted; only new sequences use them."""
+        previous = self.runtime
+        endpoints = self.endpoint_source.endpoints(
+            settings.list.engines if not settings.list.pushed else None
+        )
+        self.runtime = NodeRuntime(settings, self.context, previous.number + 1, previous)
+        self._generated_with_previous_settings = self.counters.generated
+        self.front.is_closed = previous.front.is_closed
         self.executor.add_observer(self._endpoint_republisher)
-        former.executor.remove_observer(self._endpoint_republisher)
-        self.runtime.update_endpoints(endpoints, True, former.executor.list_version + 1)
-        # Replaced runtimes continue to send attempts of their sequences, so they need the list too.
-        for runtime in (former, *self.replaced_runtimes):
-            runtime.update_endpoints(endpoints, True, former.executor.list_version + 1)
+        previous.executor.remove_observer(self._endpoint_republisher)
+        self.runtime.update_endpoints(endpoints, True, previous.executor.list_version + 1)
+        # Replaced runtimes still send attempts of their sequences, so they need the list as well.
+        for runtime in (previous, *self.replaced_runtimes):
+            runtime.update_endpoints(endpoints, True, previous.executor.list_version + 1)
         self.runtime.serve(self.server)
-        self.server.limits = replace(self.server.limits, max_message=sheet.node.prompt_limit)
-        self.replaced_runtimes.append(former)
-        self._drop_idle_runtimes()
+        self.server.limits = replace(self.server.limits, max_message=settings.node.prompt_limit)
+        self.replaced_runtimes.append(previous)
+        self._discard_idle_runtimes()
 
-    def _drop_idle_runtimes(self) -> None:
+    def _discard_idle_runtimes(self) -> None:
         self.replaced_runtimes = [runtime for runtime in self.replaced_runtimes if not runtime.is_idle]
         if self.replaced_runtimes:
-            self.clock.callLater(IDLE_CHECK_INTERVAL, self._drop_idle_runtimes)
+            self.clock.callLater(IDLE_CHECK_INTERVAL, self._discard_idle_runtimes)
 
     def replaced_sequence_count(self) -> int:
-        """Return the number of in-flight sequences that began with settings that have been replaced since."""
+        """Return the number of in-flight sequences that began with settings since replaced."""
         return sum(len(runtime.executor.in_flight) for runtime in self.replaced_runtimes)
 
     # -- event loop lag ---------------------------------------------------------------------------
 
     def measure_lag(self) -> None:
-        """Measure the event loop lag from now on; the request decoder subtracts it from deadlines."""
+        """Start to measure the event loop lag, which the request decoder subtracts from deadlines."""
         lag = self.runtime.decoder.lag
         now = self.clock.seconds()
-        worst_before = lag.worst
-        due = lag.tick(now)
-        if lag.worst > max(worst_before, MIN_LOGGED_LAG):
+        previous_max_lag = lag.worst
+        next_tick_at = lag.tick(now)
+        if lag.worst > max(previous_max_lag, MIN_LOGGED_LAG):
             self.log(LogEvent.EVENT_LOOP_LAG, lag_s=round(lag.worst, 3))
-        self.clock.callLater(max(0.0, due - now), self.measure_lag)
+        self.clock.callLater(max(0.0, next_tick_at - now), self.measure_lag)
 
     # -- drain ------------------------------------------------------------------------------------
 
     def request_drain(self) -> None:
-        """Ask the process to drain the node and to end."""
+        """Ask the process to drain the node and exit."""
         self.on_drain_requested()
 
     def drain(self) -> "Deferred[None]":
-        """Reject new requests; the Deferred fires once the node is idle or `drain_within` has passed.
+        """Reject new requests and wait until the node is idle, at most for `drain_within`.
 
-        It may be called again, for example by SIGTERM during a drain that the admin service requested: both
-        Deferreds fire together.
+        It may be called again during a drain, for example by SIGTERM after a request to the admin service;
+        the Deferreds of all calls fire together.
         """
         if self._drain is None:
             self._drain = self._start_drain()
@@ -250,9 +254,9 @@
         connections_closed = self.server.drain()
         timeout = self.sheet.node.drain_within
         runtimes = self._all_runtimes()
-        sequences = sum(len(runtime.executor.in_flight) for runtime in runtimes)
-        self.log(LogEvent.DRAINING, in_flight=sequences, timeout_s=timeout)
+        sequence_count = sum(len(runtime.executor.in_flight) for runtime in runtimes)
+        self.log(LogEvent.DRAINING, in_flight=sequence_count, timeout_s=timeout)
         drain = Drain(self.clock, runtimes, timeout)
-        hands_over = self.replication is not None and self.sheet.engines_may.claims
-        drain.start(hands_over, connections_closed)
+        hand_over_sequences = self.replication is not None and self.sheet.engines_may.claims
+        drain.start(hand_over_sequences, connections_closed)
         return drain
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -1,7 +1,7 @@
-"""What a node runs with one version of its settings: router, executor, transport, limits and fronts.
+"""The parts of a node that depend on its settings: router, executor, transport, limits and fronts.
 
-One runtime of a node accepts new sequences. A runtime whose settings were replaced completes its sequences in
-flight with the settings that they began with.
+A node creates a runtime for each version of its settings. Only the latest accepts new sequences; earlier ones
+complete their sequences in flight, with the settings that these began with.
 """
 
 from collections.abc import Sequence
@@ -38,15 +38,15 @@
 from myrtlehub.rpc.channel import Dialer
 from myrtlehub.rpc.server import Server
 
-# Added to the node's seed: each part has its own random numbers, which do not depend on how many others draw.
+# Added to the node's seed, so that the random numbers of each part do not depend on how many others draw.
 TRANSPORT_SEED_OFFSET = 1
 ADMISSION_SEED_OFFSET = 2
 RETRY_BUDGET_SEED_OFFSET = 3
-ANY_RETRIES: Final = "any"  # `limits.retries`: no retry budget
+UNLIMITED_RETRIES: Final = "any"  # `limits.retries`: no retry budget
 
 
 class RuntimeContext(NamedTuple):
-    """What all runtimes of one node have in common."""
+    """What all runtimes of a node share."""
 
     clock: Clock
     dial: Dialer  # returns how a channel connects to an address
@@ -58,13 +58,13 @@
 
 
 class _ReplicationObserver(ExecutorObserver):
-    """Notifies the publisher of sequence records when answers start and end."""
+    """Notifies the publisher of sequence records of the start and end of answers."""
 
     def __init__(self, publisher: RecordPublisher) -> None:
         self._publisher = publisher
 
     def answer_started(self, sequence: InFlightSequence) -> None:
-        """Report that an answer has started to stream."""
+        """Report that an answer starts to stream."""
         self._publisher.answer_started(sequence)
 
     def answered(self, sequence: InFlightSequence) -> None:
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        sheet: NodeConfig,
+        settings: NodeConfig,
         context: RuntimeContext,
         number: int = 0,
         predecessor: "NodeRuntime | None" = None,
@@ -85,24 +85,24 @@
         """Start a runtime; it accepts calls once `serve` is called.
 
         Args:
-            sheet: the settings.
-            context: what it shares with other runtimes of the node.
-            number: how many changes of settings the process has applied so far; 0 for its first runtime.
-            predecessor: the runtime whose settings these replace.
+            settings: The settings of the node.
+            context: What it shares with the other runtimes of the node.
+            number: Number of changes of settings that the process has applied; 0 for its first runtime.
+            predecessor: The runtime that it replaces.
         """
-        self.sheet = sheet
+        self.sheet = settings
         self.context = context
         self.number = number
-        self.fronts = fronts_of(sheet)
-        self.decoder = RequestDecoder(sheet)
+        self.fronts = fronts_of(settings)
+        self.decoder = RequestDecoder(settings)
         self.transport = self._make_transport()
         self.executor = self._make_executor()
         self.transport.executor = self.executor
         if predecessor is not None:
-            self._share_with(predecessor)
-        self._follow_answers()
+            self._reuse_parts_of(predecessor)
+        self._observe_answers()
         self.client_limits = self._make_client_limits()
-        self.batches = BatchCoordinator(self.executor, self.decoder, sheet, context.clock)
+        self.batches = BatchCoordinator(self.executor, self.decoder, settings, context.clock)
         if len(self.fronts) > 1:
             self.batches.dispatcher.pooled_fronts = self.fronts
         self.front = self._make_chat_front()
@@ -122,8 +122,8 @@
 
     def _make_executor(self) -> ActionExecutor:
         context = self.context
-        # Ids contain the incarnation and the runtime's number, so that all sequence ids of a node are unique.
-        run = f"{context.incarnation}~{self.number}" if self.number else context.incarnation
+        # Contains the incarnation and the runtime's number, so that all sequence ids of a node are unique.
+        runtime_id = f"{context.incarnation}~{self.number}" if self.number else context.incarnation
         transport: EngineTransport = self.transport
         if context.replication is not None:
             transport = ReplicatedTransport(self.transport, context.replication)
@@ -133,34 +133,33 @@
             router_config_of(self.sheet),
             context.clock,
             transport,
-            f"{self.sheet.node.name}.{run}.",
+            f"{self.sheet.node.name}.{runtime_id}.",
             context.log,
         )
         executor.probe_timeout = self.sheet.reports.probe_timeout
         return executor
 
     def _make_router(self) -> contract.Router:
-        """Return the router; with several fronts, it consists of one for each engine pool."""
-        sheet, fronts = self.sheet, self.fronts
+        """Return the router of the only front, or with several fronts the routers of their engine pools."""
+        settings, fronts = self.sheet, self.fronts
         if len(fronts) == 1:
-            return Router(router_config_of(sheet, fronts[0]))
+            return Router(router_config_of(settings, fronts[0]))
         return EnginePools(
             Router,
-            [router_config_of(sheet, front) for front in fronts],
+            [router_config_of(settings, front) for front in fronts],
             [
-                frozenset(index for index, kind in enumerate(sheet.kinds) if kind.serves(front))
+                frozenset(index for index, kind in enumerate(settings.kinds) if kind.serves(front))
                 for front in fronts
             ],
-            [fronts.index(row.front) for row in sheet.traffic],
+            [fronts.index(traffic_type.front) for traffic_type in settings.traffic],
         )
 
-    def _share_with(self, predecessor: "NodeRuntime") -> None:
-        self.transport.channels = (
-            predecessor.transport.channels
-        )  # so that a change of settings opens no connections
+    def _reuse_parts_of(self, predecessor: "NodeRuntime") -> None:
+        # Channels are reused so that a change of settings opens no connections.
+        self.transport.channels = predecessor.transport.channels
         self.decoder.lag = predecessor.decoder.lag
 
-    def _follow_answers(self) -> None:
+    def _observe_answers(self) -> None:
         counters, replication = self.context.counters, self.context.replication
         counters.follow(self.executor, self.decoder.rows)
         if replication is None:
@@ -171,7 +170,7 @@
     def _make_client_limits(self) -> ClientLimits:
         node, limits = self.sheet.node, self.sheet.limits
         retry_budget = None
-        if limits.retries != ANY_RETRIES:
+        if limits.retries != UNLIMITED_RETRIES:
             retry_budget = RetryBudget(limits.retries, Random(node.seed + RETRY_BUDGET_SEED_OFFSET))
         return ClientLimits(limits, self.context.clock, self.context.log, retry_budget, node.max_wait)
 
@@ -195,8 +194,12 @@
     def _make_admission_controller(self) -> AdmissionController[QueuedRequest] | None:
         if not self.sheet.limits.admit:
             return None
-        utility = {row.name: row.utility for row in self.sheet.traffic}
-        return AdmissionController(Random(self.sheet.node.seed + ADMISSION_SEED_OFFSET), utility)
+        utility_by_traffic_type = {
+            traffic_type.name: traffic_type.utility for traffic_type in self.sheet.traffic
+        }
+        return AdmissionController(
+            Random(self.sheet.node.seed + ADMISSION_SEED_OFFSET), utility_by_traffic_type
+        )
 
     def _takeover_support(self) -> TakeoverSupport | None:
         replication = self.context.replication
@@ -207,13 +210,13 @@
     # -- use by the node ---------------------------------------------------------------
 
     def serve(self, server: Server) -> None:
-        """Accept all new calls; calls in flight stay with the runtime that accepted them."""
+        """Handle all new calls; calls in flight stay with the runtime that accepted them."""
         self.front.serve(server)
         self._serve_batches(server, EMBEDDINGS)
         self._serve_batches(server, RERANK)
 
     def _serve_batches(self, server: Server, front: BatchFront[RequestT]) -> None:
-        """Serve a batch front, or stop serving it if no traffic type of these settings is for it."""
+        """Serve a batch front, or stop serving it if none of the settings' traffic types uses it."""
         if front.name in self.fronts:
             serve_front(front, self.batches, server, lambda: self.front.is_closed, self.client_limits)
             return
@@ -227,19 +230,21 @@
         version: int | None = None,
         digest: str | None = None,
     ) -> None:
-        """Apply the endpoint list, or a change to it, without endpoints of unknown kinds or zones."""
+        """Apply the complete endpoint list, or a change to it; skip endpoints of unknown kinds or zones."""
         kinds, zones = self.decoder.kinds, self.decoder.zones
-        known = [row for row in endpoints if row.kind in kinds and row.zone in zones]
-        self.executor.update_endpoints(known, is_complete, version, digest)
+        known_endpoints = [
+            endpoint for endpoint in endpoints if endpoint.kind in kinds and endpoint.zone in zones
+        ]
+        self.executor.update_endpoints(known_endpoints, is_complete, version, digest)
         self.batches.endpoints_changed()
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is in flight."""
+        """Whether no sequence and no batch is in flight."""
         return not self.executor.in_flight and not self.batches.in_flight
 
     def abort_all(self, reason: str) -> None:
-        """Abort all sequences in flight, and end all batches as if their deadline had passed."""
+        """End all batches as if their deadline had passed, and abort all sequences in flight."""
         for batch in list(self.batches.in_flight):
             batch.deadline_passed()
         for sequence in list(self.executor.in_flight.values()):
--- a/tests/node/test_engine_pools.py
+++ b/tests/node/test_engine_pools.py
@@ -200,7 +200,7 @@
         ("ended", 7),
         ("wake", 3),
     ]
-    assert not pools.routers[0].calls and not pools._pool_of_sequence
+    assert not pools.routers[0].calls and not pools._pool_by_sequence
 
 
 def test_a_single_pool_has_no_pools_around_its_router() -> None:
