--- a/myrtlehub/node/request_decoder.py
+++ b/myrtlehub/node/request_decoder.py
@@ -1,4 +1,4 @@
-"""The request decoder: maps names and ids of requests to dense indices, and checks requests."""
+"""The request decoder: validates requests, and maps the names in them to dense indices."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -10,38 +10,38 @@
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.routing import contract
 
-MAX_MARK_BYTES = 200  # of an idempotency key; engines store it for the dedup window
+MAX_IDEMPOTENCY_KEY_BYTES = 200  # limited because engines store the keys for the dedup window
 
 
 class InvalidRequestError(Exception):
-    """A request is malformed and was not accepted, so nothing ran; the message says what to correct."""
+    """A request is invalid and was not accepted, so nothing ran; the message says what to correct."""
 
 
 class DecodedRequest(NamedTuple):
-    """A request of any front."""
+    """A request that any front received."""
 
     traffic_type: str
     tenant: str = ""
     session: str = ""
     prefix: str = ""
-    shared_tokens: int = 0  # prompt tokens of the shared prefix
+    shared_tokens: int = 0  # prompt tokens that belong to the shared prefix
     prompt_tokens: int = 0
     max_output_tokens: int = 0
-    time_left: float = 0.0  # seconds; 0: the traffic type's abandon time
-    deadline_in: float = float("inf")  # seconds to the call's own deadline
+    time_left: float = 0.0  # seconds until the client abandons it; 0: the traffic type's abandon time
+    deadline_in: float = float("inf")  # seconds until the deadline of the call
     mark: str = ""  # idempotency key
     is_retry: bool = False
-    expected_seconds: float = 0.0  # estimated duration of the answer; 0: unknown
+    expected_seconds: float = 0.0  # estimated duration of the answer; 0: no estimate
     text: bytes = b""
     front: str = "chat"
-    batch: bytes = b""  # of a batch part: a serialised BatchRequest without its `work`
+    batch: bytes = b""  # set for a part of a batch: a serialised BatchRequest without its field `work`
 
 
 def decoded_request_of(sequence: InFlightSequence) -> DecodedRequest:
     """Return the request of a sequence that a front of this node accepted.
 
     Raises:
-        TypeError: the sequence was accepted with another type of request.
+        TypeError: The request of the sequence has another type.
     """
     if not isinstance(sequence.request, DecodedRequest):
         raise TypeError(f"{sequence.sequence_id}: {type(sequence.request).__name__} is not a DecodedRequest")
@@ -49,34 +49,35 @@
 
 
 class RequestDecoder:
-    """Maps names of a node's settings to indices, and checks requests against the settings."""
-
-    def __init__(self, sheet: NodeConfig) -> None:
-        self.rows = sheet.traffic
-        self.traffic = {row.name: index for index, row in enumerate(sheet.traffic)}
-        self.tenants = {tenant.name: index for index, tenant in enumerate(sheet.tenants)}
-        self.kinds: Mapping[str, int] = {kind.name: index for index, kind in enumerate(sheet.kinds)}
-        self.zones: Mapping[str, int] = {zone: index for index, zone in enumerate(sheet.zones)}
-        self.slack = sheet.rules.answer_slack
+    """Validates requests against a node's settings, and maps names in the settings to indices."""
+
+    def __init__(self, settings: NodeConfig) -> None:
+        self.rows = settings.traffic
+        self.traffic = {traffic_type.name: index for index, traffic_type in enumerate(settings.traffic)}
+        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+        self.kinds: Mapping[str, int] = {kind.name: index for index, kind in enumerate(settings.kinds)}
+        self.zones: Mapping[str, int] = {zone: index for index, zone in enumerate(settings.zones)}
+        self.answer_slack = settings.rules.answer_slack
         self.engines = EndpointIndex()
-        self.lag = LagMeter()  # shortens deadlines by the event loop lag, once it is measured
+        self.lag = LagMeter()  # shortens deadlines by the event loop lag, if the node measures it
 
     def arrival(self, request: DecodedRequest, now: float) -> contract.Arrival:
-        """Return a request as the arrival that is reported to the router.
+        """Return the arrival that is reported to the router for a request.
 
         Raises:
-            InvalidRequestError: the request is malformed; the text names the field.
+            InvalidRequestError: The request is invalid; the message names the field.
         """
         self._check_names(request)
-        _check_tokens(request)
-        traffic = self.traffic[request.traffic_type]
-        row = self.rows[traffic]
-        _check_traffic_type(request, row)
+        _check_token_counts(request)
+        traffic_index = self.traffic[request.traffic_type]
+        traffic_type = self.rows[traffic_index]
+        _check_traffic_type(request, traffic_type)
+        abandon_time = traffic_type.abandon_time
         time_left = min(
-            request.time_left or row.abandon_time, row.abandon_time, request.deadline_in - self.slack
+            request.time_left or abandon_time, abandon_time, request.deadline_in - self.answer_slack
         )
         return contract.Arrival(
-            traffic=traffic,
+            traffic=traffic_index,
             tenant=self.tenants.get(request.tenant),
             prompt_tokens=float(request.prompt_tokens),
             time_left=self.lag.time_left(now, time_left),
@@ -96,7 +97,7 @@
             raise InvalidRequestError(f"tenant {request.tenant!r} is not known here")
 
 
-def _check_tokens(request: DecodedRequest) -> None:
+def _check_token_counts(request: DecodedRequest) -> None:
     if request.prompt_tokens < 1:
         raise InvalidRequestError("prompt_tokens has to be at least 1")
     if request.max_output_tokens < 1:
@@ -107,11 +108,12 @@
         )
 
 
-def _check_traffic_type(request: DecodedRequest, row: TrafficTypeConfig) -> None:
+def _check_traffic_type(request: DecodedRequest, traffic_type: TrafficTypeConfig) -> None:
     name = request.traffic_type
-    if row.front != request.front:
-        raise InvalidRequestError(f"traffic_type {name!r} is for the front {row.front!r}")
-    if contract.RetrySemantics(row.repeats) is contract.RetrySemantics.IDEMPOTENCY_KEY and not request.mark:
+    if traffic_type.front != request.front:
+        raise InvalidRequestError(f"traffic_type {name!r} is for the front {traffic_type.front!r}")
+    retry_semantics = contract.RetrySemantics(traffic_type.repeats)
+    if retry_semantics is contract.RetrySemantics.IDEMPOTENCY_KEY and not request.mark:
         raise InvalidRequestError(f"mark is required for traffic type {name!r}: repeats are known by it")
-    if len(request.mark.encode()) > MAX_MARK_BYTES:
-        raise InvalidRequestError(f"mark is longer than {MAX_MARK_BYTES} bytes")
+    if len(request.mark.encode()) > MAX_IDEMPOTENCY_KEY_BYTES:
+        raise InvalidRequestError(f"mark is longer than {MAX_IDEMPOTENCY_KEY_BYTES} bytes")
--- a/myrtlehub/node/settings_change.py
+++ b/myrtlehub/node/settings_change.py
@@ -1,43 +1,43 @@
-"""Validation of settings that are to replace those of a running node."""
+"""Validates staged settings, which replace those of a running node."""
 
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.loader import parse_config
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.membership.list_faults import find_list_faults
 
-FIXED_FIELDS = ("name", "listen", "admin", "zone")  # fields of `node` that only a restart can change
+RESTART_FIELDS = ("name", "listen", "admin", "zone")  # fields of `node` that only a restart can change
 
 
 class SettingsChangeError(Exception):
-    """The node could not route with these settings, or cannot change to them in place."""
+    """The node cannot route with the staged settings, or cannot change to them without a restart."""
 
 
 def parse_settings(text: str) -> NodeConfig:
     """Parse a node's settings file.
 
     Raises:
-        ConfigError: the settings are invalid; the message has a line for each error.
+        ConfigError: The settings are invalid; the message has a line for each error.
     """
     return parse_config(text, NodeConfig, "staged")
 
 
-def validate_change(current: NodeConfig, staged: NodeConfig, rows: list[EndpointConfig]) -> None:
-    """Check that a node whose endpoint list has these rows can change to the staged settings in place.
+def validate_change(current: NodeConfig, staged: NodeConfig, endpoints: list[EndpointConfig]) -> None:
+    """Check that a node with this endpoint list can change to the staged settings without a restart.
 
     Raises:
-        SettingsChangeError: it cannot.
+        SettingsChangeError: It cannot; the message says why.
     """
-    _check_fixed_fields(current, staged)
+    _check_restart_fields(current, staged)
     _check_list_source(current, staged)
     if not (staged.list.files or staged.list.pushed):
-        rows = staged.list.engines
-    faults = _routing_faults(staged, rows)
+        endpoints = staged.list.engines
+    faults = _routing_faults(staged, endpoints)
     if faults:
         raise SettingsChangeError("; ".join(faults))
 
 
-def _check_fixed_fields(current: NodeConfig, staged: NodeConfig) -> None:
-    for name in FIXED_FIELDS:
+def _check_restart_fields(current: NodeConfig, staged: NodeConfig) -> None:
+    for name in RESTART_FIELDS:
         before = getattr(current.node, name)
         after = getattr(staged.node, name)
         if before != after:
@@ -57,15 +57,17 @@
         )
 
 
-def _routing_faults(staged: NodeConfig, rows: list[EndpointConfig]) -> list[str]:
-    """Return the reasons why a node could not route to these endpoints with the staged settings."""
+def _routing_faults(staged: NodeConfig, endpoints: list[EndpointConfig]) -> list[str]:
+    """Return the reasons why a node cannot route to these endpoints with the staged settings."""
     kinds = {kind.name: kind for kind in staged.kinds}
-    faults = find_list_faults(rows, kinds, staged.zones, staged.engines_may.read_alone)
-    serving = [
-        kinds[row.kind] for row in rows if row.state == "serving" and row.weight > 0.0 and row.kind in kinds
+    faults = find_list_faults(endpoints, kinds, staged.zones, staged.engines_may.read_alone)
+    serving_kinds = [
+        kinds[endpoint.kind]
+        for endpoint in endpoints
+        if endpoint.state == "serving" and endpoint.weight > 0.0 and endpoint.kind in kinds
     ]
-    for traffic in staged.traffic:
-        chat = traffic.front == "chat"
-        if not any(kind.writes if chat else kind.serves(traffic.front) for kind in serving):
-            faults.append(f"no engine on the list could end a sequence of {traffic.name!r}")
+    for traffic_type in staged.traffic:
+        is_chat = traffic_type.front == "chat"
+        if not any(kind.writes if is_chat else kind.serves(traffic_type.front) for kind in serving_kinds):
+            faults.append(f"no engine on the list could end a sequence of {traffic_type.name!r}")
     return faults
