--- a/tests/node/test_engine_pools.py
+++ b/tests/node/test_engine_pools.py
@@ -1,39 +1,40 @@
-"""Engine pools: what chat's router decides is the same whether or not other fronts are served."""
+"""Engine pools: the router of chat makes the same decisions whether or not other fronts are served."""
 
 from heapq import heappop, heappush
 from random import Random
 
 from fleet import Fleet
-from router_bench import CONFIG as TERMS
+from router_bench import CONFIG
 
 from myrtlehub.node.engine_pools import EnginePools
 from myrtlehub.routing import contract
 from myrtlehub.routing.policy.router import Router
 
 READER, WRITER, EMBEDDER = 0, 1, 2  # kinds
-CHAT, VECTORS = 0, 1  # traffic types
-EVERY_OTHER_SEQUENCE = 2  # chat's sequences have even numbers, the others odd ones
+CHAT, EMBEDDINGS = 0, 1  # traffic types
+SEQUENCE_STRIDE = 2  # chat sequences have even numbers, embedding sequences odd ones
+SEQUENCE_COUNT = 120  # of each traffic type
 
 
-class PlayedEngines:
-    """Made-up engines that answer after a fixed time, and what chat's sequences are told meanwhile."""
+class SimulatedEngines:
+    """Simulates engines with a fixed response time, and records the router's actions for chat sequences."""
 
     def __init__(self, router: contract.Router, kinds: list[int]) -> None:
         self.router = router
         self.kinds = kinds
         self.chat_actions: list[tuple[float, contract.Action]] = []
-        self._due: list[tuple] = []
-        self._count = 0
+        self._scheduled_calls: list[tuple] = []
+        self._scheduled_count = 0  # orders calls that are scheduled for the same time
         self._attempts: dict[int, int] = {}
 
     def schedule(self, at: float, call: str, *arguments: object) -> None:
-        self._count += 1
-        heappush(self._due, (at, self._count, call, arguments))
+        self._scheduled_count += 1
+        heappush(self._scheduled_calls, (at, self._scheduled_count, call, arguments))
 
     def run(self) -> None:
-        """Make all calls that are scheduled, and those that come of them."""
-        while self._due:
-            now, _, call, arguments = heappop(self._due)
+        """Make all scheduled router calls, and execute the actions that they return."""
+        while self._scheduled_calls:
+            now, _, call, arguments = heappop(self._scheduled_calls)
             self.execute(now, getattr(self.router, call)(now, *arguments))
 
     def execute(self, now: float, actions: list[contract.Action]) -> None:
@@ -41,7 +42,7 @@
             if isinstance(action, contract.ScheduleWakeup):
                 self.schedule(now + action.delay, "wake", action.token)
                 continue
-            if action.sequence % EVERY_OTHER_SEQUENCE == 0:
+            if action.sequence % SEQUENCE_STRIDE == 0:
                 self.chat_actions.append((round(now, 6), action))
             if isinstance(action, contract.Send):
                 self._send(now, action)
@@ -62,43 +63,45 @@
         self.schedule(now + 0.1, "ended", sequence, number, outcome, 0.1, is_generated, 0.0, None)
 
 
-def play(router: contract.Router, with_vectors: bool) -> list[tuple[float, contract.Action]]:
-    """Ask for 120 answers of chat, and for as many vectors beside them; what chat's sequences are told."""
+def chat_actions_of(router: contract.Router, with_embeddings: bool) -> list[tuple[float, contract.Action]]:
+    """Return a router's actions for 120 chat sequences, optionally beside 120 embedding sequences."""
     random = Random(11)
-    kinds = [READER, READER, WRITER, WRITER, WRITER, *([EMBEDDER] * 2 if with_vectors else [])]
-    engines = PlayedEngines(router, kinds)
+    kinds = [READER, READER, WRITER, WRITER, WRITER, *([EMBEDDER] * 2 if with_embeddings else [])]
+    engines = SimulatedEngines(router, kinds)
     engines.execute(0.0, router.start(0.0))
     updates = [update(i, kind, True) for i, kind in enumerate(kinds)]
     engines.execute(0.0, router.update_endpoints(0.0, updates, True))
-    for i in range(120):
+    for i in range(SEQUENCE_COUNT):
         chat = arrival(CHAT)._replace(prompt_tokens=float(random.choice([200, 900, 3000])), session=i % 9)
-        engines.schedule(0.03 * i, "arrive", 2 * i, chat)
-        if with_vectors:
-            vectors = arrival(VECTORS)._replace(prompt_tokens=900.0)
-            engines.schedule(0.03 * i + 0.001, "arrive", 2 * i + 1, vectors)
+        engines.schedule(0.03 * i, "arrive", SEQUENCE_STRIDE * i, chat)
+        if with_embeddings:
+            embedding = arrival(EMBEDDINGS)._replace(prompt_tokens=900.0)
+            engines.schedule(0.03 * i + 0.001, "arrive", SEQUENCE_STRIDE * i + 1, embedding)
     engines.run()
     return engines.chat_actions
 
 
-def engines_used(chat_actions: list[tuple[float, contract.Action]]) -> set[int]:
-    return {action.engine for _, action in chat_actions if isinstance(action, contract.Send)}
+def engines_used(actions: list[tuple[float, contract.Action]]) -> set[int]:
+    return {action.engine for _, action in actions if isinstance(action, contract.Send)}
 
 
 def test_chat_is_routed_as_if_it_were_alone() -> None:
-    chat = TERMS._replace(reads=(True, False, False), writes=(False, True, False), node_count=1)
-    vectors = chat._replace(reads=(False,) * 3, writes=(False, False, True), traffic=(TERMS.traffic[0],) * 2)
-    alone = play(Router(chat._replace(traffic=TERMS.traffic[:1])), False)
-    configs = [chat._replace(traffic=TERMS.traffic[:1]), vectors]
+    chat = CONFIG._replace(reads=(True, False, False), writes=(False, True, False), node_count=1)
+    embeddings = chat._replace(
+        reads=(False,) * 3, writes=(False, False, True), traffic=(CONFIG.traffic[0],) * 2
+    )
+    alone = chat_actions_of(Router(chat._replace(traffic=CONFIG.traffic[:1])), False)
+    configs = [chat._replace(traffic=CONFIG.traffic[:1]), embeddings]
     pools = EnginePools(Router, configs, [frozenset({0, 1}), frozenset({2})], [0, 1])
-    assert play(pools, True) == alone and len(alone) > 250
+    assert chat_actions_of(pools, True) == alone and len(alone) > 250
     assert engines_used(alone) == {0, 1, 2, 3, 4}
-    # one router for all would send chat where chat is not served
-    one = chat._replace(writes=(False, True, True), traffic=TERMS.traffic[:2])
-    assert {5, 6} & engines_used(play(Router(one), True))
+    # A single router for both traffic types would send chat sequences to engines that only embed.
+    single = chat._replace(writes=(False, True, True), traffic=CONFIG.traffic[:2])
+    assert {5, 6} & engines_used(chat_actions_of(Router(single), True))
 
 
 class RecordingRouter:
-    """A router that records what it is told."""
+    """A router that records its calls."""
 
     def __init__(self, config: contract.RouterConfig) -> None:
         self.updates: list[tuple] = []
@@ -107,7 +110,9 @@
     def update_endpoints(
         self, now: float, updates: list[contract.EndpointUpdate], is_complete: bool
     ) -> list[contract.Action]:
-        self.updates.append(([(u.engine, u.is_new, u.state) for u in updates], is_complete))
+        self.updates.append(
+            ([(update.engine, update.is_new, update.state) for update in updates], is_complete)
+        )
         return []
 
     def arrive(self, now: float, sequence: int, arrival: contract.Arrival) -> list[contract.Action]:
@@ -124,8 +129,8 @@
 
 
 def two_pools() -> EnginePools:
-    """Kind 0 is the first pool's, kind 1 the second's, kind 2 in both."""
-    return EnginePools(RecordingRouter, [TERMS, TERMS], [frozenset({0, 2}), frozenset({1, 2})], [0, 1])
+    """Return two pools: the first has kinds 0 and 2 of engines, the second kinds 1 and 2."""
+    return EnginePools(RecordingRouter, [CONFIG, CONFIG], [frozenset({0, 2}), frozenset({1, 2})], [0, 1])
 
 
 def update(
@@ -141,10 +146,10 @@
 def test_each_pool_is_notified_of_its_own_engines_and_of_those_it_loses() -> None:
     pools = two_pools()
     pools.update_endpoints(0.0, [update(0, 0, True), update(1, 1, True), update(2, 2, True)], True)
-    first, second = (r.updates for r in pools.routers)
+    first, second = (router.updates for router in pools.routers)
     assert first == [([(0, True, 0), (2, True, 0)], True)]
     assert second == [([(1, True, 0), (2, True, 0)], True)]
-    pools.update_endpoints(1.0, [update(1, 0)], False)  # changes its kind: new to one, gone from the other
+    pools.update_endpoints(1.0, [update(1, 0)], False)  # its kind changes, so it moves from pool 1 to pool 0
     assert first[1:] == [([(1, True, 0)], False)] and second[1:] == [
         ([(1, False, contract.EngineState.REMOVED)], False)
     ]
@@ -152,7 +157,7 @@
     assert first[2:] == [([(1, False, contract.EngineState.REMOVED)], False)] and second[2:] == [
         ([(1, False, 0)], False)
     ]
-    pools.update_endpoints(3.0, [update(0, 1, True)], False)  # the index names another engine from now on
+    pools.update_endpoints(3.0, [update(0, 1, True)], False)  # the index is reused for another engine
     assert len(first) == 3 and second[3:] == [([(0, True, 0)], False)]
 
 
@@ -164,19 +169,18 @@
         pools.routers[1].updates[1:] == [([(2, False, contract.EngineState.DRAINING)], False)]
         and len(pools.routers[0].updates) == 1
     )
-    pools.update_endpoints(2.0, [update(2, 2)], False)  # news of it meanwhile lets nothing in
+    pools.update_endpoints(2.0, [update(2, 2)], False)  # an update does not open the pool
     assert pools.routers[1].updates[2:] == [([(2, False, contract.EngineState.DRAINING)], False)]
     pools.update_endpoints(3.0, [update(2, 2, state=contract.EngineState.DRAINING)], False)
     pools.set_pool_closed(4.0, 1, False)
-    assert pools.routers[1].updates[4:] == [
-        ([(2, False, contract.EngineState.DRAINING)], False)
-    ]  # the list says so by now
+    # The pool is open, but the engine is draining in the endpoint list.
+    assert pools.routers[1].updates[4:] == [([(2, False, contract.EngineState.DRAINING)], False)]
     pools.update_endpoints(5.0, [update(2, 2)], False)
     assert pools.routers[1].updates[5:] == [([(2, False, contract.EngineState.SERVING)], False)]
 
 
 def test_opening_a_pool_again_brings_back_nothing_that_has_left_it() -> None:
-    """One has changed its kind and one a whole list no longer names, while the pool was closed."""
+    """While the pool is closed, engine 0 changes its kind and a complete list omits engine 2."""
     pools = two_pools()
     pools.update_endpoints(0.0, [update(i, 2, True) for i in range(3)], True)
     pools.set_pool_closed(1.0, 1, True)
@@ -191,7 +195,7 @@
 
 def test_wake_ups_and_sequences_go_to_the_router_that_they_belong_to() -> None:
     pools = two_pools()
-    assert pools.arrive(0.0, 7, arrival(1)) == [contract.ScheduleWakeup(0.5, 7)]  # 3 * 2 + 1
+    assert pools.arrive(0.0, 7, arrival(1)) == [contract.ScheduleWakeup(0.5, 7)]  # token 3 * 2 pools + pool 1
     end = (0, contract.Outcome.ERROR, 0.1, False, 0.0, None)
     pools.ended(0.1, 7, *end)
     assert pools.wake(0.5, 7) == [contract.Forget(7)]
