--- a/tests/node/test_message_boundaries.py
+++ b/tests/node/test_message_boundaries.py
@@ -1,4 +1,4 @@
-"""A fault at each message boundary of one sequence: connection reset, stalled link, crash of a process."""
+"""Faults at each message boundary of a sequence: connection reset, stalled link, crash of a process."""
 
 from collections import Counter
 
@@ -10,13 +10,13 @@
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 FAULTS = ("reset", "stall", "crash")
-READER_STATE_TIMEOUT = 3.0  # seconds after which a reader frees an unreleased state
+READER_STATE_TIMEOUT = 3.0  # seconds after which a reader frees a read state that was not released
 
 
 def start_sequence(traffic: str) -> tuple[Fleet, ChatCallWatcher]:
-    """Send a sequence that needs reader and writer, over connections that are established already.
+    """Send a sequence that needs a reader and a writer.
 
-    So only its own messages are counted as boundaries.
+    The connections are established before, so that only the sequence's own messages count as boundaries.
     """
     fleet = Fleet("R0 W0 W0", read_rate=30000.0)
     first = fleet.generate("ask", prompt=3000, output=10)
@@ -27,7 +27,7 @@
 
 
 def inject(fleet: Fleet, caller: ChatCallWatcher, fault: str, pipe: Pipe) -> str:
-    """Apply the fault to the connection that the message uses, or to the message's receiver."""
+    """Inject a fault into the connection of a message, or crash its receiver; return the link as text."""
     hosts = {pipe.host, pipe.other.host}
     if fault == "crash" and pipe.other.host != "client":
         fleet.kill(pipe.other.host[:-2])
@@ -36,13 +36,13 @@
     else:
         fleet.net.cut(pipe)
     if ("client" in hosts and fault != "crash") or pipe.other.host == "client":
-        # A node can no longer reach this client, so the rules require no answer.
+        # No node can reach this client any more, so the rules require no final answer.
         fleet.client_recorder.note("left", call=caller.name)
     return f"{pipe.host} to {pipe.other.host}"
 
 
 def run_with_fault(traffic: str, fault: str, boundary: int) -> tuple[Fleet, ChatCallWatcher, list[str]]:
-    """Run a sequence with a fault at one boundary; return also the links to which it was applied."""
+    """Run a sequence with a fault at one message boundary; also return the links where it was injected."""
     fleet, caller = start_sequence(traffic)
     links: list[str] = []
     fleet.net.fault_at_delivery = boundary
@@ -52,22 +52,22 @@
 
 
 def count_boundaries(traffic: str) -> int:
-    """Return the number of messages of a sequence without a fault."""
+    """Return the number of messages of a sequence that meets no fault."""
     fleet, caller = start_sequence(traffic)
     fleet.run(8.0)
     assert caller.answer == "generated" and len(fleet.records("held")) == 2
     return fleet.net.delivery_count
 
 
-def assert_nothing_is_left(fleet: Fleet, place: str) -> None:
-    """Assert that no node has a sequence in flight, and that no engine has work or read state."""
+def assert_no_work_left(fleet: Fleet, fault_site: str) -> None:
+    """Assert that no node has a sequence in flight, and that no running engine has work or a read state."""
     for node in fleet.nodes.values():
-        assert not node.executor.in_flight and not node.executor.outstanding_attempt_count(), place
+        assert not node.executor.in_flight and not node.executor.outstanding_attempt_count(), fault_site
     for name, engine in fleet.engines.items():
         model = engine.model
         assert model.has_crashed or not (
             model.prefill.read_states or model.decode.running or model.prefill.running or model.decode.queue
-        ), (place, name)
+        ), (fault_site, name)
 
 
 @pytest.mark.parametrize("traffic", ["post", "ask", "note"])
@@ -76,31 +76,31 @@
     count = count_boundaries(traffic)
     assert count > 15
     answers: Counter[str] = Counter()
-    places: Counter[str] = Counter()
+    faults_by_link: Counter[str] = Counter()
     for boundary in range(1, count + 1):
         fleet, caller, links = run_with_fault(traffic, fault, boundary)
         if not links:
             continue
-        places[links[0]] += 1
+        faults_by_link[links[0]] += 1
         answers[caller.answer or "none"] += 1
-        place = f"{fault} at {boundary}, {links[0]}"
+        fault_site = f"{fault} at {boundary}, {links[0]}"
         breaches = [
             breach
             for breach in check_rules(fleet).breaches
             if not (fault == "stall" and breach.rule == 5 and "client" not in links[0])
         ]
-        assert not breaches, (place, [breach.text for breach in breaches])
-        # A release cannot cross a stalled link; then the reader's own timeout frees the state.
+        assert not breaches, (fault_site, [breach.text for breach in breaches])
+        # A release does not cross a stalled link; the reader then frees the read state after its own timeout.
         held_at = {record.more["seq"]: record.at for record in fleet.records("held")}
         assert all(
             record.at - held_at[record.more["seq"]] < READER_STATE_TIMEOUT + 0.1
             for record in fleet.records("freed")
-        ), place
+        ), fault_site
         if traffic == "post":
             runs = [record for record in fleet.records("ran") if record.more["mark"] == caller.mark]
-            assert len(runs) <= 1, place
-        assert_nothing_is_left(fleet, place)
-    assert sum(places.values()) >= count - 2 and len(places) >= 6, places
+            assert len(runs) <= 1, fault_site
+        assert_no_work_left(fleet, fault_site)
+    assert sum(faults_by_link.values()) >= count - 2 and len(faults_by_link) >= 6, faults_by_link
     assert answers["generated"] and (answers["aborted"] or fault != "reset" or traffic != "post"), answers
 
 
@@ -113,7 +113,7 @@
     """Run an at-most-once sequence whose writer crashes after `crash_at` bytes of its stream.
 
     Returns:
-        The fleet, the caller and the number of bytes that the writer sent.
+        The fleet, the caller and the number of bytes that the writer sent, including any that were lost.
     """
     fleet = Fleet("W0", step="10ms")
     first = fleet.generate("ask", prompt=10, output=10)
--- a/tests/node/test_request_path.py
+++ b/tests/node/test_request_path.py
@@ -1,4 +1,4 @@
-"""The whole request path on a driven clock: hard cases, rules by the checker, executors broken on purpose."""
+"""The complete request path on a simulated clock: edge cases, and broken executors that the checker finds."""
 
 import pytest
 from fleet import Fleet
@@ -29,16 +29,16 @@
 
 def test_malformed_requests_are_rejected_with_the_field_and_not_accepted() -> None:
     fleet = Fleet()
-    for more, said in [
+    for fields, message_part in [
         ({"traffic": "nope"}, "not one of ask, note, post"),
         ({"prompt": 0}, "prompt_tokens"),
         ({"output": 0}, "most_output"),
         ({"shared_tokens": 5000}, "shared_tokens"),
         ({"traffic": "note", "mark": "x" * 201}, "longer than 200"),
     ]:
-        caller = fleet.generate(**more)
+        caller = fleet.generate(**fields)
         fleet.run(0.1)
-        assert caller.status.code.name == "INVALID_ARGUMENT" and said in caller.status.message
+        assert caller.status.code.name == "INVALID_ARGUMENT" and message_part in caller.status.message
     assert fleet.nodes["n0"].executor.accepted_count == 0
     assert_rules_kept(fleet)
 
@@ -59,7 +59,7 @@
 
 def test_reader_lost_between_read_and_fetch_leads_to_a_retry() -> None:
     fleet = Fleet("R0 R0 W0", slots=1)
-    fleet.generate(prompt=300, output=100)  # keeps the writer's only slot
+    fleet.generate(prompt=300, output=100)  # occupies the writer's only slot
     fleet.run(0.1)
     late_call = fleet.generate("post", prompt=3000, output=20, time_left=4.0)
     fleet.run(0.35)
@@ -68,7 +68,7 @@
     fleet.kill(held_states[0].who[:-2])
     fleet.run(8.0)
     assert [record.more["no_state"] for record in fleet.records("refused")] == [True]
-    assert late_call.answer == "generated"  # known not to have run: read again elsewhere
+    assert late_call.answer == "generated"  # it certainly did not run, so it is read again elsewhere
     assert_rules_kept(fleet)
 
 
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("after", [0.0, 0.05, 0.2, 0.25, 0.6])
 def test_client_that_disconnects_at_each_stage_frees_everything(after: float) -> None:
     fleet = Fleet(read_rate=15000.0)
-    caller = fleet.generate("post", prompt=3000, output=300)  # read until 0.2, fetched by 0.22, then streams
+    caller = fleet.generate("post", prompt=3000, output=300)  # read by 0.2 s, fetched by 0.22 s
     fleet.run(after)
     fleet.cancel(caller)
     fleet.run(3.0)
@@ -136,21 +136,22 @@
 
 
 def test_back_pressure_of_a_client_pauses_its_own_stream_only() -> None:
-    # Without a minimum rate: otherwise the stalled client would be disconnected.
+    # No minimum rate, as the stalled client would be disconnected for it.
     fleet = Fleet("W0", step="2ms", slots=8, more_settings="limits: {least_rate: 0}")
-    link = fleet.nodes["n0"].transport.transport_limits = TransportLimits(stream_window=16384)
+    engine_limits = fleet.nodes["n0"].transport.transport_limits = TransportLimits(stream_window=16384)
     fleet.channels["n0"].limits = TransportLimits(stream_window=4096)
-    stuck = fleet.generate(prompt=100, output=190000, time_left=4.0)
-    stuck.call.pauseProducing()
+    stalled = fleet.generate(prompt=100, output=190000, time_left=4.0)
+    stalled.call.pauseProducing()
     others = [fleet.generate(prompt=100, output=200) for _ in range(3)]
     fleet.run(60.0)
-    assert all(call.answer == "generated" for call in others) and stuck.answer == ""
-    (waiting,) = fleet.nodes["n0"].server.calls
-    pulled = next(iter(fleet.nodes["n0"].executor.in_flight.values())).streaming_attempt.call.stream
-    here = waiting.buffered + sum(map(len, pulled._received))
-    poured = sum(job.call.buffered for job in fleet.engines["W0a"].jobs)
-    assert 65536 < here <= 65536 + 2 * link.stream_window and poured > 20000  # it stays at the writer
-    fleet.cancel(stuck)
+    assert all(call.answer == "generated" for call in others) and stalled.answer == ""
+    (client_call,) = fleet.nodes["n0"].server.calls
+    engine_stream = next(iter(fleet.nodes["n0"].executor.in_flight.values())).streaming_attempt.call.stream
+    buffered_at_node = client_call.buffered + sum(map(len, engine_stream._received))
+    buffered_at_writer = sum(job.call.buffered for job in fleet.engines["W0a"].jobs)
+    assert 65536 < buffered_at_node <= 65536 + 2 * engine_limits.stream_window
+    assert buffered_at_writer > 20000  # the rest stays at the writer
+    fleet.cancel(stalled)
     fleet.run(1.0)
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
@@ -183,9 +184,9 @@
     assert (restarted_call.answer, other.answer) == ("generated", "generated")
     checker = assert_rules_kept(fleet)
     assert checker.counts[2] >= 6
-    # The engines released the reservations of the crashed node as its connections were lost.
-    for stand in fleet.engines.values():
-        assert not stand.model.decode.running and not stand.model.prefill.read_states
+    # The engines released the work and read states of the crashed node when its connections were lost.
+    for engine in fleet.engines.values():
+        assert not engine.model.decode.running and not engine.model.prefill.read_states
 
 
 def test_restarted_engine_gets_load_again_during_its_slow_start() -> None:
@@ -221,15 +222,16 @@
     fleet = Fleet("W0")
     short, long = fleet.generate(prompt=100, output=40), fleet.generate("post", prompt=100, output=4000)
     fleet.run(0.2)
-    gone = []
-    fleet.nodes["n0"].drain().addCallback(gone.append)
+    drain_ends = []
+    fleet.nodes["n0"].drain().addCallback(drain_ends.append)
     fleet.net.hosts.pop("n0:1")
     fleet.run(2.5)
     late_call = fleet.generate(prompt=100)
     fleet.run(0.1)
-    assert late_call.status.unprocessed and short.answer == "generated" and not long.answer and not gone
+    assert late_call.status.unprocessed and short.answer == "generated"
+    assert not long.answer and not drain_ends
     fleet.run(1.0)
-    assert long.answer == "aborted" and gone  # within drain_within, 3 s
+    assert long.answer == "aborted" and drain_ends  # drain_within is 3 s
     assert_rules_kept(fleet)
 
 
@@ -245,10 +247,10 @@
     fleet = Fleet("R0 W0 W0", mishaps={"full_after_fetch": 0.5})
     calls = [fleet.generate("post", prompt=2500, output=10) for _ in range(12)]
     fleet.run(6.0)
-    refused = [record for record in fleet.records("refused") if not record.more["no_state"]]
-    assert refused and [
-        record for record in fleet.records("refused") if record.more["no_state"]
-    ]  # then its state is not there
+    rejected_after_fetch = [record for record in fleet.records("refused") if not record.more["no_state"]]
+    # The reader has freed a state that was fetched, so a second write of the same state is rejected.
+    rejected_without_state = [record for record in fleet.records("refused") if record.more["no_state"]]
+    assert rejected_after_fetch and rejected_without_state
     assert sum(call.answer == "generated" for call in calls) > 6 and all(call.answer for call in calls)
     assert_rules_kept(fleet)
     assert_nothing_left(fleet)
@@ -273,12 +275,12 @@
     fleet.run(0.1)
     executor = fleet.nodes["n0"].executor
     attempt = executor.in_flight[0].attempts[0]
-    steps = [
+    events = [
         lambda: executor.ended(attempt, contract.Outcome.GENERATED, tokens=0),
         lambda: executor._timed_out(attempt),
     ]
-    for step in steps if answer_first else reversed(steps):
-        step()
+    for event in events if answer_first else reversed(events):
+        event()
     fleet.run(5.0)
     assert caller.answer == ("generated" if answer_first else "aborted") and len(fleet.records("final")) == 1
     assert executor.answer_counts.total() == 1 and not executor.in_flight
@@ -288,11 +290,10 @@
     fleet = Fleet("W0", slots=1)
     fleet.generate(prompt=100, output=200)
     fleet.run(0.1)
-    late_call = fleet.generate(
-        prompt=100, output=10, time_left=0.5
-    )  # behind the first there is no time for it
+    # Queued behind the first, it cannot start before its deadline.
+    late_call = fleet.generate(prompt=100, output=10, time_left=0.5)
     fleet.run(0.05)
-    fleet.net.silent.add("n0:1")  # not even the node's reset arrives
+    fleet.net.silent.add("n0:1")  # the engine does not get the node's reset either
     fleet.run(6.0)
     assert (
         late_call.answer != "generated"
@@ -318,7 +319,7 @@
     assert_rules_kept(fleet)
 
 
-# -- executors that are broken on purpose: the checker has to catch each one by its rule ------------------
+# -- broken executors: the checker must report the rule that each of them breaks --------------------------
 
 
 class SendsRejectionTwice(ActionExecutor):
@@ -341,14 +342,14 @@
 class ReportsRunAsNotRun(ActionExecutor):
     """Reports an attempt that was reset as one that did not run."""
 
-    def ended(self, attempt: Attempt, outcome: str, *args: object, **more: object) -> None:
+    def ended(self, attempt: Attempt, outcome: str, *args: object, **options: object) -> None:
         super().ended(
-            attempt, contract.Outcome.FULL if outcome == contract.Outcome.RESET else outcome, *args, **more
+            attempt, contract.Outcome.FULL if outcome == contract.Outcome.RESET else outcome, *args, **options
         )
 
 
 class RejectsAborted(ActionExecutor):
-    """Rejects what may have run."""
+    """Rejects sequences that may have run instead of aborting them."""
 
     def _abort(self, action: contract.Abort) -> None:
         self._reject(contract.Reject(action.sequence, 0.0))
@@ -357,15 +358,21 @@
 class IgnoresDraining(ActionExecutor):
     """Treats draining engines as serving ones."""
 
-    def update_endpoints(self, rows: list, whole: bool, number: int = 0, digest: str = "") -> None:
-        super().update_endpoints([record.with_fields(state="serving") for record in rows], whole)
+    def update_endpoints(
+        self, endpoints: list, is_complete: bool, version: int = 0, digest: str = ""
+    ) -> None:
+        super().update_endpoints(
+            [endpoint.with_fields(state="serving") for endpoint in endpoints], is_complete
+        )
 
 
 class IgnoresEngineAge(ActionExecutor):
-    """Treats restarted engines as ones that are warmed up."""
+    """Treats cold engines as warmed up."""
 
-    def update_endpoints(self, rows: list, whole: bool, number: int = 0, digest: str = "") -> None:
-        super().update_endpoints([record.with_fields(age=0.0) for record in rows], whole)
+    def update_endpoints(
+        self, endpoints: list, is_complete: bool, version: int = 0, digest: str = ""
+    ) -> None:
+        super().update_endpoints([endpoint.with_fields(age=0.0) for endpoint in endpoints], is_complete)
 
 
 class ReleasesNoState(ActionExecutor):
@@ -445,15 +452,15 @@
 def test_broken_executor_is_caught_by_its_rule(
     executor_class: type[ActionExecutor], fault: object, rule: int
 ) -> None:
-    for kind, wanted in ((ActionExecutor, set()), (executor_class, {rule})):
+    for tested_class, broken_rules in ((ActionExecutor, set()), (executor_class, {rule})):
         engines = {no_capacity: "R0 W0", load_on_a_restarted_writer: "R0 W0 W0 W0 W0"}.get(fault, "R0 W0 W0")
-        fleet = Fleet(engines, executor_class=kind, queue=200)
+        fleet = Fleet(engines, executor_class=tested_class, queue=200)
         fault(fleet)
-        found = check_rules(fleet)
-        assert {breach.rule for breach in found.breaches} == wanted, [
-            breach.text for breach in found.breaches
+        checker = check_rules(fleet)
+        assert {breach.rule for breach in checker.breaches} == broken_rules, [
+            breach.text for breach in checker.breaches
         ]
-        assert set(found.counts) == set(RULE_NAMES)
+        assert set(checker.counts) == set(RULE_NAMES)
 
 
 def test_a_sequence_in_flight_is_small() -> None:
