--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -179,7 +179,7 @@
     def is_proven(self) -> bool:
         """Whether the node has an endpoint list and has generated an answer with the current settings."""
         has_endpoints = bool(self.executor.decoder.engines.index_of)
-        return has_endpoints and self.counters.generated > self._generated_with_previous_settings
+        return has_endpoints and self.counters.generated_count > self._generated_with_previous_settings
 
     def _all_runtimes(self) -> tuple[NodeRuntime, ...]:
         return (self.runtime, *self.replaced_runtimes)
@@ -197,8 +197,8 @@
         endpoints = self.endpoint_source.endpoints(
             settings.list.engines if not settings.list.pushed else None
         )
-        self.runtime = NodeRuntime(settings, self.context, previous.number + 1, previous)
-        self._generated_with_previous_settings = self.counters.generated
+        self.runtime = NodeRuntime(settings, self.context, previous.settings_change_count + 1, previous)
+        self._generated_with_previous_settings = self.counters.generated_count
         self.front.is_closed = previous.front.is_closed
         self.executor.add_observer(self._endpoint_republisher)
         previous.executor.remove_observer(self._endpoint_republisher)
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -79,7 +79,7 @@
         self,
         settings: NodeConfig,
         context: RuntimeContext,
-        number: int = 0,
+        settings_change_count: int = 0,
         predecessor: "NodeRuntime | None" = None,
     ) -> None:
         """Start a runtime; it accepts calls once `serve` is called.
@@ -87,12 +87,12 @@
         Args:
             settings: The settings of the node.
             context: What it shares with the other runtimes of the node.
-            number: Number of changes of settings that the process has applied; 0 for its first runtime.
+            settings_change_count: Number of changes that the process has applied; 0 for its first runtime.
             predecessor: The runtime that it replaces.
         """
         self.sheet = settings
         self.context = context
-        self.number = number
+        self.settings_change_count = settings_change_count
         self.fronts = fronts_of(settings)
         self.decoder = RequestDecoder(settings)
         self.transport = self._make_transport()
@@ -122,8 +122,12 @@
 
     def _make_executor(self) -> ActionExecutor:
         context = self.context
-        # Contains the incarnation and the runtime's number, so that all sequence ids of a node are unique.
-        runtime_id = f"{context.incarnation}~{self.number}" if self.number else context.incarnation
+        # Part of sequence ids, which must be unique among all runtimes and processes of a node.
+        runtime_id = (
+            f"{context.incarnation}~{self.settings_change_count}"
+            if self.settings_change_count
+            else context.incarnation
+        )
         transport: EngineTransport = self.transport
         if context.replication is not None:
             transport = ReplicatedTransport(self.transport, context.replication)
--- a/myrtlehub/node/traffic_counters.py
+++ b/myrtlehub/node/traffic_counters.py
@@ -55,7 +55,7 @@
 
     def __init__(self) -> None:
         self.by_type: dict[str, TrafficTypeCounters] = {}
-        self.generated = 0  # complete answers of all traffic types
+        self.generated_count = 0  # complete answers of all traffic types
 
     def follow(self, executor: ActionExecutor, traffic_types: Sequence[TrafficTypeConfig]) -> None:
         """Count the answers of an executor; `traffic_types` are those of its settings, by index."""
@@ -89,7 +89,7 @@
         if latency is not None:
             counters.record_first_token(latency)
         if answer == AnswerState.GENERATED:
-            self.generated += 1
+            self.generated_count += 1
             prompt_slo = traffic_type.slo_per_1000_tokens * sequence.arrival.prompt_tokens / 1000.0
             is_in_time = latency is None or latency <= traffic_type.latency_slo + prompt_slo
             counters.earned_utility += traffic_type.utility * (1.0 if is_in_time else traffic_type.late_share)
