--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -1,6 +1,6 @@
-"""A channel: calls to one address, over a connection that is opened on demand.
+"""A channel: calls to one address over a connection that is established on demand.
 
-Failed attempts to connect are repeated after a backoff.
+A failed connection attempt is followed by a backoff, during which calls fail immediately.
 """
 
 from collections import deque
@@ -25,8 +25,8 @@
 
 USER_AGENT = "grpc-python-myrtlehub/0.2"
 
-Connect: TypeAlias = Callable[[Factory], Deferred[ClientProtocol]]  # connects a protocol of this factory
-Dialer: TypeAlias = Callable[[str], Connect]  # returns the connect function of an address
+Connect: TypeAlias = Callable[[Factory], Deferred[ClientProtocol]]  # connects to one fixed address
+Dialer: TypeAlias = Callable[[str], Connect]  # returns the function that connects to an address
 
 
 class ChannelState(StrEnum):
@@ -35,15 +35,15 @@
     IDLE = "idle"
     CONNECTING = "connecting"
     READY = "ready"
-    TRANSIENT_FAILURE = "transient failure"  # in backoff
+    TRANSIENT_FAILURE = "transient failure"  # waiting for the backoff to end
 
 
 class Channel:
-    """Calls to one address.
+    """Client calls to one address.
 
-    During a backoff, calls fail at once with UNAVAILABLE, `unprocessed`. While a connection is being
-    established, they wait for it at most `connect_timeout` seconds. Calls beyond the peer's
-    MAX_CONCURRENT_STREAMS are queued here.
+    During a backoff, calls fail immediately with UNAVAILABLE and are marked `unprocessed`. While a connection
+    is being established, calls are queued for at most `connect_timeout` seconds. Calls that exceed the peer's
+    MAX_CONCURRENT_STREAMS are queued too.
     """
 
     def __init__(
@@ -69,9 +69,9 @@
         self.closed = False
         self._backoff = Backoff((random or Random()).random)
         self._queue: deque[ClientCall] = deque()
-        self._dialling: Deferred[ClientProtocol] | None = None
-        self._timer: Timer | None = None  # timer of the connect timeout, or of the backoff
-        self._failure_reason = "never connected"
+        self._pending_dial: Deferred[ClientProtocol] | None = None
+        self._timer: Timer | None = None  # of the connect timeout or the backoff
+        self._failure_reason = "no connection attempt yet"
 
     # -- calls ------------------------------------------------------------------------------------
 
@@ -82,11 +82,11 @@
         meta: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> ClientCall:
-        """Start a call of any kind; the watcher's `ended` is not called before this returns."""
+        """Start a call; the watcher's `ended` is never called before this method returns."""
         call = ClientCall(self, path, meta, timeout, watcher)
         if self.closed or self.state == ChannelState.TRANSIENT_FAILURE:
             reason = "channel is closed" if self.closed else f"no connection: {self._failure_reason}"
-            self.clock.callLater(0, call.conclude, Status(Code.UNAVAILABLE, reason, unprocessed=True))
+            self.clock.callLater(0, call.end, Status(Code.UNAVAILABLE, reason, unprocessed=True))
             return call
         self._queue.append(call)
         if self.state == ChannelState.IDLE:
@@ -102,7 +102,7 @@
         meta: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> Deferred[bytes]:
-        """Send one request for one reply; the Deferred fails with RpcError and may be cancelled."""
+        """Make a unary call; the Deferred fails with RpcError, and cancelling it cancels the call."""
         return self.collect(path, [request], meta, timeout).addCallback(single_reply)
 
     def collect(
@@ -112,7 +112,7 @@
         meta: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> Deferred[list[bytes]]:
-        """Send all requests and collect all replies, for short streams; as `unary` otherwise."""
+        """Send all requests and collect all replies of a short stream; errors as in `unary`."""
         deferred: Deferred[list[bytes]] = Deferred(lambda ignored: call.cancel())
         call = self.call(path, ReplyCollector(deferred), meta, timeout)
         for request in requests:
@@ -121,7 +121,7 @@
         return deferred
 
     def start_calls(self, protocol: ClientProtocol) -> None:
-        """Open streams for queued calls, as far as the peer allows, unless another connection is in use."""
+        """Start queued calls up to the peer's stream limit; ignored for a connection that is not current."""
         if protocol is self.protocol:
             self._start_queued_calls()
 
@@ -136,7 +136,7 @@
                 call.start(protocol)
 
     def call_ended(self, call: ClientCall) -> None:
-        """Remove a call from the queue after its end."""
+        """Remove a call that has ended from the queue."""
         if call.stream is None and call in self._queue:
             self._queue.remove(call)
 
@@ -144,40 +144,40 @@
         queue = self._queue
         self._queue = deque()
         for call in queue:
-            call.conclude(Status(Code.UNAVAILABLE, reason, unprocessed=True))
+            call.end(Status(Code.UNAVAILABLE, reason, unprocessed=True))
 
     # -- the connection ---------------------------------------------------------------------------
 
     def connect(self) -> None:
-        """Connect now, unless a connection is open or being established, or a backoff is running."""
+        """Start connecting, unless the channel is closed, connected, connecting or in backoff."""
         if self.state != ChannelState.IDLE or self.closed:
             return
         self.state = ChannelState.CONNECTING
-        self._dialling = self.dial(ClientProtocolFactory(self))
+        self._pending_dial = self.dial(ClientProtocolFactory(self))
         self._timer = self.clock.callLater(self.connect_timeout, self._connect_timed_out)
-        self._dialling.addCallbacks(self._dialled, self._dial_failed)
+        self._pending_dial.addCallbacks(self._dial_succeeded, self._dial_failed)
 
-    def _dialled(self, protocol: ClientProtocol) -> None:
-        self._dialling = None
+    def _dial_succeeded(self, protocol: ClientProtocol) -> None:
+        self._pending_dial = None
         if self.closed or self.state != ChannelState.CONNECTING:
             protocol.transport.abortConnection()
 
     def _dial_failed(self, failure: Failure) -> None:
-        self._dialling = None
+        self._pending_dial = None
         error = failure.value
         self._connect_failed(str(error) if isinstance(error, ConnectError) else failure.getErrorMessage())
 
     def _connect_timed_out(self) -> None:
         self._timer = None
-        self._cancel_dialling()
-        self._connect_failed("no connection in time")
+        self._cancel_dial()
+        self._connect_failed("connect timeout exceeded")
 
-    def _cancel_dialling(self) -> None:
-        dialling = self._dialling
-        self._dialling = None
-        if dialling is not None:
-            dialling.addErrback(lambda failure: None)
-            dialling.cancel()
+    def _cancel_dial(self) -> None:
+        pending_dial = self._pending_dial
+        self._pending_dial = None
+        if pending_dial is not None:
+            pending_dial.addErrback(lambda failure: None)
+            pending_dial.cancel()
 
     def _connect_failed(self, reason: str) -> None:
         if self.state != ChannelState.CONNECTING:
@@ -198,7 +198,7 @@
         self._timer = None
 
     def settings_received(self, protocol: ClientProtocol, is_first: bool) -> None:
-        """Start queued calls; the first SETTINGS frame of the peer establishes the connection."""
+        """Start queued calls; the peer's first SETTINGS frame establishes the connection."""
         if is_first:
             if self.state != ChannelState.CONNECTING:
                 protocol.transport.abortConnection()
@@ -210,13 +210,13 @@
         self.start_calls(protocol)
 
     def connection_draining(self, protocol: ClientProtocol) -> None:
-        """Use another connection for new calls, after a GOAWAY."""
+        """Use a new connection for further calls, after a GOAWAY."""
         if protocol is self.protocol:
-            self._failure_reason = protocol.goaway_reason or "peer is going away"
+            self._failure_reason = protocol.goaway_reason or "peer sent GOAWAY"
             self._replace_connection()
 
     def connection_lost(self, protocol: ClientProtocol) -> None:
-        """Replace a connection that was lost, or start a backoff if it was not established yet."""
+        """Replace a lost connection, or start a backoff if it had not been established."""
         self._failure_reason = protocol.loss_reason
         if protocol is self.protocol:
             self._replace_connection()
@@ -230,7 +230,7 @@
             self.connect()
 
     def close_idle(self) -> None:
-        """Close the connection if it has no stream."""
+        """Close the connection if it has no open streams."""
         protocol = self.protocol
         if protocol is not None and not protocol.streams:
             self.protocol = None
@@ -238,10 +238,10 @@
             protocol.transport.loseConnection()
 
     def close(self) -> None:
-        """Close for good; running and queued calls end with UNAVAILABLE."""
+        """Close the channel permanently; running and queued calls end with UNAVAILABLE."""
         self.closed = True
         self._cancel_timer()
-        self._cancel_dialling()
+        self._cancel_dial()
         self._fail_queued_calls("channel is closed")
         if self.protocol is not None:
             self.protocol.transport.abortConnection()
--- a/myrtlehub/rpc/client_protocol.py
+++ b/myrtlehub/rpc/client_protocol.py
@@ -1,4 +1,4 @@
-"""The client's side of a connection."""
+"""The client side of an HTTP/2 connection."""
 
 from typing import ClassVar, Protocol
 
@@ -16,54 +16,54 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """What a client's connection requires of its channel."""
+    """The interface that a client connection requires of its channel."""
 
     clock: Clock
     limits: TransportLimits
 
     def settings_received(self, protocol: "ClientProtocol", is_first: bool, /) -> None:
-        """Called after a SETTINGS frame of the peer; the first one establishes the connection."""
+        """Called after each SETTINGS frame of the peer; the first one establishes the connection."""
 
     def connection_draining(self, protocol: "ClientProtocol", /) -> None:
         """Called after a GOAWAY: new calls need another connection."""
 
     def connection_lost(self, protocol: "ClientProtocol", /) -> None:
-        """Called after the connection was lost and all of its streams have ended."""
+        """Called after the connection was lost and its streams were terminated."""
 
     def start_calls(self, protocol: "ClientProtocol", /) -> None:
-        """Called after a stream has ended, so that another call may open one."""
+        """Called after a stream was closed, when a queued call may open a new one."""
 
 
 class ClientProtocol(Http2Protocol):
-    """A connection of a channel."""
+    """The connection of a channel to its peer."""
 
     is_client: ClassVar[bool] = True
 
     def __init__(self, owner: ClientConnectionOwner) -> None:
         super().__init__(owner.clock, owner.limits)
-        self.goaway_reason: str | None = None  # reason text of a received GOAWAY with an error code
+        self.goaway_reason: str | None = None  # error code and debug data of a received GOAWAY
         self._owner = owner
 
     @property
     def loss_reason(self) -> str:
-        """Why the connection was lost."""
-        return self.goaway_reason or self.close_reason or "closed by peer"
+        """The reason for the loss of the connection."""
+        return self.goaway_reason or self.close_reason or "closed by the peer"
 
     def open_stream(self) -> Stream:
-        """Open a stream with the next id."""
+        """Open a stream with the next available id."""
         return self.streams.open(self.conn.get_next_available_stream_id())
 
     def settings_changed(self, is_first: bool) -> None:
-        """Notify the channel, which may open streams now."""
+        """Notify the channel, which may then open streams."""
         self._owner.settings_received(self, is_first)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """End all streams, and notify the channel."""
+        """Terminate all streams and notify the channel."""
         super().connectionLost(reason)
         self._owner.connection_lost(self)
 
     def goaway_received(self, error: int, last_stream_id: int, reason: str) -> None:
-        """End the calls that the peer will not process; calls on lower stream ids may finish."""
+        """End the calls that the peer will not process; streams with lower ids may complete."""
         self.is_draining = True
         if error:
             self.goaway_reason = f"GOAWAY {error} {reason}"
@@ -74,12 +74,12 @@
         self.stream_closed()
 
     def stream_closed(self) -> None:
-        """Close a draining connection after its last stream; let the channel open streams."""
+        """Close a draining connection after its last stream; notify the channel of the free stream."""
         if self.is_draining:
             self._close_if_drained()
         self._owner.start_calls(self)
 
-    def headers_event(self, event: Event) -> None:
+    def headers_received(self, event: Event) -> None:
         """Pass the headers or trailers of a response to their stream."""
         if not isinstance(event, ResponseReceived | TrailersReceived):
             return
@@ -95,7 +95,7 @@
 
 
 def _delay_headers(stream: Stream, headers: Headers, is_end: bool) -> None:
-    """Deliver trailers at the end of the stream: they must not overtake data that is delayed."""
+    """Postpone trailers until the end of the stream, so that they do not overtake delayed data."""
     on_end = stream.on_end
 
     def deliver() -> None:
@@ -106,7 +106,7 @@
 
 
 class ClientProtocolFactory(Factory):
-    """Makes the protocol of a channel's next connection."""
+    """Creates the protocols of a channel's connections."""
 
     noisy = False
 
@@ -114,5 +114,5 @@
         self._owner = owner
 
     def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: N802
-        """Return the protocol of a new connection."""
+        """Return a protocol for a new connection."""
         return ClientProtocol(self._owner)
--- a/myrtlehub/rpc/event_handler.py
+++ b/myrtlehub/rpc/event_handler.py
@@ -1,4 +1,4 @@
-"""Acts on the events that h2 reports, and limits the rate of frames that carry no data."""
+"""Dispatches the events that h2 reports, and limits the rate of frames that carry no data."""
 
 from typing import Protocol
 
@@ -24,28 +24,31 @@
 
 
 class EventObserver(Protocol):
-    """What the event handler requires of a connection: methods for events that concern no single stream."""
+    """The interface that the event handler requires of a connection, for events of the whole connection."""
 
     is_established: bool
 
     def fail(self, error: int, reason: str) -> None:
-        """Close the connection with a GOAWAY: the peer has violated a limit."""
+        """Close the connection with a GOAWAY, as the peer has violated a limit."""
 
     def settings_received(self) -> None:
         """Process a SETTINGS frame of the peer."""
 
     def ping_answered(self, data: bytes) -> None:
-        """Process the peer's acknowledgement of a ping that this side has sent."""
+        """Process the acknowledgement of a PING that this endpoint sent."""
 
     def goaway_received(self, error: int, last_stream_id: int, reason: str) -> None:
-        """Process a GOAWAY: the peer will process no stream above `last_stream_id`."""
+        """Process a GOAWAY: the peer will not process streams above `last_stream_id`."""
 
-    def headers_event(self, event: Event) -> None:
-        """Process received headers or trailers: of requests on a server, of responses on a client."""
+    def headers_received(self, event: Event) -> None:
+        """Process received headers or trailers: of requests on a server, of responses on a client.
+
+        Also called with events that need no action.
+        """
 
 
 class EventHandler:
-    """Passes h2's events to the streams and the connection that they concern."""
+    """Dispatches the events of h2 to the streams and the connection."""
 
     def __init__(
         self,
@@ -62,13 +65,13 @@
         self._rate_limiter = rate_limiter
 
     def handle(self, event: Event) -> None:
-        """Process one event."""
+        """Dispatch one event."""
         match event:
             case DataReceived():
                 self._data_received(event)
             case WindowUpdated():
                 if not self._exceeds_rate(FrameKind.WINDOW_UPDATE):
-                    self._streams.window_enlarged(event.stream_id)
+                    self._streams.window_update_received(event.stream_id)
             case StreamEnded():
                 self._end_received(event)
             case StreamReset():
@@ -90,10 +93,10 @@
                 reason = (event.additional_data or b"").decode(errors="replace")
                 self._observer.goaway_received(int(event.error_code or 0), event.last_stream_id or 0, reason)
             case _:
-                self._observer.headers_event(event)
+                self._observer.headers_received(event)
 
     def _exceeds_rate(self, kind: FrameKind) -> bool:
-        """Count a frame; close the connection and return True if the peer has sent too many."""
+        """Count a frame; if the peer has exceeded its rate, close the connection and return True."""
         if self._rate_limiter.allow(kind, self._clock.seconds()):
             return False
         self._observer.fail(ErrorCodes.ENHANCE_YOUR_CALM, f"too many {kind} frames")
@@ -111,7 +114,7 @@
     def _end_received(self, event: StreamEnded) -> None:
         stream = self._streams.find_open(event.stream_id)
         if stream is not None:
-            stream.received_end = True
+            stream.is_end_received = True
             stream.receive_end()
             self._streams.close_if_ended(stream)
 
--- a/myrtlehub/rpc/frame_rate_limiter.py
+++ b/myrtlehub/rpc/frame_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Limits the rate of frames that a peer may send, with a token bucket for each kind."""
+"""Limits the rate of received frames with one token bucket per kind of frame."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -19,7 +19,7 @@
         self._buckets: dict[FrameKind, _Bucket] = {}
 
     def allow(self, kind: FrameKind, now: float) -> bool:
-        """Count one frame; return False if the peer has exceeded the rate and the burst of this kind."""
+        """Take a token for one frame; return False if the bucket of this kind is empty."""
         burst, per_second = self._rates[kind]
         tokens, updated_at = self._buckets.get(kind, (burst, now))
         tokens = min(burst, tokens + (now - updated_at) * per_second) - 1.0
--- a/myrtlehub/rpc/frame_writer.py
+++ b/myrtlehub/rpc/frame_writer.py
@@ -1,7 +1,7 @@
 """Sends the queued data of streams, as far as flow control and the transport allow.
 
-Writes are collected and sent once per turn of the reactor: messages that were read together are sent
-together. Each round sends one frame per stream, so that streams share the connection evenly.
+Writes are batched and flushed once per reactor iteration. Streams are served round-robin, one frame each, so
+that they share the connection evenly.
 """
 
 from typing import Protocol
@@ -12,8 +12,8 @@
 from myrtlehub.rpc.transport import Transport
 
 
-class WrittenConnection(Protocol):
-    """What a frame writer requires of its connection."""
+class FrameWriterConnection(Protocol):
+    """The interface that a frame writer requires of its connection."""
 
     is_lost: bool
     close_reason: str | None
@@ -21,34 +21,34 @@
 
 
 class FrameWriter:
-    """The sending side of one connection."""
+    """The send path of one connection."""
 
-    def __init__(self, connection: WrittenConnection, conn: GracefulH2Connection, clock: Clock) -> None:
-        self.is_reading = False  # no flush is scheduled: one follows once the received bytes are processed
+    def __init__(self, connection: FrameWriterConnection, conn: GracefulH2Connection, clock: Clock) -> None:
+        self.is_reading = False  # received bytes are being processed; a flush follows, so none is scheduled
         self.is_transport_full = False
         self._connection = connection
         self._conn = conn
         self._clock = clock
-        self._pending: dict[Stream, None] = {}  # streams with data to send, in the order of sending
+        self._pending: dict[Stream, None] = {}  # an ordered set of the streams with data to send
         self._flush_call: Timer | None = None
 
-    def mark(self, stream: Stream) -> None:
-        """Send the queued data of this stream at the end of this turn of the reactor."""
+    def schedule(self, stream: Stream) -> None:
+        """Add a stream to the pending ones and schedule a flush."""
         self._pending[stream] = None
         if self._flush_call is None:
             self.schedule_flush()
 
-    def mark_without_flush(self, stream: Stream) -> None:
-        """Send the queued data of this stream with the next flush, without scheduling one."""
+    def schedule_without_flush(self, stream: Stream) -> None:
+        """Add a stream to the pending ones if it has data to send; no flush is scheduled."""
         if stream.buffered or stream.is_ending:
             self._pending[stream] = None
 
-    def forget(self, stream: Stream) -> None:
-        """Send nothing more for this stream."""
+    def unschedule(self, stream: Stream) -> None:
+        """Remove a stream from the pending ones."""
         self._pending.pop(stream, None)
 
     def schedule_flush(self) -> None:
-        """Flush at the end of this turn of the reactor."""
+        """Flush in the next reactor iteration."""
         if self._flush_call is None and not self.is_reading and not self._connection.is_lost:
             self._flush_call = self._clock.callLater(0, self._flush_scheduled)
 
@@ -57,7 +57,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send queued data, as far as the flow-control windows and the transport allow."""
+        """Send queued data up to the limits of the flow-control windows and the transport."""
         connection = self._connection
         if connection.is_lost or connection.close_reason:
             return
@@ -76,19 +76,19 @@
             connection.transport.write(data)
 
     def stop(self) -> None:
-        """Send nothing more, after the connection was lost."""
+        """Cancel the scheduled flush and discard the pending streams, after the connection was lost."""
         if self._flush_call is not None and self._flush_call.active():
             self._flush_call.cancel()
         self._pending.clear()
 
     def _send_frame(self, stream: Stream) -> bool:
-        """Send one frame of a stream; return whether the stream has more to send now."""
+        """Send one frame of a stream; return whether the stream can send another frame now."""
         if stream.buffered:
             conn = self._conn
             max_size = conn.sendable_bytes(stream.id)
             if max_size <= 0:
                 return False
-            chunk = stream.take(max_size)
+            chunk = stream.dequeue(max_size)
             is_last = stream.is_ending and not stream.buffered and stream.trailers is None
             if is_last or not conn.send_plain_data(stream.id, chunk):
                 conn.send_data(stream.id, chunk, end_stream=is_last)
@@ -98,7 +98,7 @@
             stream.resume_producer()
             if stream.buffered:
                 return True
-        if stream.is_ending and not stream.sent_end:
+        if stream.is_ending and not stream.is_end_sent:
             self._send_end(stream)
         return False
 
--- a/myrtlehub/rpc/framing.py
+++ b/myrtlehub/rpc/framing.py
@@ -1,4 +1,4 @@
-"""Length-prefixed messages of gRPC, without I/O: the messages do not depend on how the bytes are split."""
+"""Encoding and incremental decoding of gRPC's length-prefixed messages, without I/O."""
 
 import gzip
 import zlib
@@ -6,25 +6,25 @@
 
 from myrtlehub.rpc.status import Code, RpcError
 
-MESSAGE_PREFIX = Struct(">BI")  # compressed flag, length
+MESSAGE_PREFIX = Struct(">BI")  # compressed flag, message length
 IDENTITY = "identity"
 GZIP = "gzip"
 ENCODINGS = (IDENTITY, GZIP)
 ACCEPTED_ENCODINGS = ",".join(ENCODINGS)
 GZIP_LEVEL = 6
-GZIP_WINDOW_BITS = 31  # zlib's code for the gzip format with the largest window
+GZIP_WINDOW_BITS = 31  # 16 selects the gzip format, 15 is the largest window
 
 
 def frame(message: bytes, encoding: str = IDENTITY) -> bytes:
-    """Return a message with its prefix."""
+    """Encode a message with its prefix."""
     if encoding == GZIP:
-        packed = gzip.compress(message, GZIP_LEVEL, mtime=0)
-        return MESSAGE_PREFIX.pack(1, len(packed)) + packed
+        compressed = gzip.compress(message, GZIP_LEVEL, mtime=0)
+        return MESSAGE_PREFIX.pack(1, len(compressed)) + compressed
     return MESSAGE_PREFIX.pack(0, len(message)) + message
 
 
 def _decompress(data: bytes, max_size: int) -> bytes:
-    """Decompress a message to at most `max_size` bytes, as a small one could otherwise exhaust the memory."""
+    """Decompress a message up to `max_size` bytes; the limit prevents decompression bombs."""
     decompressor = zlib.decompressobj(wbits=GZIP_WINDOW_BITS)
     try:
         message = decompressor.decompress(data, max_size + 1)
@@ -38,27 +38,27 @@
 
 
 class MessageReader:
-    """Collects bytes and returns complete messages.
+    """Incremental decoder of a message stream; the result does not depend on how the bytes are split.
 
-    `max_size` is the limit on the bytes of one message, before and after decompression. Errors are
-    `RpcError`: INTERNAL for malformed framing, RESOURCE_EXHAUSTED for size, UNIMPLEMENTED for an
-    unknown encoding.
+    `max_size` limits the bytes of one message, before and after decompression. Errors are raised as
+    `RpcError`: INTERNAL for malformed framing, RESOURCE_EXHAUSTED for a message above the limit, and
+    UNIMPLEMENTED for an unsupported encoding.
     """
 
     def __init__(self, max_size: int, encoding: str = IDENTITY) -> None:
         self._max_size = max_size
         self._encoding = encoding
         self._parts: list[bytes] = []
-        self._size = 0
-        self._needed = MESSAGE_PREFIX.size  # bytes to collect before a message can be complete
+        self._buffered_size = 0
+        self._needed_bytes = MESSAGE_PREFIX.size  # bytes to buffer before the next message can be complete
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the messages that these bytes complete, in order."""
+        """Add received bytes; return the messages that they complete, in order."""
         if self._parts:
-            # Parts are joined only once a message is complete: a long one is copied once, not once per frame.
+            # Joining parts only for a complete message copies a long message once instead of once per frame.
             self._parts.append(data)
-            self._size += len(data)
-            if self._size < self._needed:
+            self._buffered_size += len(data)
+            if self._buffered_size < self._needed_bytes:
                 return []
             data = b"".join(self._parts)
             self._parts.clear()
@@ -69,19 +69,19 @@
             compressed_flag, length = MESSAGE_PREFIX.unpack_from(data, position)
             if compressed_flag > 1 or length > self._max_size:
                 self._reject(compressed_flag, length)
-            begin = position + MESSAGE_PREFIX.size
-            if size - begin < length:
-                self._needed = MESSAGE_PREFIX.size + length
+            start = position + MESSAGE_PREFIX.size
+            if size - start < length:
+                self._needed_bytes = MESSAGE_PREFIX.size + length
                 break
-            position = begin + length
-            message = data[begin:position]
+            position = start + length
+            message = data[start:position]
             messages.append(self._decode(message) if compressed_flag else message)
         else:
-            self._needed = MESSAGE_PREFIX.size
-        rest = data[position:]
-        self._size = len(rest)
-        if rest:
-            self._parts.append(rest)
+            self._needed_bytes = MESSAGE_PREFIX.size
+        incomplete = data[position:]
+        self._buffered_size = len(incomplete)
+        if incomplete:
+            self._parts.append(incomplete)
         return messages
 
     def _reject(self, compressed_flag: int, length: int) -> None:
@@ -99,6 +99,6 @@
         raise RpcError(Code.UNIMPLEMENTED, f"grpc-encoding {self._encoding} is not supported")
 
     def finish(self) -> None:
-        """Check at the end of the stream that no message is incomplete; raise INTERNAL otherwise."""
-        if self._size:
-            raise RpcError(Code.INTERNAL, f"stream ended inside a message, {self._size} bytes in")
+        """Raise INTERNAL if the stream ended inside a message."""
+        if self._buffered_size:
+            raise RpcError(Code.INTERNAL, f"stream ended inside a message, {self._buffered_size} bytes in")
--- a/myrtlehub/rpc/h2_connection.py
+++ b/myrtlehub/rpc/h2_connection.py
@@ -1,4 +1,4 @@
-"""h2's connection with fast paths for DATA frames, and with a GOAWAY that leaves the connection open."""
+"""h2's connection with fast paths for DATA frames, and a GOAWAY that does not close the connection."""
 
 from collections.abc import Iterable
 from struct import Struct
@@ -17,26 +17,26 @@
 
 FRAME_HEADER_SIZE = 9  # bytes
 INITIAL_CONNECTION_WINDOW = 65535  # bytes, by RFC 9113
-HEADER_CHARSET = "latin-1"  # decodes any byte; the readers of a header check values outside ASCII
-_FRAME_HEADER = Struct(">HBBBI")  # length in 24 bits, type, flags, stream id
-_RECEIVING = (StreamState.OPEN, StreamState.HALF_CLOSED_LOCAL)
-_SENDING = (StreamState.OPEN, StreamState.HALF_CLOSED_REMOTE)
+HEADER_CHARSET = "latin-1"  # decodes any byte; each consumer of a header checks for values outside ASCII
+_FRAME_HEADER = Struct(">HBBBI")  # 24-bit length as 16 and 8 bits, type, flags, stream id
+_RECEIVING_STATES = (StreamState.OPEN, StreamState.HALF_CLOSED_LOCAL)
+_SENDING_STATES = (StreamState.OPEN, StreamState.HALF_CLOSED_REMOTE)
 
-# h2 formats every frame for its trace log, even when the log is off: a tenth of a node's processor time.
-Frame.__repr__ = object.__repr__  # type: ignore[method-assign]  # replaced on purpose
+# h2 formats every frame for its trace log even when the log is disabled: a tenth of a node's CPU time.
+Frame.__repr__ = object.__repr__  # type: ignore[method-assign]  # replaced intentionally
 
 
 def decode_headers(headers: Iterable[Header]) -> Headers:
-    """Return the text of received headers."""
+    """Decode received headers to text."""
     return [(name.decode(HEADER_CHARSET), value.decode(HEADER_CHARSET)) for name, value in headers]
 
 
 class GracefulH2Connection(H2Connection):
     """A connection that stays usable after a GOAWAY, as a graceful shutdown requires.
 
-    h2 treats a GOAWAY as the end of the connection; by RFC 9113 section 6.8, streams up to the one that it
-    names are still processed. Open streams are counted by `StreamTable`, so that a stream above the limit is
-    refused instead of being a connection error.
+    h2 closes the connection on a GOAWAY, although by RFC 9113 section 6.8 streams up to its last stream id
+    are still processed. `StreamTable` counts the open streams, so that a stream above the limit is refused
+    instead of causing a connection error.
     """
 
     def __init__(self, is_client: bool) -> None:
@@ -45,16 +45,16 @@
                 client_side=is_client,
                 header_encoding=None,
                 validate_outbound_headers=False,
-                # A client trusts the servers that its program chose; a server has to check every client.
+                # A client trusts the servers that its program chose; a server has to validate all clients.
                 validate_inbound_headers=not is_client,
                 normalize_outbound_headers=False,
             )
         )
-        self.encoder = StatelessHeaderEncoder()  # type: ignore[assignment]  # implements what h2 uses of it
+        self.encoder = StatelessHeaderEncoder()  # type: ignore[assignment]  # implements the methods that h2 calls
 
     def initiate(self, limits: TransportLimits) -> None:
-        """Queue the preface, our SETTINGS and the window of the connection."""
-        # Set as initial values, because h2 applies later changes only once the peer has acknowledged them.
+        """Queue the preface, the local SETTINGS and the enlargement of the connection window."""
+        # Set as initial values, as h2 applies later changes only after the peer has acknowledged them.
         self.local_settings = Settings(self.config.client_side, self._initial_settings(limits))
         self.max_inbound_frame_size = limits.max_frame
         self.initiate_connection()
@@ -82,13 +82,13 @@
     def _open_streams(self, remainder: int) -> int:
         return 0
 
-    def go_away(self, last_stream_id: int, error: int = 0, reason: bytes = b"") -> None:
-        """Queue a GOAWAY, and leave the connection open."""
+    def queue_goaway(self, last_stream_id: int, error: int = 0, reason: bytes = b"") -> None:
+        """Queue a GOAWAY without closing the connection."""
         frame = GoAwayFrame(0, last_stream_id=last_stream_id, error_code=error, additional_data=reason)
         self._prepare_for_sending([frame])
 
     def sendable_bytes(self, stream_id: int) -> int:
-        """Return how many bytes one DATA frame on this stream may carry now."""
+        """Return the maximum payload size of the next DATA frame on this stream."""
         stream = self.streams.get(stream_id)
         if stream is None:
             return 0
@@ -99,15 +99,19 @@
         )
 
     def receive_plain_data(self, stream_id: int, size: int) -> bool:
-        """Account for a DATA frame without flags on an open stream; return False if h2 has to process it.
+        """Update the windows for a DATA frame without flags; return False if h2 has to process the frame.
 
-        Nearly all frames of token streams are of this kind, and h2 takes ten times as long for them.
+        Nearly all frames of token streams are of this kind, and h2 takes ten times as long to process them.
         """
         stream = self.streams.get(stream_id)
         if stream is None or stream._expected_content_length is not None:
             return False
         machine = stream.state_machine
-        if machine.state not in _RECEIVING or not machine.headers_received or machine.trailers_received:
+        if (
+            machine.state not in _RECEIVING_STATES
+            or not machine.headers_received
+            or machine.trailers_received
+        ):
             return False
         stream_window = stream._inbound_window_manager
         connection_window = self._inbound_flow_control_window_manager
@@ -118,9 +122,9 @@
         return True
 
     def send_plain_data(self, stream_id: int, data: bytes) -> bool:
-        """Queue a DATA frame without flags that the windows allow; return False if h2 has to send it."""
+        """Queue a DATA frame without flags that fits the windows; return False if h2 has to send it."""
         stream = self.streams.get(stream_id)
-        if stream is None or stream.state_machine.state not in _SENDING:
+        if stream is None or stream.state_machine.state not in _SENDING_STATES:
             return False
         size = len(data)
         self._data_to_send += _FRAME_HEADER.pack(size >> 8, size & 255, 0, 0, stream_id) + data
@@ -128,8 +132,8 @@
         self.outbound_flow_control_window -= size
         return True
 
-    def forget_stream(self, stream_id: int) -> None:
-        """Remove a closed stream, and retain only how it was closed."""
+    def remove_closed_stream(self, stream_id: int) -> None:
+        """Remove a closed stream from h2, and retain only how it was closed."""
         stream = self.streams.pop(stream_id, None)
         if stream is not None:
             self._closed_streams[stream_id] = stream.closed_by
--- a/myrtlehub/rpc/http2_protocol.py
+++ b/myrtlehub/rpc/http2_protocol.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 connection under Twisted, from its first SETTINGS to its close; h2 implements the protocol."""
+"""An HTTP/2 connection as a Twisted protocol, based on h2."""
 
 from contextlib import suppress
 from typing import ClassVar
@@ -22,13 +22,13 @@
 from myrtlehub.rpc.transport import Transport
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-KEEPALIVE_PING = b"livetest"  # eight bytes, as the format of PING requires
-MAX_GOAWAY_REASON = 200  # bytes, so that a GOAWAY stays a small frame whatever the error's message
-CLOSE_GRACE = 1.0  # seconds for queued bytes to be sent before the connection is aborted
+KEEPALIVE_PING_DATA = b"livetest"  # a PING frame carries eight bytes
+MAX_GOAWAY_REASON_SIZE = 200  # bytes, so that a GOAWAY remains small with any error message
+CLOSE_GRACE = 1.0  # seconds for sending queued bytes before the connection is aborted
 
 
 class Http2Protocol(Protocol):
-    """The part of a connection that the client's and the server's protocols have in common."""
+    """Base class of the client and server protocols."""
 
     is_client: ClassVar[bool] = False
     transport: Transport  # type: ignore[assignment]  # zope's ITransport declares methods without `self`
@@ -37,10 +37,10 @@
         self.clock = clock
         self.limits = limits
         self.conn = GracefulH2Connection(self.is_client)
-        self.is_established = False  # the peer's SETTINGS were received
+        self.is_established = False  # the peer's first SETTINGS frame was received
         self.is_lost = False
         self.is_draining = False
-        self.close_reason: str | None = None  # set once this side has decided to close
+        self.close_reason: str | None = None  # set when this endpoint decides to close
         self.writer = FrameWriter(self, self.conn, clock)
         self.streams = StreamTable(self.conn, self.writer, limits, self.stream_closed)
         self._reader = FrameReader(self, self.conn, self.streams.by_id, limits)
@@ -54,8 +54,8 @@
     # -- opening and closing ----------------------------------------------------------------------
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send our SETTINGS."""
-        if hasattr(self.transport, "setTcpNoDelay"):  # transports in memory do not have it
+        """Send the local SETTINGS."""
+        if hasattr(self.transport, "setTcpNoDelay"):  # in-memory transports lack it
             self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.conn.initiate(self.limits)
@@ -63,26 +63,28 @@
         self.writer.flush()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """End all streams."""
+        """Terminate all streams."""
         self.is_lost = True
         if not self.close_reason and not isinstance(reason.value, ConnectionDone | ConnectionAborted):
             self.close_reason = reason.getErrorMessage()
         self._keepalive.stop()
         self.writer.stop()
-        self.streams.lose_all()
+        self.streams.terminate_all()
 
     def fail(self, error: int, reason: str) -> None:
-        """Send a GOAWAY with the reason and close: the peer has violated the protocol or a limit."""
+        """Send a GOAWAY with the reason and close, as the peer has violated the protocol or a limit."""
         if self.is_lost or self.close_reason:
             return
         self.close_reason = reason
         with suppress(H2Error):
-            self.conn.go_away(self.conn.highest_inbound_stream_id, error, reason.encode()[:MAX_GOAWAY_REASON])
+            self.conn.queue_goaway(
+                self.conn.highest_inbound_stream_id, error, reason.encode()[:MAX_GOAWAY_REASON_SIZE]
+            )
             self.transport.write(self.conn.data_to_send())
         self._close_within_grace()
 
     def _close_within_grace(self) -> None:
-        """Close once queued bytes are sent, but after CLOSE_GRACE at the latest: the peer may not read."""
+        """Close once queued bytes are sent, or after CLOSE_GRACE if the peer does not read them."""
         self.transport.loseConnection()
         self.clock.callLater(CLOSE_GRACE, self._abort_unless_lost)
 
@@ -91,26 +93,26 @@
             self.transport.abortConnection()
 
     def _close_if_drained(self) -> None:
-        """Close the connection unless a stream is open."""
+        """Close the connection if no stream is open."""
         if not self.streams and not self.is_lost:
             self.writer.flush()
             self.transport.loseConnection()
 
     def _send_keepalive_ping(self) -> None:
-        self.conn.ping(KEEPALIVE_PING)
+        self.conn.ping(KEEPALIVE_PING_DATA)
         self.writer.flush()
 
     def _settings_timed_out(self) -> None:
         self.fail(ErrorCodes.SETTINGS_TIMEOUT, "no SETTINGS in time")
 
     def _ping_timed_out(self) -> None:
-        self.close_reason = "keep-alive ping not answered"
+        self.close_reason = "keepalive timeout"
         self.transport.abortConnection()
 
     # -- receiving --------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Process received bytes, and send the frames that result."""
+        """Process received bytes and send the resulting frames."""
         if self.close_reason:
             return
         self._keepalive.received_at = self.clock.seconds()
@@ -121,11 +123,11 @@
         finally:
             self.writer.is_reading = False
         if not self.close_reason:
-            self._reader.enlarge_connection_window()
+            self._reader.update_connection_window()
             self.writer.flush()
 
     def receive_through_h2(self, data: bytes) -> bool:
-        """Pass frames to h2 and process its events; return False if the connection is being closed."""
+        """Pass frames to h2 and handle the resulting events; return False if the connection is closing."""
         try:
             events = self.conn.receive_data(data)
         except (H2Error, ValueError, IndexError) as error:
@@ -140,9 +142,9 @@
     def _close_after_protocol_error(self, error: Exception) -> None:
         self.close_reason = f"{type(error).__name__}: {error}"
         if self.conn.state_machine.state is not ConnectionState.CLOSED:
-            # h2 queues a GOAWAY for an error in a frame, but not for a bad preface.
-            reason = self.close_reason.encode()[:MAX_GOAWAY_REASON]
-            self.conn.go_away(0, ErrorCodes.PROTOCOL_ERROR, reason)
+            # h2 queues a GOAWAY for an invalid frame, but not for an invalid preface.
+            reason = self.close_reason.encode()[:MAX_GOAWAY_REASON_SIZE]
+            self.conn.queue_goaway(0, ErrorCodes.PROTOCOL_ERROR, reason)
         self.transport.write(self.conn.data_to_send())
         self._close_within_grace()
 
@@ -152,30 +154,30 @@
         if is_first:
             self.is_established = True
             self._keepalive.settings_received()
-        self.streams.mark_all()
+        self.streams.schedule_all()
         self.settings_changed(is_first)
 
-    # -- callbacks that the client's and the server's protocols override --------------------------
+    # -- overridden by the client and server protocols --------------------------------------------
 
     def settings_changed(self, is_first: bool) -> None:
-        """Called after a SETTINGS frame of the peer."""
+        """Called after each SETTINGS frame of the peer."""
 
     def ping_answered(self, data: bytes) -> None:
-        """Called after the peer has acknowledged a ping."""
+        """Called when the peer has acknowledged a PING."""
 
     def goaway_received(self, error: int, last_stream_id: int, reason: str) -> None:
-        """Called after a GOAWAY: the peer will process no stream above `last_stream_id`."""
+        """Called after a GOAWAY: the peer will not process streams above `last_stream_id`."""
 
-    def headers_event(self, event: Event) -> None:
+    def headers_received(self, event: Event) -> None:
         """Called with received headers or trailers, and with events that need no action."""
 
     def stream_closed(self) -> None:
-        """Called after a stream has ended."""
+        """Called after a stream was closed."""
 
-    # -- back-pressure of the transport -----------------------------------------------------------
+    # -- backpressure of the transport ------------------------------------------------------------
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Suspend sending, as the transport's buffer is full."""
+        """Suspend sending while the transport's buffer is full."""
         self.writer.is_transport_full = True
 
     def resumeProducing(self) -> None:  # noqa: N802
@@ -184,5 +186,5 @@
         self.writer.schedule_flush()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop sending, as the transport is closed."""
+        """Stop sending after the transport was closed."""
         self.writer.is_transport_full = True
--- a/myrtlehub/rpc/keepalive.py
+++ b/myrtlehub/rpc/keepalive.py
@@ -1,4 +1,4 @@
-"""Detects peers that do not respond: no SETTINGS in time, or no bytes after a keepalive ping."""
+"""Detects unresponsive peers: no SETTINGS in time, or no bytes after a keepalive ping."""
 
 from collections.abc import Callable
 
@@ -6,11 +6,11 @@
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 TIMER_TOLERANCE = 0.001  # seconds by which a timer may fire early
-MIN_DELAY = 0.01  # seconds between checks, so that rounding cannot make the timer spin
+MIN_CHECK_DELAY = 0.01  # seconds between checks, so that rounding cannot cause a busy loop
 
 
 class Keepalive:
-    """Monitors one connection, which updates the public attributes whenever it receives bytes."""
+    """Monitor of one connection, which updates the public attributes when it receives bytes."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Start the timeout of the peer's SETTINGS."""
+        """Start the timeout for the peer's first SETTINGS frame."""
         self.received_at = self._clock.seconds()
         self._timer = self._clock.callLater(self._limits.settings_timeout, self._settings_timed_out)
 
     def settings_received(self) -> None:
-        """Start the checks for silence, once the connection is established."""
+        """Start the keepalive checks, as the connection is established."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -54,13 +54,13 @@
     def _check(self) -> None:
         self._timer = None
         limits = self._limits
-        silence = self._clock.seconds() - self.received_at
-        if self.is_ping_unanswered and silence >= limits.keepalive_timeout:
+        time_since_received = self._clock.seconds() - self.received_at
+        if self.is_ping_unanswered and time_since_received >= limits.keepalive_timeout:
             self._on_ping_timeout()
             return
-        if silence >= limits.keepalive_interval - TIMER_TOLERANCE and not self.is_ping_unanswered:
+        if time_since_received >= limits.keepalive_interval - TIMER_TOLERANCE and not self.is_ping_unanswered:
             self.is_ping_unanswered = True
             self._send_ping()
-        until_ping = limits.keepalive_interval - silence
-        delay = limits.keepalive_timeout if self.is_ping_unanswered else until_ping
-        self._timer = self._clock.callLater(max(MIN_DELAY, delay), self._check)
+        time_until_ping = limits.keepalive_interval - time_since_received
+        delay = limits.keepalive_timeout if self.is_ping_unanswered else time_until_ping
+        self._timer = self._clock.callLater(max(MIN_CHECK_DELAY, delay), self._check)
--- a/myrtlehub/rpc/method_handlers.py
+++ b/myrtlehub/rpc/method_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of unary methods and of methods with a stream of replies or requests."""
+"""Handlers of unary, server-streaming and client-streaming methods."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,7 +14,7 @@
 
 
 class _ReplySender:
-    """Sends the only reply of a call, which may be a Deferred, and ends the call."""
+    """Sends the single reply of a call, which may be a Deferred, and ends the call."""
 
     def __init__(self, call: ServerCall) -> None:
         self._call = call
@@ -22,7 +22,7 @@
 
     def run(self, method: Callable[[], Reply]) -> None:
         """Run a method and send its reply."""
-        self._reply = maybeDeferred(  # type: ignore[call-overload]  # no overload for a union of results
+        self._reply = maybeDeferred(  # type: ignore[call-overload]  # no overload accepts a union of results
             method
         )
         self._reply.addCallbacks(self._send, self._fail)
@@ -40,27 +40,27 @@
             self._call.crash(failure)
 
     def cancel(self) -> None:
-        """Cancel a reply that is still pending."""
+        """Cancel a pending reply."""
         if self._reply is not None:
             self._reply.addErrback(lambda failure: None)
             self._reply.cancel()
 
 
 class _SingleRequest(Receiver):
-    """Receives exactly one request message."""
+    """Receiver of exactly one request message."""
 
     def __init__(self, call: ServerCall) -> None:
         self._call = call
         self._request: bytes | None = None
 
     def message(self, data: bytes) -> None:
-        """Store the request."""
+        """Store the request; a second one is an error."""
         if self._request is not None:
             raise RpcError(Code.UNIMPLEMENTED, "more than one request message on a call that takes one")
         self._request = data
 
     def finished(self) -> None:
-        """Run the method."""
+        """Run the method with the request."""
         if self._request is None:
             raise RpcError(Code.UNIMPLEMENTED, "no request message on a call that takes one")
         self._run(self._request)
@@ -93,7 +93,7 @@
         self._receiver = self._method(self._call, request)
 
     def lost(self, code: Code) -> None:
-        """Notify the receiver that the method returned."""
+        """Forward to the receiver that the method returned, if any."""
         if isinstance(self._receiver, Receiver):
             self._receiver.lost(code)
 
@@ -106,11 +106,11 @@
         self._sender = _ReplySender(call)
 
     def message(self, data: bytes) -> None:
-        """Collect a request."""
+        """Add a request."""
         self._requests.append(data)
 
     def finished(self) -> None:
-        """Run the method."""
+        """Run the method with all requests."""
         self._sender.run(partial(self._method, self._call, self._requests))
 
     def lost(self, code: Code) -> None:
@@ -119,19 +119,19 @@
 
 
 def unary(method: Callable[[ServerCall, bytes], Reply]) -> Handler:
-    """Handle a method of one request and one reply, which may be a Deferred."""
+    """Return the handler of a unary method, whose reply may be a Deferred."""
     return lambda call: _UnaryCall(call, method)
 
 
 def server_stream(method: Callable[[ServerCall, bytes], Receiver | None]) -> Handler:
-    """Handle a method of one request and many replies.
+    """Return the handler of a server-streaming method.
 
-    The method sends them and finishes the call; if it returns a Receiver, this is notified if the call is
+    The method sends the replies and finishes the call. A Receiver that it returns is notified if the call is
     `lost`.
     """
     return lambda call: _ServerStreamCall(call, method)
 
 
 def client_stream(method: Callable[[ServerCall, list[bytes]], Reply]) -> Handler:
-    """Handle a method of many requests, which are collected first, and one reply."""
+    """Return the handler of a client-streaming method, which gets all requests at the end of the stream."""
     return lambda call: _ClientStreamCall(call, method)
--- a/myrtlehub/rpc/reply_collector.py
+++ b/myrtlehub/rpc/reply_collector.py
@@ -1,4 +1,4 @@
-"""Collects the replies of a call for a Deferred."""
+"""Collects the replies of a call into a Deferred."""
 
 from twisted.internet.defer import Deferred
 
@@ -7,18 +7,18 @@
 
 
 class ReplyCollector(CallWatcher):
-    """Fires a Deferred with all replies of a call, or with an RpcError."""
+    """Watcher that fires a Deferred with all replies of a call, or with an RpcError."""
 
     def __init__(self, deferred: Deferred[list[bytes]]) -> None:
         self._deferred = deferred
         self._replies: list[bytes] = []
 
     def message(self, data: bytes) -> None:
-        """Collect a reply."""
+        """Add a reply."""
         self._replies.append(data)
 
     def ended(self, status: Status) -> None:
-        """Fire the Deferred, unless it was cancelled."""
+        """Fire the Deferred, unless it has been cancelled."""
         if self._deferred.called:
             return
         if status.code == Code.OK:
@@ -28,11 +28,11 @@
 
 
 def single_reply(replies: list[bytes]) -> bytes:
-    """Return the only reply of a unary call.
+    """Return the single reply of a unary call.
 
     Raises:
         RpcError: INTERNAL, if there is not exactly one.
     """
     if len(replies) != 1:
-        raise RpcError(Code.INTERNAL, f"{len(replies)} replies where one was due")
+        raise RpcError(Code.INTERNAL, f"expected one reply, received {len(replies)}")
     return replies[0]
--- a/myrtlehub/rpc/response_headers.py
+++ b/myrtlehub/rpc/response_headers.py
@@ -1,29 +1,31 @@
-"""The status that the headers or trailers of a response state."""
+"""Status of a call by the headers or trailers of its response."""
 
-from myrtlehub.rpc.status import Code, Metadata, Status, decode_message, from_http, parse_code
+from myrtlehub.rpc.status import Code, Metadata, Status, code_from_http_status, decode_message, parse_code
 
 
-def _http_code(text: str) -> Code:
-    return from_http(int(text) if text.isdigit() else 0)
+def _code_of_http_status(text: str) -> Code:
+    return code_from_http_status(int(text) if text.isdigit() else 0)
 
 
 def read_status(values: dict[str, str], meta: Metadata) -> Status:
-    """Return the status in trailers."""
+    """Return the status in trailers, or in the headers of a response without a body."""
     if "grpc-status" in values:
         message = decode_message(values.get("grpc-message", ""))
         return Status(parse_code(values["grpc-status"]), message, meta)
-    http = values.get(":status", "")
-    if http and http != "200":
-        return Status(_http_code(http), f"HTTP status {http}", meta)
-    return Status(Code.INTERNAL, "stream ended without grpc-status", meta)
+    http_status = values.get(":status", "")
+    if http_status and http_status != "200":
+        return Status(_code_of_http_status(http_status), f"HTTP status {http_status}", meta)
+    return Status(Code.INTERNAL, "response ended without grpc-status", meta)
 
 
-def read_header_fault(values: dict[str, str], meta: Metadata) -> Status | None:
-    """Return the status for headers that are not those of a gRPC response, None if they are."""
-    http = values.get(":status", "")
-    if http != "200":
-        return Status(_http_code(http), f"HTTP status {http} instead of a gRPC answer", meta)
+def read_header_error(values: dict[str, str], meta: Metadata) -> Status | None:
+    """Return the status for headers that are not valid for a gRPC response, or None if they are valid."""
+    http_status = values.get(":status", "")
+    if http_status != "200":
+        return Status(
+            _code_of_http_status(http_status), f"HTTP status {http_status} instead of a gRPC response", meta
+        )
     content_type = values.get("content-type", "")
     if not content_type.startswith("application/grpc"):
-        return Status(Code.UNKNOWN, f"content-type {content_type!r} is not gRPC's", meta)
+        return Status(Code.UNKNOWN, f"content-type {content_type!r} is not application/grpc", meta)
     return None
--- a/myrtlehub/rpc/server.py
+++ b/myrtlehub/rpc/server.py
@@ -1,4 +1,4 @@
-"""A gRPC server: methods by path, limits on connections, and a graceful shutdown."""
+"""A gRPC server with a method registry, connection limits and graceful shutdown."""
 
 from collections import Counter
 
@@ -18,11 +18,11 @@
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 CONTENT_TYPES = ("application/grpc", "application/grpc+proto")
-REJECTION_GRACE = 0.2  # seconds until the stream of a rejected client that still sends is reset
+REJECTION_GRACE = 0.2  # seconds before the stream of a rejected request is reset if its body is incomplete
 
 
 class Server(Factory):
-    """Serves methods by path, over any number of connections."""
+    """Factory of server connections, which dispatches calls to method handlers by path."""
 
     noisy = False
 
@@ -34,7 +34,7 @@
         max_connections: int = 0,
         max_connections_per_host: int = 0,
     ) -> None:
-        """Make a server; a maximum of 0 connections means that their number is not limited."""
+        """Create a server; 0 connections as a maximum means no limit."""
         self.clock = clock
         self.limits = limits or TransportLimits()
         self.compress = compress
@@ -47,11 +47,11 @@
         self._drained: Deferred[None] | None = None
 
     def add(self, path: str, handler: Handler) -> None:
-        """Serve a method; the path is "/package.Service/Method"."""
+        """Register the handler of a method; the path has the form "/package.Service/Method"."""
         self.methods[path] = handler
 
     def buildProtocol(self, addr: IAddress | None) -> ServerProtocol | None:  # noqa: N802
-        """Return the protocol of a new connection, or None to close it at once."""
+        """Return the protocol of a new connection, or None to reject a connection above a limit."""
         if self._max_connections and len(self.connections) >= self._max_connections:
             return None
         host_limit = self._max_connections_per_host
@@ -60,7 +60,7 @@
         return ServerProtocol(self)
 
     def drain(self) -> Deferred[None]:
-        """Shut all connections down gracefully; the Deferred fires once the last one is closed."""
+        """Shut down all connections gracefully; the Deferred fires when the last one is closed."""
         if self._drained is None:
             self._drained = Deferred()
             for connection in list(self.connections):
@@ -69,24 +69,24 @@
         return self._drained
 
     def connection_made(self, connection: ServerProtocol) -> None:
-        """Count a connection."""
+        """Register a connection."""
         self.connections.add(connection)
         self.connections_by_host[connection.host] += 1
 
     def connection_closed(self, connection: ServerProtocol) -> None:
-        """Remove a connection from the counts."""
+        """Unregister a connection."""
         if connection in self.connections:
             self.connections.discard(connection)
-            # Subtraction removes the host with its last connection.
+            # Counter subtraction removes a host whose count becomes 0.
             self.connections_by_host -= Counter((connection.host,))
 
     def connection_lost(self) -> None:
-        """End a drain after the last connection."""
+        """Complete a drain after the last connection."""
         if self._drained is not None and not self.connections and not self._drained.called:
             self._drained.callback(None)
 
     def open_call(self, stream: Stream, headers: Headers, peer: str) -> None:
-        """Check the headers of a request, and start its handler."""
+        """Validate the headers of a request and start its handler."""
         values = dict(headers)
         rejection = _rejection_headers(values)
         if rejection:
@@ -102,7 +102,7 @@
             if error.status.code == Code.UNIMPLEMENTED and encoding not in framing.ENCODINGS:
                 call.announce_encodings()
             call.fail(error)
-        except Exception:  # noqa: BLE001 - an error of a handler ends its call and no other
+        except Exception:  # noqa: BLE001 - an error of a handler ends only its own call
             call.crash()
 
     def _start_handler(
@@ -114,26 +114,26 @@
             raise RpcError(Code.UNIMPLEMENTED, f"grpc-encoding {encoding} is not supported")
         call.metadata = metadata.decode(headers)
         if "grpc-timeout" in values:
-            call.set_deadline(_read_timeout(values["grpc-timeout"]))
+            call.set_deadline(_parse_timeout(values["grpc-timeout"]))
         handler = self.methods.get(call.path)
         if handler is None:
             raise RpcError(Code.UNIMPLEMENTED, f"unknown method {call.path}")
         call.receiver = handler(call)
 
     def call_ended(self, call: ServerCall) -> None:
-        """Remove a call that is over."""
+        """Unregister a call that has ended."""
         self.calls.discard(call)
 
     def _reject(self, stream: Stream, headers: Headers) -> None:
         error = RpcError(Code.UNKNOWN, "not a gRPC request: POST and content-type application/grpc")
         status = [("grpc-status", str(int(error.status.code))), ("grpc-message", error.status.message)]
         stream.end([*headers, *status])
-        if not stream.received_end:
+        if not stream.is_end_received:
             self.clock.callLater(REJECTION_GRACE, _reset_unless_closed, stream)
 
 
 def _rejection_headers(values: dict[str, str]) -> Headers:
-    """Return the headers that reject a request which is not a gRPC request, none if it is one."""
+    """Return the response headers that reject a request other than gRPC; empty for a gRPC request."""
     if values.get(":method") != "POST":
         return [(":status", "405"), ("allow", "POST")]
     content_type = values.get("content-type", "").split(";")[0].strip().lower()
@@ -142,7 +142,7 @@
     return [(":status", "415")]
 
 
-def _read_timeout(text: str) -> float:
+def _parse_timeout(text: str) -> float:
     try:
         return decode_timeout(text)
     except ValueError as error:
--- a/myrtlehub/rpc/server_call.py
+++ b/myrtlehub/rpc/server_call.py
@@ -1,4 +1,4 @@
-"""One call that a server processes, from its headers to its trailers."""
+"""A server call, from its request headers to its trailers."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -14,41 +14,42 @@
 from myrtlehub.rpc.stream import Stream
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-RESET_DELAY = 0.05  # seconds between checks whether the trailers were sent and the stream can be reset
-MAX_RESET_CHECKS = 20  # after which the stream is reset although the client has not accepted the trailers
+RESET_CHECK_INTERVAL = 0.05  # seconds between checks whether the trailers were sent
+MAX_RESET_CHECKS = 20  # then the stream is reset although flow control still delays the trailers
 
 log = Logger()
 
 
 class Receiver:
-    """Observer of a call's requests, returned by the handler of its method; by default it ignores them."""
+    """Observer of a call's requests, which a method handler returns; the defaults do nothing."""
 
     def message(self, data: bytes) -> None:
         """Called with each request message."""
 
     def finished(self) -> None:
-        """Called when the client has sent its last message."""
+        """Called when the client has half-closed the call."""
 
     def lost(self, code: Code) -> None:
-        """Called when the call was cancelled, its deadline passed, it failed or its connection broke."""
+        """Called when the call was cancelled, exceeded its deadline, failed or lost its connection."""
 
 
 class ServerCallOwner(Protocol):
-    """What a call requires of its server."""
+    """The interface that a call requires of its server."""
 
     clock: Clock
     limits: TransportLimits
     compress: bool
 
     def call_ended(self, call: "ServerCall", /) -> None:
-        """Called when a call is over."""
+        """Called when a call has ended."""
 
 
 class ServerCall:
     """One call.
 
-    `peer` is the client's address with its port, `deadline` a time of the server's clock, or None if the
-    client has not set one.
+    Attributes:
+        peer: The client's address, HOST:PORT.
+        deadline: Time of the server's clock; None if the client set no deadline.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._owner = owner
         self._timer: Timer | None = None
         self._reader = framing.MessageReader(owner.limits.max_message, encoding)
-        self._is_begun = False  # the initial metadata was sent
+        self._is_initial_metadata_sent = False
         self._encoding = framing.IDENTITY
         if owner.compress and framing.GZIP in accepted_encodings:
             self._encoding = framing.GZIP
@@ -82,41 +83,41 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that are queued for the client."""
+        """Number of bytes queued for the client."""
         return self.stream.buffered
 
     def set_deadline(self, time_left: float) -> None:
-        """Set the deadline to `time_left` seconds from now; the call then ends with DEADLINE_EXCEEDED."""
+        """Set the deadline `time_left` seconds from now, at which the call ends with DEADLINE_EXCEEDED."""
         self.deadline = self.clock.seconds() + time_left
         self._timer = self.clock.callLater(time_left, self._deadline_passed)
 
     def time_left(self) -> float:
-        """Return the seconds until the deadline, infinity if there is none."""
+        """Return the seconds until the deadline; infinite without a deadline."""
         return float("inf") if self.deadline is None else self.deadline - self.clock.seconds()
 
     def set_initial(self, meta: Iterable[MetadataItem]) -> None:
-        """Add metadata to be sent before the first message."""
+        """Add entries to the initial metadata."""
         self._initial_metadata.extend(metadata.encode(meta))
 
     def announce_encodings(self) -> None:
-        """Add the accepted encodings to the headers of an error."""
+        """Add the accepted encodings to the headers of an error response."""
         self._initial_metadata.append(("grpc-accept-encoding", framing.ACCEPTED_ENCODINGS))
 
     def begin(self) -> None:
-        """Send the initial metadata now instead of with the first message."""
-        if not self.over and not self._is_begun:
+        """Send the initial metadata before the first message is available."""
+        if not self.over and not self._is_initial_metadata_sent:
             self._send_initial_metadata()
 
     def send(self, message: bytes) -> None:
-        """Send one message; it is dropped if the call is over."""
+        """Send a message; it is dropped if the call has ended."""
         if self.over:
             return
-        if not self._is_begun:
+        if not self._is_initial_metadata_sent:
             self._send_initial_metadata()
         self.stream.write(framing.frame(message, self._encoding))
 
     def _send_initial_metadata(self) -> None:
-        self._is_begun = True
+        self._is_initial_metadata_sent = True
         headers = [(":status", "200"), ("content-type", "application/grpc+proto")]
         if self._encoding != framing.IDENTITY:
             headers.append(("grpc-encoding", self._encoding))
@@ -124,7 +125,7 @@
         self.stream.connection.send_headers(self.stream, headers + self._initial_metadata)
 
     def finish(self, code: Code = Code.OK, message: str = "", trailers: Iterable[MetadataItem] = ()) -> None:
-        """End the call; the response has only trailers if nothing was sent before."""
+        """End the call; the response is trailers-only if no message or metadata was sent."""
         if self.over:
             return
         self._close()
@@ -133,24 +134,24 @@
             status.append(("grpc-message", encode_message(message)))
         status += metadata.encode(trailers)
         stream = self.stream
-        if self._is_begun:
+        if self._is_initial_metadata_sent:
             stream.end(status)
         else:
             headers = [(":status", "200"), ("content-type", "application/grpc+proto")]
             stream.end([*headers, *self._initial_metadata, *status])
-        if not stream.received_end:
-            # The client may still be sending: a reset stops it once the trailers were sent.
+        if not stream.is_end_received:
+            # The client may still be sending; a reset after the trailers stops it.
             stream.on_data = _ignore_data
             stream.on_end = _ignore_end
-            self.clock.callLater(0, self._stop_client, MAX_RESET_CHECKS)
+            self.clock.callLater(0, self._reset_after_trailers, MAX_RESET_CHECKS)
 
-    def _stop_client(self, checks_left: int) -> None:
+    def _reset_after_trailers(self, checks_left: int) -> None:
         if self.stream.closed:
             return
-        if self.stream.sent_end:
+        if self.stream.is_end_sent:
             self.stream.reset(ErrorCodes.NO_ERROR)
         elif checks_left:
-            self.clock.callLater(RESET_DELAY, self._stop_client, checks_left - 1)
+            self.clock.callLater(RESET_CHECK_INTERVAL, self._reset_after_trailers, checks_left - 1)
         else:
             self.stream.reset(ErrorCodes.CANCEL)
 
@@ -159,7 +160,10 @@
         self.finish(error.status.code, error.status.message, error.status.trailers)
 
     def crash(self, failure: Failure | None = None) -> None:
-        """Log an unexpected failure of the handler and end the call; None is the exception being handled."""
+        """Log an unexpected failure of the handler and end the call with INTERNAL.
+
+        Without a failure, the exception that is being handled is logged.
+        """
         log.failure("handler of {path} failed", failure, path=self.path)
         self._abort(RpcError(Code.INTERNAL, "the handler failed"))
 
@@ -188,7 +192,7 @@
                 self.receiver.message(message)
         except RpcError as error:
             self._abort(error)
-        except Exception:  # noqa: BLE001 - an error of a handler ends its call and no other
+        except Exception:  # noqa: BLE001 - an error of a handler ends only its own call
             self.crash()
 
     def _end_received(self) -> None:
@@ -199,7 +203,7 @@
             self.receiver.finished()
         except RpcError as error:
             self._abort(error)
-        except Exception:  # noqa: BLE001 - an error of a handler ends its call and no other
+        except Exception:  # noqa: BLE001 - an error of a handler ends only its own call
             self.crash()
 
     def _stream_lost(self, error: int | None) -> None:
@@ -209,8 +213,8 @@
 
 
 def _ignore_data(data: bytes) -> None:
-    """Drop data that a client sends after its call is over."""
+    """Discard data that a client sends after the end of its call."""
 
 
 def _ignore_end() -> None:
-    """Drop the end of a request whose call is over."""
+    """Ignore END_STREAM of a request after the end of its call."""
--- a/myrtlehub/rpc/status.py
+++ b/myrtlehub/rpc/status.py
@@ -1,6 +1,6 @@
-"""Status codes of gRPC, their form in headers, and the codes of HTTP and HTTP/2 failures.
+"""gRPC status codes, their encoding in headers, and their mapping from HTTP and HTTP/2 errors.
 
-Source: the pages of the gRPC project on gRPC over HTTP/2, and on the mapping of HTTP to gRPC status codes.
+References: "gRPC over HTTP2" and "HTTP to gRPC Status Code Mapping" in the documentation of gRPC.
 """
 
 from enum import IntEnum
@@ -9,12 +9,12 @@
 
 from h2.errors import ErrorCodes
 
-MetadataItem = tuple[str, str | bytes]  # key and value, which is bytes for keys that end in -bin
+MetadataItem = tuple[str, str | bytes]  # key and value; bytes for keys with the suffix -bin
 Metadata = tuple[MetadataItem, ...]
 
 
 class Code(IntEnum):
-    """Canonical status codes."""
+    """Canonical gRPC status codes."""
 
     OK = 0
     CANCELLED = 1
@@ -36,11 +36,12 @@
 
 
 class Status(NamedTuple):
-    """How a call ended.
+    """Final status of a call.
 
-    `unprocessed` is True only if it is certain that the peer's application did not receive the call: it was
-    not sent, the peer refused the stream, or a GOAWAY named a lower last stream. `broken` is True if the
-    connection or the stream failed before the peer had sent a status.
+    Attributes:
+        unprocessed: True only if the peer's application certainly did not receive the call: it was not sent,
+            the peer refused the stream, or the peer's GOAWAY had a lower last stream id.
+        broken: The connection or the stream failed before the peer sent a status.
     """
 
     code: Code
@@ -51,14 +52,14 @@
 
 
 class RpcError(Exception):
-    """A call that ended with another status than OK."""
+    """A call ended with a status other than OK."""
 
     def __init__(self, code: Code, message: str = "", status: Status | None = None) -> None:
         self.status = status or Status(code, message)
         super().__init__(f"{self.status.code.name}: {self.status.message}")
 
 
-_CODES_OF_HTTP: dict[int, Code] = {
+_CODES_BY_HTTP_STATUS: dict[int, Code] = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -69,7 +70,7 @@
     504: Code.UNAVAILABLE,
 }
 
-_CODES_OF_RESET: dict[int, Code] = {
+_CODES_BY_RESET_ERROR: dict[int, Code] = {
     ErrorCodes.REFUSED_STREAM: Code.UNAVAILABLE,
     ErrorCodes.CANCEL: Code.CANCELLED,
     ErrorCodes.ENHANCE_YOUR_CALM: Code.RESOURCE_EXHAUSTED,
@@ -77,18 +78,18 @@
 }
 
 
-def from_http(status: int) -> Code:
-    """Return the code for a response without grpc-status, by its HTTP status."""
-    return _CODES_OF_HTTP.get(status, Code.UNKNOWN)
+def code_from_http_status(status: int) -> Code:
+    """Return the code for a response without grpc-status by its HTTP status."""
+    return _CODES_BY_HTTP_STATUS.get(status, Code.UNKNOWN)
 
 
-def from_reset(error: int) -> Code:
-    """Return the code for a stream that the peer has reset, by its HTTP/2 error code."""
-    return _CODES_OF_RESET.get(error, Code.INTERNAL)
+def code_from_reset_error(error: int) -> Code:
+    """Return the code for a stream reset by the peer by its HTTP/2 error code."""
+    return _CODES_BY_RESET_ERROR.get(error, Code.INTERNAL)
 
 
 def parse_code(text: str) -> Code:
-    """Return the code in a grpc-status header, UNKNOWN if it is not a valid code."""
+    """Parse a grpc-status header; return UNKNOWN for an invalid value."""
     try:
         return Code(int(text))
     except ValueError:
@@ -96,38 +97,38 @@
 
 
 def encode_message(text: str) -> str:
-    """Percent-encode a grpc-message, except for printable ASCII characters other than '%'."""
+    """Percent-encode a grpc-message; printable ASCII characters other than '%' are not encoded."""
     return quote_from_bytes(text.encode(), safe=_PLAIN_CHARACTERS)
 
 
 def decode_message(text: str) -> str:
-    """Decode a grpc-message; bytes that are not UTF-8 are replaced."""
+    """Decode a percent-encoded grpc-message; invalid UTF-8 is replaced."""
     return unquote_to_bytes(text).decode(errors="replace")
 
 
 _PLAIN_CHARACTERS = "".join(chr(code) for code in range(32, 127) if chr(code) != "%")
-_MAX_TIMEOUT_COUNT = 10**8  # exclusive: at most eight digits
-_MAX_TIMEOUT = "99999999H"
-_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
+_TIMEOUT_COUNT_LIMIT = 10**8  # exclusive; a timeout has at most eight digits
+_MAX_ENCODED_TIMEOUT = "99999999H"
+_SECONDS_PER_UNIT = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
 
 
 def encode_timeout(seconds: float) -> str:
-    """Return the value of a grpc-timeout header, rounded down so that no hop lengthens a deadline."""
+    """Encode a grpc-timeout header, rounded down so that no hop extends a deadline."""
     seconds = max(0.0, seconds)
     for unit in "numSMH":
-        count = int(seconds / _UNITS[unit] + 1e-9)
-        if count < _MAX_TIMEOUT_COUNT:
+        count = int(seconds / _SECONDS_PER_UNIT[unit] + 1e-9)
+        if count < _TIMEOUT_COUNT_LIMIT:
             return f"{count}{unit}"
-    return _MAX_TIMEOUT
+    return _MAX_ENCODED_TIMEOUT
 
 
 def decode_timeout(text: str) -> float:
-    """Return the seconds in a grpc-timeout header.
+    """Decode a grpc-timeout header to seconds.
 
     Raises:
         ValueError: the header is malformed.
     """
     digits, unit = text[:-1], text[-1:]
-    if not (1 <= len(digits) <= 8 and digits.isascii() and digits.isdigit() and unit in _UNITS):
+    if not (1 <= len(digits) <= 8 and digits.isascii() and digits.isdigit() and unit in _SECONDS_PER_UNIT):
         raise ValueError(f"grpc-timeout {text!r} is not 1 to 8 digits and one of H M S m u n")
-    return int(digits) * _UNITS[unit]
+    return int(digits) * _SECONDS_PER_UNIT[unit]
--- a/myrtlehub/rpc/stream.py
+++ b/myrtlehub/rpc/stream.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 stream: its send queue, flow control in both directions, and how it ends."""
+"""An HTTP/2 stream with its send queue and flow control in both directions."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,114 +14,114 @@
 
 
 class SendQueue(Protocol):
-    """The set of a connection's streams that have queued data to send."""
+    """The streams of a connection that have queued data to send."""
 
-    def mark(self, stream: "Stream", /) -> None:
-        """Send the queued data of this stream at the end of this turn of the reactor."""
+    def schedule(self, stream: "Stream", /) -> None:
+        """Schedule sending of the queued data of this stream."""
 
 
 class StreamConnection(Protocol):
-    """What a stream requires of its connection."""
+    """The interface that a stream requires of its connection."""
 
     limits: TransportLimits
 
     @property
     def writer(self) -> SendQueue:
-        """The queue to which the stream adds itself when it has data to send."""
+        """The queue to which a stream with data to send adds itself."""
 
     def send_headers(self, stream: "Stream", headers: Headers, /) -> None:
-        """Send the first headers of a stream."""
+        """Send the initial headers of a stream."""
 
     def reset(self, stream: "Stream", error: int, /) -> None:
-        """Send RST_STREAM, and end the stream."""
+        """Send RST_STREAM and terminate the stream."""
 
-    def enlarge_window(self, stream: "Stream", size: int, /) -> None:
-        """Allow the peer to send `size` more bytes on this stream."""
+    def send_window_update(self, stream: "Stream", size: int, /) -> None:
+        """Send a WINDOW_UPDATE that returns `size` bytes of this stream's window to the peer."""
 
     def close_if_ended(self, stream: "Stream", /) -> None:
-        """Remove a stream if both sides have ended it and its data was consumed."""
+        """Remove a stream if both endpoints have ended it and its data was consumed."""
 
 
-def _ignore(*arguments: object) -> None:
-    """Do nothing: the default of callbacks that the owner does not set."""
+def _do_nothing(*arguments: object) -> None:
+    """Default callback."""
 
 
 @implementer(IConsumer, IPushProducer)
 class Stream:
-    """A consumer of the bytes to be sent, and a push producer of the bytes received.
+    """A consumer of the bytes to send, and a push producer of the received bytes.
 
-    The owner of the stream sets the callbacks. `on_lost` is called once if the stream ends in another way
-    than by END_STREAM of both sides, with the error code of the reset, or None if the connection was lost.
-    `on_unprocessed` is called before it if a GOAWAY says that the peer did not process the stream. While the
-    stream is paused, received data is queued here and no window is returned, so that the peer stops sending
-    on this stream and on no other.
+    The owner of the stream sets the callbacks. `on_lost` is called once if the stream ends otherwise than by
+    END_STREAM from both endpoints, with the error code of the reset, or None if the connection was lost.
+    `on_unprocessed` is called before it if a GOAWAY indicates that the peer did not process the stream. While
+    the stream is paused, received data is queued and no WINDOW_UPDATE is sent, so that flow control suspends
+    this stream and no other.
     """
 
     def __init__(self, connection: StreamConnection, stream_id: int) -> None:
         self.connection = connection
         self.id = stream_id
-        self.on_headers: Callable[[Headers, bool], None] = _ignore
-        self.on_data: Callable[[bytes], None] = _ignore
-        self.on_end: Callable[[], None] = _ignore
-        self.on_lost: Callable[[int | None], None] = _ignore
-        self.on_unprocessed: Callable[[], None] = _ignore
-        self.buffered = 0  # bytes queued now
-        self.bytes_queued = 0  # since the stream was opened, like the next two
+        self.on_headers: Callable[[Headers, bool], None] = _do_nothing
+        self.on_data: Callable[[bytes], None] = _do_nothing
+        self.on_end: Callable[[], None] = _do_nothing
+        self.on_lost: Callable[[int | None], None] = _do_nothing
+        self.on_unprocessed: Callable[[], None] = _do_nothing
+        self.buffered = 0  # bytes in the send queue
+        self.bytes_queued = 0  # total since the stream was opened, as in the next two counters
         self.bytes_sent = 0
         self.bytes_dropped = 0
         self.trailers: Headers | None = None
         self.is_ending = False  # END_STREAM is queued
-        self.sent_end = False
-        self.received_end = False
+        self.is_end_sent = False
+        self.is_end_received = False
         self.closed = False
         self.paused = False
         self._writer = connection.writer
         self._send_buffer = connection.limits.send_buffer
         self._window = connection.limits.stream_window
         self._send_queue: deque[bytes] = deque()
-        self._is_partly_sent = False  # a part of the first write in the queue was sent
+        self._is_first_partly_sent = False  # a part of the first entry in the send queue was sent
         self._producer: Producer | None = None
         self._is_push_producer = False
         self._is_producer_paused = False
-        self._received: deque[bytes] = deque()  # data that was received while the stream is paused
-        self._is_end_delayed = False  # END_STREAM was received, but `on_end` waits for paused data
-        self._unacknowledged = 0  # bytes received that no WINDOW_UPDATE has returned to the peer yet
+        self._received: deque[bytes] = deque()  # data received while the stream is paused
+        self._is_end_delayed = False  # `on_end` is delayed until the received data is consumed
+        self._unacknowledged_bytes = 0  # received, and not yet returned to the peer by WINDOW_UPDATE
 
     @property
     def is_end_delayed(self) -> bool:
-        """Whether the peer's END_STREAM waits until received data is consumed."""
+        """Whether the handling of END_STREAM is delayed until the received data is consumed."""
         return self._is_end_delayed
 
     @property
     def has_delayed_data(self) -> bool:
-        """Whether the stream is paused and holds data that was not consumed."""
+        """Whether the stream is paused and has received data that is not consumed."""
         return self.paused and bool(self._received)
 
     # -- sending ----------------------------------------------------------------------------------
 
     def write(self, data: bytes) -> None:
-        """Queue bytes; suspend the registered producer if more than `send_buffer` bytes are queued."""
+        """Queue bytes; suspend the producer while more than `send_buffer` bytes are queued."""
         if self.closed or self.is_ending:
             return
         size = len(data)
         self._send_queue.append(data)
         self.buffered += size
         self.bytes_queued += size
-        self._writer.mark(self)
+        self._writer.schedule(self)
         if self.buffered > self._send_buffer and self._producer and not self._is_producer_paused:
             self._is_producer_paused = True
             if self._is_push_producer:
                 self._producer.pauseProducing()
 
     def end(self, trailers: Headers | None = None) -> None:
-        """Queue END_STREAM, with trailers if given; later writes are ignored."""
+        """Queue END_STREAM, with trailers if any; later writes are ignored."""
         if not (self.closed or self.is_ending):
             self.is_ending = True
             self.trailers = trailers
-            self._writer.mark(self)
+            self._writer.schedule(self)
 
-    def take(self, max_size: int) -> bytes:
-        """Remove and return the next bytes to send: complete writes, or a part of one above `max_size`."""
+    def dequeue(self, max_size: int) -> bytes:
+        """Remove the next bytes to send: complete writes, or a part of a write larger than `max_size`."""
         queue = self._send_queue
         chunk = queue.popleft()
         size = len(chunk)
@@ -132,8 +132,8 @@
                 parts.append(part)
                 size += len(part)
             chunk = b"".join(parts)
-        self._is_partly_sent = size > max_size
-        if self._is_partly_sent:
+        self._is_first_partly_sent = size > max_size
+        if self._is_first_partly_sent:
             queue.appendleft(chunk[max_size:])
             chunk = chunk[:max_size]
             size = max_size
@@ -142,25 +142,25 @@
         return chunk
 
     def drop(self) -> int:
-        """Drop queued writes except the rest of one that is partly sent; return the bytes dropped."""
-        rest = self._send_queue.popleft() if self._is_partly_sent and self._send_queue else b""
-        dropped = self.buffered - len(rest)
+        """Drop queued writes, except the remainder of a partly sent one; return the dropped bytes."""
+        unsent_part = self._send_queue.popleft() if self._is_first_partly_sent and self._send_queue else b""
+        dropped = self.buffered - len(unsent_part)
         self._send_queue.clear()
-        if rest:
-            self._send_queue.append(rest)
-        self.buffered = len(rest)
+        if unsent_part:
+            self._send_queue.append(unsent_part)
+        self.buffered = len(unsent_part)
         self.bytes_dropped += dropped
         return dropped
 
     def reset(self, error: int = ErrorCodes.CANCEL) -> None:
-        """Send RST_STREAM and drop queued data; the stream is closed."""
+        """Close the stream with RST_STREAM and drop queued data."""
         if not self.closed:
             self.connection.reset(self, error)
 
     def registerProducer(self, producer: Producer, streaming: bool) -> None:  # noqa: N802
-        """Suspend this producer while the peer does not accept our data."""
+        """Register a producer, which is suspended while the send queue is full."""
         if self._producer is not None:
-            raise RuntimeError("a producer is registered already")
+            raise RuntimeError("a producer is already registered")
         if self.closed:
             producer.stopProducing()
             return
@@ -171,16 +171,16 @@
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Detach the producer: it has produced everything."""
+        """Detach the producer after its last write."""
         self._producer = None
 
     def end_sent(self) -> None:
         """Record that END_STREAM was sent."""
-        self.sent_end = True
+        self.is_end_sent = True
         self.connection.close_if_ended(self)
 
     def resume_producer(self) -> None:
-        """Resume the producer if the queue has shrunk to half of the send buffer."""
+        """Resume the producer if the queue is at most half of the send buffer."""
         if self._producer is None or self.buffered > self._send_buffer // 2:
             return
         if self._is_producer_paused or not self._is_push_producer:
@@ -190,49 +190,49 @@
     # -- receiving --------------------------------------------------------------------------------
 
     def receive(self, data: bytes, flow_controlled_size: int) -> None:
-        """Pass received data to the owner, or queue it while paused."""
-        self._unacknowledged += flow_controlled_size
+        """Deliver received data, or queue it while paused."""
+        self._unacknowledged_bytes += flow_controlled_size
         if self.paused:
             self._received.append(data)
         else:
             self.on_data(data)
-            self._enlarge_window()
+            self._update_window()
 
-    def _enlarge_window(self) -> None:
-        if self._unacknowledged * 2 >= self._window and not self.received_end:
-            self.connection.enlarge_window(self, self._unacknowledged)
-            self._unacknowledged = 0
+    def _update_window(self) -> None:
+        if self._unacknowledged_bytes * 2 >= self._window and not self.is_end_received:
+            self.connection.send_window_update(self, self._unacknowledged_bytes)
+            self._unacknowledged_bytes = 0
 
     def receive_end(self) -> None:
-        """Process the peer's END_STREAM, after queued data if the stream is paused."""
+        """Process END_STREAM; if the stream is paused, after its queued data."""
         if self._received or self.paused:
             self._is_end_delayed = True
         else:
             self.on_end()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Suspend delivery: the peer may still send as much as the window allows."""
+        """Suspend delivery; the peer may still send until its window is exhausted."""
         self.paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Deliver queued data, and resume delivery."""
+        """Deliver queued data and resume delivery."""
         self.paused = False
         while self._received and not self.paused and not self.closed:
             self.on_data(self._received.popleft())
         if self.paused or self.closed:
             return
-        self._enlarge_window()
+        self._update_window()
         if self._is_end_delayed:
             self._is_end_delayed = False
             self.on_end()
             self.connection.close_if_ended(self)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Reset the stream, as its consumer needs no more data."""
+        """Reset the stream: its consumer needs no further data."""
         self.reset(ErrorCodes.CANCEL)
 
-    def lose(self, error: int | None) -> None:
-        """Close the stream, stop its producer and notify its owner."""
+    def terminate(self, error: int | None) -> None:
+        """Close the stream without END_STREAM, stop its producer and notify its owner."""
         if self.closed:
             return
         self.closed = True
--- a/myrtlehub/rpc/stream_table.py
+++ b/myrtlehub/rpc/stream_table.py
@@ -1,4 +1,4 @@
-"""The open streams of one connection, and the frames that open, reset and close them."""
+"""The open streams of one connection, with operations that open, reset and close them."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -14,10 +14,10 @@
 
 
 class StreamTable:
-    """The open streams of one connection; `on_closed` is called after each stream that ends.
+    """The open streams of one connection; `on_closed` is called after each closed stream.
 
-    h2 retains closed streams and counts open ones by iterating over all of them. This table removes closed
-    streams from h2, and its length is the number of open ones.
+    h2 retains closed streams, and iterates over all streams to count the open ones. This table removes closed
+    streams from h2, and its length is the number of open streams.
     """
 
     def __init__(
@@ -37,79 +37,79 @@
         return len(self.by_id)
 
     def open(self, stream_id: int) -> Stream:
-        """Add a stream and return it."""
+        """Add a stream."""
         stream = self.by_id[stream_id] = Stream(self, stream_id)
         return stream
 
     def find_open(self, stream_id: int) -> Stream | None:
-        """Return a stream unless it is unknown or closed."""
+        """Return a stream, or None if it is unknown or closed."""
         stream = self.by_id.get(stream_id)
         return None if stream is None or stream.closed else stream
 
     def send_headers(self, stream: Stream, headers: Headers) -> None:
-        """Send the first headers of a stream, with the next flush."""
+        """Queue the initial headers of a stream for the next flush."""
         self._conn.send_headers(stream.id, headers)
         self.writer.schedule_flush()
 
     def close_if_ended(self, stream: Stream) -> None:
-        """Remove a stream if both sides have ended it and its data was consumed."""
-        if stream.sent_end and stream.received_end and not stream.closed and not stream.is_end_delayed:
+        """Remove a stream if both endpoints have ended it and its data was consumed."""
+        if stream.is_end_sent and stream.is_end_received and not stream.closed and not stream.is_end_delayed:
             stream.closed = True
             self._remove(stream.id)
             self._on_closed()
 
     def reset(self, stream: Stream, error: int) -> None:
-        """Send RST_STREAM, and end the stream."""
+        """Send RST_STREAM and terminate the stream."""
         with suppress(StreamClosedError):
             self._conn.reset_stream(stream.id, error)
         self._remove(stream.id)
-        self.writer.forget(stream)
+        self.writer.unschedule(stream)
         self.writer.schedule_flush()
-        stream.lose(error)
+        stream.terminate(error)
         self._on_closed()
 
     def reset_received(self, stream_id: int, error: int) -> None:
-        """End a stream that the peer has reset."""
+        """Terminate a stream that the peer has reset."""
         stream = self.by_id.pop(stream_id, None)
         if stream is not None:
-            self.writer.forget(stream)
-            stream.lose(error)
-        self._conn.forget_stream(stream_id)
+            self.writer.unschedule(stream)
+            stream.terminate(error)
+        self._conn.remove_closed_stream(stream_id)
         self._on_closed()
 
     def reject(self, stream_id: int) -> None:
-        """Reset a stream that the peer opened, with the assurance that nothing of it was processed."""
+        """Refuse a stream that the peer opened; REFUSED_STREAM guarantees that it was not processed."""
         self._conn.reset_stream(stream_id, ErrorCodes.REFUSED_STREAM)
-        self._conn.forget_stream(stream_id)
+        self._conn.remove_closed_stream(stream_id)
 
-    def enlarge_window(self, stream: Stream, size: int) -> None:
-        """Allow the peer to send `size` more bytes on this stream."""
+    def send_window_update(self, stream: Stream, size: int) -> None:
+        """Send a WINDOW_UPDATE that returns `size` bytes of this stream's window to the peer."""
         try:
             self._conn.increment_flow_control_window(size, stream.id)
         except H2Error:
             return
         self.writer.schedule_flush()
 
-    def window_enlarged(self, stream_id: int) -> None:
-        """Send queued data of a stream, or of all for stream 0: the peer has enlarged the window."""
+    def window_update_received(self, stream_id: int) -> None:
+        """Schedule the stream whose window was enlarged, or all streams for the connection window, id 0."""
         if stream_id:
             stream = self.by_id.get(stream_id)
             if stream is not None:
-                self.writer.mark_without_flush(stream)
+                self.writer.schedule_without_flush(stream)
         else:
-            self.mark_all()
+            self.schedule_all()
 
-    def mark_all(self) -> None:
-        """Send queued data of all streams with the next flush."""
+    def schedule_all(self) -> None:
+        """Send the queued data of all streams with the next flush."""
         for stream in self.by_id.values():
-            self.writer.mark_without_flush(stream)
+            self.writer.schedule_without_flush(stream)
 
-    def lose_all(self) -> None:
-        """End all streams, after the connection was lost."""
+    def terminate_all(self) -> None:
+        """Terminate all streams after the connection was lost."""
         for stream in list(self.by_id.values()):
-            stream.lose(None)
+            stream.terminate(None)
         self.by_id.clear()
 
     def _remove(self, stream_id: int) -> None:
         self.by_id.pop(stream_id, None)
-        self._conn.forget_stream(stream_id)
+        self._conn.remove_closed_stream(stream_id)
--- a/myrtlehub/rpc/transport.py
+++ b/myrtlehub/rpc/transport.py
@@ -1,19 +1,19 @@
-"""Interfaces of the transports and producers that this package uses; Twisted's connections implement them."""
+"""Typed interfaces of the Twisted transports and producers that this package uses."""
 
 from typing import Protocol
 
 
 class Producer(Protocol):
-    """A source of bytes for a consumer, which suspends it while it cannot accept more."""
+    """A source of data, which its consumer can suspend."""
 
     def pauseProducing(self) -> None:  # noqa: N802
         """Suspend production."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Resume production; a pull producer makes one write per call."""
+        """Resume production; a pull producer writes once per call."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop production for good."""
+        """Stop production permanently."""
 
 
 class PeerAddress(Protocol):
@@ -26,16 +26,16 @@
     """A connection to a peer."""
 
     def write(self, data: bytes, /) -> None:
-        """Queue bytes to be sent."""
+        """Queue bytes for sending."""
 
     def registerProducer(self, producer: Producer, streaming: bool, /) -> None:  # noqa: N802
-        """Suspend this producer while the peer does not read."""
+        """Register a producer, which is suspended while the send buffer is full."""
 
     def getPeer(self) -> PeerAddress:  # noqa: N802
         """Return the address of the peer."""
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close the connection once all queued bytes are sent."""
+        """Close the connection after all queued bytes are sent."""
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Close the connection at once and discard queued bytes."""
+        """Close the connection immediately and discard queued bytes."""
--- a/myrtlehub/rpc/transport_limits.py
+++ b/myrtlehub/rpc/transport_limits.py
@@ -1,4 +1,4 @@
-"""Limits of one HTTP/2 connection: sizes, windows, timeouts and frame rates."""
+"""Limits of an HTTP/2 connection: sizes, windows, timeouts and frame rates."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class FrameKind(StrEnum):
-    """Kinds of frames whose rate is limited, as each costs processor time and carries no data."""
+    """Kinds of frames with a limited rate, as they cost CPU time and carry no data."""
 
     RST_STREAM = "RST_STREAM"
     PING = "PING"
@@ -20,14 +20,14 @@
 
 
 class FrameRate(NamedTuple):
-    """Token bucket of one kind of frame: its size, and its refill rate."""
+    """Parameters of a token bucket: its capacity and its refill rate."""
 
     burst: float
     per_second: float
 
 
 def _default_frame_rates() -> dict[FrameKind, FrameRate]:
-    """Return limits against floods of frames (CVE-2023-44487 and similar)."""
+    """Return limits that prevent HTTP/2 flood attacks (CVE-2023-44487 and similar)."""
     return {
         FrameKind.RST_STREAM: FrameRate(400.0, 200.0),
         FrameKind.PING: FrameRate(20.0, 2.0),
@@ -47,10 +47,10 @@
     max_frame: int = 16 * KIB
     stream_window: int = 256 * KIB
     connection_window: int = 16 * MIB
-    max_streams: int = 1000  # MAX_CONCURRENT_STREAMS that is announced to the peer
-    send_buffer: int = 64 * KIB  # per stream; its producer is suspended above it
-    keepalive_interval: float = 20.0  # silence after which a ping is sent; 0: never
-    keepalive_timeout: float = 10.0  # time after that ping within which any bytes have to arrive
-    settings_timeout: float = 10.0  # time limit for the peer's preface and first SETTINGS
-    idle_timeout: float = 0.0  # of a connection without streams; 0: none; no connection applies it yet
+    max_streams: int = 1000  # MAX_CONCURRENT_STREAMS advertised to the peer
+    send_buffer: int = 64 * KIB  # per stream; a producer is suspended above it
+    keepalive_interval: float = 20.0  # a ping is sent after this time without received bytes; 0: never
+    keepalive_timeout: float = 10.0  # after a ping; the connection is closed if no bytes arrive
+    settings_timeout: float = 10.0  # for the peer's preface and first SETTINGS frame
+    idle_timeout: float = 0.0  # of a connection without streams; 0: none; not enforced yet
     frame_rates: dict[FrameKind, FrameRate] = field(default_factory=_default_frame_rates)
