--- a/tests/rpc/test_rpc_invalid_peers.py
+++ b/tests/rpc/test_rpc_invalid_peers.py
@@ -1,4 +1,4 @@
-"""Peers that violate the protocol, flood the connection with frames, or are silent."""
+"""Peers that violate the protocol, flood the connection with frames, or do not respond."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 from myrtlehub.rpc.transport_limits import TransportLimits
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + SettingsFrame(0).serialize()
-REQUEST = [
+REQUEST_HEADERS = [
     (b":method", b"POST"),
     (b":scheme", b"http"),
     (b":path", b"/t.T/Never"),
@@ -31,31 +31,33 @@
 
 
 def rapid_resets(raw: RawClient, count: int) -> bytes:
-    out = []
+    frames = []
     for i in range(count):
-        out.append(HeadersFrame(2 * i + 1, raw.h2.encoder.encode(REQUEST), flags=["END_HEADERS"]).serialize())
-        out.append(RstStreamFrame(2 * i + 1, 8).serialize())
-    return b"".join(out)
+        frames.append(
+            HeadersFrame(2 * i + 1, raw.h2.encoder.encode(REQUEST_HEADERS), flags=["END_HEADERS"]).serialize()
+        )
+        frames.append(RstStreamFrame(2 * i + 1, 8).serialize())
+    return b"".join(frames)
 
 
-def continuations(raw: RawClient, count: int) -> bytes:
-    head = HeadersFrame(1, raw.h2.encoder.encode(REQUEST)).serialize()
-    return head + ContinuationFrame(1, b"").serialize() * count
+def continuation_flood(raw: RawClient, count: int) -> bytes:
+    first_frame = HeadersFrame(1, raw.h2.encoder.encode(REQUEST_HEADERS)).serialize()
+    return first_frame + ContinuationFrame(1, b"").serialize() * count
 
 
-def big_headers(raw: RawClient) -> bytes:
-    block = raw.h2.encoder.encode(REQUEST + [(b"x-%d" % i, b"v" * 1000) for i in range(60)])
+def oversized_headers(raw: RawClient) -> bytes:
+    block = raw.h2.encoder.encode(REQUEST_HEADERS + [(b"x-%d" % i, b"v" * 1000) for i in range(60)])
     parts = [block[i : i + 16000] for i in range(0, len(block), 16000)]
-    out = HeadersFrame(1, parts[0]).serialize()
+    frames = HeadersFrame(1, parts[0]).serialize()
     for part in parts[1:-1]:
-        out += ContinuationFrame(1, part).serialize()
-    return out + ContinuationFrame(1, parts[-1], flags=["END_HEADERS"]).serialize()
+        frames += ContinuationFrame(1, part).serialize()
+    return frames + ContinuationFrame(1, parts[-1], flags=["END_HEADERS"]).serialize()
 
 
-def assert_call_continues(rig: RpcRig, watcher: RecordingWatcher, call: ClientCall) -> None:
-    call.send(b"on")
+def assert_call_still_works(rig: RpcRig, watcher: RecordingWatcher, call: ClientCall) -> None:
+    call.send(b"after")
     rig.net.run(0.1)
-    assert watcher.messages[-1] == b"on" and watcher.status is None
+    assert watcher.messages[-1] == b"after" and watcher.status is None
 
 
 @pytest.mark.parametrize(
@@ -72,14 +74,14 @@
             ErrorCodes.ENHANCE_YOUR_CALM,
         ),
         (lambda raw: PREFACE + rapid_resets(raw, 2000), ErrorCodes.ENHANCE_YOUR_CALM),
-        (lambda raw: PREFACE + continuations(raw, 500), None),
-        (lambda raw: PREFACE + big_headers(raw), ErrorCodes.ENHANCE_YOUR_CALM),
+        (lambda raw: PREFACE + continuation_flood(raw, 500), None),
+        (lambda raw: PREFACE + oversized_headers(raw), ErrorCodes.ENHANCE_YOUR_CALM),
         (lambda raw: PREFACE + b"\0\0\1\0\0\0\0\0\0x", ErrorCodes.PROTOCOL_ERROR),
         (lambda raw: PREFACE + b"\xff" * 200, None),
     ],
-    ids=["preface", "size", "pings", "settings", "resets", "continuations", "headers", "stream0", "noise"],
+    ids=["preface", "size", "pings", "settings", "resets", "continuations", "headers", "stream0", "garbage"],
 )
-def test_invalid_frames_close_their_connection_and_no_other(
+def test_invalid_frames_close_only_their_connection(
     make_bytes: Callable[[RawClient], bytes], error: int | None
 ) -> None:
     rig = RpcRig()
@@ -91,14 +93,14 @@
     raw.h2.data_to_send()
     events = raw.exchange(make_bytes(raw))
     rig.net.run(2.0)
-    errors = [e.error_code for e in events if isinstance(e, ConnectionTerminated)]
+    errors = [event.error_code for event in events if isinstance(event, ConnectionTerminated)]
     assert raw.is_lost and errors and errors[-1] != 0
     assert error is None or errors[-1] == error
     assert len(rig.server.connections) == 1
-    assert_call_continues(rig, watcher, call)
+    assert_call_still_works(rig, watcher, call)
 
 
-def test_requests_that_are_not_grpc_are_rejected() -> None:
+def test_invalid_requests_are_rejected() -> None:
     rig = RpcRig()
     raw = RawClient(rig)
     assert raw.request()["grpc-status"] == "0"
@@ -111,15 +113,15 @@
     rejected = raw.request(grpc_encoding="br")
     assert rejected["grpc-status"] == str(int(Code.UNIMPLEMENTED))
     assert "gzip" in rejected["grpc-accept-encoding"]
-    assert raw.request(body=b"\0\0\0\0\x09x")["grpc-status"] == str(int(Code.INTERNAL))  # truncated
+    assert raw.request(body=b"\0\0\0\0\x09x")["grpc-status"] == str(int(Code.INTERNAL))  # truncated message
     assert raw.request(body=b"\0\x7f\0\0\0")["grpc-status"] == str(int(Code.RESOURCE_EXHAUSTED))
     assert raw.request(body=b"")["grpc-status"] == str(int(Code.UNIMPLEMENTED))  # no message
-    assert raw.request(body=b"\0\0\0\0\0" * 2)["grpc-status"] == str(int(Code.UNIMPLEMENTED))  # two
+    assert raw.request(body=b"\0\0\0\0\0" * 2)["grpc-status"] == str(int(Code.UNIMPLEMENTED))  # two messages
     assert raw.request(bad_bin="!")["grpc-status"] == str(int(Code.INTERNAL))
     assert raw.request()["grpc-status"] == "0" and not raw.is_lost
 
 
-def test_a_peer_that_never_sends_settings_is_disconnected() -> None:
+def test_peer_without_settings_is_disconnected() -> None:
     rig = RpcRig(TransportLimits(settings_timeout=1.0))
     raw = RawClient(rig, sends_preface=False)
     rig.net.run(2.5)
--- a/tests/rpc/test_rpc_messages.py
+++ b/tests/rpc/test_rpc_messages.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of messages, metadata and status, without a connection."""
+"""Encoding and decoding of messages, metadata and status without a connection."""
 
 import gzip
 
@@ -11,37 +11,41 @@
 
 
 @given(st.lists(st.binary(max_size=300), max_size=8), st.data(), st.booleans())
-def test_any_split_gives_the_same_messages(
+def test_decoded_messages_do_not_depend_on_the_split(
     messages: list[bytes], data: st.DataObject, is_compressed: bool
 ) -> None:
     encoding = "gzip" if is_compressed else "identity"
-    raw = b"".join(framing.frame(m, encoding) for m in messages)
+    raw = b"".join(framing.frame(message, encoding) for message in messages)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(raw)), max_size=10)))
-    reader, got = framing.MessageReader(1000, encoding), []
-    for a, b in zip([0, *cuts], [*cuts, len(raw)], strict=True):
-        got += reader.feed(raw[a:b])
+    reader, decoded = framing.MessageReader(1000, encoding), []
+    for start, end in zip([0, *cuts], [*cuts, len(raw)], strict=True):
+        decoded += reader.feed(raw[start:end])
     reader.finish()
-    assert got == messages
+    assert decoded == messages
 
 
 @given(st.lists(st.binary(max_size=60), max_size=6), st.sampled_from(["identity", "gzip", "br"]))
-def test_fuzzed_bytes_give_messages_or_an_rpc_error(parts: list[bytes], encoding: str) -> None:
+def test_fuzzed_bytes_result_in_messages_or_an_rpc_error(parts: list[bytes], encoding: str) -> None:
     reader = framing.MessageReader(64, encoding)
     code = None
     try:
         for part in parts:
-            assert all(len(m) <= 64 for m in reader.feed(part))
+            assert all(len(message) <= 64 for message in reader.feed(part))
         reader.finish()
     except RpcError as error:
         code = error.status.code
     assert code in (None, Code.INTERNAL, Code.RESOURCE_EXHAUSTED, Code.UNIMPLEMENTED)
 
 
-def test_malformed_and_too_large_messages_are_rejected() -> None:
-    bomb = gzip.compress(b"0" * 10**6)
+def test_malformed_and_oversized_messages_are_rejected() -> None:
+    decompression_bomb = gzip.compress(b"0" * 10**6)
     for raw, encoding, code in [
         (framing.MESSAGE_PREFIX.pack(0, 65), "identity", Code.RESOURCE_EXHAUSTED),
-        (framing.MESSAGE_PREFIX.pack(1, len(bomb)) + bomb, "gzip", Code.RESOURCE_EXHAUSTED),
+        (
+            framing.MESSAGE_PREFIX.pack(1, len(decompression_bomb)) + decompression_bomb,
+            "gzip",
+            Code.RESOURCE_EXHAUSTED,
+        ),
         (framing.MESSAGE_PREFIX.pack(1, 3) + b"abc", "gzip", Code.INTERNAL),
         (framing.MESSAGE_PREFIX.pack(1, 3) + b"abc", "identity", Code.INTERNAL),
         (framing.MESSAGE_PREFIX.pack(2, 0), "identity", Code.INTERNAL),
@@ -57,16 +61,16 @@
 
 
 @given(st.floats(0, 1e7))
-def test_an_encoded_timeout_is_never_longer(seconds: float) -> None:
+def test_encoding_never_extends_a_timeout(seconds: float) -> None:
     text = status.encode_timeout(seconds)
     assert len(text) <= 9 and status.decode_timeout(text) <= seconds + 1e-6
     assert status.decode_timeout(text) >= seconds * 0.999 - 1e-8
 
 
 @given(st.text(max_size=50))
-def test_status_messages_survive_percent_encoding(text: str) -> None:
-    wire = status.encode_message(text)
-    assert wire.isascii() and wire.isprintable() and status.decode_message(wire) == text
+def test_status_messages_are_restored_after_percent_encoding(text: str) -> None:
+    encoded = status.encode_message(text)
+    assert encoded.isascii() and encoded.isprintable() and status.decode_message(encoded) == text
 
 
 def test_malformed_timeouts_and_metadata_are_rejected() -> None:
