--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -79,11 +79,11 @@
         self,
         path: str,
         watcher: CallWatcher,
-        meta: Iterable[MetadataItem] = (),
+        request_metadata: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> ClientCall:
         """Start a call; the watcher's `ended` is never called before this method returns."""
-        call = ClientCall(self, path, meta, timeout, watcher)
+        call = ClientCall(self, path, request_metadata, timeout, watcher)
         if self.closed or self.state == ChannelState.TRANSIENT_FAILURE:
             reason = "channel is closed" if self.closed else f"no connection: {self._failure_reason}"
             self.clock.callLater(0, call.end, Status(Code.UNAVAILABLE, reason, unprocessed=True))
@@ -99,22 +99,22 @@
         self,
         path: str,
         request: bytes,
-        meta: Iterable[MetadataItem] = (),
+        request_metadata: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> Deferred[bytes]:
         """Make a unary call; the Deferred fails with RpcError, and cancelling it cancels the call."""
-        return self.collect(path, [request], meta, timeout).addCallback(single_reply)
+        return self.collect(path, [request], request_metadata, timeout).addCallback(single_reply)
 
     def collect(
         self,
         path: str,
         requests: Sequence[bytes],
-        meta: Iterable[MetadataItem] = (),
+        request_metadata: Iterable[MetadataItem] = (),
         timeout: float | None = None,
     ) -> Deferred[list[bytes]]:
         """Send all requests and collect all replies of a short stream; errors as in `unary`."""
         deferred: Deferred[list[bytes]] = Deferred(lambda ignored: call.cancel())
-        call = self.call(path, ReplyCollector(deferred), meta, timeout)
+        call = self.call(path, ReplyCollector(deferred), request_metadata, timeout)
         for request in requests:
             call.send(request)
         call.half_close()
--- a/myrtlehub/rpc/client_call.py
+++ b/myrtlehub/rpc/client_call.py
@@ -65,7 +65,7 @@
         self,
         owner: ClientCallOwner,
         path: str,
-        meta: Iterable[MetadataItem],
+        request_metadata: Iterable[MetadataItem],
         timeout: float | None,
         watcher: CallWatcher,
     ) -> None:
@@ -75,7 +75,7 @@
         self.deadline = None if timeout is None else owner.clock.seconds() + timeout
         self.stream: Stream | None = None
         self.over = False
-        self._metadata_headers = metadata.encode(meta)
+        self._metadata_headers = metadata.encode(request_metadata)
         self._unsent: list[bytes] = []  # encoded messages, queued until the stream is open
         self._is_half_closed = False
         self._is_paused = False
@@ -204,18 +204,18 @@
     def _headers_received(self, headers: Headers, is_end: bool) -> None:
         values = dict(headers)
         try:
-            meta = metadata.decode(headers)
+            response_metadata = metadata.decode(headers)
         except RpcError as error:
             self._end_and_reset(error.status)
             return
         if "grpc-status" in values or is_end:
-            self._status = read_status(values, meta)
+            self._status = read_status(values, response_metadata)
             return
-        self._header_error = read_header_error(values, meta)
+        self._header_error = read_header_error(values, response_metadata)
         if self._header_error is None:
             encoding = values.get("grpc-encoding", framing.IDENTITY)
             self._reader = framing.MessageReader(self._owner.limits.max_message, encoding)
-            self.watcher.headers(meta)
+            self.watcher.headers(response_metadata)
 
     def _data_received(self, data: bytes) -> None:
         if self.over or self._header_error is not None:
--- a/myrtlehub/rpc/method_handlers.py
+++ b/myrtlehub/rpc/method_handlers.py
@@ -37,7 +37,7 @@
         if isinstance(failure.value, RpcError):
             self._call.fail(failure.value)
         else:
-            self._call.crash(failure)
+            self._call.fail_with_internal_error(failure)
 
     def cancel(self) -> None:
         """Cancel a pending reply."""
--- a/myrtlehub/rpc/server.py
+++ b/myrtlehub/rpc/server.py
@@ -103,7 +103,7 @@
                 call.announce_encodings()
             call.fail(error)
         except Exception:  # noqa: BLE001 - an error of a handler ends only its own call
-            call.crash()
+            call.fail_with_internal_error()
 
     def _start_handler(
         self, call: ServerCall, headers: Headers, values: dict[str, str], encoding: str
--- a/myrtlehub/rpc/server_call.py
+++ b/myrtlehub/rpc/server_call.py
@@ -95,9 +95,9 @@
         """Return the seconds until the deadline; infinite without a deadline."""
         return float("inf") if self.deadline is None else self.deadline - self.clock.seconds()
 
-    def set_initial(self, meta: Iterable[MetadataItem]) -> None:
+    def set_initial(self, entries: Iterable[MetadataItem]) -> None:
         """Add entries to the initial metadata."""
-        self._initial_metadata.extend(metadata.encode(meta))
+        self._initial_metadata.extend(metadata.encode(entries))
 
     def announce_encodings(self) -> None:
         """Add the accepted encodings to the headers of an error response."""
@@ -159,7 +159,7 @@
         """End the call with an error."""
         self.finish(error.status.code, error.status.message, error.status.trailers)
 
-    def crash(self, failure: Failure | None = None) -> None:
+    def fail_with_internal_error(self, failure: Failure | None = None) -> None:
         """Log an unexpected failure of the handler and end the call with INTERNAL.
 
         Without a failure, the exception that is being handled is logged.
@@ -193,7 +193,7 @@
         except RpcError as error:
             self._abort(error)
         except Exception:  # noqa: BLE001 - an error of a handler ends only its own call
-            self.crash()
+            self.fail_with_internal_error()
 
     def _end_received(self) -> None:
         if self.over:
@@ -204,7 +204,7 @@
         except RpcError as error:
             self._abort(error)
         except Exception:  # noqa: BLE001 - an error of a handler ends only its own call
-            self.crash()
+            self.fail_with_internal_error()
 
     def _stream_lost(self, error: int | None) -> None:
         if not self.over:
--- a/tests/rpc/test_rpc_grpcio.py
+++ b/tests/rpc/test_rpc_grpcio.py
@@ -145,8 +145,8 @@
     reply, call = grpcio_channel.unary_unary("/t.T/Meta", **RAW_BYTES).with_call(
         b"", metadata=[("text", "plain text"), ("raw-bin", b"\0\xffx")]
     )
-    initial_metadata = dict(call.initial_metadata())
-    assert (initial_metadata["echoed-text"], initial_metadata["raw-bin"]) == (
+    received_metadata = dict(call.initial_metadata())
+    assert (received_metadata["echoed-text"], received_metadata["raw-bin"]) == (
         "plain text",
         b"\0\xffx",
     ) and reply == b""
@@ -206,7 +206,7 @@
     def wait(self, data: bytes, ctx: grpc.ServicerContext) -> Iterator[bytes]:
         ctx.add_callback(self.stopped.set)
         self.time_left = ctx.time_remaining()
-        yield b"started"
+        yield b"begun"
         self.stopped.wait(10)
 
 
--- a/tests/rpc/test_rpc_invalid_peers.py
+++ b/tests/rpc/test_rpc_invalid_peers.py
@@ -55,9 +55,9 @@
 
 
 def assert_call_still_works(rig: RpcRig, watcher: RecordingWatcher, call: ClientCall) -> None:
-    call.send(b"after")
+    call.send(b"on")
     rig.net.run(0.1)
-    assert watcher.messages[-1] == b"after" and watcher.status is None
+    assert watcher.messages[-1] == b"on" and watcher.status is None
 
 
 @pytest.mark.parametrize(
