--- a/myrtlehub/rpc/channel.py
+++ b/myrtlehub/rpc/channel.py
@@ -129,7 +129,7 @@
         protocol = self.protocol
         if protocol is None or self.state != ChannelState.READY or protocol.close_reason:
             return
-        max_streams = protocol.conn.remote_settings.max_concurrent_streams
+        max_streams = protocol.h2_connection.remote_settings.max_concurrent_streams
         while self._queue and len(protocol.streams) < max_streams:
             call = self._queue.popleft()
             if not call.over:
--- a/myrtlehub/rpc/client_protocol.py
+++ b/myrtlehub/rpc/client_protocol.py
@@ -51,7 +51,7 @@
 
     def open_stream(self) -> Stream:
         """Open a stream with the next available id."""
-        return self.streams.open(self.conn.get_next_available_stream_id())
+        return self.streams.open(self.h2_connection.get_next_available_stream_id())
 
     def settings_changed(self, is_first: bool) -> None:
         """Notify the channel, which may then open streams."""
--- a/myrtlehub/rpc/frame_reader.py
+++ b/myrtlehub/rpc/frame_reader.py
@@ -31,16 +31,16 @@
     def __init__(
         self,
         connection: FrameReaderConnection,
-        conn: GracefulH2Connection,
+        h2_connection: GracefulH2Connection,
         streams: Mapping[int, Stream],
         limits: TransportLimits,
     ) -> None:
         self._connection = connection
-        self._conn = conn
+        self._h2_connection = h2_connection
         self._streams = streams
         self._max_frame = limits.max_frame
         self._connection_window = limits.connection_window
-        self._is_preface_expected = not conn.config.client_side
+        self._is_preface_expected = not h2_connection.config.client_side
         self._incomplete_data = b""  # start of an incomplete frame or preface
         self._unacknowledged_bytes = 0  # received, and not yet returned to the peer by WINDOW_UPDATE
 
@@ -74,8 +74,8 @@
                     return
                 unprocessed_start = position
                 stream_id = int.from_bytes(data[position + 5 : position + 9]) & MAX_STREAM_ID
-                is_in_headers = self._conn.incoming_buffer._headers_buffer
-                if not is_in_headers and self._conn.receive_plain_data(stream_id, length):
+                is_in_headers = self._h2_connection.incoming_buffer._headers_buffer
+                if not is_in_headers and self._h2_connection.receive_plain_data(stream_id, length):
                     unprocessed_start = end
                     self._unacknowledged_bytes += length
                     stream = self._streams.get(stream_id)
@@ -107,5 +107,5 @@
     def update_connection_window(self) -> None:
         """Send a WINDOW_UPDATE for the connection once the peer has used half of its window."""
         if self._unacknowledged_bytes * 2 >= self._connection_window:
-            self._conn.increment_flow_control_window(self._unacknowledged_bytes)
+            self._h2_connection.increment_flow_control_window(self._unacknowledged_bytes)
             self._unacknowledged_bytes = 0
--- a/myrtlehub/rpc/frame_writer.py
+++ b/myrtlehub/rpc/frame_writer.py
@@ -23,11 +23,13 @@
 class FrameWriter:
     """The send path of one connection."""
 
-    def __init__(self, connection: FrameWriterConnection, conn: GracefulH2Connection, clock: Clock) -> None:
+    def __init__(
+        self, connection: FrameWriterConnection, h2_connection: GracefulH2Connection, clock: Clock
+    ) -> None:
         self.is_reading = False  # received bytes are being processed; a flush follows, so none is scheduled
         self.is_transport_full = False
         self._connection = connection
-        self._conn = conn
+        self._h2_connection = h2_connection
         self._clock = clock
         self._pending: dict[Stream, None] = {}  # an ordered set of the streams with data to send
         self._flush_call: Timer | None = None
@@ -61,7 +63,7 @@
         connection = self._connection
         if connection.is_lost or connection.close_reason:
             return
-        conn = self._conn
+        h2_connection = self._h2_connection
         pending = self._pending
         while pending and not self.is_transport_full:
             self._pending = {}
@@ -69,9 +71,9 @@
                 if not stream.closed and self._send_frame(stream):
                     self._pending[stream] = None
             pending = self._pending
-            if conn._data_to_send:
-                connection.transport.write(conn.data_to_send())
-        data = conn.data_to_send()
+            if h2_connection._data_to_send:
+                connection.transport.write(h2_connection.data_to_send())
+        data = h2_connection.data_to_send()
         if data:
             connection.transport.write(data)
 
@@ -84,14 +86,14 @@
     def _send_frame(self, stream: Stream) -> bool:
         """Send one frame of a stream; return whether the stream can send another frame now."""
         if stream.buffered:
-            conn = self._conn
-            max_size = conn.sendable_bytes(stream.id)
+            h2_connection = self._h2_connection
+            max_size = h2_connection.sendable_bytes(stream.id)
             if max_size <= 0:
                 return False
             chunk = stream.dequeue(max_size)
             is_last = stream.is_ending and not stream.buffered and stream.trailers is None
-            if is_last or not conn.send_plain_data(stream.id, chunk):
-                conn.send_data(stream.id, chunk, end_stream=is_last)
+            if is_last or not h2_connection.send_plain_data(stream.id, chunk):
+                h2_connection.send_data(stream.id, chunk, end_stream=is_last)
             if is_last:
                 stream.end_sent()
                 return False
@@ -104,7 +106,7 @@
 
     def _send_end(self, stream: Stream) -> None:
         if stream.trailers is None:
-            self._conn.send_data(stream.id, b"", end_stream=True)
+            self._h2_connection.send_data(stream.id, b"", end_stream=True)
         else:
-            self._conn.send_headers(stream.id, stream.trailers, end_stream=True)
+            self._h2_connection.send_headers(stream.id, stream.trailers, end_stream=True)
         stream.end_sent()
--- a/myrtlehub/rpc/http2_protocol.py
+++ b/myrtlehub/rpc/http2_protocol.py
@@ -36,14 +36,14 @@
     def __init__(self, clock: Clock, limits: TransportLimits) -> None:
         self.clock = clock
         self.limits = limits
-        self.conn = GracefulH2Connection(self.is_client)
+        self.h2_connection = GracefulH2Connection(self.is_client)
         self.is_established = False  # the peer's first SETTINGS frame was received
         self.is_lost = False
         self.is_draining = False
         self.close_reason: str | None = None  # set when this endpoint decides to close
-        self.writer = FrameWriter(self, self.conn, clock)
-        self.streams = StreamTable(self.conn, self.writer, limits, self.stream_closed)
-        self._reader = FrameReader(self, self.conn, self.streams.by_id, limits)
+        self.writer = FrameWriter(self, self.h2_connection, clock)
+        self.streams = StreamTable(self.h2_connection, self.writer, limits, self.stream_closed)
+        self._reader = FrameReader(self, self.h2_connection, self.streams.by_id, limits)
         self._events = EventHandler(
             self, clock, self.streams, self._reader, FrameRateLimiter(limits.frame_rates)
         )
@@ -58,7 +58,7 @@
         if hasattr(self.transport, "setTcpNoDelay"):  # in-memory transports lack it
             self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.conn.initiate(self.limits)
+        self.h2_connection.initiate(self.limits)
         self._keepalive.start()
         self.writer.flush()
 
@@ -77,10 +77,10 @@
             return
         self.close_reason = reason
         with suppress(H2Error):
-            self.conn.queue_goaway(
-                self.conn.highest_inbound_stream_id, error, reason.encode()[:MAX_GOAWAY_REASON_SIZE]
+            self.h2_connection.queue_goaway(
+                self.h2_connection.highest_inbound_stream_id, error, reason.encode()[:MAX_GOAWAY_REASON_SIZE]
             )
-            self.transport.write(self.conn.data_to_send())
+            self.transport.write(self.h2_connection.data_to_send())
         self._close_within_grace()
 
     def _close_within_grace(self) -> None:
@@ -99,7 +99,7 @@
             self.transport.loseConnection()
 
     def _send_keepalive_ping(self) -> None:
-        self.conn.ping(KEEPALIVE_PING_DATA)
+        self.h2_connection.ping(KEEPALIVE_PING_DATA)
         self.writer.flush()
 
     def _settings_timed_out(self) -> None:
@@ -129,7 +129,7 @@
     def receive_through_h2(self, data: bytes) -> bool:
         """Pass frames to h2 and handle the resulting events; return False if the connection is closing."""
         try:
-            events = self.conn.receive_data(data)
+            events = self.h2_connection.receive_data(data)
         except (H2Error, ValueError, IndexError) as error:
             self._close_after_protocol_error(error)
             return False
@@ -141,11 +141,11 @@
 
     def _close_after_protocol_error(self, error: Exception) -> None:
         self.close_reason = f"{type(error).__name__}: {error}"
-        if self.conn.state_machine.state is not ConnectionState.CLOSED:
+        if self.h2_connection.state_machine.state is not ConnectionState.CLOSED:
             # h2 queues a GOAWAY for an invalid frame, but not for an invalid preface.
             reason = self.close_reason.encode()[:MAX_GOAWAY_REASON_SIZE]
-            self.conn.queue_goaway(0, ErrorCodes.PROTOCOL_ERROR, reason)
-        self.transport.write(self.conn.data_to_send())
+            self.h2_connection.queue_goaway(0, ErrorCodes.PROTOCOL_ERROR, reason)
+        self.transport.write(self.h2_connection.data_to_send())
         self._close_within_grace()
 
     def settings_received(self) -> None:
--- a/myrtlehub/rpc/server_protocol.py
+++ b/myrtlehub/rpc/server_protocol.py
@@ -73,8 +73,8 @@
         if self.is_draining or self.is_lost:
             return
         self.is_draining = True
-        self.conn.queue_goaway(MAX_STREAM_ID)
-        self.conn.ping(DRAIN_PING_DATA)
+        self.h2_connection.queue_goaway(MAX_STREAM_ID)
+        self.h2_connection.ping(DRAIN_PING_DATA)
         self.clock.callLater(DRAIN_PING_TIMEOUT, self.ping_answered, DRAIN_PING_DATA)
         self.writer.schedule_flush()
 
@@ -82,7 +82,7 @@
         """Send the final GOAWAY if this acknowledges the PING of a drain."""
         if data == DRAIN_PING_DATA and self.is_draining and not self._is_closing and not self.is_lost:
             self._is_closing = True
-            self.conn.queue_goaway(self._last_stream_id)
+            self.h2_connection.queue_goaway(self._last_stream_id)
             self.writer.schedule_flush()
             self.stream_closed()
 
--- a/myrtlehub/rpc/stream_table.py
+++ b/myrtlehub/rpc/stream_table.py
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        conn: GracefulH2Connection,
+        h2_connection: GracefulH2Connection,
         writer: FrameWriter,
         limits: TransportLimits,
         on_closed: Callable[[], None],
@@ -30,7 +30,7 @@
         self.by_id: dict[int, Stream] = {}
         self.writer = writer
         self.limits = limits
-        self._conn = conn
+        self._h2_connection = h2_connection
         self._on_closed = on_closed
 
     def __len__(self) -> int:
@@ -48,7 +48,7 @@
 
     def send_headers(self, stream: Stream, headers: Headers) -> None:
         """Queue the initial headers of a stream for the next flush."""
-        self._conn.send_headers(stream.id, headers)
+        self._h2_connection.send_headers(stream.id, headers)
         self.writer.schedule_flush()
 
     def close_if_ended(self, stream: Stream) -> None:
@@ -61,7 +61,7 @@
     def reset(self, stream: Stream, error: int) -> None:
         """Send RST_STREAM and terminate the stream."""
         with suppress(StreamClosedError):
-            self._conn.reset_stream(stream.id, error)
+            self._h2_connection.reset_stream(stream.id, error)
         self._remove(stream.id)
         self.writer.unschedule(stream)
         self.writer.schedule_flush()
@@ -74,18 +74,18 @@
         if stream is not None:
             self.writer.unschedule(stream)
             stream.terminate(error)
-        self._conn.remove_closed_stream(stream_id)
+        self._h2_connection.remove_closed_stream(stream_id)
         self._on_closed()
 
     def reject(self, stream_id: int) -> None:
         """Refuse a stream that the peer opened; REFUSED_STREAM guarantees that it was not processed."""
-        self._conn.reset_stream(stream_id, ErrorCodes.REFUSED_STREAM)
-        self._conn.remove_closed_stream(stream_id)
+        self._h2_connection.reset_stream(stream_id, ErrorCodes.REFUSED_STREAM)
+        self._h2_connection.remove_closed_stream(stream_id)
 
     def send_window_update(self, stream: Stream, size: int) -> None:
         """Send a WINDOW_UPDATE that returns `size` bytes of this stream's window to the peer."""
         try:
-            self._conn.increment_flow_control_window(size, stream.id)
+            self._h2_connection.increment_flow_control_window(size, stream.id)
         except H2Error:
             return
         self.writer.schedule_flush()
@@ -112,4 +112,4 @@
 
     def _remove(self, stream_id: int) -> None:
         self.by_id.pop(stream_id, None)
-        self._conn.remove_closed_stream(stream_id)
+        self._h2_connection.remove_closed_stream(stream_id)
