--- a/myrtlehub/rpc/frame_writer.py
+++ b/myrtlehub/rpc/frame_writer.py
@@ -1,7 +1,7 @@
 """Sends the queued data of streams, as far as flow control and the transport allow.
 
-Writes are batched and flushed once per reactor iteration. Streams are served round-robin, one frame each, so
-that they share the connection evenly.
+Writes are batched and flushed once per reactor iteration, so that messages received together are also sent
+together. Streams are served round-robin, one frame each, so that they share the connection evenly.
 """
 
 from typing import Protocol
--- a/myrtlehub/rpc/metadata.py
+++ b/myrtlehub/rpc/metadata.py
@@ -18,7 +18,7 @@
     """Encode metadata as headers.
 
     Raises:
-        ValueError: a key is reserved or invalid, or a value is invalid.
+        ValueError: a key is reserved or invalid, or a value is invalid; the message names the key.
     """
     headers = []
     for key, value in metadata:
