--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -40,7 +40,7 @@
 MAX_DELAY_SAMPLE_WEIGHT = 0.3  # upper bound of the weight of one sample, even if the last one is old
 # Share of the time left until the SLO deadline within which the estimated start has to be, if engines report
 # load to probes only.
-PROBED_LIMIT_SHARE = 0.7
+PROBED_SLO_SHARE = 0.7
 
 
 class Admission:
@@ -120,7 +120,7 @@
 
     def will_miss_slo(self, sequence: Sequence, delay: float, now: float) -> bool:
         """Return whether an answer with this estimated start delay will miss the latency SLO."""
-        limit_share = PROBED_LIMIT_SHARE if self.config.load_by_probe_only else 1.0
+        limit_share = PROBED_SLO_SHARE if self.config.load_by_probe_only else 1.0
         return delay * self.delay_correction.factor(now) > limit_share * (sequence.slo_deadline - now)
 
     def record_start_estimate(self, sequence: Sequence, delay: float, now: float) -> None:
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -35,10 +35,10 @@
 # Upper bound of the number of other nodes that are assumed to select the same engines as this node. A few
 # nodes get the same load reports and select alike; many nodes select differently.
 MAX_CORRELATED_NODES = 3.0
-OUTLIER_MARGIN = 0.25  # failure rate above the median at which an engine is ejected
+OUTLIER_FAILURE_RATE_MARGIN = 0.25  # failure rate above the median at which an engine is ejected
 # Failure rate from which a reset or refused connection is taken as a restart: after three consecutive resets
 # or two consecutive refused connections (`test_one_reset_is_no_restart_and_three_in_a_row_are`).
-RESTARTED_FAILURES = 0.8
+RESTART_FAILURE_RATE = 0.8
 UNANSWERED_PROBE_QUEUE_TIME = 0.5  # seconds; assumed at an engine whose probe timed out
 
 
@@ -120,13 +120,13 @@
         super().attempt_ended(sequence, attempt)
         engine = attempt.engine
         is_connection_failure = attempt.outcome in (Outcome.UNREACHED, Outcome.RESET)
-        if is_connection_failure and self.decayed(engine.failures, engine) > RESTARTED_FAILURES:
+        if is_connection_failure and self.decayed(engine.failures, engine) > RESTART_FAILURE_RATE:
             engine.record_restart(self.now)
 
     def is_outlier(self, engine: Engine) -> bool:
         """Return whether the failure rate of an engine is far above the median of the serving engines."""
         failure_rate = self.decayed(engine.failures, engine)
-        if failure_rate <= OUTLIER_MARGIN:
+        if failure_rate <= OUTLIER_FAILURE_RATE_MARGIN:
             return False
         fleet_rates = (self.decayed(other.failures, other) for other in self.writers + self.readers)
-        return failure_rate > OUTLIER_MARGIN + median(fleet_rates)
+        return failure_rate > OUTLIER_FAILURE_RATE_MARGIN + median(fleet_rates)
--- a/myrtlehub/routing/policy/load_probing.py
+++ b/myrtlehub/routing/policy/load_probing.py
@@ -8,13 +8,13 @@
 from myrtlehub.routing.policy.writer_selection import WriterSelection
 from myrtlehub.routing.records import Engine, Sequence
 
-PROBE_SPEND = 0.01  # average cost of the probes for a sequence, in units of utility
+PROBE_BUDGET_PER_SEQUENCE = 0.01  # average cost of the probes for a sequence, in units of utility
 MIN_PROBE_PRICE = 1e-6  # utility; prevents a division by zero
-MAX_PROBES = 6.0  # per sequence on average, at any price
-PROBE_BUCKET_CAPACITY = 3.0 * MAX_PROBES  # tokens; each probe uses one
+MAX_PROBES_PER_SEQUENCE = 6.0  # per sequence on average, at any price
+PROBE_BUCKET_CAPACITY = 3.0 * MAX_PROBES_PER_SEQUENCE  # tokens; each probe uses one
 PROBED_WRITER_COUNT = 2  # number of best-ranked writers that are probed, each with its reader
-CANDIDATE_WRITERS = 8  # number of best-ranked writers that are ranked again after the probes
-PROBE_INTERVAL = 0.3  # seconds between two probes of an engine, whose load changes little meanwhile
+CANDIDATE_WRITER_COUNT = 8  # number of best-ranked writers that are ranked again after the probes
+MIN_PROBE_INTERVAL = 0.3  # seconds between two probes of an engine, whose load changes little meanwhile
 
 
 class LoadProbing:
@@ -30,15 +30,15 @@
         self.random = read_placement.random
         self.is_enabled = config.load_by_probe_only and config.may_probe
         price = max(config.probe_price, MIN_PROBE_PRICE)
-        self.bucket_tokens_per_sequence = min(MAX_PROBES, PROBE_SPEND / price)
-        self.bucket_tokens = MAX_PROBES
+        self.bucket_tokens_per_sequence = min(MAX_PROBES_PER_SEQUENCE, PROBE_BUDGET_PER_SEQUENCE / price)
+        self.bucket_tokens = MAX_PROBES_PER_SEQUENCE
 
     def select(self, sequence: Sequence, now: float) -> list[Engine]:
         """Return the engines to probe before a sequence is placed, and record their probes as pending."""
         self.bucket_tokens = min(self.bucket_tokens + self.bucket_tokens_per_sequence, PROBE_BUCKET_CAPACITY)
         probed = []
         for engine in self._probe_targets(sequence, now):
-            if self.bucket_tokens >= 1.0 and now > engine.last_probed_at + PROBE_INTERVAL:
+            if self.bucket_tokens >= 1.0 and now > engine.last_probed_at + MIN_PROBE_INTERVAL:
                 self.bucket_tokens -= 1.0
                 engine.last_probed_at = now
                 sequence.pending_probes.add(engine)
@@ -51,7 +51,7 @@
         usable = self.writer_selection.admission.usable_engines(estimates.writers, sequence, now)
         plan = self.read_placement.plan(sequence, now)
         ranked = sorted(usable, key=self.writer_selection.score(sequence, plan, now), reverse=True)
-        sequence.candidate_writers = ranked[:CANDIDATE_WRITERS]
+        sequence.candidate_writers = ranked[:CANDIDATE_WRITER_COUNT]
         targets = ranked[:PROBED_WRITER_COUNT]
         for writer in ranked[:PROBED_WRITER_COUNT]:
             uncached = arrival.prompt_tokens - writer.cache.find(arrival, now).tokens
--- a/myrtlehub/routing/policy/prefix_cache.py
+++ b/myrtlehub/routing/policy/prefix_cache.py
@@ -19,7 +19,7 @@
 # engine has restarted, so all older entries are removed too.
 MIN_CONFIRMED_SHARE = 0.5
 # Number of readers that cache a prefix: more spread its load, fewer increase its hit rate.
-AFFINITY_READERS = 6
+AFFINITY_READER_COUNT = 6
 INITIAL_HIT_SHARES = (0.5, 0.3, 0.0)  # by affinity, before any read was observed
 HIT_WEIGHT = 0.1  # weight of one read in the average of its affinity
 RANDOM_KEY_RANGE = 2**40  # range of the affinity keys of prompts without prefix and session
@@ -44,7 +44,7 @@
     top_reader_of_cell: dict[int, Engine] = {}
     for reader in ranked:
         top_reader_of_cell.setdefault(reader.cell, reader)
-    top_readers = ranked[:AFFINITY_READERS]
+    top_readers = ranked[:AFFINITY_READER_COUNT]
     affinity = dict.fromkeys([*top_reader_of_cell.values(), *top_readers], Affinity.NEAR)
     if top_readers:
         home = max(top_readers, key=lambda reader: rendezvous_weight(session, reader.hash_seed))
--- a/myrtlehub/routing/policy/read_placement.py
+++ b/myrtlehub/routing/policy/read_placement.py
@@ -30,11 +30,11 @@
 # Lower bound of the tokens of a transfer sample, because short transfers take mostly fixed overhead.
 MIN_TRANSFER_TOKENS = 500.0
 WRITER_READ_COST_FACTOR = 3.0  # cost factor of a read by the writer, which delays its streams
-TIE_TIME = 0.1  # seconds; random, so that not all nodes select the same reader
+TIE_BREAK_JITTER = 0.1  # seconds; random, so that not all nodes select the same reader
 # Multiple of an even share of all reads that the readers of a cell get without recent load reports.
 CELL_SHARE_FACTOR = 1.3
 # Share of the time left until the SLO deadline in which a reader has to finish its queue and the read.
-MAX_QUEUE_SHARE = 0.5
+MAX_READ_TIME_SHARE = 0.5
 MIN_READ_TIME_LIMIT = 0.1  # seconds; lower bound of that limit
 REPORT_HALF_LIFE = 1.0  # seconds in which the weight of a load report decays to half
 RESERVED_ATTEMPTS = 2  # a rejected sequence with only these left is not split, which takes two
@@ -113,7 +113,7 @@
         Of equal readers, the one with the highest index is selected for a cell, and the one with the lowest
         index for a zone.
         """
-        limit = max(MIN_READ_TIME_LIMIT, MAX_QUEUE_SHARE * (sequence.slo_deadline - now))
+        limit = max(MIN_READ_TIME_LIMIT, MAX_READ_TIME_SHARE * (sequence.slo_deadline - now))
         by_cell: dict[int, _RankedRead] = {}
         by_zone: dict[int | None, _TimedRead] = {}
         for reader, cached, weight, seconds in self._estimate_reads(sequence, now):
@@ -124,7 +124,7 @@
                     by_cell[reader.cell] = _RankedRead(rank, PlannedRead(seconds, reader, rank[0]))
             for zone, times in ((reader.zone, self.zone_transfer_times), (None, self.remote_transfer_times)):
                 transfer = sequence.arrival.prompt_tokens * times.get(reader.cell, INITIAL_TRANSFER_TIME)
-                order = (seconds + transfer + TIE_TIME * self.random(), seconds)
+                order = (seconds + transfer + TIE_BREAK_JITTER * self.random(), seconds)
                 earliest = by_zone.get(zone)
                 if earliest is None or order < earliest.order:
                     by_zone[zone] = _TimedRead(order, ReadEstimate(reader, seconds))
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -3,7 +3,7 @@
 from myrtlehub.routing.contract import DedupGroup, Outcome, RetrySemantics, RouterConfig
 from myrtlehub.routing.records import Attempt, Engine, Sequence
 
-CAPACITY_MEMORY = 20.0  # seconds for which an engine's acceptance or rejection of a workload is valid
+CAPACITY_TTL = 20.0  # seconds for which an engine's acceptance or rejection of a workload is valid
 # Longest time in seconds from a decision, or from the check before the first byte, until the attempt arrives
 # at its engine. The process can be suspended for 0.15 s between reading the clock and writing; two iterations
 # of the event loop and the network take 0.05 s.
@@ -55,10 +55,10 @@
     """Record whether an engine accepted or rejected the workload of a sequence."""
     engine = attempt.engine
     if attempt.has_succeeded:
-        engine.accepts_until[sequence.workload] = now + CAPACITY_MEMORY
+        engine.accepts_until[sequence.workload] = now + CAPACITY_TTL
     elif attempt.outcome == Outcome.FULL and not attempt.cached_tokens:
         sequence.was_rejected = True
-        engine.full_until[sequence.workload] = now + CAPACITY_MEMORY
+        engine.full_until[sequence.workload] = now + CAPACITY_TTL
         engine.accepts_until.pop(sequence.workload, None)
 
 
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -24,7 +24,9 @@
 # Timeout of a first read as a share of the time left; the rest is enough for another attempt.
 READ_TIMEOUT_SHARE = 0.6
 WAKEUP_INTERVAL = 0.04  # seconds between two wake-ups while sequences wait at this node
-RETRY_INTERVAL = 0.08  # seconds between two placements of a waiting sequence, each of which runs all stages
+PLACEMENT_INTERVAL = (
+    0.08  # seconds between two placements of a waiting sequence, each of which runs all stages
+)
 PROBED_PLACEMENT_INTERVAL = 0.4  # the same if engines report load to probes only, since reports are rarer
 MAX_FAILED_PLACEMENTS = 3  # sequences per wake-up that are placed and keep waiting; limits the cost with many
 
@@ -91,7 +93,7 @@
 
     def _may_place_again(self, sequence: Sequence, now: float) -> bool:
         """Return whether the last placement is long enough ago, and engines gave feedback since then."""
-        interval = PROBED_PLACEMENT_INTERVAL if self.config.load_by_probe_only else RETRY_INTERVAL
+        interval = PROBED_PLACEMENT_INTERVAL if self.config.load_by_probe_only else PLACEMENT_INTERVAL
         last_placed_at = sequence.last_placed_at
         return now > last_placed_at + interval and self.last_feedback_at > last_placed_at
 
--- a/myrtlehub/routing/policy/writer_selection.py
+++ b/myrtlehub/routing/policy/writer_selection.py
@@ -21,7 +21,7 @@
 # Weight of a token that is cached at the best reader in a writer's cell, if writers are probed. Without
 # probes, such tokens do not count, because many nodes would select the same writers without knowing that
 # they are full.
-NEAR_CACHE_FACTOR = 10.0
+CELL_CACHE_FACTOR = 10.0
 NO_READ_PLAN = ReadPlan({}, {})  # of a sequence whose prompt has been read
 
 
@@ -79,7 +79,7 @@
         """Return a function that scores writers for a sequence, in cached tokens; the highest is best."""
         config, estimates, placement, random = self.config, self.estimates, self.read_placement, self.random
         arrival, source = sequence.arrival, sequence.state_engine
-        cell_factor = NEAR_CACHE_FACTOR if config.load_by_probe_only else 0.0
+        cell_factor = CELL_CACHE_FACTOR if config.load_by_probe_only else 0.0
 
         def score(writer: Engine) -> float:
             cached = writer.cache.find(arrival, now).tokens
