--- a/myrtlehub/routing/calls.py
+++ b/myrtlehub/routing/calls.py
@@ -89,7 +89,7 @@
         if arrival.state_engine is not None:  # a takeover: the prompt was read for the former owner
             sequence.state_engine = engines[arrival.state_engine]
             sequence.reader = sequence.state_engine
-            sequence.state_since = now
+            sequence.state_held_since = now
         if arrival.may_have_run_at is not None:
             sequence.record_possible_run(engines[arrival.may_have_run_at], now - arrival.may_have_run_ago)
         if arrival.tenant is not None:
@@ -104,7 +104,7 @@
         self._record_feedback(now)
         probed = self.engine_table.engines[engine]
         if load is not None:
-            self.engine_table.load_reported(probed, load)
+            self.engine_table.record_load_report(probed, load)
         else:
             self._on_probe_timeout(probed)
         for sequence in [waiting for waiting in self.waiting.values() if probed in waiting.pending_probes]:
@@ -143,7 +143,7 @@
         if ended.is_running:
             ended.end(outcome, latency, is_answered, cached_tokens)
             if load is not None:
-                self.engine_table.load_reported(ended.engine, load)
+                self.engine_table.record_load_report(ended.engine, load)
             self._on_attempt_ended(sequence, ended, now)
         return self._finish_call(now)
 
--- a/myrtlehub/routing/engine_table.py
+++ b/myrtlehub/routing/engine_table.py
@@ -142,7 +142,7 @@
             self.assigned_tokens += sequence.memory_tokens
         sequence.assigned_writer = writer
 
-    def load_reported(self, engine: Engine, load: LoadReport) -> None:
+    def record_load_report(self, engine: Engine, load: LoadReport) -> None:
         """Update the memory and backlog estimates of an engine from its load report."""
         weight = self.settings.kind_weight
         share = load.memory_share
@@ -206,7 +206,7 @@
         if attempt.outcome in FAILED_OUTCOMES:
             is_unreached = attempt.outcome == Outcome.UNREACHED
             weight = self.settings.unreached_weight if is_unreached else self.settings.failure_weight
-            engine.failures = self.updated_observation(engine.failures, engine, 1.0, weight)
+            engine.failure_rate = self.updated_observation(engine.failure_rate, engine, 1.0, weight)
         engine.own_backlog = max(0.0, engine.own_backlog - attempt.uncached_tokens)
         engine.own_reads -= attempt.is_read
 
@@ -220,7 +220,9 @@
         )
 
     def _observe_success(self, engine: Engine) -> None:
-        engine.failures = self.updated_observation(engine.failures, engine, 0.0, self.settings.engine_weight)
+        engine.failure_rate = self.updated_observation(
+            engine.failure_rate, engine, 0.0, self.settings.engine_weight
+        )
         self.start_counters.add(engine.kind, self.now)
 
     def _observe_answer(self, engine: Engine, traffic: int, latency: float) -> None:
--- a/myrtlehub/routing/policy/admission.py
+++ b/myrtlehub/routing/policy/admission.py
@@ -83,7 +83,7 @@
             for engine in engines
             if engine.state == EngineState.SERVING
             and (not engine.started_at or self.is_in_slow_start_share(engine, sequence, now))
-            and not (engine.failures.value and is_outlier(engine))
+            and not (engine.failure_rate.value and is_outlier(engine))
         ]
 
     def is_in_slow_start_share(self, engine: Engine, sequence: Sequence, now: float) -> bool:
@@ -148,11 +148,13 @@
         had_read = sequence.arrival.state_engine is not None or any(
             attempt.is_read and not attempt.is_running for attempt in sequence.attempts
         )
-        if had_read and sequence.state_since > 0.0 and self.config.may_check_arrival:
+        if had_read and sequence.state_held_since > 0.0 and self.config.may_check_arrival:
             timeout = self.config.state_timeout
-            sequence.arrival_check_due_at = sequence.state_since + ARRIVAL_CHECK_SHARE * timeout
-            sequence.state_release_due_at = sequence.state_since + UNREACHED_STATE_RELEASE_SHARE * timeout
+            sequence.arrival_check_due_at = sequence.state_held_since + ARRIVAL_CHECK_SHARE * timeout
+            sequence.state_release_due_at = (
+                sequence.state_held_since + UNREACHED_STATE_RELEASE_SHARE * timeout
+            )
 
-    def retains_state_too_long(self, sequence: Sequence, now: float, share: float) -> bool:
+    def has_state_expired(self, sequence: Sequence, now: float, share: float) -> bool:
         """Return whether a read state was not fetched within a share of the state timeout (invariant 5)."""
-        return now > sequence.state_since + share * self.config.state_timeout
+        return now > sequence.state_held_since + share * self.config.state_timeout
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -120,13 +120,13 @@
         super().attempt_ended(sequence, attempt)
         engine = attempt.engine
         is_connection_failure = attempt.outcome in (Outcome.UNREACHED, Outcome.RESET)
-        if is_connection_failure and self.decayed(engine.failures, engine) > RESTART_FAILURE_RATE:
+        if is_connection_failure and self.decayed(engine.failure_rate, engine) > RESTART_FAILURE_RATE:
             engine.record_restart(self.now)
 
     def is_outlier(self, engine: Engine) -> bool:
         """Return whether the failure rate of an engine is far above the median of the serving engines."""
-        failure_rate = self.decayed(engine.failures, engine)
+        failure_rate = self.decayed(engine.failure_rate, engine)
         if failure_rate <= OUTLIER_FAILURE_RATE_MARGIN:
             return False
-        fleet_rates = (self.decayed(other.failures, other) for other in self.writers + self.readers)
+        fleet_rates = (self.decayed(other.failure_rate, other) for other in self.writers + self.readers)
         return failure_rate > OUTLIER_FAILURE_RATE_MARGIN + median(fleet_rates)
--- a/myrtlehub/routing/policy/retries.py
+++ b/myrtlehub/routing/policy/retries.py
@@ -25,10 +25,10 @@
     (`test_a_retry_arrives_within_its_dedup_window_though_its_connection_is_slow`).
     """
     arrives_at = now + config.connect_timeout + SEND_MARGIN
-    return may_arrive_at(sequence, engine, arrives_at, config)
+    return may_run_on_arrival(sequence, engine, arrives_at, config)
 
 
-def may_arrive_at(sequence: Sequence, engine: Engine, arrives_at: float, config: RouterConfig) -> bool:
+def may_run_on_arrival(sequence: Sequence, engine: Engine, arrives_at: float, config: RouterConfig) -> bool:
     """Return whether an attempt that arrives at an engine at a time may run there (invariant 2)."""
     first = sequence.possible_run
     traffic = sequence.traffic
@@ -82,10 +82,10 @@
         sequence.record_possible_run(attempt.engine, attempt.sent_at)
     if outcome == Outcome.READ and attempt.is_read and not sequence.has_begun:
         sequence.state_engine = attempt.engine
-        sequence.state_since = now
+        sequence.state_held_since = now
     elif outcome == Outcome.FULL and attempt.cached_tokens and not attempt.is_read:
         sequence.state_engine = None  # the reader has lost the state
     elif outcome not in (Outcome.GENERATED, Outcome.READ, Outcome.UNSENT):
         sequence.failed_engines.add(attempt.engine)
         if outcome != Outcome.UNREACHED:  # a failed connection does not extend the time of a read state
-            sequence.state_since = now
+            sequence.state_held_since = now
--- a/myrtlehub/routing/policy/router.py
+++ b/myrtlehub/routing/policy/router.py
@@ -124,13 +124,13 @@
         return self.admission.check_attempt(sequence, engine, now) or engine
 
     def _release_expired_state(self, sequence: Sequence, now: float, share: float) -> None:
-        if self.admission.retains_state_too_long(sequence, now, share):
+        if self.admission.has_state_expired(sequence, now, share):
             self._release_state(sequence)
 
     def _release_state(self, sequence: Sequence) -> None:
         self.pending_actions.append(contract.Release(sequence.id))
         sequence.state_engine = None
-        sequence.state_since = float("inf")
+        sequence.state_held_since = float("inf")
         sequence.clear_release_timers()
 
     def _send(self, sequence: Sequence, engine: Engine, now: float) -> None:
@@ -168,7 +168,7 @@
             return contract.SendCheck(may_run=False, is_in_slow_start_share=False)
         engine = sequence.attempts[attempt].engine
         return contract.SendCheck(
-            may_run=retries.may_arrive_at(sequence, engine, now + retries.SEND_MARGIN, self.config),
+            may_run=retries.may_run_on_arrival(sequence, engine, now + retries.SEND_MARGIN, self.config),
             is_in_slow_start_share=self.admission.is_in_slow_start_share(engine, sequence, now),
         )
 
@@ -199,7 +199,7 @@
         elif not retries.may_run_at(sequence, attempt.engine, now, self.config):
             self._reject_or_abort(sequence)
         elif not sequence.running_attempts():
-            if attempt.outcome == Outcome.UNREACHED and sequence.state_since > 0.0:
+            if attempt.outcome == Outcome.UNREACHED and sequence.state_held_since > 0.0:
                 # Each failed connection to a writer uses up a part of the state timeout
                 # (`test_a_read_state_is_released_in_time_while_writers_cannot_be_reached`).
                 self._release_expired_state(sequence, now, admission.UNREACHED_STATE_RELEASE_SHARE)
--- a/myrtlehub/routing/records.py
+++ b/myrtlehub/routing/records.py
@@ -75,7 +75,7 @@
     speed_deviation: Observation = UNOBSERVED  # of its read rate: ratio to its kind's, minus 1
     slowdown_deviation: Observation = UNOBSERVED  # of its answer duration: ratio to the mean, minus 1
     start_lateness: Observation = UNOBSERVED  # mean seconds by which its answers start later than estimated
-    failures: Observation = UNOBSERVED  # mean share of its attempts that failed
+    failure_rate: Observation = UNOBSERVED  # mean share of its attempts that failed
     # By workload: the time until which sequences avoid the engine, after it rejected one as full.
     full_until: dict[Workload, float] = field(default_factory=dict)
     # By workload: the time until which rejected sequences prefer the engine, after it accepted one.
@@ -93,7 +93,7 @@
         self.speed_deviation = UNOBSERVED
         self.slowdown_deviation = UNOBSERVED
         self.start_lateness = UNOBSERVED
-        self.failures = UNOBSERVED
+        self.failure_rate = UNOBSERVED
         if is_new:
             self.own_backlog = 0.0
             self.own_reads = 0
@@ -195,7 +195,7 @@
     state_engine: Engine | None = None  # the engine that has its read state
     # Since when an engine may hold a read state that no writer has fetched: 0.0 before an attempt ended that
     # may have left one, inf after the release.
-    state_since: float = 0.0
+    state_held_since: float = 0.0
     # Set while an engine may hold a read state and it is unknown whether the running attempt has arrived,
     # else inf: when to check for the arrival, and when to release the state if it is still unknown then.
     arrival_check_due_at: float = float("inf")
--- a/tests/relay/test_relay_requests.py
+++ b/tests/relay/test_relay_requests.py
@@ -69,7 +69,7 @@
 def test_load_reports_in_response_heads_and_stream_ends_reach_the_router() -> None:
     rig = RelayRig()
     reports = []
-    rig.node.executor.router.estimates.load_reported = lambda engine, load: reports.append(load)
+    rig.node.executor.router.estimates.record_load_report = lambda engine, load: reports.append(load)
     rig.engines["w1"].script = lambda connection, head, body: connection.send(
         STREAM_HEAD
         + chunk(EVENT + USAGE)
@@ -203,7 +203,7 @@
     assert client.statuses == [503]  # rejected, as nothing has run
     estimates = rig.node.executor.router.estimates
     assert all(not estimates.is_outlier(engine) for engine in estimates.engines[:2])
-    assert not any(engine.failures.value for engine in estimates.engines)
+    assert not any(engine.failure_rate.value for engine in estimates.engines)
 
 
 def test_a_retried_at_most_once_read_uses_a_new_connection() -> None:
