--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -87,7 +87,7 @@
         idle = self.idle.take(peer) if may_reuse else None
         if idle is not None:
             pending.connection = idle
-            self.clock.callLater(0, self.clock.callLater, 0, self._write_if_wanted, pending, idle)
+            self.clock.callLater(0, self.clock.callLater, 0, self._write_unless_cancelled, pending, idle)
         else:
             self._connect(pending)
         return pending
@@ -96,7 +96,7 @@
         if pending.is_finished:
             return
         if self.count >= self.max_connections and not self.idle.close_longest_idle():
-            self._retry_locally(pending)
+            self._retry_connect(pending)
             return
         # The factory must not refer to the request. Factory, connector and transport form a reference cycle
         # that is only freed by a full garbage collection after the connection is closed, hours later.
@@ -109,7 +109,7 @@
             self._on_connected, self._on_connect_failed, callbackArgs=(pending,), errbackArgs=(pending,)
         )
 
-    def _retry_locally(self, pending: PendingRequest) -> None:
+    def _retry_connect(self, pending: PendingRequest) -> None:
         """Schedule another connection attempt after one failed for lack of a local resource."""
         if pending.local_failures >= MAX_CONNECT_RETRIES:
             self.clock.callLater(0, self._fail_request, pending, RequestFailure.NOT_SENT)
@@ -118,7 +118,7 @@
         pending.local_failures += 1
         self.clock.callLater(delay, self._connect, pending)
 
-    def _write_if_wanted(self, pending: PendingRequest, connection: PooledConnection) -> None:
+    def _write_unless_cancelled(self, pending: PendingRequest, connection: PooledConnection) -> None:
         """Send the request unless it was cancelled in the meantime.
 
         This is called two reactor turns after an idle connection was selected, or one turn after a new one
@@ -155,13 +155,13 @@
             return
         pending.connection = connection
         pending.ready_since = self.clock.seconds()
-        self.clock.callLater(0, self._write_if_wanted, pending, connection)
+        self.clock.callLater(0, self._write_unless_cancelled, pending, connection)
 
     def _on_connect_failed(self, failure: object, pending: PendingRequest) -> None:
         self.count -= 1
         pending.connecting = None
         if is_local_error(failure):
-            self._retry_locally(pending)
+            self._retry_connect(pending)
         else:
             self._fail_request(pending, RequestFailure.SEND_FAILED)
 
--- a/myrtlehub/http1/listener.py
+++ b/myrtlehub/http1/listener.py
@@ -36,8 +36,8 @@
         connections: The connections in the order of their admission; the dict is used as an ordered set.
         total_read_ahead: Bytes received on all connections that are not part of a complete request yet.
         is_draining: Whether a graceful shutdown is in progress, in which idle connections are closed.
-        waiting_since: Clock time in seconds since which connections accepted now may have been waiting in the
-            accept queue; None if they have not. Set by the port.
+        accept_queued_since: Clock time in seconds since which connections accepted now may have been
+            waiting in the accept queue; None if they have not. Set by the port.
         on_full: Called with True to stop accepting connections, and with False to accept again.
         on_closing: Called when the server closes a connection, with the reason and the open request, if any.
     """
@@ -58,7 +58,7 @@
         self.connections: dict[AdmittedConnection, None] = {}
         self.total_read_ahead = 0
         self.is_draining = False
-        self.waiting_since: float | None = None
+        self.accept_queued_since: float | None = None
         self.on_full: Callable[[bool], None] = _ignore_full
         self.on_closing: Callable[[CloseReason, ServerExchange | None], None] = _ignore_close
         self._dropped_count = 0  # dropped connections whose `connectionLost` was not called yet
@@ -76,8 +76,8 @@
         A connection is never evicted before its socket was polled, because a request already sent on it would
         be lost. If all others have open requests, accepting stops and new connections wait in the kernel's
         accept queue. Tests: `test_a_request_during_a_burst_of_silent_connections_is_read`,
-        `test_a_request_is_read_before_an_eviction_that_long_turns_delay`,
-        `test_no_more_are_accepted_while_all_connections_have_requests_open`.
+        `test_a_request_is_read_before_an_eviction_delayed_by_long_reactor_turns`,
+        `test_accepting_stops_while_all_connections_have_open_requests`.
         """
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
@@ -132,7 +132,7 @@
         return [
             connection
             for connection in self.connections
-            if (connection.is_closing or connection.is_unused)
+            if (connection.is_closing or connection.is_idle)
             and not connection.is_dropped
             and read_until - connection.idle_since >= min_age
         ]
--- a/myrtlehub/http1/server_connection.py
+++ b/myrtlehub/http1/server_connection.py
@@ -48,7 +48,7 @@
         self.is_lost = False
         self.is_dropped = False
         self._reader = RequestReader(self.http, listener)
-        self._accept_queued_since = listener.waiting_since
+        self._accept_queued_since = listener.accept_queued_since
         self._timeout = Timeout(self.clock)  # limits a request, an idle period or a lingering close
         self._stall_timeout = Timeout(self.clock)
 
@@ -78,7 +78,7 @@
         return self.exchange is not None
 
     @property
-    def is_unused(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no byte of a request has arrived since the last response."""
         return self.exchange is None and not self._reader.has_partial_request
 
@@ -94,7 +94,7 @@
             if reader.exceeds_discard_limit:
                 self._abort(CloseReason.PIPELINE_FLOOD)
             return
-        if self.is_unused:
+        if self.is_idle:
             self._restart_timeout(REQUEST_TIMEOUT_S)
         arrived_at = self._arrival_time()
         reader.receive_data(data, arrived_at)
@@ -252,7 +252,7 @@
 
     def drain(self) -> None:
         """Close the connection if no request has begun; a new connection first gets time to send one."""
-        if self.is_closing or not self.is_unused:
+        if self.is_closing or not self.is_idle:
             return
         time_left = 0.0
         if not self.has_received_request:
--- a/myrtlehub/http1/server_interfaces.py
+++ b/myrtlehub/http1/server_interfaces.py
@@ -26,7 +26,7 @@
         """Whether a request awaits the end of its response."""
 
     @property
-    def is_unused(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no byte of a request has arrived since the last response."""
 
     def linger(self, reason: CloseReason) -> None:
@@ -46,14 +46,14 @@
         clock: Clock of the connections' timeouts.
         is_draining: Whether a graceful shutdown is in progress, in which idle connections are closed.
         total_read_ahead: Bytes received on all connections that are not part of a complete request yet.
-        waiting_since: Clock time in seconds since which connections accepted now may have been waiting in the
-            accept queue; None if they have not.
+        accept_queued_since: Clock time in seconds since which connections accepted now may have been
+            waiting in the accept queue; None if they have not.
     """
 
     clock: Clock
     is_draining: bool
     total_read_ahead: int
-    waiting_since: float | None
+    accept_queued_since: float | None
 
     def connection_opened(self, connection: AdmittedConnection) -> None:
         """Admit a connection."""
--- a/myrtlehub/http1/tcp_transport.py
+++ b/myrtlehub/http1/tcp_transport.py
@@ -91,7 +91,7 @@
     `abortConnection` alone closes the socket one reactor turn later. Data written on other connections in the
     meantime could arrive first, and an engine would receive the next request while it still executes the
     cancelled one.
-    Test: `test_an_abortive_close_is_seen_before_anything_written_later`.
+    Test: `test_a_peer_sees_an_abortive_close_before_data_written_later`.
     """
     get_handle: Callable[[], socket] | None = getattr(transport, "getHandle", None)
     if get_handle is not None:
--- a/myrtlehub/relay/process/bounded_port.py
+++ b/myrtlehub/relay/process/bounded_port.py
@@ -41,8 +41,8 @@
         self._has_accept_failed = False  # for lack of a resource, in the last `doRead`
 
     def doRead(self) -> None:  # noqa: N802
-        """Accept pending connections; the listener's `waiting_since` is set during the call."""
-        self._listener.waiting_since = self._queued_since
+        """Accept pending connections; the listener's `accept_queued_since` is set during the call."""
+        self._listener.accept_queued_since = self._queued_since
         self._has_accept_failed = False
         try:
             for _ in range(MAX_ACCEPTS_PER_TURN):
@@ -55,7 +55,7 @@
             self.pause()
             self._clock.callLater(ACCEPT_RETRY_DELAY_S, self.resume)
         finally:
-            self._listener.waiting_since = None
+            self._listener.accept_queued_since = None
 
     def _make_connection(self, accepted: socket.socket, peer: tuple[str, int]) -> None:
         protocol = self._listener.buildProtocol(IPv4Address("TCP", *peer))
--- a/myrtlehub/relay/process/pending_work.py
+++ b/myrtlehub/relay/process/pending_work.py
@@ -68,4 +68,4 @@
         return ConnectionStage.LINGERING
     if connection.has_open_request:
         return ConnectionStage.REQUEST_OPEN
-    return ConnectionStage.IDLE if connection.is_unused else ConnectionStage.REQUEST_INCOMPLETE
+    return ConnectionStage.IDLE if connection.is_idle else ConnectionStage.REQUEST_INCOMPLETE
--- a/myrtlehub/routing/policy/engine_estimates.py
+++ b/myrtlehub/routing/policy/engine_estimates.py
@@ -125,8 +125,8 @@
 
     def is_outlier(self, engine: Engine) -> bool:
         """Return whether the failure rate of an engine is far above the median of the serving engines."""
-        failure_rate = self.decayed(engine.failure_rate, engine)
-        if failure_rate <= OUTLIER_FAILURE_RATE_MARGIN:
+        decayed_rate = self.decayed(engine.failure_rate, engine)
+        if decayed_rate <= OUTLIER_FAILURE_RATE_MARGIN:
             return False
         fleet_rates = (self.decayed(other.failure_rate, other) for other in self.writers + self.readers)
-        return failure_rate > OUTLIER_FAILURE_RATE_MARGIN + median(fleet_rates)
+        return decayed_rate > OUTLIER_FAILURE_RATE_MARGIN + median(fleet_rates)
--- a/tests/http1/test_eviction.py
+++ b/tests/http1/test_eviction.py
@@ -60,12 +60,12 @@
         self.has_sent_request = has_sent_request
         self.is_closing = False
         self.is_dropped = False
-        self.is_unused = True
+        self.is_idle = True
         listener.connection_opened(self)
 
     def poll(self) -> None:
         if not self.is_closing:
-            self.is_unused = not self.has_sent_request
+            self.is_idle = not self.has_sent_request
 
     def linger(self, reason: CloseReason) -> None:
         self.is_closing = True
@@ -100,7 +100,7 @@
         self.clock.now += duration_s
 
 
-def test_a_request_is_read_before_an_eviction_that_long_turns_delay() -> None:
+def test_a_request_is_read_before_an_eviction_delayed_by_long_reactor_turns() -> None:
     """After a long turn, connections exceed the grace periods although none of them was polled."""
     harness = ListenerHarness()
     requesting = harness.open(1, has_sent_request=True)
--- a/tests/http1/test_http1_client.py
+++ b/tests/http1/test_http1_client.py
@@ -17,7 +17,7 @@
     assert len(rig.engines["w1"].connections) == 1 and rig.node.pool.reuse_count == 1
 
 
-def test_surplus_bytes_behind_a_response_are_never_another_requests_response() -> None:
+def test_surplus_data_after_a_response_is_never_used_for_another_request() -> None:
     rig = RelayRig("w1")
     rig.engines["w1"].script = lambda connection, head, body: connection.send(
         b"HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -47,7 +47,7 @@
     assert rig.request("a1", traffic="post").statuses == [502]
 
 
-def test_a_connect_that_completes_as_it_is_cancelled_is_closed_with_nothing_written() -> None:
+def test_a_connection_established_while_it_is_cancelled_is_closed_with_nothing_written() -> None:
     """The client disconnects within three reactor turns after the connection attempt to the engine began."""
     for turns in (0, 1, 2, 3):
         rig = RelayRig("w1")
@@ -95,7 +95,7 @@
     assert rig.node.pool.reuse_count == 0 and len(rig.engines["w1"].connections) == 3
 
 
-def test_an_abortive_close_is_seen_before_anything_written_later() -> None:
+def test_a_peer_sees_an_abortive_close_before_data_written_later() -> None:
     """With real sockets, the peer reads the end of the connection while the local socket is still open."""
 
     class Transport:
--- a/tests/http1/test_http1_server.py
+++ b/tests/http1/test_http1_server.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"POST /v1/chat", chat_request()[:-5]])
-def test_silent_connections_and_half_requests_end_within_3_s(data: bytes) -> None:
+def test_silent_connections_and_incomplete_requests_are_closed_within_3_s(data: bytes) -> None:
     rig = RelayRig("w1")
     client = rig.client()
     if data:
@@ -149,7 +149,7 @@
     assert len(rig.node.listener.connections) <= rig.node.listener.max_connections
 
 
-def test_a_connection_with_an_open_request_is_never_closed_for_another() -> None:
+def test_a_connection_with_an_open_request_is_never_evicted() -> None:
     rig = RelayRig("w1", descriptors=140)
     rig.engines["w1"].script = never_respond
     open_clients = [rig.request(f"a{i}") for i in range(20)]
@@ -159,7 +159,7 @@
     assert not any(client.lost for client in open_clients)
 
 
-def test_no_more_are_accepted_while_all_connections_have_requests_open() -> None:
+def test_accepting_stops_while_all_connections_have_open_requests() -> None:
     """Further connections would exceed the limit, or be evicted before a request sent on them was read."""
     rig = RelayRig("w1", descriptors=100)
     rig.engines["w1"].script = never_respond
