--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -33,7 +33,7 @@
 from myrtlehub.routing.policy.admission import Admission
 from myrtlehub.routing.policy.router import Router
 from myrtlehub.routing.records import Engine, Sequence
-from myrtlehub.state.invariants import SendFacts
+from myrtlehub.state.invariants import SendPreconditions
 
 VARIABLE = "PLANTED_FAULT"
 SHARE_UNIT = 64  # of object addresses, by which some streams are selected
@@ -52,8 +52,8 @@
 def _skip_check_before_first_byte() -> None:
     """Send attempts even if a send is no longer allowed at its first byte."""
 
-    def send_facts(self: EngineClient, attempt: Attempt, time_left: float) -> SendFacts:
-        return SendFacts(
+    def send_facts(self: EngineClient, attempt: Attempt, time_left: float) -> SendPreconditions:
+        return SendPreconditions(
             client_is_present=True,
             time_left=1.0,
             engine_is_serving=True,
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -12,7 +12,7 @@
 from myrtlehub.relay.clients.request_decoder import RequestDecoder
 from myrtlehub.relay.errors import RejectedRequestError
 from myrtlehub.relay.settings.platform_limits import DEFAULT_MAX_IN_FLIGHT
-from myrtlehub.state.invariants import InvariantCounter, broken_by_answer
+from myrtlehub.state.invariants import InvariantCounter, violated_by_answer
 
 READINESS_PATH = b"/up"
 CHAT_PATH = b"/v1/chat/completions"
@@ -65,7 +65,7 @@
     def _detach_answered(self) -> None:
         """Check the invariant that a sequence gets one final answer only, then detach from the sequence."""
         has_final_answer = self.sequence_id not in self.front.open_sinks
-        self.front.invariants.check(broken_by_answer(has_final_answer), self.sequence_id)
+        self.front.invariants.check(violated_by_answer(has_final_answer), self.sequence_id)
         self._detach()
 
     def _detach(self) -> InFlightSequence | None:
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -24,7 +24,7 @@
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 from myrtlehub.state.answer import AnswerState
-from myrtlehub.state.invariants import InvariantCounter, SendFacts, broken_by_send
+from myrtlehub.state.invariants import InvariantCounter, SendPreconditions, violated_by_send
 
 LOAD_PATH = b"/metrics/load"
 # Subtracted from the remaining time that a request states to the engine, for the network latency and one or
@@ -133,7 +133,7 @@
         (test_an_engine_that_drains_between_a_decision_and_its_first_byte_gets_nothing).
         """
         time_left = attempt.times_out_at - self.clock.seconds()
-        violated = broken_by_send(self._send_facts(attempt, time_left))
+        violated = violated_by_send(self._send_facts(attempt, time_left))
         if violated is not None:
             self.invariants.count_withheld(violated)
             sequence_id = attempt.sequence.sequence_id
@@ -156,10 +156,10 @@
             remaining_ms=remaining_ms,
         )
 
-    def _send_facts(self, attempt: Attempt, time_left: float) -> SendFacts:
+    def _send_facts(self, attempt: Attempt, time_left: float) -> SendPreconditions:
         sequence = attempt.sequence
         send_check = self.executor.router.check_send(self.clock.seconds(), sequence.number, attempt.number)
-        return SendFacts(
+        return SendPreconditions(
             client_is_present=sequence.answer.state == AnswerState.PENDING,
             time_left=time_left,
             engine_is_serving=self.directory.is_serving(attempt.engine),
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -14,11 +14,11 @@
 from myrtlehub.state.invariants import (
     Invariant,
     InvariantCounter,
-    broken_by_close,
-    broken_by_forgetting,
-    broken_by_holding,
-    broken_by_timer,
-    broken_by_waiting,
+    violated_by_close,
+    violated_by_overdue_answer,
+    violated_by_removal,
+    violated_by_state_retention,
+    violated_by_timer,
 )
 
 CHECK_INTERVAL_S = 0.1
@@ -86,7 +86,7 @@
         """Log that the node closes a client's connection, and check that it has no open request."""
         is_open = exchange is not None and not exchange.is_finished
         self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
-        self.counter.check(broken_by_close(is_open))
+        self.counter.check(violated_by_close(is_open))
 
     def log_counters(self) -> None:
         """Log the counters of answers, releases, withheld sends and violations."""
@@ -121,7 +121,7 @@
         """Check that read states are fetched or released in time, unless an attempt has since arrived."""
         previous_counts, self._retention_check_counts = self._retention_check_counts, {}
         for number, since in self._unfetched_since().items():
-            violated = broken_by_holding(now - since, self.executor.config.state_timeout)
+            violated = violated_by_state_retention(now - since, self.executor.config.state_timeout)
             if violated is None:
                 continue
             self._retention_check_counts[number] = previous_counts.get(number, 0) + 1
@@ -134,7 +134,7 @@
 
     def sequence_forgotten(self, sequence: InFlightSequence) -> None:
         """Check that a removed sequence has its final answer and no unreleased read state."""
-        violated = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
+        violated = violated_by_removal(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(violated, sequence.sequence_id)
 
     def _check(self) -> None:
@@ -142,13 +142,13 @@
         now = self.clock.seconds()
         overdue = self._overdue_sequences(now)
         for sequence in overdue:
-            violated = broken_by_waiting(now - sequence.deadline, OVERDUE_ANSWER_TOLERANCE_S)
+            violated = violated_by_overdue_answer(now - sequence.deadline, OVERDUE_ANSWER_TOLERANCE_S)
             self.counter.check(violated, sequence.sequence_id)
         self._check_states(now)
         if now >= self._next_counters_at:
             self._next_counters_at = now + COUNTERS_INTERVAL_S
             for timer in self.timers:
-                self.counter.check(broken_by_timer(timer.is_armed()), timer.name)
+                self.counter.check(violated_by_timer(timer.is_armed()), timer.name)
             self.log_counters()
         for sequence in overdue:
             self.executor.abort(sequence, "its deadline has passed")
--- a/myrtlehub/state/invariants.py
+++ b/myrtlehub/state/invariants.py
@@ -28,7 +28,7 @@
     TIMER_ARMED = "timer armed"  # the next run of each recurring call is scheduled
 
 
-class SendFacts(NamedTuple):
+class SendPreconditions(NamedTuple):
     """The preconditions of a send, evaluated just before its first byte.
 
     Attributes:
@@ -46,7 +46,7 @@
     may_run: bool
 
 
-def broken_by_send(facts: SendFacts) -> Invariant | None:
+def violated_by_send(facts: SendPreconditions) -> Invariant | None:
     """Return the first invariant that sending now would violate, or None if the attempt may be sent."""
     conditions = (
         (facts.client_is_present, Invariant.CLIENT_PRESENT),
@@ -58,12 +58,12 @@
     return next((invariant for is_satisfied, invariant in conditions if not is_satisfied), None)
 
 
-def broken_by_close(has_open_request: bool) -> Invariant | None:
+def violated_by_close(has_open_request: bool) -> Invariant | None:
     """Return the invariant that closing a client connection violates, or None."""
     return Invariant.ANSWER_BEFORE_CLOSE if has_open_request else None
 
 
-def broken_by_answer(has_final_answer: bool) -> Invariant | None:
+def violated_by_answer(has_final_answer: bool) -> Invariant | None:
     """Return the invariant that a final answer violates, or None.
 
     Args:
@@ -72,14 +72,14 @@
     return Invariant.ONE_FINAL_ANSWER if has_final_answer else None
 
 
-def broken_by_forgetting(has_final_answer: bool, has_unreleased_state: bool) -> Invariant | None:
+def violated_by_removal(has_final_answer: bool, has_unreleased_state: bool) -> Invariant | None:
     """Return the invariant that removing a sequence from the node violates, or None."""
     if not has_final_answer:
         return Invariant.ONE_FINAL_ANSWER
     return Invariant.STATE_RELEASED if has_unreleased_state else None
 
 
-def broken_by_waiting(overdue: float, tolerance: float) -> Invariant | None:
+def violated_by_overdue_answer(overdue: float, tolerance: float) -> Invariant | None:
     """Return the invariant violated by a sequence without a final answer, or None.
 
     Args:
@@ -89,7 +89,7 @@
     return Invariant.ANSWER_IN_TIME if overdue > tolerance else None
 
 
-def broken_by_holding(held: float, timeout: float) -> Invariant | None:
+def violated_by_state_retention(held: float, timeout: float) -> Invariant | None:
     """Return the invariant violated by a read state that is neither fetched nor released, or None.
 
     Args:
@@ -99,7 +99,7 @@
     return Invariant.STATE_IN_TIME if held > timeout else None
 
 
-def broken_by_timer(is_armed: bool) -> Invariant | None:
+def violated_by_timer(is_armed: bool) -> Invariant | None:
     """Return the invariant that a recurring call violates, or None.
 
     Args:
--- a/tests/state/test_invariants.py
+++ b/tests/state/test_invariants.py
@@ -12,17 +12,17 @@
 from myrtlehub.state.invariants import (
     Invariant,
     InvariantCounter,
-    SendFacts,
-    broken_by_answer,
-    broken_by_close,
-    broken_by_forgetting,
-    broken_by_holding,
-    broken_by_send,
-    broken_by_timer,
-    broken_by_waiting,
+    SendPreconditions,
+    violated_by_answer,
+    violated_by_close,
+    violated_by_overdue_answer,
+    violated_by_removal,
+    violated_by_send,
+    violated_by_state_retention,
+    violated_by_timer,
 )
 
-ALL_SATISFIED = SendFacts(
+ALL_SATISFIED = SendPreconditions(
     client_is_present=True,
     time_left=1.0,
     engine_is_serving=True,
@@ -46,19 +46,25 @@
 def test_a_send_is_allowed_only_if_all_preconditions_hold(
     changed_preconditions: dict[str, object], violated: Invariant | None
 ) -> None:
-    assert broken_by_send(ALL_SATISFIED._replace(**changed_preconditions)) is violated
+    assert violated_by_send(ALL_SATISFIED._replace(**changed_preconditions)) is violated
 
 
 def test_each_check_returns_the_invariant_that_is_violated() -> None:
-    assert broken_by_close(has_open_request=False) is None
-    assert broken_by_close(has_open_request=True) is Invariant.ANSWER_BEFORE_CLOSE
-    assert broken_by_answer(False) is None and broken_by_answer(True) is Invariant.ONE_FINAL_ANSWER
-    assert broken_by_forgetting(True, False) is None
-    assert broken_by_forgetting(False, False) is Invariant.ONE_FINAL_ANSWER
-    assert broken_by_forgetting(True, True) is Invariant.STATE_RELEASED
-    assert broken_by_waiting(0.1, 0.1) is None and broken_by_waiting(0.11, 0.1) is Invariant.ANSWER_IN_TIME
-    assert broken_by_holding(0.5, 0.5) is None and broken_by_holding(0.51, 0.5) is Invariant.STATE_IN_TIME
-    assert broken_by_timer(True) is None and broken_by_timer(False) is Invariant.TIMER_ARMED
+    assert violated_by_close(has_open_request=False) is None
+    assert violated_by_close(has_open_request=True) is Invariant.ANSWER_BEFORE_CLOSE
+    assert violated_by_answer(False) is None and violated_by_answer(True) is Invariant.ONE_FINAL_ANSWER
+    assert violated_by_removal(True, False) is None
+    assert violated_by_removal(False, False) is Invariant.ONE_FINAL_ANSWER
+    assert violated_by_removal(True, True) is Invariant.STATE_RELEASED
+    assert (
+        violated_by_overdue_answer(0.1, 0.1) is None
+        and violated_by_overdue_answer(0.11, 0.1) is Invariant.ANSWER_IN_TIME
+    )
+    assert (
+        violated_by_state_retention(0.5, 0.5) is None
+        and violated_by_state_retention(0.51, 0.5) is Invariant.STATE_IN_TIME
+    )
+    assert violated_by_timer(True) is None and violated_by_timer(False) is Invariant.TIMER_ARMED
 
 
 def test_violations_are_counted_by_invariant_and_reported_with_the_sequence_id() -> None:
