--- a/myrtlehub/node/replication/takeover_machine.py
+++ b/myrtlehub/node/replication/takeover_machine.py
@@ -69,7 +69,7 @@
 TAKEOVER_TABLE = TransitionTable.build(
     "takeover",
     initial=_State.FETCHING_RECORD,
-    finals=(_State.ANSWERED, _State.REDISPATCHED, _State.SUPERSEDED, _State.RELEASED),
+    final_states=(_State.ANSWERED, _State.REDISPATCHED, _State.SUPERSEDED, _State.RELEASED),
     events=TakeoverEvent,
     rows={
         _State.FETCHING_RECORD: (
--- a/myrtlehub/rollout/node_table.py
+++ b/myrtlehub/rollout/node_table.py
@@ -50,7 +50,7 @@
 NODE_TABLE = TransitionTable.build(
     "node",
     initial=NodeState.WAITING,
-    finals=(NodeState.ROLLED_BACK,),
+    final_states=(NodeState.ROLLED_BACK,),
     events=NodeEvent,
     rows={
         NodeState.WAITING: (
--- a/myrtlehub/rollout/rollout_table.py
+++ b/myrtlehub/rollout/rollout_table.py
@@ -21,7 +21,7 @@
 ROLLOUT_TABLE = TransitionTable.build(
     "change",
     initial=RolloutPhase.PLANNED,
-    finals=(RolloutPhase.ROLLED_BACK,),
+    final_states=(RolloutPhase.ROLLED_BACK,),
     events=RolloutEvent,
     rows={
         RolloutPhase.PLANNED: (
--- a/myrtlehub/state/answer.py
+++ b/myrtlehub/state/answer.py
@@ -45,7 +45,7 @@
     "answer",
     initial=AnswerState.PENDING,
     events=AnswerEvent,
-    finals=(
+    final_states=(
         AnswerState.GENERATED,
         AnswerState.REJECTED,
         AnswerState.ABORTED,
--- a/myrtlehub/state/attempt.py
+++ b/myrtlehub/state/attempt.py
@@ -59,7 +59,7 @@
     "attempt",
     initial=AttemptState.WRITING,
     events=AttemptEvent,
-    finals=(AttemptState.HARMLESS, AttemptState.UNKNOWN, AttemptState.RAN),
+    final_states=(AttemptState.HARMLESS, AttemptState.UNKNOWN, AttemptState.RAN),
     rows={
         AttemptState.READING: (
             on(
--- a/myrtlehub/state/model_node.py
+++ b/myrtlehub/state/model_node.py
@@ -66,7 +66,7 @@
     config: ModelConfig, model: ModelState, submission_index: int, attempt_index: int
 ) -> Iterator[ModelStep]:
     submission = model.submissions[submission_index]
-    is_final = submission.answer in config.answer_table.finals
+    is_final = submission.answer in config.answer_table.final_states
     if submission.attempts[attempt_index].actual_state == ActualState.RUNNING and is_final:
         transition = find_transition(config.answer_table, submission.answer, AnswerEvent.MORE_TOKENS)
         if transition.effect == AnswerEffect.PASS:
@@ -102,7 +102,7 @@
         fetched = find_transition(config.read_state_table, read_states[reader], ReadStateEvent.FETCHED)
         read_states = replace_item(read_states, reader, fetched.next_state)
     violation: str | None = None
-    if transition.effect == AnswerEffect.PASS and submission.answer in config.answer_table.finals:
+    if transition.effect == AnswerEffect.PASS and submission.answer in config.answer_table.final_states:
         violation = f"rule 1: tokens after {submission.answer}"
     streaming = submission._replace(answer=transition.next_state, read_states=read_states)
     model = model.with_submission(submission_index, streaming)
@@ -137,7 +137,7 @@
     """Apply the end of a write to the answer, and check that the client gets exactly one final answer."""
     submission, violation = model_step.state.submissions[submission_index], model_step.violation
     transition = find_transition(config.answer_table, submission.answer, event)
-    if transition.effect == AnswerEffect.ANSWER and submission.answer in config.answer_table.finals:
+    if transition.effect == AnswerEffect.ANSWER and submission.answer in config.answer_table.final_states:
         violation = f"rule 1: a second answer after {submission.answer}"
     answered = model_step.state.with_submission(
         submission_index, submission._replace(answer=transition.next_state)
--- a/myrtlehub/state/state_machine.py
+++ b/myrtlehub/state/state_machine.py
@@ -89,7 +89,7 @@
 
     name: str
     initial: StateT
-    finals: frozenset[StateT]
+    final_states: frozenset[StateT]
     transitions: dict[tuple[StateT, EventT], Transition[StateT]]
 
     @classmethod
@@ -100,7 +100,7 @@
         initial: StateT,
         events: Iterable[EventT],
         rows: Mapping[StateT, Iterable[Row[StateT, EventT]]],
-        finals: Iterable[StateT] = (),
+        final_states: Iterable[StateT] = (),
     ) -> Self:
         """Build a table from rows.
 
@@ -109,7 +109,7 @@
             initial: the state of a new machine.
             events: all events; the transitions of final states are in their order.
             rows: the transitions of each state that is not final.
-            finals: the final states, in which every event is late.
+            final_states: the final states, in which every event is late.
 
         Raises:
             AmbiguousTransitionError: a state has two transitions for the same event.
@@ -121,12 +121,12 @@
                     if (state, event) in transitions:
                         raise AmbiguousTransitionError(f"{name}: {state} has two transitions for {event}")
                     transitions[state, event] = Transition(row.next_state or state, row.effect)
-        final_states = frozenset(finals)
+        final_set = frozenset(final_states)
         event_list = tuple(events)
-        for final in sorted(final_states):
+        for final in sorted(final_set):
             for event in event_list:
                 transitions[final, event] = Transition(final, CommonEffect.LATE)
-        return cls(name, initial, final_states, transitions)
+        return cls(name, initial, final_set, transitions)
 
     def states(self) -> list[StateT]:
         """Return all states in table order."""
@@ -136,7 +136,7 @@
         """Return all events in table order."""
         return list(dict.fromkeys(event for _, event in self.transitions))
 
-    def missing(self) -> list[tuple[StateT, EventT]]:
+    def missing_transitions(self) -> list[tuple[StateT, EventT]]:
         """Return the (state, event) pairs without a transition; a complete table has none."""
         return [
             (state, event)
@@ -145,7 +145,7 @@
             if (state, event) not in self.transitions
         ]
 
-    def mermaid(self) -> str:
+    def to_mermaid(self) -> str:
         """Return the table as a Mermaid state diagram, without late and forbidden events."""
         edges: dict[tuple[StateT, StateT, StrEnum], list[str]] = {}
         for (state, event), (next_state, effect) in self.transitions.items():
@@ -155,7 +155,7 @@
         for (state, next_state, effect), events in edges.items():
             suffix = "" if effect == CommonEffect.NOTHING else f" / {effect}"
             lines.append(f"    {state} --> {next_state}: {', '.join(events)}{suffix}")
-        lines += [f"    {final} --> [*]" for final in sorted(self.finals)]
+        lines += [f"    {final} --> [*]" for final in sorted(self.final_states)]
         return "\n".join(lines)
 
 
@@ -185,4 +185,4 @@
     @property
     def is_final(self) -> bool:
         """Whether the machine is in a final state."""
-        return self.state in self.table.finals
+        return self.state in self.table.final_states
--- a/tests/recovery/test_takeover_processes.py
+++ b/tests/recovery/test_takeover_processes.py
@@ -90,4 +90,4 @@
 
 
 def test_a_takeover_has_a_transition_for_every_event_in_every_state() -> None:
-    assert not TAKEOVER_TABLE.missing()
+    assert not TAKEOVER_TABLE.missing_transitions()
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("table", TABLES, ids=[table.name for table in TABLES])
 def test_every_event_has_a_transition_in_every_state(table: TransitionTable) -> None:
-    assert not table.missing()
+    assert not table.missing_transitions()
     reached, todo = {table.initial}, [table.initial]
     while todo:
         state = todo.pop()
@@ -60,7 +60,7 @@
                 reached.add(transition.next_state)
                 todo.append(transition.next_state)
     assert reached == set(table.states())
-    assert f"```mermaid\n{table.mermaid()}\n```" in PAGE.read_text(), f"{PAGE.name} is stale: {table.name}"
+    assert f"```mermaid\n{table.to_mermaid()}\n```" in PAGE.read_text(), f"{PAGE.name} is stale: {table.name}"
 
 
 @pytest.mark.parametrize("method", ChangeMethod)
--- a/tests/state/test_state.py
+++ b/tests/state/test_state.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("table", TABLES, ids=[table.name for table in TABLES])
 def test_every_event_has_a_transition_in_every_state(table: TransitionTable) -> None:
-    assert not table.missing()
+    assert not table.missing_transitions()
     states = set(table.states())
     assert {t.next_state for t in table.transitions.values()} <= states and table.initial in states
     unvisited = [table.initial]
@@ -62,7 +62,7 @@
     assert reached == states, "a state cannot be reached"
     assert all(
         table.transitions[final, event] == Transition(final, CommonEffect.LATE)
-        for final in table.finals
+        for final in table.final_states
         for event in table.events()
     )
 
@@ -236,4 +236,4 @@
 def test_the_diagrams_of_the_design_page_match_the_tables() -> None:
     text = DESIGN_PAGE.read_text()
     for table in TABLES:
-        assert f"```mermaid\n{table.mermaid()}\n```" in text, f"{DESIGN_PAGE.name} is stale: {table.name}"
+        assert f"```mermaid\n{table.to_mermaid()}\n```" in text, f"{DESIGN_PAGE.name} is stale: {table.name}"
