--- a/myrtlehub/simulator/__init__.py
+++ b/myrtlehub/simulator/__init__.py
@@ -10,6 +10,6 @@
 """
 
 from myrtlehub.simulator.node import Node
-from myrtlehub.simulator.wire import OUTCOMES, STATES, WireError
+from myrtlehub.simulator.wire import OUTCOME_BY_CODE, STATE_BY_NAME, WireError
 
-__all__ = ["OUTCOMES", "STATES", "Node", "WireError"]
+__all__ = ["OUTCOME_BY_CODE", "STATE_BY_NAME", "Node", "WireError"]
--- a/myrtlehub/simulator/__main__.py
+++ b/myrtlehub/simulator/__main__.py
@@ -23,7 +23,7 @@
             orders = [order for order in orders if order["NodeId"] != name]
             continue
         actions = _handle_event(nodes, name, event, now)
-        orders.extend(order for order in map(nodes[name].encode, actions) if order)
+        orders.extend(order for order in map(nodes[name].encode_action, actions) if order)
     return {"frame": batch["frame"], "orders": orders}
 
 
@@ -34,7 +34,7 @@
         return nodes[name].start_actions
     if name not in nodes:
         raise WireError(f"{verb} for {name}, which has not been started")
-    return nodes[name].call(event, now)
+    return nodes[name].handle_event(event, now)
 
 
 class Simulation:
--- a/myrtlehub/simulator/node.py
+++ b/myrtlehub/simulator/node.py
@@ -11,9 +11,9 @@
 from myrtlehub.simulator.wire import (
     ENGINE_ACTIONS,
     MS_PER_SECOND,
-    OUTCOMES,
+    OUTCOME_BY_CODE,
     SEQUENCE_ACTIONS,
-    STATES,
+    STATE_BY_NAME,
     VERB_BY_ACTION,
     Event,
     Order,
@@ -53,7 +53,7 @@
             "NOTE": self._handle_note,
         }
 
-    def call(self, event: Event, now: float) -> list[Action]:
+    def handle_event(self, event: Event, now: float) -> list[Action]:
         """Pass an event to the router and return the router's actions.
 
         An event of a removed sequence is ignored; it was sent before the final answer arrived.
@@ -82,7 +82,7 @@
     def _decode_endpoint(self, entry: Event) -> contract.EndpointUpdate | None:
         """Decode an entry of the endpoint list; return None if it removes an engine that is not listed."""
         engine_id = entry["Engine"]
-        state = STATES[entry.get("State", "SERVING")]
+        state = STATE_BY_NAME[entry.get("State", "SERVING")]
         is_new = not self.engines.is_listed(engine_id)
         if is_new and state == EngineState.REMOVED:
             return None
@@ -126,7 +126,7 @@
                 now,
                 number,
                 event.get("Copy", 0),
-                OUTCOMES[event["StateCode"]],
+                OUTCOME_BY_CODE[event["StateCode"]],
                 _latency_seconds(event),
                 event.get("Settled", False),
                 event.get("Info", 0),
@@ -162,7 +162,7 @@
         is_reserved = event["What"] == RESERVATION_CONFIRMED
         return self.router.reservation_answered(now, sequence, event.get("Copy", 0), engine, is_reserved)
 
-    def encode(self, action: Action) -> Order | None:
+    def encode_action(self, action: Action) -> Order | None:
         """Return an action as an order of the protocol, or None if the action is internal to the node."""
         if isinstance(action, contract.Forget):
             self.sequences.remove(action.sequence)
--- a/myrtlehub/simulator/wire.py
+++ b/myrtlehub/simulator/wire.py
@@ -11,7 +11,7 @@
 
 MS_PER_SECOND = 1e3  # times are milliseconds on the wire
 ALL_NODES = "all"  # recipient name for gossip to all nodes
-OUTCOMES = {
+OUTCOME_BY_CODE = {
     "ok": Outcome.GENERATED,
     "read": Outcome.READ,
     "full": Outcome.FULL,
@@ -22,7 +22,7 @@
     "reset": Outcome.RESET,
     "cancelled": Outcome.CANCELLED,
 }
-STATES = {
+STATE_BY_NAME = {
     "SERVING": EngineState.SERVING,
     "DRAINING": EngineState.DRAINING,
     "DELETED": EngineState.REMOVED,
--- a/tests/node/test_action_executor.py
+++ b/tests/node/test_action_executor.py
@@ -16,9 +16,9 @@
 from myrtlehub.routing import contract
 from myrtlehub.routing.policy.router import Router
 
-WIRE_OUTCOMES = {internal: wire for wire, internal in simulator.OUTCOMES.items()}
+WIRE_OUTCOMES = {internal: wire for wire, internal in simulator.OUTCOME_BY_CODE.items()}
 WIRE_RETRY_SEMANTICS = {internal: wire for wire, internal in platform_settings.RETRY_SEMANTICS.items()}
-WIRE_ENGINE_STATES = {internal: wire for wire, internal in simulator.STATES.items()}
+WIRE_ENGINE_STATES = {internal: wire for wire, internal in simulator.STATE_BY_NAME.items()}
 WIRE_LOAD_VALUES = {
     internal: (wire, factor) for wire, (internal, factor) in platform_settings.LOAD_VALUES.items()
 }
@@ -283,9 +283,9 @@
         event = wire_event_of(call, engine_names)
         if event["verb"] == "RESPONSE":
             event["Engine"] = engine_names[engine_of_attempt[call.arguments[0], call.arguments[1]]]
-        assert round_floats(adapter.call(event, call.now)) == round_floats(call.actions), call
+        assert round_floats(adapter.handle_event(event, call.now)) == round_floats(call.actions), call
         for action in call.actions:
-            adapter.encode(action)
+            adapter.encode_action(action)
             action_types.add(type(action))
             if isinstance(action, contract.Send):
                 number = sum(sequence == action.sequence for sequence, _ in engine_of_attempt)
