--- a/myrtlehub/lab/fault_soak/node_process.py
+++ b/myrtlehub/lab/fault_soak/node_process.py
@@ -16,7 +16,7 @@
 from myrtlehub.lab.fault_soak.records import NodeExit, NodeShutdown, RunRecords
 from myrtlehub.lab.interfaces import Reactor
 from myrtlehub.lab.processes import LogLine, free_ports
-from myrtlehub.platform_settings import earliest_kill
+from myrtlehub.platform_settings import earliest_kill_delay
 
 LAUNCHER = "myrtlehub.lab.fault_soak.fault_launcher"
 RELAY = "myrtlehub.relay"
@@ -169,7 +169,7 @@
             self._terminated_at = time.monotonic()
             shutdown = NodeShutdown(self.number, self._terminated_at)
             self.records.shutdowns.append(shutdown)
-            delay = earliest_kill(self._settings)
+            delay = earliest_kill_delay(self._settings)
             self.reactor.callLater(delay, self._kill_unless_ended, self._process, shutdown)
         self.signal(signal.SIGTERM)
 
--- a/myrtlehub/platform_settings.py
+++ b/myrtlehub/platform_settings.py
@@ -76,7 +76,7 @@
     )
 
 
-def earliest_kill(settings: Settings) -> float:
+def earliest_kill_delay(settings: Settings) -> float:
     """Return the seconds from SIGTERM to the earliest SIGKILL of a node with these settings."""
     deadlines = [_seconds(traffic, "GiveUpMs") for traffic in settings.get("Classes") or []]
     return min(MAX_COUNTED_DEADLINE_S, max(deadlines, default=MAX_COUNTED_DEADLINE_S)) + KILL_MARGIN_S
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -76,7 +76,7 @@
             self.node.is_busy,
             self._stop_listening,
             reactor.stop,
-            self.node.limits.earliest_kill - REPORT_MARGIN_S,
+            self.node.limits.earliest_kill_delay - REPORT_MARGIN_S,
             self._log_pending_work,
         )
 
--- a/myrtlehub/relay/process/graceful_shutdown.py
+++ b/myrtlehub/relay/process/graceful_shutdown.py
@@ -86,8 +86,8 @@
         This needs no timeout, because all work in flight has its own: sequences have their deadlines,
         partial requests REQUEST_TIMEOUT_S, last responses LINGER_TIMEOUT_S, and releases RELEASE_TIMEOUT_S.
         A stream ends when the engine ends it, or after SILENCE_TIMEOUT_S without an event. The platform sends
-        SIGKILL no earlier than `PlatformLimits.earliest_kill` after SIGTERM. A process that is still busy
-        shortly before that reports the pending work and continues.
+        SIGKILL no earlier than `PlatformLimits.earliest_kill_delay` after SIGTERM. A process that is still
+        busy shortly before that reports the pending work and continues.
         """
         is_busy = True
         try:
--- a/myrtlehub/relay/settings/platform_limits.py
+++ b/myrtlehub/relay/settings/platform_limits.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from myrtlehub.platform_settings import earliest_kill
+from myrtlehub.platform_settings import earliest_kill_delay
 from myrtlehub.relay.errors import SettingsError
 from myrtlehub.relay.settings.node_settings import NodeSettings
 
@@ -18,13 +18,13 @@
         connect_timeout: Time in seconds within which a connection to an engine has to be established.
         keepalive: Time in seconds after which engines close idle connections.
         max_in_flight: Maximum number of in-flight sequences.
-        earliest_kill: Time in seconds from SIGTERM to the earliest SIGKILL.
+        earliest_kill_delay: Time in seconds from SIGTERM to the earliest SIGKILL.
     """
 
     connect_timeout: float
     keepalive: float
     max_in_flight: int
-    earliest_kill: float
+    earliest_kill_delay: float
 
 
 def platform_limits_of(settings: NodeSettings) -> PlatformLimits:
@@ -49,5 +49,5 @@
         connect_timeout=limits["ConnectTimeoutMs"] / 1e3,
         keepalive=limits["KeepaliveMs"] / 1e3,
         max_in_flight=int(limits["MostHeld"]),
-        earliest_kill=earliest_kill(settings.platform),
+        earliest_kill_delay=earliest_kill_delay(settings.platform),
     )
--- a/tests/relay/test_relay_shutdown.py
+++ b/tests/relay/test_relay_shutdown.py
@@ -14,7 +14,7 @@
 )
 from relayrig import PeerConnection, RelayRig, never_respond
 
-from myrtlehub.platform_settings import earliest_kill
+from myrtlehub.platform_settings import earliest_kill_delay
 from myrtlehub.relay.process.graceful_shutdown import GracefulShutdown
 
 
@@ -68,7 +68,7 @@
 
 def test_the_earliest_sigkill_follows_from_the_longest_deadline() -> None:
     def earliest(*deadlines_ms: float) -> float:
-        return earliest_kill({"Classes": [{"GiveUpMs": deadline} for deadline in deadlines_ms]})
+        return earliest_kill_delay({"Classes": [{"GiveUpMs": deadline} for deadline in deadlines_ms]})
 
     assert earliest(400.0, 900.0) == pytest.approx(1.6)
     assert earliest(400.0, 10000.0) == pytest.approx(3.7)
