--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -58,7 +58,7 @@
 
     limit: float = MAX_LIMIT
 
-    def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
+    def sample(self, now: float, latency_ratio: float | None, in_flight: int) -> None:
         """Ignore the latency."""
 
 
@@ -71,9 +71,9 @@
     def __init__(self) -> None:
         self.limit, self._long, self._short = INITIAL_LIMIT, 0.0, 0.0
 
-    def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
-        """Adjust the limit after a start; `latency_share` as for `Aimd`."""
-        share = 2.0 if latency_share is None else latency_share
+    def sample(self, now: float, latency_ratio: float | None, in_flight: int) -> None:
+        """Adjust the limit after a start; `latency_ratio` as for `Aimd`."""
+        share = 2.0 if latency_ratio is None else latency_ratio
         self._short = share if not self._short else self._short + 0.1 * (share - self._short)
         self._long = share if not self._long else self._long + 0.01 * (share - self._long)
         if self._long > 2.0 * self._short:
@@ -91,9 +91,9 @@
     def __init__(self) -> None:
         self.limit, self._cut_at = INITIAL_LIMIT, -NEVER
 
-    def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
-        """Adjust the limit after a start; `latency_share`: latency over SLO, None without a first token."""
-        if latency_share is None or latency_share > 1.0:
+    def sample(self, now: float, latency_ratio: float | None, in_flight: int) -> None:
+        """Adjust the limit after a start; `latency_ratio`: latency over SLO, None without a first token."""
+        if latency_ratio is None or latency_ratio > 1.0:
             if now > self._cut_at + 0.2:
                 self.limit, self._cut_at = max(MIN_LIMIT, self.limit * 0.9), now
         elif in_flight >= 0.8 * self.limit:
@@ -113,9 +113,9 @@
     def __init__(self) -> None:
         self.limit, self._mean = INITIAL_LIMIT, 0.0
 
-    def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
-        """Adjust the limit after a start; `latency_share` as for `Aimd`."""
-        share = 1.5 if latency_share is None else min(latency_share, 2.0)
+    def sample(self, now: float, latency_ratio: float | None, in_flight: int) -> None:
+        """Adjust the limit after a start; `latency_ratio` as for `Aimd`."""
+        share = 1.5 if latency_ratio is None else min(latency_ratio, 2.0)
         self._mean = share if not self._mean else self._mean + 0.1 * (share - self._mean)
         off = (self.TARGET_SHARE - self._mean) / self.TARGET_SHARE
         if off > 0.0 and in_flight < 0.8 * self.limit:
--- a/myrtlehub/lab/simulated_clients/chat_clients.py
+++ b/myrtlehub/lab/simulated_clients/chat_clients.py
@@ -73,7 +73,7 @@
 
     def behind(self, now: float) -> float:
         """Return an upper bound, in seconds, on the present lag of this process's event loop."""
-        return round(self.lag.age(now), 4)
+        return round(self.lag.max_data_age(now), 4)
 
     def start(self) -> None:
         """Schedule each sequence at its planned time (open loop: no request waits for an answer)."""
--- a/myrtlehub/lab/verdict.py
+++ b/myrtlehub/lab/verdict.py
@@ -67,7 +67,7 @@
         "cases": dict(observer.cases.counts),
         "cancels": observer.cases.cancels(),
         "excused": checker.excused,
-        "client_behind": round(clients.lag.worst, 3),
+        "client_behind": round(clients.lag.max_lag, 3),
         "traffic": {name: tally.figures() for name, tally in clients.tallies.items()},
     }
 
--- a/myrtlehub/limits/admission.py
+++ b/myrtlehub/limits/admission.py
@@ -38,7 +38,7 @@
 
     limit: float  # admitted sequences without a first token
 
-    def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
+    def sample(self, now: float, latency_ratio: float | None, in_flight: int) -> None:
         """Adjust the limit for one latency sample; see `VegasLimiter.sample`."""
 
 
@@ -56,25 +56,25 @@
         self._min_ratio_at = 0.0
         self._mean = 0.0  # 0 before the first sample and while all samples are 0
 
-    def sample(self, now: float, latency_share: float | None, in_flight: int) -> None:
+    def sample(self, now: float, latency_ratio: float | None, in_flight: int) -> None:
         """Adjust the limit for one latency sample.
 
         Args:
             now: seconds.
-            latency_share: the time to first token divided by the latency SLO; None if the sequence produced
+            latency_ratio: the time to first token divided by the latency SLO; None if the sequence produced
                 no first token although its deadline left enough time.
             in_flight: admitted sequences without a first token, including the sampled one.
         """
-        if latency_share is None:
+        if latency_ratio is None:
             self.limit = max(MIN_LIMIT, self.limit - TIMEOUT_PENALTY)
             return
-        if latency_share < self._min_ratio or now > self._min_ratio_at + BASELINE_LIFETIME:
-            self._min_ratio = latency_share
+        if latency_ratio < self._min_ratio or now > self._min_ratio_at + BASELINE_LIFETIME:
+            self._min_ratio = latency_ratio
             self._min_ratio_at = now
         if self._mean:
-            self._mean += SMOOTHING_FACTOR * (latency_share - self._mean)
+            self._mean += SMOOTHING_FACTOR * (latency_ratio - self._mean)
         else:
-            self._mean = latency_share
+            self._mean = latency_ratio
         queueing_share = 1.0 - self._min_ratio / max(self._mean, MIN_MEAN_LATENCY)
         if queueing_share > SHRINK_THRESHOLD:
             self.limit = max(MIN_LIMIT, self.limit - 1.0 / self.limit**0.5)
--- a/myrtlehub/limits/event_loop_lag.py
+++ b/myrtlehub/limits/event_loop_lag.py
@@ -28,7 +28,7 @@
     """Estimates the lag from the times of periodic ticks. All times are seconds on the process's clock."""
 
     def __init__(self) -> None:
-        self.worst = 0.0  # seconds; the largest lag since the process started
+        self.max_lag = 0.0  # seconds; the largest lag since the process started
         self._next_tick_at: float | None = None  # None before the first tick
         self._samples: deque[LagSample] = deque()  # by decreasing lag, for the maximum of a sliding window
 
@@ -42,7 +42,7 @@
         return max(0.0, now - self._next_tick_at) if self._next_tick_at is not None else 0.0
 
     def _record(self, now: float, lag: float) -> None:
-        self.worst = max(self.worst, lag)
+        self.max_lag = max(self.max_lag, lag)
         while self._samples and self._samples[-1].lag <= lag:
             self._samples.pop()
         self._samples.append(LagSample(now, lag))
@@ -52,7 +52,7 @@
         while self._samples and self._samples[0].measured_at < now - LAG_WINDOW:
             self._samples.popleft()
 
-    def age(self, now: float) -> float:
+    def max_data_age(self, now: float) -> float:
         """Return an upper bound for the time since the arrival of data that is read now, in seconds.
 
         The bound is the lag of the last tick, or of the next one if that is overdue. If the last tick was
@@ -71,7 +71,7 @@
     def delay(self, now: float) -> float:
         """Return the seconds by which a timer that is set now may fire late: the largest recent lag."""
         self._discard_expired(now)
-        return max(self.age(now), self._samples[0].lag if self._samples else 0.0)
+        return max(self.max_data_age(now), self._samples[0].lag if self._samples else 0.0)
 
     def time_left(self, now: float, client_timeout: float) -> float:
         """Return the seconds that the node has for a request whose client allows `client_timeout` seconds.
@@ -80,7 +80,7 @@
         delay, and the response that it triggers may be sent late by the delay as well. At most
         `MAX_MARGIN_SHARE` of the client's timeout is subtracted.
         """
-        age = self.age(now)
+        age = self.max_data_age(now)
         delay = self.delay(now)
         if age + delay <= NEGLIGIBLE_LAG:
             return client_timeout
--- a/myrtlehub/limits/fair_share.py
+++ b/myrtlehub/limits/fair_share.py
@@ -160,7 +160,7 @@
             queued for queued in self._queues[front] if queued.engine_batch is not engine_batch
         )
 
-    def next_piece(self, now: float, front: str) -> EngineBatchT | None:
+    def next_batch(self, now: float, front: str) -> EngineBatchT | None:
         """Dequeue the next engine batch, record it as sent and return it; None if none may be sent now."""
         queue = self._queues[front]
         if not queue or not self.may_send(now, front, queue[0].tokens):
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -75,7 +75,7 @@
             self._send_waiting_of(front)
 
     def _send_waiting_of(self, front: str) -> None:
-        while (engine_batch := self.shares.next_piece(self.clock.seconds(), front)) is not None:
+        while (engine_batch := self.shares.next_batch(self.clock.seconds(), front)) is not None:
             if engine_batch.wanted_by:
                 engine_batch.start()
             else:
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -222,10 +222,10 @@
         """Measure the event loop lag from now on; the request decoder subtracts it from deadlines."""
         lag = self.runtime.decoder.lag
         now = self.clock.seconds()
-        worst_before = lag.worst
+        worst_before = lag.max_lag
         due = lag.tick(now)
-        if lag.worst > max(worst_before, MIN_LOGGED_LAG):
-            self.log(LogEvent.EVENT_LOOP_LAG, lag_s=round(lag.worst, 3))
+        if lag.max_lag > max(worst_before, MIN_LOGGED_LAG):
+            self.log(LogEvent.EVENT_LOOP_LAG, lag_s=round(lag.max_lag, 3))
         self.clock.callLater(max(0.0, due - now), self.measure_lag)
 
     # -- drain ------------------------------------------------------------------------------------
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -174,5 +174,5 @@
 
         The event loop may have read it late, so the oldest possible age of the data is subtracted.
         """
-        age = self.decoder.lag.age(self.executor.clock.seconds())
+        age = self.decoder.lag.max_data_age(self.executor.clock.seconds())
         return exchange.request.received_at - age > self.refuses_from
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -195,7 +195,7 @@
 
     def worst_lag(self) -> float:
         """Return the largest event loop lag so far, in seconds."""
-        return self.decoder.lag.worst
+        return self.decoder.lag.max_lag
 
     def release_counts(self) -> Mapping[str, int]:
         """Return the number of ended releases of read state, by result."""
--- a/tests/limits/test_event_loop_lag.py
+++ b/tests/limits/test_event_loop_lag.py
@@ -21,8 +21,8 @@
         arrived_at = data.draw(st.floats(last_read_at, now))  # during the iteration
         if now >= next_tick_at:
             next_tick_at = meter.tick(now)
-        assert now - arrived_at <= meter.age(now) + event_loop_lag.TICK_PERIOD + 1e-9
-        assert meter.delay(now) >= meter.age(now)
+        assert now - arrived_at <= meter.max_data_age(now) + event_loop_lag.TICK_PERIOD + 1e-9
+        assert meter.delay(now) >= meter.max_data_age(now)
         now += idle_seconds
         if now >= next_tick_at:  # the loop is idle, so the tick runs on time
             next_tick_at = meter.tick(max(next_tick_at, now - idle_seconds))
@@ -42,7 +42,7 @@
             <= client_timeout
         )
     worst = max([0.0, *lags])
-    assert abs(meter.worst - worst) < 1e-6
+    assert abs(meter.max_lag - worst) < 1e-6
 
 
 def test_a_late_tick_counts_for_the_window_and_is_then_forgotten() -> None:
@@ -51,7 +51,8 @@
     next_tick_at = meter.tick(due_at + 0.3)
     now = next_tick_at - 0.01  # in the late iteration
     assert [
-        round(seconds, 3) for seconds in (meter.time_left(now, 4.0), meter.delay(now), meter.age(now))
+        round(seconds, 3)
+        for seconds in (meter.time_left(now, 4.0), meter.delay(now), meter.max_data_age(now))
     ] == [
         3.1,
         0.3,
@@ -60,7 +61,8 @@
     next_tick_at = meter.tick(next_tick_at)
     now = next_tick_at - 0.01  # in the next iteration
     assert [
-        round(seconds, 3) for seconds in (meter.time_left(now, 4.0), meter.delay(now), meter.age(now))
+        round(seconds, 3)
+        for seconds in (meter.time_left(now, 4.0), meter.delay(now), meter.max_data_age(now))
     ] == [
         3.4,
         0.3,
@@ -68,7 +70,7 @@
     ]
     while next_tick_at < 10.3 + event_loop_lag.LAG_WINDOW + 0.1:
         next_tick_at = meter.tick(next_tick_at)
-    assert meter.time_left(next_tick_at, 4.0) == 4.0 and round(meter.worst, 3) == 0.3
+    assert meter.time_left(next_tick_at, 4.0) == 4.0 and round(meter.max_lag, 3) == 0.3
 
 
 def test_the_age_of_data_includes_the_time_spent_in_a_late_iteration() -> None:
@@ -78,9 +80,11 @@
     iteration_start = due_at + 0.2
     next_tick_at = meter.tick(iteration_start)
     for elapsed in (0.0, 0.01, 0.03, 0.1, 0.3):
-        assert meter.age(iteration_start + elapsed) >= 0.2 + elapsed - event_loop_lag.TICK_PERIOD - 1e-9
+        assert (
+            meter.max_data_age(iteration_start + elapsed) >= 0.2 + elapsed - event_loop_lag.TICK_PERIOD - 1e-9
+        )
     meter.tick(next_tick_at)  # the next iteration is on time
-    assert meter.age(next_tick_at) == 0.0
+    assert meter.max_data_age(next_tick_at) == 0.0
 
 
 def seconds_past_deadline(is_lag_measured: bool) -> float:
--- a/tests/limits/test_front_shares.py
+++ b/tests/limits/test_front_shares.py
@@ -19,10 +19,10 @@
     shares.enqueue("embed", "p", 10.0)
     shares.enqueue("embed", "q", 10.0)
     shares.cancel("embed", "p")
-    assert shares.next_piece(now, "embed") is None
+    assert shares.next_batch(now, "embed") is None
     shares.set_engine_count("embed", 3, 2)
     assert shares.max_batches["embed"] == 6
     shares.record_done("embed", 4000.0)
-    assert shares.next_piece(now, "embed") == "q" and shares.tokens_in_flight["embed"] == 1010.0
+    assert shares.next_batch(now, "embed") == "q" and shares.tokens_in_flight["embed"] == 1010.0
     assert shares.share(now + 8.0, "embed") <= 0.5
     assert shares.share(now + 60.0, "embed") == 1.0  # the other front is idle
--- a/tests/relay/test_relay_rearming.py
+++ b/tests/relay/test_relay_rearming.py
@@ -110,7 +110,7 @@
     lag = rig.node.decoder.lag
     lag.tick = failing = FailingCallable(lag.tick)
     run_despite_errors(rig, 0.5)
-    assert failing.raised == 1 and lag.age(rig.clock.seconds()) == 0.0
+    assert failing.raised == 1 and lag.max_data_age(rig.clock.seconds()) == 0.0
 
 
 def test_a_release_is_retried_after_a_send_that_raised() -> None:
