--- a/myrtlehub/limits/event_loop_lag.py
+++ b/myrtlehub/limits/event_loop_lag.py
@@ -80,8 +80,8 @@
         delay, and the response that it triggers may be sent late by the delay as well. At most
         `MAX_MARGIN_SHARE` of the client's timeout is subtracted.
         """
-        age = self.max_data_age(now)
+        max_data_age = self.max_data_age(now)
         delay = self.delay(now)
-        if age + delay <= NEGLIGIBLE_LAG:
+        if max_data_age + delay <= NEGLIGIBLE_LAG:
             return client_timeout
-        return client_timeout - min(age + 2.0 * delay, MAX_MARGIN_SHARE * max(0.0, client_timeout))
+        return client_timeout - min(max_data_age + 2.0 * delay, MAX_MARGIN_SHARE * max(0.0, client_timeout))
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -19,17 +19,17 @@
 STREAM_HEADERS = (Header(b"Content-Type", b"text/event-stream"),)
 
 
-class ExchangeSink:
+class ClientResponseSink:
     """Response sink of one sequence that writes to the client's server exchange.
 
     Attributes:
         sequence: The sequence; None before it is accepted and after its final answer.
     """
 
-    __slots__ = ("exchange", "front", "sequence", "sequence_id")
+    __slots__ = ("exchange", "handler", "sequence", "sequence_id")
 
-    def __init__(self, front: "ClientFront", exchange: ServerExchange, sequence_id: str) -> None:
-        self.front = front
+    def __init__(self, handler: "ClientRequestHandler", exchange: ServerExchange, sequence_id: str) -> None:
+        self.handler = handler
         self.exchange = exchange
         self.sequence_id = sequence_id
         self.sequence: InFlightSequence | None = None
@@ -45,27 +45,27 @@
 
     def generated(self, tokens: int) -> None:
         """End the stream after a complete answer."""
-        self._detach_answered()
+        self._detach_with_final_answer()
         self.exchange.finish()
 
     def rejected(self, retry_after: float) -> None:
         """Respond with 503, and with a Retry-After header in seconds unless `retry_after` is 0."""
-        self._detach_answered()
+        self._detach_with_final_answer()
         headers = (Header(b"Retry-After", b"%.3f" % retry_after),) if retry_after else ()
         self.exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE, headers)
 
     def aborted(self, reason: str) -> None:
         """Respond with 502, or close the connection without a last chunk if the stream has started."""
-        self._detach_answered()
+        self._detach_with_final_answer()
         if self.exchange.is_started:
             self.exchange.abort()
         else:
             self.exchange.respond(HTTPStatus.BAD_GATEWAY)
 
-    def _detach_answered(self) -> None:
+    def _detach_with_final_answer(self) -> None:
         """Check the invariant that a sequence gets one final answer only, then detach from the sequence."""
-        has_final_answer = self.sequence_id not in self.front.open_sinks
-        self.front.invariants.check(violated_by_answer(has_final_answer), self.sequence_id)
+        has_final_answer = self.sequence_id not in self.handler.open_sinks
+        self.handler.invariants.check(violated_by_answer(has_final_answer), self.sequence_id)
         self._detach()
 
     def _detach(self) -> InFlightSequence | None:
@@ -74,7 +74,7 @@
         The cycle would keep the complete request in memory until the next full garbage collection, seconds
         to minutes later (test_answered_requests_are_freed_without_the_garbage_collector).
         """
-        self.front.open_sinks.pop(self.sequence_id, None)
+        self.handler.open_sinks.pop(self.sequence_id, None)
         sequence, self.sequence = self.sequence, None
         self.exchange.clear_callbacks()
         return sequence
@@ -82,7 +82,7 @@
     def _on_connection_lost(self) -> None:
         sequence = self._detach()
         if sequence is not None:
-            self.front.executor.client_left(sequence)
+            self.handler.executor.client_left(sequence)
 
     def _on_pause(self) -> None:
         request = self._streaming_request()
@@ -102,13 +102,13 @@
         return attempt.call if isinstance(attempt.call, PendingRequest) else None
 
 
-class ClientFront:
+class ClientRequestHandler:
     """Handles the requests of all clients.
 
     Attributes:
         open_sinks: Response sinks of sequences without a final answer, by sequence id.
         is_ready: Returns whether the node has an endpoint list.
-        refuses_from: Clock time in seconds. Requests whose last byte arrives later are rejected immediately,
+        reject_after: Clock time in seconds. Requests whose last byte arrives later are rejected immediately,
             because the process may be killed before their answer is complete.
         malformed_count: Number of malformed requests since the start.
     """
@@ -124,9 +124,9 @@
         self.executor = executor
         self.decoder = decoder
         self.max_in_flight = max_in_flight
-        self.open_sinks: dict[str, ExchangeSink] = {}
+        self.open_sinks: dict[str, ClientResponseSink] = {}
         self.is_ready: Callable[[], bool] = lambda: True
-        self.refuses_from = float("inf")
+        self.reject_after = float("inf")
         self.malformed_count = 0
 
     def on_request(self, exchange: ServerExchange) -> None:
@@ -160,19 +160,19 @@
             self._reject_malformed(exchange, error.status, str(error))
             return
         sequence_id = decoded.sequence_id
-        sink = ExchangeSink(self, exchange, sequence_id)
+        sink = ClientResponseSink(self, exchange, sequence_id)
         self.open_sinks[sequence_id] = sink
-        if self._is_too_late(exchange) or len(self.executor.in_flight) >= self.max_in_flight:
+        if self._arrived_after_cutoff(exchange) or len(self.executor.in_flight) >= self.max_in_flight:
             sink.rejected(self.executor.config.max_retry_after)
             return
         sequence = self.executor.accept(decoded.engine_request, decoded.arrival, sink, sequence_id)
         if sequence_id in self.open_sinks:  # accept() may already have answered it
             sink.sequence = sequence
 
-    def _is_too_late(self, exchange: ServerExchange) -> bool:
-        """Return whether the last byte of a request certainly arrived after `refuses_from`.
+    def _arrived_after_cutoff(self, exchange: ServerExchange) -> bool:
+        """Return whether the last byte of a request certainly arrived after `reject_after`.
 
         The event loop may have read it late, so the oldest possible age of the data is subtracted.
         """
-        age = self.decoder.lag.max_data_age(self.executor.clock.seconds())
-        return exchange.request.received_at - age > self.refuses_from
+        max_data_age = self.decoder.lag_meter.max_data_age(self.executor.clock.seconds())
+        return exchange.request.received_at - max_data_age > self.reject_after
--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -87,7 +87,7 @@
         kinds: Indices of the machine types, by name.
         zones: Indices of the zones, by name.
         engines: Engines of the endpoint list.
-        lag: Measures the event loop lag, which is subtracted from the time in X-Remaining-Ms.
+        lag_meter: Measures the event loop lag, which is subtracted from the time in X-Remaining-Ms.
     """
 
     def __init__(self, settings: NodeSettings, config: contract.RouterConfig) -> None:
@@ -101,7 +101,7 @@
         self.kinds: Mapping[str, int] = _indices_by_name(platform.get("MachineTypes") or [""])
         self.zones: Mapping[str, int] = _indices_by_name(platform.get("Zones") or [""])
         self.engines = EndpointIndex()
-        self.lag = LagMeter()
+        self.lag_meter = LagMeter()
 
     def decode(self, request: ServerRequest, now: float) -> DecodedRequest:
         """Validate and decode a request.
@@ -131,7 +131,7 @@
             prompt_tokens=float(size.prompt),
             # X-Remaining-Ms counts from the arrival of the request's last byte. Since then, the request may
             # have been queued behind another one on its connection.
-            time_left=self.lag.time_left(now, remaining_time - (now - request.received_at)),
+            time_left=self.lag_meter.time_left(now, remaining_time - (now - request.received_at)),
             session=hash_key(fields.get(b"x-entity", b"").decode("latin-1")),
             prefix=hash_key(labels.get(b"prefix", b"").decode("latin-1")),
             shared_tokens=float(size.shared),
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -40,7 +40,7 @@
 class NodeStatistics(Protocol):
     """Statistics of a node that are logged with its counters."""
 
-    def worst_lag(self) -> float:
+    def max_lag(self) -> float:
         """Return the largest event loop lag so far, in seconds."""
 
     def release_counts(self) -> Mapping[str, int]:
@@ -52,7 +52,7 @@
 
     Attributes:
         counter: Counts withheld sends and violations.
-        timers: Periodic timers whose next run must always be scheduled.
+        recurring_timers: Periodic timers whose next run must always be scheduled.
         on_violation: Called after a violation has been logged.
         executor: Owns the sequences that are checked; set by `attach`.
         statistics: The node's statistics; set by `attach`.
@@ -65,7 +65,7 @@
         self.clock = clock
         self.log = log
         self.counter = InvariantCounter(self._log_violation)
-        self.timers: list[RecurringTimer] = []
+        self.recurring_timers: list[RecurringTimer] = []
         self.on_violation: Callable[[], None] = lambda: None
         self._overdue_at_last_check: set[int] = set()  # sequence numbers
         # Number of consecutive checks that found read states retained too long, by sequence number.
@@ -96,7 +96,7 @@
             in_flight=len(self.executor.in_flight),
             oldest_read_state_s=round(self._oldest_read_state_age(), 3),
             releases=dict(sorted(self.statistics.release_counts().items())),
-            worst_lag_s=round(self.statistics.worst_lag(), 3),
+            worst_lag_s=round(self.statistics.max_lag(), 3),
             withheld=dict(sorted(self.counter.withheld.items())),
             violations=dict(sorted(self.counter.violations.items())),
         )
@@ -147,7 +147,7 @@
         self._check_states(now)
         if now >= self._next_counters_at:
             self._next_counters_at = now + COUNTERS_INTERVAL_S
-            for timer in self.timers:
+            for timer in self.recurring_timers:
                 self.counter.check(violated_by_timer(timer.is_armed()), timer.name)
             self.log_counters()
         for sequence in overdue:
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -10,7 +10,7 @@
 from myrtlehub.log_events import Log, LogEvent, no_log
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.platform_settings import KILL_MARGIN_S
-from myrtlehub.relay.clients.client_front import ClientFront
+from myrtlehub.relay.clients.client_front import ClientRequestHandler
 from myrtlehub.relay.clients.request_decoder import RequestDecoder
 from myrtlehub.relay.discovery.discovery_client import CONNECT_TIMEOUT_S, DiscoveryClient
 from myrtlehub.relay.discovery.endpoint_list import EndpointListDecoder, EndpointListUpdate
@@ -83,7 +83,7 @@
         self.front = self._make_front()
         self.listener = self._make_listener()
         self.discovery = self._make_discovery(dialer)
-        self.monitor.timers = [
+        self.monitor.recurring_timers = [
             RecurringTimer("discovery", self.discovery.is_armed),
             RecurringTimer("stream monitor", self.engine_client.stream_monitor.is_armed),
         ]
@@ -99,8 +99,10 @@
         self.monitor.attach(executor, self)
         return executor
 
-    def _make_front(self) -> ClientFront:
-        front = ClientFront(self.executor, self.decoder, self.monitor.counter, self.limits.max_in_flight)
+    def _make_front(self) -> ClientRequestHandler:
+        front = ClientRequestHandler(
+            self.executor, self.decoder, self.monitor.counter, self.limits.max_in_flight
+        )
         front.is_ready = self._is_ready
         return front
 
@@ -190,12 +192,12 @@
 
     def begin_shutdown(self) -> None:
         """Reject requests that arrive too late to be answered completely before the earliest SIGKILL."""
-        refuses_from = self.clock.seconds() + SHUTDOWN_ACCEPT_TIME_S
-        self.front.refuses_from = min(self.front.refuses_from, refuses_from)
+        reject_after = self.clock.seconds() + SHUTDOWN_ACCEPT_TIME_S
+        self.front.reject_after = min(self.front.reject_after, reject_after)
 
-    def worst_lag(self) -> float:
+    def max_lag(self) -> float:
         """Return the largest event loop lag so far, in seconds."""
-        return self.decoder.lag.max_lag
+        return self.decoder.lag_meter.max_lag
 
     def release_counts(self) -> Mapping[str, int]:
         """Return the number of ended releases of read state, by result."""
@@ -214,6 +216,6 @@
         now = self.clock.seconds()
         next_tick_at = now + TICK_PERIOD
         try:
-            next_tick_at = self.decoder.lag.tick(now)
+            next_tick_at = self.decoder.lag_meter.tick(now)
         finally:
             self.clock.callLater(max(0.0, next_tick_at - now), self.measure_lag)
--- a/tests/limits/test_event_loop_lag.py
+++ b/tests/limits/test_event_loop_lag.py
@@ -41,8 +41,8 @@
             <= meter.time_left(now, client_timeout)
             <= client_timeout
         )
-    worst = max([0.0, *lags])
-    assert abs(meter.max_lag - worst) < 1e-6
+    max_lag = max([0.0, *lags])
+    assert abs(meter.max_lag - max_lag) < 1e-6
 
 
 def test_a_late_tick_counts_for_the_window_and_is_then_forgotten() -> None:
--- a/tests/relay/test_relay_memory.py
+++ b/tests/relay/test_relay_memory.py
@@ -10,14 +10,14 @@
 from myrtlehub.http1.server_exchange import ServerExchange
 from myrtlehub.http1.server_request import ServerRequest
 from myrtlehub.node.action_executor import Attempt, InFlightSequence
-from myrtlehub.relay.clients.client_front import ExchangeSink
+from myrtlehub.relay.clients.client_front import ClientResponseSink
 from myrtlehub.relay.clients.request_decoder import DecodedRequest, EngineRequest
 from myrtlehub.relay.engines.attempt_response import AttemptResponseHandler
 
 # Classes whose instances refer to a request; not their names, so that a rename cannot hide a class.
 REQUEST_CLASSES = (
     InFlightSequence,
-    ExchangeSink,
+    ClientResponseSink,
     ServerExchange,
     ServerRequest,
     h11.Request,
--- a/tests/relay/test_relay_memory_process.py
+++ b/tests/relay/test_relay_memory_process.py
@@ -13,7 +13,7 @@
     "ClientRequest",
     "EngineRequest",
     "EventStreamParser",
-    "ExchangeSink",
+    "ClientResponseSink",
     "InFlightSequence",
     "PendingRequest",
     "ServerExchange",
--- a/tests/relay/test_relay_rearming.py
+++ b/tests/relay/test_relay_rearming.py
@@ -107,7 +107,7 @@
 def test_the_lag_is_measured_after_a_tick_that_raised() -> None:
     rig = RelayRig("w1")
     rig.node.measure_lag()
-    lag = rig.node.decoder.lag
+    lag = rig.node.decoder.lag_meter
     lag.tick = failing = FailingCallable(lag.tick)
     run_despite_errors(rig, 0.5)
     assert failing.raised == 1 and lag.max_data_age(rig.clock.seconds()) == 0.0
