--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -14,7 +14,11 @@
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.relay.engines.engine_directory import EngineDirectory
 from myrtlehub.relay.engines.event_stream import EventStreamParser
-from myrtlehub.relay.engines.response_outcomes import AttemptEnd, end_by_failure, end_by_response
+from myrtlehub.relay.engines.response_outcomes import (
+    AttemptEnd,
+    attempt_end_of_failure,
+    attempt_end_of_response,
+)
 from myrtlehub.relay.engines.stream_monitor import StreamMonitor
 from myrtlehub.relay.engines.uncertain_attempts import UncertainAttempts
 from myrtlehub.relay.errors import AttemptEndedError, EventStreamError
@@ -84,7 +88,9 @@
         """Determine the outcome from the status and the headers."""
         fields = dict(headers)
         self.client.directory.record_contact(self.attempt.engine)
-        end = self._end = end_by_response(self.attempt.is_read, status, fields.get(b"x-turned-away") == b"1")
+        end = self._end = attempt_end_of_response(
+            self.attempt.is_read, status, fields.get(b"x-turned-away") == b"1"
+        )
         if b"x-pressure" in fields:
             self._load_report = parse_load_report(fields[b"x-pressure"])
         if end.outcome == contract.Outcome.GENERATED:
@@ -156,7 +162,7 @@
     def fail(self, reason: FailureReason) -> None:
         """Close the connection, and report a failure after which the request may have been executed."""
         self._outstanding_request().cancel()
-        self._report_end(end_by_failure(True), reason=reason)
+        self._report_end(attempt_end_of_failure(True), reason=reason)
 
     def cancel(self) -> None:
         """Close the connection without reporting an outcome to the executor."""
@@ -184,12 +190,12 @@
         try:
             parser.end()
         except EventStreamError:
-            self._report_end(end_by_failure(True), reason=FailureReason.TRUNCATED_STREAM)
+            self._report_end(attempt_end_of_failure(True), reason=FailureReason.TRUNCATED_STREAM)
             return
         if self.attempt.is_streaming:
             self._report_end(end, parser.cached_tokens, parser.load or self._load_report, parser.token_count)
         else:
-            self._report_end(end_by_failure(True))  # a stream without events is a failure
+            self._report_end(attempt_end_of_failure(True))  # a stream without events is a failure
 
     def on_failure(self, failure: RequestFailure) -> None:
         """Report a failure; if the request was sent completely, the engine may have executed it."""
@@ -199,7 +205,7 @@
         may_have_run = failure is RequestFailure.RESPONSE_FAILED
         if may_have_run:
             self.client.uncertain_attempts.add(self.attempt.sequence.sequence_id)
-        self._report_end(end_by_failure(may_have_run), reason=FailureReason.CONNECTION_FAILED)
+        self._report_end(attempt_end_of_failure(may_have_run), reason=FailureReason.CONNECTION_FAILED)
 
     def _report_end(
         self,
--- a/myrtlehub/relay/engines/response_outcomes.py
+++ b/myrtlehub/relay/engines/response_outcomes.py
@@ -32,7 +32,7 @@
 
 
 # Any other response leaves open whether the request was executed, and has the outcome ERROR.
-END_BY_RESPONSE = {
+ATTEMPT_END_BY_HEAD = {
     ResponseHead(True, 202, False): AttemptEnd(Outcome.READ),
     ResponseHead(False, 200, False): AttemptEnd(Outcome.GENERATED),
     ResponseHead(True, 503, True): AttemptEnd(Outcome.FULL),
@@ -43,12 +43,12 @@
 }
 
 
-def end_by_response(is_read: bool, status: int, is_rejection: bool) -> AttemptEnd:
+def attempt_end_of_response(is_read: bool, status: int, is_rejection: bool) -> AttemptEnd:
     """Return the end of an attempt by its response head. READ and GENERATED also need a complete body."""
-    return END_BY_RESPONSE.get(ResponseHead(is_read, status, is_rejection), AttemptEnd(Outcome.ERROR))
+    return ATTEMPT_END_BY_HEAD.get(ResponseHead(is_read, status, is_rejection), AttemptEnd(Outcome.ERROR))
 
 
-def end_by_failure(request_sent: bool) -> AttemptEnd:
+def attempt_end_of_failure(request_sent: bool) -> AttemptEnd:
     """Return the end of an attempt without a complete response.
 
     Args:
--- a/tests/relay/test_relay_requests.py
+++ b/tests/relay/test_relay_requests.py
@@ -18,7 +18,11 @@
 )
 from relayrig import PeerConnection, RelayRig, never_respond
 
-from myrtlehub.relay.engines.response_outcomes import END_BY_RESPONSE, end_by_failure, end_by_response
+from myrtlehub.relay.engines.response_outcomes import (
+    ATTEMPT_END_BY_HEAD,
+    attempt_end_of_failure,
+    attempt_end_of_response,
+)
 from myrtlehub.relay.parsing import parse_load_report
 from myrtlehub.routing import contract
 
@@ -84,17 +88,17 @@
 
 
 def test_responses_have_the_listed_outcome_and_all_others_are_errors() -> None:
-    for head, end in END_BY_RESPONSE.items():
-        assert end_by_response(*head) == end
+    for head, end in ATTEMPT_END_BY_HEAD.items():
+        assert attempt_end_of_response(*head) == end
     for is_read in (True, False):
         for status in (201, 204, 301, 400, 404, 410, 429, 500, 502, 503, 504):
             # Without X-Turned-Away, the request may have been executed.
-            assert end_by_response(is_read, status, False).outcome == contract.Outcome.ERROR
-        assert end_by_response(is_read, 500, True).outcome == contract.Outcome.ERROR
-    assert end_by_response(True, 200, False).outcome == contract.Outcome.ERROR
-    assert end_by_response(False, 202, False).outcome == contract.Outcome.ERROR
-    assert end_by_failure(False).outcome == contract.Outcome.UNREACHED
-    assert end_by_failure(True).outcome == contract.Outcome.RESET
+            assert attempt_end_of_response(is_read, status, False).outcome == contract.Outcome.ERROR
+        assert attempt_end_of_response(is_read, 500, True).outcome == contract.Outcome.ERROR
+    assert attempt_end_of_response(True, 200, False).outcome == contract.Outcome.ERROR
+    assert attempt_end_of_response(False, 202, False).outcome == contract.Outcome.ERROR
+    assert attempt_end_of_failure(False).outcome == contract.Outcome.UNREACHED
+    assert attempt_end_of_failure(True).outcome == contract.Outcome.RESET
 
 
 @pytest.mark.parametrize(
