--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -37,15 +37,15 @@
 
 
 def _cap_descriptors(settings: NodeSettings) -> NodeSettings:
-    """Return the settings with `descriptors` capped at the limit of this process (RLIMIT_NOFILE)."""
+    """Return the settings with `max_descriptors` capped at the limit of this process (RLIMIT_NOFILE)."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if limit == resource.RLIM_INFINITY or limit >= settings.descriptors:
+    if limit == resource.RLIM_INFINITY or limit >= settings.max_descriptors:
         return settings
     if limit < MIN_DESCRIPTORS:
         raise SettingsError(
             f"limits.sockets: RLIMIT_NOFILE is {limit}; raise it to {MIN_DESCRIPTORS} or more"
         )
-    return settings._replace(descriptors=limit)
+    return settings._replace(max_descriptors=limit)
 
 
 class RelayServer:
@@ -86,12 +86,14 @@
         Otherwise a request sent while the node restarted could be read in the same reactor turn as
         discovery's first response but before it, and would be routed by the outdated fallback list.
         """
-        listen = self.settings.listen
-        port = BoundedPort(self.node.listener, self.node.clock, (listen.host, listen.port), self.reactor)
+        listen_address = self.settings.listen_address
+        port = BoundedPort(
+            self.node.listener, self.node.clock, (listen_address.host, listen_address.port), self.reactor
+        )
         retry_on_resource_shortage(port.startListening)
         port.pause()
         self.node.on_open = port.resume
-        self.node.listener.on_full = port.set_full
+        self.node.listener.on_full = port.set_connection_limit_reached
         return port
 
     def _make_dial(self, address: str, timeout: float) -> Dial:
@@ -113,7 +115,7 @@
         self.node.monitor.log_counters()
 
     def _stop_listening(self) -> bool:
-        if not self.port.accept_all():
+        if not self.port.accept_pending():
             return True
         self.port.stopListening()  # type: ignore[no-untyped-call] # Twisted has no annotation
         return False
--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -91,15 +91,15 @@
     """
 
     def __init__(self, settings: NodeSettings, config: contract.RouterConfig) -> None:
-        platform = settings.platform
+        platform_settings = settings.platform_settings
         self.rows = [
             TrafficType(row["Name"], traffic.retry_semantics == contract.RetrySemantics.AT_MOST_ONCE)
-            for row, traffic in zip(platform["Classes"], config.traffic, strict=True)
+            for row, traffic in zip(platform_settings["Classes"], config.traffic, strict=True)
         ]
         self.traffic_indices = _indices_by_name(row.name for row in self.rows)
-        self.tenant_indices = _indices_by_name(row["Name"] for row in platform.get("Orgs") or [])
-        self.kinds: Mapping[str, int] = _indices_by_name(platform.get("MachineTypes") or [""])
-        self.zones: Mapping[str, int] = _indices_by_name(platform.get("Zones") or [""])
+        self.tenant_indices = _indices_by_name(row["Name"] for row in platform_settings.get("Orgs") or [])
+        self.kinds: Mapping[str, int] = _indices_by_name(platform_settings.get("MachineTypes") or [""])
+        self.zones: Mapping[str, int] = _indices_by_name(platform_settings.get("Zones") or [""])
         self.engines = EndpointIndex()
         self.lag_meter = LagMeter()
 
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -67,7 +67,7 @@
         self.log = log
         self.config = router_config_of(settings)
         self.limits = platform_limits_of(settings)
-        self.descriptor_budget = DescriptorBudget.of(settings.descriptors)
+        self.descriptor_budget = DescriptorBudget.for_process(settings.max_descriptors)
         self.decoder = RequestDecoder(settings, self.config)
         self.endpoint_list = EndpointListDecoder(self.decoder.kinds, self.decoder.zones, clock_epoch)
         self.pool = ConnectionPool(
@@ -127,7 +127,7 @@
         return DiscoveryClient(
             self.clock,
             pool,
-            self.settings.discovery,
+            self.settings.discovery_address,
             self.endpoint_list,
             self._on_list_update,
             Random(self.settings.seed + 1),
--- a/myrtlehub/relay/process/bounded_port.py
+++ b/myrtlehub/relay/process/bounded_port.py
@@ -70,7 +70,7 @@
         )
         protocol.makeConnection(transport)  # type: ignore[no-untyped-call] # Twisted has no annotation
 
-    def set_full(self, is_full: bool) -> None:
+    def set_connection_limit_reached(self, is_full: bool) -> None:
         """Stop accepting while the listener is at its connection limit."""
         if is_full:
             self.pause()
@@ -93,7 +93,7 @@
             self.startReading()  # type: ignore[no-untyped-call] # Twisted has no annotation
             self.doRead()
 
-    def accept_all(self) -> bool:
+    def accept_pending(self) -> bool:
         """Accept all connections in the accept queue: they are established, so they need a response.
 
         Returns:
--- a/myrtlehub/relay/process/descriptor_budget.py
+++ b/myrtlehub/relay/process/descriptor_budget.py
@@ -30,7 +30,7 @@
     engines: int
 
     @classmethod
-    def of(cls, descriptors: int) -> "DescriptorBudget":
+    def for_process(cls, descriptors: int) -> "DescriptorBudget":
         """Return the budget of a process with the given number of file descriptors."""
         available = descriptors - RESERVED_DESCRIPTORS
         return cls(
--- a/myrtlehub/relay/process/graceful_shutdown.py
+++ b/myrtlehub/relay/process/graceful_shutdown.py
@@ -59,12 +59,12 @@
         if self._is_started:
             return
         self._is_started = True
-        self.clock.callLater(ACCEPT_PERIOD_S, self._close)
+        self.clock.callLater(ACCEPT_PERIOD_S, self._close_port)
         if self.report is not None:
             self.clock.callLater(self.report_delay, self.report)
         self.listener.drain()
 
-    def _close(self) -> None:
+    def _close_port(self) -> None:
         """Close the port, or retry soon; the process ends even if a step raises.
 
         Closing the port would reset connections in the accept queue, whose clients need a response
@@ -75,7 +75,7 @@
             must_retry = self.stop_listening()
         finally:
             if must_retry:
-                self.clock.callLater(ACCEPT_RETRY_INTERVAL_S, self._close)
+                self.clock.callLater(ACCEPT_RETRY_INTERVAL_S, self._close_port)
             else:
                 self.clock.callLater(0, self._end_when_idle)
             self.listener.drain()
--- a/myrtlehub/relay/settings/node_settings.py
+++ b/myrtlehub/relay/settings/node_settings.py
@@ -19,20 +19,20 @@
 
     Attributes:
         name: Name of the node.
-        listen: Address on which the node listens for clients.
-        discovery: HOST:PORT of the discovery service.
+        listen_address: Address on which the node listens for clients.
+        discovery_address: HOST:PORT of the discovery service.
         seed: Seed of the node's random number generators.
-        descriptors: Maximum number of open file descriptors of the process.
-        platform: The platform's settings, with the keys of the simulator's first message.
+        max_descriptors: Maximum number of open file descriptors of the process.
+        platform_settings: The platform's settings, with the keys of the simulator's first message.
         fallback_list: Endpoint list to use if discovery does not answer at start-up, or None.
     """
 
     name: str
-    listen: SocketAddress
-    discovery: str
+    listen_address: SocketAddress
+    discovery_address: str
     seed: int
-    descriptors: int
-    platform: dict[str, Any]
+    max_descriptors: int
+    platform_settings: dict[str, Any]
     fallback_list: dict[str, Any] | None
 
 
@@ -52,19 +52,19 @@
             raise SettingsError(f"{key}: is not an object; use the platform's format")
     _parse_address(fields, "discovery")
     seed = _parse_seed(fields)
-    descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
-    if not isinstance(descriptors, int) or descriptors < MIN_DESCRIPTORS:
+    max_descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
+    if not isinstance(max_descriptors, int) or max_descriptors < MIN_DESCRIPTORS:
         raise SettingsError(
-            f"limits.sockets: {descriptors!r} is not an integer of at least {MIN_DESCRIPTORS}; correct it"
+            f"limits.sockets: {max_descriptors!r} is not an integer of at least {MIN_DESCRIPTORS}; correct it"
         )
     fallback_list = fields.get("known")
     return NodeSettings(
         name=str(fields.get("name", "")),
-        listen=_parse_address(fields, "listen"),
-        discovery=fields["discovery"],
+        listen_address=_parse_address(fields, "listen"),
+        discovery_address=fields["discovery"],
         seed=seed,
-        descriptors=descriptors,
-        platform=fields["settings"],
+        max_descriptors=max_descriptors,
+        platform_settings=fields["settings"],
         fallback_list=fallback_list if isinstance(fallback_list, dict) else None,
     )
 
@@ -103,15 +103,15 @@
     Raises:
         SettingsError: A required key is missing, or a value has the wrong type.
     """
-    platform = settings.platform
+    platform_settings = settings.platform_settings
     for key in ("Caps", "Invariants", "Specifics"):
-        if not isinstance(platform.get(key, {}), dict):
+        if not isinstance(platform_settings.get(key, {}), dict):
             raise SettingsError(f"settings.{key}: is not an object; use the platform's format")
     for key in ("Classes", "Orgs"):
-        if not _is_list_of_named_objects(platform.get(key) or []):
+        if not _is_list_of_named_objects(platform_settings.get(key) or []):
             raise SettingsError(f"settings.{key}: is not a list of objects that have a Name; correct it")
     try:
-        return router_config_from_settings(platform, settings.seed)._replace(may_check_arrival=True)
+        return router_config_from_settings(platform_settings, settings.seed)._replace(may_check_arrival=True)
     except KeyError as error:
         raise SettingsError(f"settings: {error.args[0]} is missing or unknown; add or correct it") from error
     except (TypeError, AttributeError, ValueError, IndexError) as error:
--- a/myrtlehub/relay/settings/platform_limits.py
+++ b/myrtlehub/relay/settings/platform_limits.py
@@ -33,7 +33,7 @@
     Raises:
         SettingsError: A limit is not a number above 0.
     """
-    capabilities = settings.platform.get("Caps", {})
+    capabilities = settings.platform_settings.get("Caps", {})
     limits = {
         "ConnectTimeoutMs": DEFAULT_CONNECT_TIMEOUT_MS,
         "KeepaliveMs": DEFAULT_KEEPALIVE_MS,
@@ -49,5 +49,5 @@
         connect_timeout=limits["ConnectTimeoutMs"] / 1e3,
         keepalive=limits["KeepaliveMs"] / 1e3,
         max_in_flight=int(limits["MostHeld"]),
-        earliest_kill_delay=earliest_kill_delay(settings.platform),
+        earliest_kill_delay=earliest_kill_delay(settings.platform_settings),
     )
--- a/myrtlehub/relay/settings/settings_reload.py
+++ b/myrtlehub/relay/settings/settings_reload.py
@@ -27,13 +27,13 @@
         return
     changes = {
         "name": settings.name != current.name,
-        "listen": settings.listen != current.listen,
-        "limits": settings.descriptors != current.descriptors,
-        "settings": settings.platform != current.platform,
+        "listen": settings.listen_address != current.listen_address,
+        "limits": settings.max_descriptors != current.max_descriptors,
+        "settings": settings.platform_settings != current.platform_settings,
     }
     log(
         LogEvent.SETTINGS_RELOADED,
-        discovery=settings.discovery,
+        discovery=settings.discovery_address,
         not_applied=sorted(key for key, is_changed in changes.items() if is_changed),
     )
-    set_discovery_address(settings.discovery)
+    set_discovery_address(settings.discovery_address)
--- a/tests/relay/test_relay_rearming.py
+++ b/tests/relay/test_relay_rearming.py
@@ -107,10 +107,10 @@
 def test_the_lag_is_measured_after_a_tick_that_raised() -> None:
     rig = RelayRig("w1")
     rig.node.measure_lag()
-    lag = rig.node.decoder.lag_meter
-    lag.tick = failing = FailingCallable(lag.tick)
+    lag_meter = rig.node.decoder.lag_meter
+    lag_meter.tick = failing = FailingCallable(lag_meter.tick)
     run_despite_errors(rig, 0.5)
-    assert failing.raised == 1 and lag.max_data_age(rig.clock.seconds()) == 0.0
+    assert failing.raised == 1 and lag_meter.max_data_age(rig.clock.seconds()) == 0.0
 
 
 def test_a_release_is_retried_after_a_send_that_raised() -> None:
--- a/tests/support/relayrig.py
+++ b/tests/support/relayrig.py
@@ -188,11 +188,11 @@
         self.net.listen("disco:1", self.discovery)
         node_settings = NodeSettings(
             name="n0",
-            listen=SocketAddress("127.0.0.1", 1),
-            discovery="disco:1",
+            listen_address=SocketAddress("127.0.0.1", 1),
+            discovery_address="disco:1",
             seed=7,
-            descriptors=descriptors,
-            platform={**SETTINGS, **settings},
+            max_descriptors=descriptors,
+            platform_settings={**SETTINGS, **settings},
             fallback_list=self.complete_list() if with_fallback_list else None,
         )
         self.logged: list[LoggedEvent] = []
