--- a/myrtlehub/http1/connection_pool.py
+++ b/myrtlehub/http1/connection_pool.py
@@ -100,7 +100,7 @@
             return
         # The factory must not refer to the request. Factory, connector and transport form a reference cycle
         # that is only freed by a full garbage collection after the connection is closed, hours later.
-        # Test: `test_a_request_is_freed_with_its_end_though_its_connection_stays_open`.
+        # Test: `test_a_request_is_freed_when_it_ends_even_if_its_connection_stays_open`.
         factory = _ClientConnectionFactory(partial(ClientConnection, self, pending.peer))
         pending.connecting = self.dialer(pending.address)(factory)
         self.count += 1
--- a/myrtlehub/http1/request_reader.py
+++ b/myrtlehub/http1/request_reader.py
@@ -43,7 +43,7 @@
     MAX_TOTAL_READ_AHEAD_BYTES for all connections. Data beyond that is read and discarded. If it were left
     unread in the socket, the end of the connection after it would not be detected, and the open request would
     continue long after its client has disconnected.
-    Test: `test_a_disconnect_behind_a_flood_of_bytes_is_noticed`.
+    Test: `test_a_disconnect_behind_many_buffered_bytes_is_noticed`.
     """
 
     def __init__(self, http: h11.Connection, shared_counter: ReadAheadCounter) -> None:
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -72,7 +72,7 @@
         """Break the reference cycle between exchange, sink and sequence, and return the sequence.
 
         The cycle would keep the complete request in memory until the next full garbage collection, seconds
-        to minutes later (test_answered_requests_are_freed_without_the_garbage_collector).
+        to minutes later (test_objects_of_answered_requests_are_in_no_reference_cycle).
         """
         self.handler.open_sinks.pop(self.sequence_id, None)
         sequence, self.sequence = self.sequence, None
--- a/tests/relay/test_engine_start_times.py
+++ b/tests/relay/test_engine_start_times.py
@@ -73,7 +73,7 @@
     assert 0.0 <= age <= 8.0
 
 
-def test_a_start_is_always_the_same_moment() -> None:
+def test_a_start_time_is_the_same_in_each_list() -> None:
     """Otherwise each list would make the engine appear to have restarted with an empty prefix cache."""
     decoder = new_decoder(-HOUR)
     ages(decoder, NOW, entry("w1", 400.0))
--- a/tests/relay/test_relay_discovery.py
+++ b/tests/relay/test_relay_discovery.py
@@ -36,7 +36,7 @@
     assert rig.request("a1").statuses == [200]
 
 
-def test_unreadable_entries_do_not_end_the_watch() -> None:
+def test_invalid_entries_do_not_end_the_watch() -> None:
     rig = RelayRig("w1")
     connection = rig.open_watches.pop()
     hosts = [{"host": 5}, None, rig.entry("x9"), rig.entry("w2")]
@@ -51,7 +51,7 @@
     ids=str,
 )
 @pytest.mark.parametrize("health", ["leaving", "left"])
-def test_a_leaving_notice_counts_whatever_else_cannot_be_read(
+def test_an_engine_that_leaves_gets_nothing_although_its_entry_is_invalid(
     invalid_fields: dict[str, Any], health: str
 ) -> None:
     rig = RelayRig("w1 w2")
--- a/tests/relay/test_relay_memory.py
+++ b/tests/relay/test_relay_memory.py
@@ -28,7 +28,7 @@
 )
 
 
-def test_answered_requests_are_freed_without_the_garbage_collector() -> None:
+def test_objects_of_answered_requests_are_in_no_reference_cycle() -> None:
     """Guards against reference cycles through complete requests.
 
     Between two full garbage collections, the objects in such cycles would add up to tens of MB.
--- a/tests/relay/test_relay_memory_process.py
+++ b/tests/relay/test_relay_memory_process.py
@@ -25,7 +25,7 @@
 MAX_REMAINING_OBJECTS = 12  # watches, idle connections and requests of the last reactor turns
 
 
-def test_a_request_is_freed_with_its_end_though_its_connection_stays_open(rig: SocketRig) -> None:
+def test_a_request_is_freed_when_it_ends_even_if_its_connection_stays_open(rig: SocketRig) -> None:
     """Guards against a leak: the protocol factory of a connection referred to its first request.
 
     After a run of 45 minutes, such requests took 84 of the 96 MB of the process.
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -29,7 +29,7 @@
 from myrtlehub.log_events import LogEvent
 
 
-def test_half_a_request_at_sigterm_is_still_answered(rig: SocketRig) -> None:
+def test_a_request_that_is_incomplete_at_sigterm_is_answered(rig: SocketRig) -> None:
     """The node reads the start of a request before the signal, and the rest after its port has closed.
 
     The rest arrives too late for an answer that is complete before the earliest SIGKILL, so the request is
@@ -49,7 +49,7 @@
     node.assert_clean_exit()
 
 
-def test_a_process_that_is_not_done_shortly_before_the_earliest_sigkill_logs_what_it_owes(
+def test_a_process_that_is_busy_shortly_before_the_earliest_sigkill_logs_its_pending_work(
     rig: SocketRig,
 ) -> None:
     """The longest deadline in the settings is 0.4 s, so SIGKILL may follow 1.1 s after SIGTERM."""
@@ -161,7 +161,7 @@
     node.assert_clean_exit()
 
 
-def test_sigterm_before_the_first_list_answers_waiting_clients(rig: SocketRig) -> None:
+def test_sigterm_before_the_first_endpoint_list_answers_clients_in_the_accept_queue(rig: SocketRig) -> None:
     """No client has been accepted yet, because discovery does not respond."""
     node = rig.start("w1", silent=True)
     listening = f":{int(node.address.rpartition(':')[2]):04X} 00000000:0000 0A "  # 0A: state LISTEN
@@ -174,7 +174,7 @@
     node.assert_clean_exit()
 
 
-def test_more_signals_during_a_shutdown_change_nothing_but_discovery(rig: SocketRig) -> None:
+def test_further_signals_during_a_shutdown_do_not_interrupt_it(rig: SocketRig) -> None:
     node = rig.start("w1")
     rig.engines["w1"].script = never_respond
     client = Client(node.address).send(chat_request("a1", remaining_ms=4500))
@@ -219,7 +219,7 @@
     assert rig.engines["w2"].sequence_ids() == ["a1"]
 
 
-def test_a_half_written_file_at_sighup_is_ignored_and_the_complete_one_applied(rig: SocketRig) -> None:
+def test_an_incomplete_settings_file_at_sighup_is_ignored_and_a_complete_one_applied(rig: SocketRig) -> None:
     node = rig.start("w1")
     complete = node.path.read_text()
     node.path.write_text(complete[: len(complete) // 2])
@@ -244,7 +244,7 @@
         ({"listen": "x"}, "listen"),
     ],
 )
-def test_invalid_settings_are_one_line_with_file_key_and_fix(
+def test_invalid_settings_are_reported_on_one_line_with_file_key_and_remedy(
     tmp_path: Path, fields: dict[str, Any], key: str
 ) -> None:
     path = tmp_path / "config.json"
--- a/tests/relay/test_relay_races.py
+++ b/tests/relay/test_relay_races.py
@@ -9,7 +9,7 @@
 from myrtlehub.log_events import LogEvent
 
 
-def test_a_disconnect_behind_a_flood_of_bytes_is_noticed(rig: SocketRig) -> None:
+def test_a_disconnect_behind_many_buffered_bytes_is_noticed(rig: SocketRig) -> None:
     """The client's FIN arrives behind bytes that are buffered while its request is open."""
     node = rig.start("w1 w2")
     rig.discovery.change_health(w1="leaving", w2="leaving")
@@ -116,7 +116,7 @@
     assert rig.engines["w1"].sequence_ids() == ["a1"]
 
 
-def test_lingering_connections_count_and_close(rig: SocketRig) -> None:
+def test_lingering_connections_count_as_descriptors_and_are_closed(rig: SocketRig) -> None:
     """Rejected clients keep their side of the connection open, more than there are descriptors."""
     node = rig.start("w1", descriptors=128)
     base = node.descriptor_count()
