--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -226,10 +226,10 @@
         """Start to measure the event loop lag, which the request decoder subtracts from deadlines."""
         lag = self.runtime.decoder.lag
         now = self.clock.seconds()
-        previous_max_lag = lag.worst
+        previous_max_lag = lag.max_lag
         next_tick_at = lag.tick(now)
-        if lag.worst > max(previous_max_lag, MIN_LOGGED_LAG):
-            self.log(LogEvent.EVENT_LOOP_LAG, lag_s=round(lag.worst, 3))
+        if lag.max_lag > max(previous_max_lag, MIN_LOGGED_LAG):
+            self.log(LogEvent.EVENT_LOOP_LAG, lag_s=round(lag.max_lag, 3))
         self.clock.callLater(max(0.0, next_tick_at - now), self.measure_lag)
 
     # -- drain ------------------------------------------------------------------------------------
--- a/myrtlehub/relay/monitoring/invariant_monitor.py
+++ b/myrtlehub/relay/monitoring/invariant_monitor.py
@@ -14,11 +14,11 @@
 from myrtlehub.state.invariants import (
     Invariant,
     InvariantCounter,
-    broken_by_close,
-    broken_by_forgetting,
-    broken_by_holding,
-    broken_by_timer,
-    broken_by_waiting,
+    violated_by_close,
+    violated_by_overdue_answer,
+    violated_by_removal,
+    violated_by_state_retention,
+    violated_by_timer,
 )
 
 CHECK_INTERVAL_S = 0.1
@@ -40,7 +40,7 @@
 class NodeStatistics(Protocol):
     """Statistics of a node that are logged with its counters."""
 
-    def worst_lag(self) -> float:
+    def max_lag(self) -> float:
         """Return the largest event loop lag so far, in seconds."""
 
     def release_counts(self) -> Mapping[str, int]:
@@ -52,7 +52,7 @@
 
     Attributes:
         counter: Counts withheld sends and violations.
-        timers: Periodic timers whose next run must always be scheduled.
+        recurring_timers: Periodic timers whose next run must always be scheduled.
         on_violation: Called after a violation has been logged.
         executor: Owns the sequences that are checked; set by `attach`.
         statistics: The node's statistics; set by `attach`.
@@ -65,7 +65,7 @@
         self.clock = clock
         self.log = log
         self.counter = InvariantCounter(self._log_violation)
-        self.timers: list[RecurringTimer] = []
+        self.recurring_timers: list[RecurringTimer] = []
         self.on_violation: Callable[[], None] = lambda: None
         self._overdue_at_last_check: set[int] = set()  # sequence numbers
         # Number of consecutive checks that found read states retained too long, by sequence number.
@@ -86,7 +86,7 @@
         """Log that the node closes a client's connection, and check that it has no open request."""
         is_open = exchange is not None and not exchange.is_finished
         self.log(LogEvent.CONNECTION_CLOSED, reason=reason, is_open=is_open)
-        self.counter.check(broken_by_close(is_open))
+        self.counter.check(violated_by_close(is_open))
 
     def log_counters(self) -> None:
         """Log the counters of answers, releases, withheld sends and violations."""
@@ -96,7 +96,7 @@
             in_flight=len(self.executor.in_flight),
             oldest_read_state_s=round(self._oldest_read_state_age(), 3),
             releases=dict(sorted(self.statistics.release_counts().items())),
-            worst_lag_s=round(self.statistics.worst_lag(), 3),
+            worst_lag_s=round(self.statistics.max_lag(), 3),
             withheld=dict(sorted(self.counter.withheld.items())),
             violations=dict(sorted(self.counter.violations.items())),
         )
@@ -121,7 +121,7 @@
         """Check that read states are fetched or released in time, unless an attempt has since arrived."""
         previous_counts, self._retention_check_counts = self._retention_check_counts, {}
         for number, since in self._unfetched_since().items():
-            violated = broken_by_holding(now - since, self.executor.config.state_timeout)
+            violated = violated_by_state_retention(now - since, self.executor.config.state_timeout)
             if violated is None:
                 continue
             self._retention_check_counts[number] = previous_counts.get(number, 0) + 1
@@ -134,7 +134,7 @@
 
     def sequence_forgotten(self, sequence: InFlightSequence) -> None:
         """Check that a removed sequence has its final answer and no unreleased read state."""
-        violated = broken_by_forgetting(sequence.answer.is_final, bool(sequence.read_states))
+        violated = violated_by_removal(sequence.answer.is_final, bool(sequence.read_states))
         self.counter.check(violated, sequence.sequence_id)
 
     def _check(self) -> None:
@@ -142,13 +142,13 @@
         now = self.clock.seconds()
         overdue = self._overdue_sequences(now)
         for sequence in overdue:
-            violated = broken_by_waiting(now - sequence.deadline, OVERDUE_ANSWER_TOLERANCE_S)
+            violated = violated_by_overdue_answer(now - sequence.deadline, OVERDUE_ANSWER_TOLERANCE_S)
             self.counter.check(violated, sequence.sequence_id)
         self._check_states(now)
         if now >= self._next_counters_at:
             self._next_counters_at = now + COUNTERS_INTERVAL_S
-            for timer in self.timers:
-                self.counter.check(broken_by_timer(timer.is_armed()), timer.name)
+            for timer in self.recurring_timers:
+                self.counter.check(violated_by_timer(timer.is_armed()), timer.name)
             self.log_counters()
         for sequence in overdue:
             self.executor.abort(sequence, "its deadline has passed")
--- a/myrtlehub/relay/process/graceful_shutdown.py
+++ b/myrtlehub/relay/process/graceful_shutdown.py
@@ -59,12 +59,12 @@
         if self._is_started:
             return
         self._is_started = True
-        self.clock.callLater(ACCEPT_PERIOD_S, self._close)
+        self.clock.callLater(ACCEPT_PERIOD_S, self._close_port)
         if self.report is not None:
             self.clock.callLater(self.report_delay, self.report)
         self.listener.drain()
 
-    def _close(self) -> None:
+    def _close_port(self) -> None:
         """Close the port, or retry soon; the process ends even if a step raises.
 
         Closing the port would reset connections in the accept queue, whose clients need a response
@@ -75,7 +75,7 @@
             must_retry = self.stop_listening()
         finally:
             if must_retry:
-                self.clock.callLater(ACCEPT_RETRY_INTERVAL_S, self._close)
+                self.clock.callLater(ACCEPT_RETRY_INTERVAL_S, self._close_port)
             else:
                 self.clock.callLater(0, self._end_when_idle)
             self.listener.drain()
@@ -86,8 +86,8 @@
         This needs no timeout, because all work in flight has its own: sequences have their deadlines,
         partial requests REQUEST_TIMEOUT_S, last responses LINGER_TIMEOUT_S, and releases RELEASE_TIMEOUT_S.
         A stream ends when the engine ends it, or after SILENCE_TIMEOUT_S without an event. The platform sends
-        SIGKILL no earlier than `PlatformLimits.earliest_kill` after SIGTERM. A process that is still busy
-        shortly before that reports the pending work and continues.
+        SIGKILL no earlier than `PlatformLimits.earliest_kill_delay` after SIGTERM. A process that is still
+        busy shortly before that reports the pending work and continues.
         """
         is_busy = True
         try:
