--- a/myrtlehub/rollout/disturbance.py
+++ b/myrtlehub/rollout/disturbance.py
@@ -99,9 +99,9 @@
         if self._engines_differ_from_stage_start() or not self._is_drop_ongoing():
             return None
         return (
-            f"{self.reason}; the drop began {self._drop_start - self._stage_start} windows after the start "
-            f"of this stage and has lasted for {duration}, while about as many engines serve as then: "
-            "the change harms the unchanged nodes"
+            f"{self.reason}; it began {self._drop_start - self._stage_start} blocks after this stage was "
+            f"begun, has lasted for {duration}, and as many engines serve as then: "
+            "the change hurts the others"
         )
 
     def _engines_differ_from_stage_start(self) -> bool:
@@ -122,7 +122,7 @@
             counts = [engines.get(zone, 0) for engines in self._recent_engines]
             if counts and _differ(max(counts), min(counts)):
                 disturbed[index] = True
-                self.reason = f"the serving engines of zone {zone} changed from {counts[0]} to {counts[-1]}"
+                self.reason = f"serving engines of zone {zone} went from {counts[0]} to {counts[-1]}"
         drop = None if is_baseline else self._describe_drop()
         if disturbed.any() or drop is None:
             self._drop_start = None
@@ -147,7 +147,7 @@
         mean = float(baseline.mean())
         deviation = float(baseline.std(ddof=1))
         if mean - newest > max(SUDDEN_DROP, SUDDEN_DROP_DEVIATIONS * deviation):
-            return f"the fleet serves {newest:.3f} of the offered utility, {mean:.3f} before the change"
+            return f"the fleet serves {newest:.3f} of the utility asked, {mean:.3f} before the change"
         start = max(self.observation_start, self.windows - self.observation_windows)
         observed = np.array(self._served_fractions[start:])
         if len(observed) < self.observation_windows // 2 or np.isnan(observed).any():
@@ -160,8 +160,8 @@
             SUSTAINED_DROP, SUSTAINED_DROP_STANDARD_ERRORS * standard_error
         ):
             return (
-                f"the fleet serves {observed.mean():.3f} of the offered utility since the observation of "
-                f"this stage began, {mean:.3f} before the change"
+                f"the fleet serves {observed.mean():.3f} of the utility asked since this stage is watched, "
+                f"{mean:.3f} before the change"
             )
         return None
 
--- a/myrtlehub/rollout/node_orders.py
+++ b/myrtlehub/rollout/node_orders.py
@@ -39,25 +39,27 @@
 
     def _format_error(self, order: Order) -> str | None:
         if order.format > FORMAT_VERSION:
-            return f"the order has format {order.format}, but this node knows formats up to {FORMAT_VERSION}"
+            return (
+                f"the order is in format {order.format}, and this node knows formats up to {FORMAT_VERSION}"
+            )
         if not order.generation or not order.controller:
-            return "the order does not name its generation and its controller"
+            return "an order has to name its generation and its controller"
         return None
 
     def _generation_error(self, order: Order) -> str | None:
         if order.generation < self.generation:
             return (
-                f"the order has generation {order.generation}, but this node obeys {self.generation} "
+                f"the order is of generation {order.generation}; this node obeys {self.generation} "
                 f"of controller {self.controller}"
             )
         if order.generation == self.generation and order.controller != self.controller:
             return (
-                f"generation {order.generation} is controller {self.controller}'s; controller "
-                f"{order.controller} has to resume with a higher generation"
+                f"generation {order.generation} is controller {self.controller}'s; {order.controller} has to "
+                "resume with a higher one"
             )
         return None
 
     def _incarnation_error(self, order: Order) -> str | None:
         if order.incarnation and order.incarnation != self.incarnation:
-            return f"the order is for process {order.incarnation}, but this is process {self.incarnation}"
+            return f"the order is for process {order.incarnation}, and this is {self.incarnation}"
         return None
--- a/myrtlehub/rollout/verdict_text.py
+++ b/myrtlehub/rollout/verdict_text.py
@@ -17,8 +17,8 @@
         f"{comparison.changed:.4f} on {comparison.nodes.changed} changed nodes, "
         f"{comparison.unchanged:.4f} on {comparison.nodes.unchanged} unchanged ones; "
         f"worse by {comparison.harm:.4f} "
-        f"({comparison.low:.4f} to {comparison.high:.4f}) over {comparison.windows} windows, "
-        f"the margin is {comparison.margin:.4f}"
+        f"({comparison.low:.4f} to {comparison.high:.4f}) over {comparison.windows} blocks, "
+        f"{comparison.margin:.4f} is acceptable"
     )
 
 
@@ -30,19 +30,19 @@
 def describe_loss(lost: float, max_lost_utility: float) -> str:
     """Describe a loss of utility above the limit, in units of the utility offered to the fleet per window."""
     return (
-        f"the rollout has lost the utility offered to the whole fleet in {lost:.1f} windows, "
-        f"the limit is {max_lost_utility:.1f}"
+        f"the change has cost the utility of {lost:.1f} blocks of the whole fleet, "
+        f"{max_lost_utility:.1f} may be lost"
     )
 
 
 def describe_disturbance(reason: str) -> str:
     """Describe a disturbance that is not attributed to the change."""
-    return f"{reason}: not attributed to the change"
+    return f"{reason}: not put down to the change"
 
 
 def describe_progress(windows: int, observation_windows: int) -> str:
     """Describe how many windows of the observation have passed."""
-    return f"{windows} of {observation_windows} windows observed"
+    return f"{windows} of {observation_windows} blocks watched"
 
 
 def describe_pass(inconclusive: list[Comparison]) -> str:
@@ -50,4 +50,4 @@
     if not inconclusive:
         return "within all margins"
     metrics = ", ".join(describe_guard(comparison.guard) for comparison in inconclusive)
-    return f"not shown to be worse, but not shown to be within the margin either for {metrics}"
+    return f"not shown to be worse; less than the margin is not shown either for {metrics}"
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -97,7 +97,7 @@
 def test_a_change_that_harms_unchanged_nodes_is_stopped_once_it_has_outlasted_a_burst() -> None:
     for seed in range(5):
         verdict, analysis, windows = observe(24, 12, seed, harm=Regression(0.05, others_from=0.5))
-        assert verdict.outcome == Outcome.WORSE and "harms the unchanged nodes" in verdict.reason, (
+        assert verdict.outcome == Outcome.WORSE and "hurts the others" in verdict.reason, (
             seed,
             verdict.reason,
         )
@@ -159,7 +159,7 @@
     for _ in range(12):
         analysis.add(fleet.advance(roles_of(24, 6)))
     verdict = analysis.verdict()
-    assert verdict.outcome == Outcome.WORSE and "the limit is 0.2" in verdict.reason
+    assert verdict.outcome == Outcome.WORSE and "0.2 may be lost" in verdict.reason
 
 
 def test_an_unavailable_node_is_excluded_from_the_comparison() -> None:
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -294,10 +294,10 @@
     assert "obeys 3" in validator.rejection_reason(Order(FORMAT_VERSION, 2, "x"))
     assert "for process run0" in validator.rejection_reason(Order(FORMAT_VERSION, 4, "y", "run0"))
     assert (
-        f"has format {FORMAT_VERSION + 1}" in validator.rejection_reason(Order(FORMAT_VERSION + 1, 9, "z"))
+        f"is in format {FORMAT_VERSION + 1}" in validator.rejection_reason(Order(FORMAT_VERSION + 1, 9, "z"))
         and validator.generation == 3
     )
-    assert "does not name its generation" in validator.rejection_reason(Order(FORMAT_VERSION, 0, "z"))
+    assert "has to name its generation" in validator.rejection_reason(Order(FORMAT_VERSION, 0, "z"))
 
 
 def test_events_are_derived_from_a_status_and_from_elapsed_time() -> None:
