--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -12,51 +12,54 @@
 
 
 class StreamObserver(Protocol):
-    """Is notified of the events of a stream; exactly one of the last three is called, once."""
+    """Receives the events of a stream.
+
+    Exactly one of `stream_completed`, `stream_failed` and `superseded` is called, once.
+    """
 
     def tokens_received(self, data: bytes) -> None:
-        """Handle a token message, as the engine sent it."""
+        """Handle a token message, encoded as the engine sent it."""
 
     def stream_completed(self, token_count: int) -> None:
         """Handle the end of a complete answer."""
 
-    def stream_broke(self, reason: str) -> None:
-        """Handle the end of a stream whose answer is incomplete."""
+    def stream_failed(self, reason: str) -> None:
+        """Handle a stream that ended before the answer was complete."""
 
     def superseded(self, reason: str) -> None:
-        """Handle the engine's rejection: another node owns the sequence."""
+        """Handle a rejection by the engine because another node owns the sequence."""
 
 
 class AttachedStream(CallWatcher):
-    """Turns the replies on the call into events of a `StreamObserver`."""
+    """Passes the replies on a call to a `StreamObserver`."""
 
     def __init__(self, observer: StreamObserver) -> None:
         self.observer = observer
-        self.is_final = False
+        self.is_finished = False
 
     def message(self, data: bytes) -> None:
-        """Handle one message of the engine."""
-        if self.is_final:
+        """Handle one message from the engine."""
+        if self.is_finished:
             return
         if data[0] == TOKENS_TAG:
             self.observer.tokens_received(data)
             return
-        self.is_final = True
+        self.is_finished = True
         reply = pb.WriteReply.FromString(data)
         if reply.WhichOneof("reply") == "ended":
             self.observer.stream_completed(reply.ended.tokens)
         else:
-            self.observer.stream_broke("the stream is not there any more")
+            self.observer.stream_failed("the engine no longer has the stream")
 
     def ended(self, status: Status) -> None:
         """Handle the end of the call."""
-        if self.is_final:
+        if self.is_finished:
             return
-        self.is_final = True
+        self.is_finished = True
         if status.code == Code.FAILED_PRECONDITION:
             self.observer.superseded(status.message)
         else:
-            self.observer.stream_broke(f"the stream broke: {status.code.name}")
+            self.observer.stream_failed(f"the engine's stream ended early: {status.code.name}")
 
 
 def attach_to_stream(
@@ -69,11 +72,11 @@
     """Attach to the stream of an attempt, from the first token that the client has not received.
 
     Args:
-        transport: has the channel to the engine.
+        transport: provides the channel to the engine.
         record: the record of the sequence, with this node's ownership.
         target: the attempt to attach to.
         request: the client's request to resume.
-        observer: is notified of the stream's events, only after this function has returned.
+        observer: receives the stream's events, never before this function returns.
     """
     work = pb.Work(
         sequence=record.sequence_id,
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -1,4 +1,8 @@
-"""Claims of sequences at engines: a claim raises the engine's fence and reports its attempts."""
+"""Claims of sequences at engines.
+
+A claim raises the fencing token that the engine requires, and returns the states of the sequence's attempts
+at that engine.
+"""
 
 from collections.abc import Iterable
 
@@ -10,18 +14,20 @@
 from myrtlehub.recovery.recovery_decision import STREAMING_STATES, AttemptReport
 from myrtlehub.recovery.sequence_records import AttemptIntent, SequenceRecord
 
-CLAIM_TIMEOUT = 0.5  # seconds for an engine's reply; without one, its attempts count as unknown
-MAX_CLOCK_ERROR = 0.5  # seconds; upper bound on the error of an attempt's age, measured by several clocks
+CLAIM_TIMEOUT = 0.5  # seconds; the attempts at an engine that has not replied by then count as unknown
+MAX_CLOCK_ERROR = (
+    0.5  # seconds; bounds the error of an attempt's age, which is measured on the clocks of several machines
+)
 
 
 class EngineClaims:
-    """The claims of one sequence at all engines in its record, and what they report of its attempts."""
+    """The claims of one sequence at all engines in its record, and the attempt states that they report."""
 
     def __init__(self, transport: GrpcEngineTransport, record: SequenceRecord) -> None:
         self.transport = transport
         self.record = record
         self.engines = _engines_of(record)
-        self.read_states: dict[str, pb.State] = {}  # by engine that holds one
+        self.read_states: dict[str, pb.State] = {}  # by engine, for engines that have one
 
     def send(self, engines_answer_claims: bool) -> "list[Deferred[pb.ClaimReply | None]]":
         """Claim the sequence at each engine.
@@ -37,7 +43,7 @@
         return [claim_at_engine(self.transport, engine, self.record, close=False) for engine in self.engines]
 
     def reports(self, replies: Iterable[pb.ClaimReply | None], now: float) -> list[AttemptReport]:
-        """Return what the engines reported of each attempt in the record.
+        """Return the reported state of each attempt in the record.
 
         Args:
             replies: in the order of `engines`.
@@ -49,26 +55,26 @@
     def _report(self, intent: AttemptIntent, reply: pb.ClaimReply | None, now: float) -> AttemptReport:
         if reply is None:
             return AttemptReport(intent, AttemptState.UNKNOWN)
-        row = next((row for row in reply.attempts if row.number == intent.attempt), None)
-        if row is None:
-            # `age` is how far back the engine remembers attempts. One that is older may have run and been
-            # forgotten (`test_an_engine_that_has_forgotten_an_attempt_is_no_proof_that_it_never_ran`).
+        reported = next((attempt for attempt in reply.attempts if attempt.number == intent.attempt), None)
+        if reported is None:
+            # `age` is the length of the engine's attempt history. An older attempt may have run and been
+            # removed from it (`test_an_engine_that_has_forgotten_an_attempt_is_no_proof_that_it_never_ran`).
             may_be_forgotten = now - intent.intended_at + MAX_CLOCK_ERROR > reply.age
             return AttemptReport(intent, AttemptState.UNKNOWN if may_be_forgotten else AttemptState.NEVER_RAN)
-        state = AttemptState(row.says)
-        if state == AttemptState.HAS_READ_STATE and row.HasField("state"):
-            self.read_states[intent.engine] = row.state
-        return AttemptReport(intent, state, row.tokens, row.first)
+        state = AttemptState(reported.says)
+        if state == AttemptState.HAS_READ_STATE and reported.HasField("state"):
+            self.read_states[intent.engine] = reported.state
+        return AttemptReport(intent, state, reported.tokens, reported.first)
 
 
 def is_rejected(reply: pb.ClaimReply | None) -> bool:
-    """Return whether the engine rejected the claim because a higher ownership has claimed the sequence."""
+    """Return whether the engine rejected the claim, because a higher ownership has claimed the sequence."""
     return reply is not None and not reply.granted
 
 
 def has_stream(reply: pb.ClaimReply | None) -> bool:
-    """Return whether the engine has a stream to attach to; if so, other engines' reports are optional."""
-    return reply is not None and any(row.says in STREAMING_STATES for row in reply.attempts)
+    """Return whether the engine has a stream to attach to; if so, the other reports are optional."""
+    return reply is not None and any(attempt.says in STREAMING_STATES for attempt in reply.attempts)
 
 
 def claim_at_engine(
@@ -77,11 +83,11 @@
     """Claim a sequence at one engine.
 
     Args:
-        transport: has the channel to the engine.
-        engine: its address.
-        record: has the sequence and the ownership that claims it.
+        transport: provides the channel to the engine.
+        engine: the engine's address.
+        record: contains the sequence id and the ownership that claims the sequence.
         close: whether the engine also stops the sequence's attempts, releases its read state, and
-            rejects any further work for it.
+            rejects further work for the sequence.
 
     Returns:
         A Deferred that fires with the reply, or with None if there is none.
@@ -105,5 +111,5 @@
 
 
 def _engines_of(record: SequenceRecord) -> list[str]:
-    """Return each engine of the record's intents once, in the order of the intents."""
+    """Return the distinct engines of the record's intents, in the order of the intents."""
     return list(dict.fromkeys(intent.engine for intent in record.intents))
--- a/myrtlehub/node/replication/former_ownerships.py
+++ b/myrtlehub/node/replication/former_ownerships.py
@@ -1,24 +1,24 @@
 """Ownerships of sequences that have ended at this node.
 
 A read state may be released seconds after its sequence has ended. The release message still carries the
-ownership as its fencing token, so the ownership is retained here.
+ownership as a fencing token, so the ownership is stored here.
 """
 
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
 
-CAPACITY = 20000  # sequences; covers the seconds within which releases follow their final answers
+CAPACITY = 20000  # sequences; enough for the seconds between a final answer and the release of the read state
 
 
 class FormerOwnerships:
-    """The last ownership of each ended sequence, bounded in count, and which sequences have migrated."""
+    """The last ownerships of ended sequences, bounded in number, and which of them have migrated."""
 
     def __init__(self, capacity: int = CAPACITY) -> None:
         self.capacity = capacity
-        self._ownerships: dict[str, Ownership] = {}  # by sequence, the oldest first
+        self._ownerships: dict[str, Ownership] = {}  # by sequence id, oldest first
         self._migrated: set[str] = set()
 
-    def of(self, sequence_id: str) -> Ownership:
-        """Return the last ownership that this node had of a sequence; `UNOWNED` if it is not known."""
+    def last_ownership(self, sequence_id: str) -> Ownership:
+        """Return this node's last ownership of a sequence; `UNOWNED` if it is not known."""
         return self._ownerships.get(sequence_id, UNOWNED)
 
     def add(self, sequence_id: str, ownership: Ownership) -> None:
--- a/myrtlehub/node/replication/peer_connections.py
+++ b/myrtlehub/node/replication/peer_connections.py
@@ -11,43 +11,43 @@
 from myrtlehub.recovery.sequence_records import SequenceRecord
 from myrtlehub.rpc.channel import Channel, Dialer
 
-BATCHING_DELAY = 0.05  # seconds that an update which no send waits for is delayed, to share a message
+BATCHING_DELAY = 0.05  # seconds that a non-urgent update is delayed, so that several updates share a message
 
 
 class PendingUpdate(NamedTuple):
-    """A version of a record that is to be sent to a peer."""
+    """A version of a record to be sent to a peer."""
 
     version: int
     record: SequenceRecord
-    is_completed: bool  # the final answer was given
+    is_completed: bool  # the final answer was sent
 
 
 class PeerConnection:
-    """Another node: its channel, its incarnation, and the updates that are queued for it."""
+    """A connection to another node, with the updates that are queued for it."""
 
     def __init__(self, name: str, channel: Channel) -> None:
         self.name = name
         self.channel = channel
-        self.incarnation: str | None = None  # None: not called yet, or no reply to the last call
-        self.outbox: dict[str, PendingUpdate] = {}  # by sequence: only the newest version is sent
+        self.incarnation: str | None = None  # None: not called yet, or the last call failed
+        self.outbox: dict[str, PendingUpdate] = {}  # by sequence id; only the newest version is sent
         self.is_flush_scheduled = False
         self.is_batch_flush_scheduled = False
 
 
 class UpdateObserver(Protocol):
-    """Is notified of the replies to updates."""
+    """Receives the replies to updates."""
 
     def update_answered(
         self, replica: str, incarnation: str | None, sequence_id: str, version: int, reply: str
     ) -> None:
-        """Handle a replica's reply: a value of `ReplicaReply`, or one that only a later version knows."""
+        """Handle a replica's reply: a value of `ReplicaReply`, or one that only a newer release defines."""
 
     def update_failed(self, replica: str, sequence_id: str) -> None:
-        """Handle an update to which no reply arrived."""
+        """Handle an update that got no reply."""
 
 
 class _NoObserver:
-    """Stands in until `PeerConnections.observer` is set; no update is sent before that."""
+    """Placeholder until `PeerConnections.observer` is set; no update is sent before that."""
 
     def update_answered(
         self, replica: str, incarnation: str | None, sequence_id: str, version: int, reply: str
@@ -59,7 +59,7 @@
 
 
 class PeerConnections:
-    """The connections of one node to all others; each is made at its first use."""
+    """The connections of one node to all other nodes; each is created on first use."""
 
     def __init__(
         self,
@@ -70,12 +70,12 @@
         dial: Dialer,
         log: Log,
     ) -> None:
-        """Create the set; it connects to no node yet.
+        """Create the object without any connection.
 
         Args:
             node: this node's name.
             incarnation: this node's incarnation.
-            addresses: the addresses of all nodes, by node name.
+            addresses: the address of each node, by node name.
             clock: time and timers.
             dial: returns the connect function of an address.
             log: the operators' log.
@@ -90,7 +90,7 @@
         self.peers: dict[str, PeerConnection] = {}
 
     def peer(self, name: str) -> PeerConnection:
-        """Return the connection to another node."""
+        """Return the connection to another node, creating it on first use."""
         peer = self.peers.get(name)
         if peer is None:
             address = self.addresses[name]
@@ -100,17 +100,17 @@
         return peer
 
     def reachable_incarnations(self, names: list[str]) -> dict[str, str]:
-        """Return, by name, the incarnation of each named node that replied to the last call to it."""
+        """Return the incarnations, by name, of those of the named nodes that replied to the last call."""
         incarnations = {name: self.peer(name).incarnation for name in names}
         return {name: incarnation for name, incarnation in incarnations.items() if incarnation is not None}
 
     def schedule_flush(self, peer: PeerConnection, is_urgent: bool) -> None:
-        """Schedule sending the outbox in one message.
+        """Schedule a message with all updates in the outbox.
 
         Args:
             peer: the connection.
-            is_urgent: a send waits for the reply: flush in the next turn of the event loop. Otherwise the
-                flush is delayed by `BATCHING_DELAY`.
+            is_urgent: whether a send waits for the reply. If so, the outbox is sent in the next iteration
+                of the event loop, else after `BATCHING_DELAY`.
         """
         if is_urgent and not peer.is_flush_scheduled:
             peer.is_flush_scheduled = True
@@ -125,7 +125,7 @@
             self.flush(peer)
 
     def flush(self, peer: PeerConnection) -> None:
-        """Send the outbox; if it is empty, the message is only a heartbeat."""
+        """Send all updates in the outbox; with an empty outbox, the message is only a heartbeat."""
         peer.is_flush_scheduled = False
         updates = peer.outbox
         peer.outbox = {}
--- a/myrtlehub/node/replication/published_sequence.py
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -1,4 +1,4 @@
-"""A sequence whose record this node publishes to replicas."""
+"""A sequence whose record this node sends to replicas."""
 
 from dataclasses import dataclass
 from typing import Protocol, runtime_checkable
@@ -9,7 +9,7 @@
 
 
 class UnsupportedSequenceError(Exception):
-    """Raised for a sequence whose type of request or client does not support replication."""
+    """Raised for a sequence whose request or client does not support replication."""
 
     def __init__(self, sequence_id: str, reason: str) -> None:
         super().__init__(f"{sequence_id} cannot be replicated: {reason}")
@@ -30,19 +30,21 @@
 
     owned: OwnedSequence
     executor: ActionExecutor
-    updated_at: float  # when the last update was sent, in seconds on the node's clock
+    updated_at: float  # time of the last update, in seconds on the node's clock
 
     def end_superseded(self) -> None:
-        """End the client's calls without a final answer.
+        """End the calls of the client without a final answer.
 
-        The attempts are left running: a reset could reach an engine before the claim of the new owner.
+        The attempts are not cancelled: a reset could reach an engine before the claim of the new owner.
 
         Raises:
             UnsupportedSequenceError: the client is not a `ReplicatedClient`.
         """
         sequence_id = self.owned.record.sequence_id
-        for sequence in [row for row in self.executor.in_flight.values() if row.sequence_id == sequence_id]:
+        for sequence in [
+            other for other in self.executor.in_flight.values() if other.sequence_id == sequence_id
+        ]:
             self.executor.hand_over(sequence)
             if not isinstance(sequence.client, ReplicatedClient):
                 raise UnsupportedSequenceError(sequence_id, "its client cannot be superseded")
-            sequence.client.superseded("another node has this sequence now")
+            sequence.client.superseded("another node now owns this sequence")
--- a/myrtlehub/node/replication/record_fetch.py
+++ b/myrtlehub/node/replication/record_fetch.py
@@ -1,4 +1,4 @@
-"""The record of a sequence, merged from the replies of several replicas."""
+"""Merges the copies of a sequence record from the replies of several replicas."""
 
 from typing import NamedTuple
 
@@ -8,26 +8,26 @@
 
 
 class FetchedRecord(NamedTuple):
-    """A record that replicas have handed out to this node, and the replicas themselves."""
+    """A record that replicas have transferred to this node, and the state of these replicas."""
 
     record: SequenceRecord
-    incarnations: dict[str, str | None]  # by replica; None: it was not reached
+    incarnations: dict[str, str | None]  # by replica; None: the replica did not reply
     unreached: frozenset[str]  # replicas that did not reply
 
 
 def has_record(reply: pb.TakeReply | None) -> bool:
-    """Return whether a replica has handed out a record."""
+    """Return whether a replica has transferred a record."""
     return reply is not None and reply.HasField("record")
 
 
 def merge_replies(
     replicas: list[str], replies: list[pb.TakeReply | None], now: float
 ) -> FetchedRecord | None:
-    """Merge the replies of replicas; return None if none of them has a record.
+    """Merge the replies of replicas; return None if none of them contains a record.
 
     Args:
         replicas: the nodes that were queried.
-        replies: theirs, in the same order; None where no reply arrived.
+        replies: their replies, in the same order; None where no reply arrived.
         now: seconds on this node's clock.
     """
     copies = [
--- a/myrtlehub/node/replication/replica_service.py
+++ b/myrtlehub/node/replication/replica_service.py
@@ -1,7 +1,7 @@
-"""The replica's side of replication: stores records of other nodes and hands them out for a takeover.
+"""The replica's side of replication: stores records of other nodes and transfers them for takeovers.
 
-Which records are stored and evicted is decided in `recovery.replica_store`, which nodes have failed in
-`recovery.failure_detector`.
+`recovery.replica_store` decides which records are stored and evicted, and `recovery.failure_detector` which
+nodes have failed.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 class ReplicaService:
     """Serves the gRPC service `Peers`.
 
-    `on_abandoned` is called with each record of a failed owner whose client has not resumed in time.
+    `on_abandoned` is called with each record of a failed owner whose client did not resume in time.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         Args:
             node: this node's name.
             incarnation: this node's incarnation.
-            store: the records.
+            store: the records of other nodes.
             resume_timeout: seconds after the failure of an owner within which its clients may resume.
             clock: time and timers.
             log: the operators' log.
@@ -52,19 +52,19 @@
         self.log = log
         self.detector = FailureDetector(clock.seconds())
         self.on_abandoned: Callable[[SequenceRecord], None] = lambda record: None
-        self.handed_out_count = 0  # records, since the start
+        self.transferred_count = 0  # records, since the start
         self.server = Server(clock)
-        self.server.add(PEERS_SERVICE + "Keep", unary(self._update_record))
-        self.server.add(PEERS_SERVICE + "Take", unary(self._take))
+        self.server.add(PEERS_SERVICE + "Keep", unary(self._serve_keep))
+        self.server.add(PEERS_SERVICE + "Take", unary(self._serve_take))
 
     def check_owners(self, now: float) -> None:
-        """Drop expired records, and handle owners that have failed; called once per heartbeat interval."""
+        """Remove expired records, and handle failed owners; called once per heartbeat interval."""
         self.store.remove_expired(now)
         for suspect in self.detector.check(now):
             self.detector.forget(suspect.node)
-            self._owner_lost(suspect.node, suspect.incarnation)
+            self._handle_owner_failure(suspect.node, suspect.incarnation)
 
-    def _owner_lost(self, node: str, incarnation: str) -> None:
+    def _handle_owner_failure(self, node: str, incarnation: str) -> None:
         """Start the timeout within which the clients of a failed or restarted owner may resume."""
         records = self.store.records_of(f"{node}.{incarnation}")
         if records:
@@ -72,7 +72,7 @@
             self.clock.callLater(self.resume_timeout, self._abandon, node, incarnation)
 
     def _abandon(self, node: str, incarnation: str) -> None:
-        """Take ownership of sequences whose clients did not resume, to have them closed at engines."""
+        """Take ownership of sequences whose clients did not resume, so that engines close them."""
         if self.detector.is_alive(node, incarnation):
             return
         for record in self.store.records_of(f"{node}.{incarnation}"):
@@ -80,7 +80,7 @@
             if transferred is not None:
                 self.on_abandoned(transferred)
 
-    def _update_record(self, call: ServerCall, data: bytes) -> bytes:
+    def _serve_keep(self, call: ServerCall, data: bytes) -> bytes:
         """Serve `Peers.Keep`: a heartbeat, with record updates."""
         request = pb.KeepRequest.FromString(data)
         now = self.clock.seconds()
@@ -91,7 +91,7 @@
             )
         replaced_incarnation = self.detector.record_heartbeat(request.node, request.run, now)
         if replaced_incarnation is not None:
-            self._owner_lost(request.node, replaced_incarnation)
+            self._handle_owner_failure(request.node, replaced_incarnation)
         replies = [self._update(message, now) for message in request.records]
         return pb.KeepReply(format=FORMAT_VERSION, run=self.incarnation, words=replies).SerializeToString()
 
@@ -100,13 +100,13 @@
             return self.store.complete(message.sequence, Ownership(message.epoch, message.owner))
         return self.store.store(decode_record(message, now))
 
-    def _take(self, call: ServerCall, data: bytes) -> bytes:
-        """Serve `Peers.Take`."""
-        return self.hand_out(pb.TakeRequest.FromString(data)).SerializeToString()
+    def _serve_take(self, call: ServerCall, data: bytes) -> bytes:
+        """Serve `Peers.Take`: transfer a record."""
+        return self.transfer_record(pb.TakeRequest.FromString(data)).SerializeToString()
 
-    def hand_out(self, request: pb.TakeRequest) -> pb.TakeReply:
-        """Hand a record out to the node that takes its sequence over."""
+    def transfer_record(self, request: pb.TakeRequest) -> pb.TakeReply:
+        """Transfer a record to the node that takes its sequence over."""
         record = self.store.hand_out(request.sequence, request.by, request.least)
-        self.handed_out_count += record is not None
+        self.transferred_count += record is not None
         message = encode_record(record, self.clock.seconds()) if record is not None else None
         return pb.TakeReply(run=self.incarnation, record=message)
--- a/myrtlehub/node/replication/replica_updater.py
+++ b/myrtlehub/node/replication/replica_updater.py
@@ -10,7 +10,7 @@
 class ReplicaUpdater:
     """Sends updates to other nodes, and to this node's own store.
 
-    If this node is a replica of the node that it took a sequence over from, then it is itself one of the
+    If this node is a replica of the node from which it took over a sequence, then it is itself one of the
     replicas of that sequence.
     """
 
@@ -22,7 +22,7 @@
         """Send the record to all replicas; a send may wait for their replies.
 
         Returns:
-            The sequence with the reply of this node's own store; other replies arrive later.
+            The sequence with the reply of this node's own store; the other replies arrive later.
         """
         updated = owned
         for replica in owned.replicas:
@@ -33,7 +33,7 @@
         return updated
 
     def complete(self, owned: OwnedSequence) -> None:
-        """Tell all replicas that the final answer was given, so that they drop the record."""
+        """Notify all replicas that the final answer was sent, so that they remove the record."""
         for replica in owned.replicas:
             if replica.node == self.connections.node:
                 self.local_store.complete(owned.record.sequence_id, owned.record.ownership)
@@ -41,13 +41,13 @@
                 self._queue(owned, replica, is_completed=True)
 
     def update_with_next_heartbeat(self, owned: OwnedSequence) -> None:
-        """Queue the record for the next message to each replica, unless a newer update is queued already."""
+        """Queue the record for the next message to each replica, unless a newer update is already queued."""
         for replica in owned.replicas:
             outbox = self.connections.peer(replica.node).outbox
             outbox.setdefault(owned.record.sequence_id, PendingUpdate(owned.version, owned.record, False))
 
     def send_heartbeats(self, replicas: Iterable[str]) -> None:
-        """Send a heartbeat to each of these nodes, together with the updates that are queued for it."""
+        """Send a heartbeat to each of these nodes, with the updates that are queued for it."""
         for name in sorted(set(replicas) - {self.connections.node}):
             self.connections.flush(self.connections.peer(name))
 
--- a/myrtlehub/node/replication/replicated_transport.py
+++ b/myrtlehub/node/replication/replicated_transport.py
@@ -1,4 +1,4 @@
-"""An engine transport that sends an attempt once its replicas have acknowledged the intent."""
+"""An engine transport that sends an attempt once the replicas have acknowledged its intent."""
 
 from collections.abc import Callable
 from functools import partial
@@ -12,11 +12,11 @@
 
 
 class TransportNotReadyError(Exception):
-    """An attempt was started before the transport had its action executor."""
+    """Raised if an attempt is started before the transport has its action executor."""
 
 
 class ReplicatedTransport:
-    """Delays attempts as `RecordPublisher` decides, and passes everything else to the engine transport.
+    """Delays attempts as `RecordPublisher` decides, and forwards all other calls to the engine transport.
 
     Implements `protocols.EngineTransport`.
     """
@@ -34,15 +34,17 @@
         return executor
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt, now or once its replicas have acknowledged it."""
-        decision = self.publisher.intend(self._executor, attempt, partial(self._decided, attempt))
+        """Send an attempt, at once or when the replicas have acknowledged its intent."""
+        decision = self.publisher.replicate_intent(
+            self._executor, attempt, partial(self._handle_decision, attempt)
+        )
         if decision == SendDecision.SEND:
             self.transport.start(attempt)
         elif decision == SendDecision.ABANDON:
-            # `EngineTransport.start` may not report to the executor before a later turn of the event loop.
-            self.replication.clock.callLater(0, self._decided, attempt, decision)
+            # `EngineTransport.start` may report to the executor only in a later iteration of the event loop.
+            self.replication.clock.callLater(0, self._handle_decision, attempt, decision)
 
-    def _decided(self, attempt: Attempt, decision: SendDecision) -> None:
+    def _handle_decision(self, attempt: Attempt, decision: SendDecision) -> None:
         if not attempt.is_outstanding:
             return
         if decision == SendDecision.SEND:
@@ -51,7 +53,7 @@
             self._executor.ended(attempt, Outcome.UNSENT)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Reset an attempt, or drop it if it was not sent yet."""
+        """Reset an attempt, or drop it if it has not been sent yet."""
         if attempt.call is None:
             self.publisher.send_gate.cancel(attempt.sequence.sequence_id)
         else:
@@ -59,12 +61,14 @@
 
     def release(self, engine: int, sequence_id: str) -> None:
         """Release the read state of a sequence, unless another node continues the sequence."""
-        if not self.publisher.former.has_migrated(sequence_id):
+        if not self.publisher.former_ownerships.has_migrated(sequence_id):
             self.transport.release(engine, sequence_id)
 
-    def probe(self, engine: int, timeout: float, then: Callable[[bool, LoadReport | None], None]) -> None:
+    def probe(
+        self, engine: int, timeout: float, on_result: Callable[[bool, LoadReport | None], None]
+    ) -> None:
         """Request the load report of an engine."""
-        self.transport.probe(engine, timeout, then)
+        self.transport.probe(engine, timeout, on_result)
 
     def close_idle(self, engine: int) -> None:
         """Close an unused connection to an engine."""
--- a/myrtlehub/node/replication/replication.py
+++ b/myrtlehub/node/replication/replication.py
@@ -32,19 +32,19 @@
         """Start replication.
 
         Args:
-            settings: the section `takeover` of the node's settings.
+            settings: the `takeover` section of the node's settings.
             node: this node's name.
             incarnation: this node's incarnation.
             clock: time and timers.
-            dial: returns how a channel connects to an address.
+            dial: returns the connect function of an address.
             log: the operators' log.
         """
         self.settings = settings
         self.node = node
         self.clock = clock
         self.log = log
-        self.zones = {row.name: row.zone for row in settings.peers}
-        addresses = {row.name: row.address for row in settings.peers}
+        self.zones = {peer.name: peer.zone for peer in settings.peers}
+        addresses = {peer.name: peer.address for peer in settings.peers}
         self.owner = f"{node}.{incarnation}"
         self.store = ReplicaStore(settings.keep)
         self.connections = PeerConnections(node, incarnation, addresses, clock, dial, log)
@@ -67,7 +67,7 @@
         return self.service.server
 
     def _heartbeat(self) -> None:
-        """Send heartbeats and check those of other nodes; schedules itself."""
+        """Send heartbeats, check those of other nodes, and schedule the next call."""
         now = self.clock.seconds()
         self.clock.callLater(HEARTBEAT_INTERVAL, self._heartbeat)
         self.publisher.send_heartbeats()
@@ -79,10 +79,14 @@
         return replicas_of(origin_node(sequence_id), self.zones, self.settings.copies)
 
     def fetch_record(self, replica: str, sequence_id: str) -> "Deferred[pb.TakeReply | None]":
-        """Request a record from a replica; fires with its reply, or with None if it was not reached."""
+        """Request a record from a replica.
+
+        Returns:
+            A Deferred that fires with the reply, or with None if the replica did not reply.
+        """
         request = pb.TakeRequest(sequence=sequence_id, by=self.owner)
         if replica == self.node:
-            return succeed(self.service.hand_out(request))
+            return succeed(self.service.transfer_record(request))
         reply = self.connections.peer(replica).channel.unary(
             PEERS_SERVICE + "Take", request.SerializeToString(), timeout=CALL_TIMEOUT
         )
--- a/myrtlehub/node/replication/reply_collector.py
+++ b/myrtlehub/node/replication/reply_collector.py
@@ -23,13 +23,13 @@
         clock: Clock,
         log: Log,
     ) -> None:
-        """Start to collect; if all calls have replied already, `on_done` is called at once.
+        """Start collecting; if all calls have already replied, `on_done` is called at once.
 
         Args:
-            calls: fire with a reply, or with None if there is none.
-            is_sufficient: whether a reply makes the others optional.
-            on_done: gets the replies.
-            straggler_timeout: seconds that are left to the other calls after a sufficient reply.
+            calls: each fires with a reply, or with None if there is none.
+            is_sufficient: returns whether a reply makes the other replies optional.
+            on_done: receives the replies.
+            straggler_timeout: seconds to wait for the other calls after a sufficient reply.
             clock: time and timers.
             log: the operators' log.
         """
--- a/myrtlehub/node/replication/retry_arrival.py
+++ b/myrtlehub/node/replication/retry_arrival.py
@@ -1,4 +1,4 @@
-"""The arrival by which a sequence that was taken over is routed again."""
+"""The arrival with which a sequence that was taken over is routed again."""
 
 from collections.abc import Mapping
 
@@ -17,9 +17,9 @@
 
     Args:
         arrival: the arrival of the client's request to resume.
-        decision: the decision to write from a read state, or to retry.
+        decision: the recovery decision, either to write from a read state or to retry.
         engine_indices: the indices of the engines in the endpoint list, by address.
-        started_at: when the takeover started.
+        started_at: start of the takeover, in seconds on this node's clock.
         now: seconds on the same clock.
     """
     arrival = arrival._replace(time_left=max(0.0, arrival.time_left - (now - started_at)))
--- a/myrtlehub/node/replication/send_gate.py
+++ b/myrtlehub/node/replication/send_gate.py
@@ -1,4 +1,4 @@
-"""Attempts that wait for acknowledgements of their intents."""
+"""Attempts that wait until replicas have acknowledged their intents."""
 
 from collections.abc import Callable
 from typing import NamedTuple, TypeAlias
@@ -11,30 +11,30 @@
 
 
 class WaitingSend(NamedTuple):
-    """An attempt that waits."""
+    """A waiting attempt."""
 
     attempt: Attempt
     on_decision: DecisionCallback
-    timer: Timer  # of the acknowledgement timeout
+    timer: Timer  # fires at the acknowledgement timeout
 
 
 class SendGate:
-    """Delays the newest attempt of each sequence until it is decided whether the attempt may be sent."""
+    """Delays the newest attempt of each sequence until a decision whether it may be sent."""
 
     def __init__(
         self, acknowledgement_timeout: float, on_timeout: Callable[[str], None], clock: Clock
     ) -> None:
-        """Make a gate at which no attempt waits.
+        """Create a gate without waiting attempts.
 
         Args:
             acknowledgement_timeout: the longest time, in seconds, that an attempt waits for replicas.
-            on_timeout: called with the id of a sequence whose attempt has waited that long.
+            on_timeout: called with the sequence id when an attempt has waited that long.
             clock: time and timers.
         """
         self.acknowledgement_timeout = acknowledgement_timeout
         self.on_timeout = on_timeout
         self.clock = clock
-        self.waiting: dict[str, WaitingSend] = {}  # by sequence
+        self.waiting: dict[str, WaitingSend] = {}  # by sequence id
         self.abandoned_count = 0  # attempts that were not sent for lack of acknowledgements
 
     def wait(self, attempt: Attempt, on_decision: DecisionCallback) -> None:
@@ -44,17 +44,17 @@
         self.waiting[sequence_id] = WaitingSend(attempt, on_decision, timer)
 
     def is_waiting(self, sequence_id: str) -> bool:
-        """Return whether an attempt of this sequence waits."""
+        """Return whether an attempt of this sequence is waiting."""
         return sequence_id in self.waiting
 
     def cancel(self, sequence_id: str) -> None:
-        """Drop the attempt that waits, if there is one."""
+        """Drop the waiting attempt, if there is one."""
         waiting = self.waiting.pop(sequence_id, None)
         if waiting is not None and waiting.timer.active():
             waiting.timer.cancel()
 
     def decide(self, sequence_id: str, decision: SendDecision) -> None:
-        """Report the decision on the attempt that waits."""
+        """Report the decision on the waiting attempt."""
         waiting = self.waiting[sequence_id]
         self.cancel(sequence_id)
         self.abandoned_count += decision == SendDecision.ABANDON
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -1,7 +1,7 @@
-"""Takes over a sequence of another node when its client resumes at this node.
+"""Takes over a sequence from another node when its client resumes at this node.
 
-The takeover fetches the record from replicas, claims the sequence at all engines in the record, and carries
-out the decision of `recovery.recovery_decision`. If a writer is still generating the answer, the takeover
+The takeover fetches the record from replicas, claims the sequence at all engines in the record, and executes
+the decision of `recovery.recovery_decision`. If a writer is still generating the answer, the takeover
 attaches to its stream and relays it. If the sequence has to be read or written again, the router routes it
 like a new arrival.
 """
@@ -53,14 +53,14 @@
         on_superseded: Callable[[str], None],
         engines_answer_claims: bool,
     ) -> None:
-        """Make a takeover; `start` begins it.
+        """Create a takeover, which begins with `start`.
 
         Args:
             request: the client's request to resume.
             replication: the replication of this node.
-            transport: sends the claims, and has the channels to engines.
-            executor: gets the sequence if it is routed again.
-            client: takes the response.
+            transport: sends the claims, and provides the channels to engines.
+            executor: runs the sequence if it is routed again.
+            client: receives the response.
             redispatch: routes the sequence again.
             on_superseded: called with the reason if another node owns the sequence.
             engines_answer_claims: if False, all attempts in the record count as unknown.
@@ -76,8 +76,8 @@
         self.on_superseded = on_superseded
         self.engines_answer_claims = engines_answer_claims
         self.machine = StateMachine(TAKEOVER_TABLE)
-        self.call: ClientCall | None = None  # of the stream that it is attached to
-        self.timer: Timer | None = None  # of the deadline for the first token
+        self.call: ClientCall | None = None  # the call of the attached stream
+        self.timer: Timer | None = None  # fires at the deadline for the first token
         self.started_at = self.clock.seconds()
 
     def start(self) -> None:
@@ -102,27 +102,27 @@
         straggler_timeout = self.replication.settings.patience
         ReplyCollector(calls, is_sufficient, on_done, straggler_timeout, self.clock, self.replication.log)
 
-    # -- events from outside ----------------------------------------------------------------------
+    # -- external events --------------------------------------------------------------------------
 
     def client_disconnected(self) -> None:
-        """Cancel the takeover: the client no longer waits for an answer."""
-        if self._accepts(TakeoverEvent.RELEASED):
+        """Cancel the takeover, because the client no longer waits for an answer."""
+        if self._apply_event(TakeoverEvent.RELEASED):
             self._stop()
 
     def hand_over(self) -> None:
-        """Release the sequence as this node shuts down; its stream continues for the next owner."""
-        if self._accepts(TakeoverEvent.RELEASED):
+        """Release the sequence because this node shuts down; its stream continues for the next owner."""
+        if self._apply_event(TakeoverEvent.RELEASED):
             self._cancel_timer()
             self.publisher.release_ownership(self.request.sequence_id)
 
     def deadline_passed(self) -> None:
-        """Abort: the deadline of the call or of the first token has passed."""
-        if self._accepts(TakeoverEvent.ABORT):
+        """Abort, because the deadline of the call or of the first token has passed."""
+        if self._apply_event(TakeoverEvent.ABORT):
             self._stop()
-            self.client.aborted("its time is over")
+            self.client.aborted("the deadline has passed")
 
-    def _accepts(self, event: TakeoverEvent) -> bool:
-        """Step the state machine; return False if the takeover has ended already."""
+    def _apply_event(self, event: TakeoverEvent) -> bool:
+        """Step the state machine, and return False if the takeover had already ended."""
         return self.machine.step(event) is not CommonEffect.LATE
 
     def _stop(self) -> None:
@@ -145,7 +145,7 @@
         if fetched is None:
             self._recover_without_record(now)
             return
-        self.publisher.adopt(self.executor, fetched)
+        self.publisher.take_ownership(self.executor, fetched)
         self.machine.step(TakeoverEvent.RECORD_FOUND)
         claims = EngineClaims(self.transport, fetched.record)
         self._collect(
@@ -155,9 +155,9 @@
         )
 
     def _recover_without_record(self, fetched_at: float) -> None:
-        """Abort, or send an idempotent sequence again.
+        """Abort the sequence, or retry it if it is idempotent.
 
-        It gets a new id: engines may have seen the former one with an ownership that is not known here.
+        The sequence gets a new id: engines may know the former id with an ownership unknown to this node.
         """
         decision = decide(
             self._retry_semantics(), [], self.request.client_token_count, is_record_complete=False
@@ -177,20 +177,20 @@
         if self.machine.is_final:
             return
         if any(is_rejected(reply) for reply in replies):
-            self.superseded("another node has claimed it")
+            self.superseded("another node has claimed the sequence")
             return
         reports = claims.reports(replies, self.clock.seconds())
         self.machine.step(TakeoverEvent.ENGINES_REPORTED)
         decision = decide(self._retry_semantics(), reports, self.request.client_token_count)
         self._log(decision, fetched_at, claims.record.ownership.epoch, reports)
-        self._carry_out(decision, claims)
+        self._execute(decision, claims)
 
     def _retry_semantics(self) -> str:
         return self.executor.config.traffic[self.request.arrival.traffic].retry_semantics
 
     # -- the decision -----------------------------------------------------------------------------
 
-    def _carry_out(self, decision: RecoveryDecision, claims: EngineClaims) -> None:
+    def _execute(self, decision: RecoveryDecision, claims: EngineClaims) -> None:
         match decision:
             case RecoveryDecision(action=RecoveryAction.ATTACH, target=AttemptIntent() as target):
                 self.machine.step(TakeoverEvent.ATTACH)
@@ -248,22 +248,22 @@
             self.client.tokens(data)
 
     def stream_completed(self, token_count: int) -> None:
-        """Answer the client; all tokens have been relayed."""
-        if self._accepts(TakeoverEvent.STREAM_COMPLETED):
+        """Send the final answer; all tokens have been relayed."""
+        if self._apply_event(TakeoverEvent.STREAM_COMPLETED):
             self._cancel_timer()
             self.publisher.answered(self.request.sequence_id)
             self.client.generated(token_count)
 
-    def stream_broke(self, reason: str) -> None:
-        """Abort: another engine would generate other tokens."""
-        if self._accepts(TakeoverEvent.STREAM_BROKE):
+    def stream_failed(self, reason: str) -> None:
+        """Abort, because another engine would generate different tokens."""
+        if self._apply_event(TakeoverEvent.STREAM_BROKE):
             self._cancel_timer()
             self.publisher.answered(self.request.sequence_id)
             self.client.aborted(reason)
 
     def superseded(self, reason: str) -> None:
-        """End without an answer: another node owns the sequence."""
-        if self._accepts(TakeoverEvent.SUPERSEDED):
+        """End without an answer, because another node owns the sequence."""
+        if self._apply_event(TakeoverEvent.SUPERSEDED):
             self._cancel_timer()
             if self.call is not None:
                 self.call.cancel()
--- a/myrtlehub/node/replication/takeover_interfaces.py
+++ b/myrtlehub/node/replication/takeover_interfaces.py
@@ -13,7 +13,7 @@
 
     sequence_id: str
     client_token_count: int  # tokens that the client has received
-    request: DecodedRequest  # the same as in the client's first call, which the client sends again
+    request: DecodedRequest  # sent again by the client, equal to that of its first call
     arrival: Arrival
 
 
@@ -38,9 +38,9 @@
         """Route the sequence.
 
         Args:
-            sequence_id: None to assign a new one.
-            arrival: the arrival of the sequence, as the router's input.
-            earlier_attempts: number of attempts of former owners.
+            sequence_id: id of the sequence; None to assign a new one.
+            arrival: the router's input for the sequence.
+            earlier_attempts: number of attempts that former owners made.
             read_state: handle with which a writer fetches the read state from the engine
                 `arrival.state_engine`; None if there is none.
         """
--- a/myrtlehub/node/replication/takeover_machine.py
+++ b/myrtlehub/node/replication/takeover_machine.py
@@ -1,4 +1,4 @@
-"""The states of a takeover, as a transition table."""
+"""The state machine of a takeover, as a transition table."""
 
 from enum import StrEnum
 
@@ -35,7 +35,7 @@
 
 
 class TakeoverEffect(StrEnum):
-    """What the owner of the state machine does on an event."""
+    """The effect that the owner of the state machine executes on an event."""
 
     CLAIM = "claim"
     DECIDE = "decide"
@@ -49,11 +49,11 @@
 _State = TakeoverState
 _Event = TakeoverEvent
 _Effect = TakeoverEffect
-_ENDS_WITHOUT_ANSWER = (
+_END_WITHOUT_ANSWER_TRANSITIONS = (
     on(_Event.SUPERSEDED, to=_State.SUPERSEDED, effect=_Effect.REPORT_SUPERSEDED),
     on(_Event.RELEASED, to=_State.RELEASED),
 )
-_ATTACHED: tuple[Row[TakeoverState, TakeoverEvent], ...] = (
+_ATTACHED_TRANSITIONS: tuple[Row[TakeoverState, TakeoverEvent], ...] = (
     on(_Event.TOKENS_RECEIVED, to=_State.STREAMING, effect=_Effect.RELAY_TOKENS),
     on(
         _Event.STREAM_COMPLETED,
@@ -62,7 +62,7 @@
         to=_State.ANSWERED,
         effect=_Effect.ANSWER,
     ),
-    *_ENDS_WITHOUT_ANSWER,
+    *_END_WITHOUT_ANSWER_TRANSITIONS,
     forbid(_Event.RECORD_FOUND, _Event.NO_RECORD, _Event.ENGINES_REPORTED, _Event.ATTACH, _Event.REDISPATCH),
 )
 
@@ -76,7 +76,7 @@
             on(_Event.RECORD_FOUND, to=_State.CLAIMING, effect=_Effect.CLAIM),
             on(_Event.NO_RECORD, _Event.REDISPATCH, to=_State.REDISPATCHED, effect=_Effect.REDISPATCH),
             on(_Event.ABORT, to=_State.ANSWERED, effect=_Effect.ANSWER),
-            *_ENDS_WITHOUT_ANSWER,
+            *_END_WITHOUT_ANSWER_TRANSITIONS,
             forbid(
                 _Event.ENGINES_REPORTED,
                 _Event.ATTACH,
@@ -90,7 +90,7 @@
             on(_Event.ATTACH, to=_State.ATTACHING, effect=_Effect.ATTACH),
             on(_Event.REDISPATCH, to=_State.REDISPATCHED, effect=_Effect.REDISPATCH),
             on(_Event.ABORT, to=_State.ANSWERED, effect=_Effect.ANSWER),
-            *_ENDS_WITHOUT_ANSWER,
+            *_END_WITHOUT_ANSWER_TRANSITIONS,
             forbid(
                 _Event.RECORD_FOUND,
                 _Event.NO_RECORD,
@@ -99,7 +99,7 @@
                 _Event.STREAM_BROKE,
             ),
         ),
-        _State.ATTACHING: _ATTACHED,
-        _State.STREAMING: _ATTACHED,
+        _State.ATTACHING: _ATTACHED_TRANSITIONS,
+        _State.STREAMING: _ATTACHED_TRANSITIONS,
     },
 )
--- a/myrtlehub/node/replication/wire.py
+++ b/myrtlehub/node/replication/wire.py
@@ -1,23 +1,23 @@
 """Sequence records as protobuf messages between nodes.
 
-Clocks of two nodes differ, so a message has durations where a record has times.
+The clocks of two nodes differ, so a message contains durations where a record contains times.
 """
 
 from myrtlehub.proto import peers_pb2 as pb
 from myrtlehub.recovery.sequence_records import AttemptIntent, Ownership, SequenceRecord
 
 PEERS_SERVICE = "/myrtlehub.v1.Peers/"
-FORMAT_VERSION = 1  # of the messages between nodes; a node rejects messages of a later format
-CALL_TIMEOUT = 0.5  # seconds within which a peer has to reply
+FORMAT_VERSION = 1  # format of the messages between nodes; later formats are rejected
+CALL_TIMEOUT = 0.5  # seconds
 
 
 def encode_record(record: SequenceRecord, now: float, is_completed: bool = False) -> pb.Record:
-    """Return the message of a record.
+    """Encode a record as a message.
 
     Args:
         record: the record.
         now: seconds on this node's clock.
-        is_completed: the final answer was given, so the replica may drop the record.
+        is_completed: whether the final answer was sent, so that the replica may remove the record.
     """
     return pb.Record(
         sequence=record.sequence_id,
@@ -40,7 +40,7 @@
 
 
 def decode_record(message: pb.Record, now: float) -> SequenceRecord:
-    """Return the record of a message that was received at `now` on this node's clock."""
+    """Decode a record from a message received at `now`, in seconds on this node's clock."""
     return SequenceRecord(
         message.sequence,
         Ownership(message.epoch, message.owner),
