--- a/myrtlehub/node/batch_fronts/__init__.py
+++ b/myrtlehub/node/batch_fronts/__init__.py
@@ -2,12 +2,12 @@
 
     embeddings, rerank   decode requests and encode replies
     grpc_front           serves their calls
-    coordinator          all batches of a node: acceptance, result cache, dynamic batching
-    in_flight_batch      one client request, until its final answer
-    engine_batch         the parts of batches that one engine runs together
-    dispatcher           sends engine batches as far as each front's share of shared engines allows
+    coordinator          all batches of a node: admission, result cache, dynamic batching
+    in_flight_batch      one client request, from its acceptance to its final answer
+    engine_batch         parts of one or several batches that one engine runs together
+    dispatcher           sends engine batches within each front's share of the common engines
     front_capacity       engine count, part limits and model version of each front
-    interfaces           what these modules need of one another
+    interfaces           the interfaces between these modules
 
 The algorithms are in `batching/` and in `limits/`. The router decides which engine runs an engine batch.
 """
--- a/myrtlehub/node/batch_fronts/batch_request.py
+++ b/myrtlehub/node/batch_fronts/batch_request.py
@@ -1,4 +1,4 @@
-"""A decoded batch request, and what its client receives."""
+"""A decoded batch request, and the parts of its answer."""
 
 from collections.abc import Hashable, Sequence
 from typing import NamedTuple
@@ -9,22 +9,22 @@
 
 
 class BatchItem(NamedTuple):
-    """One input."""
+    """One input of a batch."""
 
     text: bytes
     tokens: int
 
 
 class BatchRequest(NamedTuple):
-    """A client's request."""
+    """A decoded batch request of a client."""
 
     front: Front
     terms: DecodedRequest  # of the complete batch; the coordinator sets its token counts
     items: Sequence[BatchItem]
     shared_tokens: int  # tokens that each item costs in addition to its own
     is_stream: bool
-    task: engine_pb2.BatchRequest  # the common part of all requests to engines; items and model are set later
-    group_key: Hashable  # requests may share an engine batch only if these are equal
+    task: engine_pb2.BatchRequest  # common part of all requests to engines, without items and model
+    group_key: Hashable  # only requests with equal keys may share an engine batch
     is_cacheable: bool  # whether results depend on the input and the model only
 
     def cost(self, index: int) -> int:
@@ -40,7 +40,7 @@
 
 
 class BatchSummary(NamedTuple):
-    """What a client receives with the final answer."""
+    """Information that a client receives with the final answer."""
 
     model: str
     error_count: int
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -1,4 +1,4 @@
-"""All batches of a node: their acceptance, the result cache, and dynamic batching of small requests."""
+"""All batches of a node: their admission, the result cache, and dynamic batching of small requests."""
 
 from collections.abc import Hashable
 from typing import NamedTuple
@@ -22,7 +22,7 @@
 
 
 class GroupKey(NamedTuple):
-    """The properties that requests must have in common to share an engine batch."""
+    """The properties that requests need to have in common to share an engine batch."""
 
     front: str
     traffic_type: str
@@ -32,40 +32,40 @@
 
 
 class BatchCoordinator:
-    """The batches of a node."""
+    """Accepts the batches of a node, and sends their parts to engines."""
 
     def __init__(
-        self, executor: ActionExecutor, decoder: RequestDecoder, sheet: NodeConfig, clock: Clock
+        self, executor: ActionExecutor, decoder: RequestDecoder, config: NodeConfig, clock: Clock
     ) -> None:
-        settings = sheet.batches
+        batching = config.batches
         self.executor = executor
         self.decoder = decoder
         self.log = executor.log
         self.clock = clock
-        self.retry_after = sheet.node.max_wait
+        self.retry_after = config.node.max_wait
         self.in_flight: set[InFlightBatch] = set()
-        self.cache: ResultCache[ItemResult] = ResultCache(settings.keep)
+        self.cache: ResultCache[ItemResult] = ResultCache(batching.keep)
         self.batcher: DynamicBatcher[InFlightBatch] = DynamicBatcher(
             BatchingWindow(
-                settings.gather, settings.gather_tokens, settings.gather_items, settings.gather_left
+                batching.gather, batching.gather_tokens, batching.gather_items, batching.gather_left
             )
         )
-        self.dispatcher = BatchDispatcher(executor, decoder, sheet, clock)
+        self.dispatcher = BatchDispatcher(executor, decoder, config, clock)
         self.shares = self.dispatcher.shares
-        self.capacity = FrontCapacity(sheet, self.dispatcher.fronts)
-        self._sheet = sheet
-        self._timer: Timer | None = None  # fires when the next group of the batcher has waited long enough
+        self.capacity = FrontCapacity(config, self.dispatcher.fronts)
+        self._config = config
+        self._timer: Timer | None = None  # fires when the next group of the batcher is due
 
     def endpoints_changed(self) -> None:
-        """Update capacity, shares and cached versions after a change of the endpoint list."""
+        """Update capacity, shares and cached model versions after a change of the endpoint list."""
         if not self.dispatcher.fronts:
             return  # the node serves chat only
         engines = self.executor.decoder.engines
         listed = [engines.rows[index] for index in engines.index_of.values()]
-        serving = [row for row in listed if is_serving(row)]
+        serving = [endpoint for endpoint in listed if is_serving(endpoint)]
         self.capacity.update(serving)
         self.dispatcher.update_shares(serving, self.capacity)
-        self.cache.set_models(frozenset(row.model for row in serving if row.model))
+        self.cache.set_models(frozenset(endpoint.model for endpoint in serving if endpoint.model))
         self.clock.callLater(0, self.dispatcher.send_waiting)
 
     def utility(self, traffic_type: str) -> float:
@@ -74,7 +74,7 @@
         return decoder.rows[decoder.traffic[traffic_type]].utility
 
     def accept(self, request: BatchRequest, client: BatchClient) -> InFlightBatch:
-        """Accept a request, or reject it if the node is full.
+        """Accept a request, or reject it if the node has its maximum of sequences.
 
         Raises:
             InvalidRequestError: the request is malformed; the message names the field.
@@ -87,42 +87,46 @@
         now = self.clock.seconds()
         arrival = self.decoder.arrival(terms, now)
         traffic = self.decoder.rows[arrival.traffic]
-        is_repeatable = RetrySemantics(traffic.repeats) is RetrySemantics.IDEMPOTENT
-        if not is_repeatable:
+        is_idempotent = RetrySemantics(traffic.repeats) is RetrySemantics.IDEMPOTENT
+        if not is_idempotent:
             self._check_fits_one_engine(request, traffic.name, total_tokens)
         abandon_at = now + arrival.time_left
-        batch = InFlightBatch(self, request._replace(terms=terms), client, abandon_at, is_repeatable)
+        batch = InFlightBatch(self, request._replace(terms=terms), client, abandon_at, is_idempotent)
         client.accepted(batch)
         if self._is_full():
-            batch.answer(BatchAnswer(BatchOutcome.REJECTED, self.retry_after, "the node is full"))
+            batch.answer(
+                BatchAnswer(
+                    BatchOutcome.REJECTED, self.retry_after, "the node has its maximum number of sequences"
+                )
+            )
             return batch
         self.in_flight.add(batch)
-        # Parts that are queued here, and not at an engine, have to be answered by the same deadline.
+        # Parts that are still queued here have to be answered by the same deadline as those at engines.
         batch.timer = self.clock.callLater(max(0.0, arrival.time_left), batch.deadline_passed)
         self.shares.add_demand(now, request.front, total_tokens)
         batch.begin()
         return batch
 
     def _check_items(self, request: BatchRequest) -> None:
-        limit = self._sheet.batches.most_items
+        limit = self._config.batches.most_items
         count = len(request.items)
         if not count:
-            raise InvalidRequestError("inputs: there is none")
+            raise InvalidRequestError("inputs: must not be empty")
         if count > limit:
-            raise InvalidRequestError(f"inputs: {count} are more than the {limit} of one request")
+            raise InvalidRequestError(f"inputs: {count} items exceed the limit of {limit} per request")
 
     def _check_fits_one_engine(self, request: BatchRequest, traffic_type: str, total_tokens: int) -> None:
         limits = self.capacity.part_limits(request.front)
         if total_tokens > limits.max_tokens or len(request.items) > limits.max_items:
             raise InvalidRequestError(
-                f"inputs: traffic type {traffic_type!r} is not repeatable, so its batches go whole to "
-                f"one engine: at most {limits.max_items} items and {limits.max_tokens:g} tokens"
+                f"inputs: traffic type {traffic_type!r} is not idempotent, so each batch runs "
+                f"unsplit on one engine: at most {limits.max_items} items and {limits.max_tokens:g} tokens"
             )
 
     def _is_full(self) -> bool:
-        return len(self.executor.in_flight) + len(self.in_flight) >= self._sheet.node.most_sequences
+        return len(self.executor.in_flight) + len(self.in_flight) >= self._config.node.most_sequences
 
-    def closed(self, batch: InFlightBatch) -> None:
+    def batch_finished(self, batch: InFlightBatch) -> None:
         """Remove a batch that has ended."""
         self.in_flight.discard(batch)
         if batch.waiting_key is not None:
@@ -147,32 +151,32 @@
         return True
 
     def send_parts(self, batch: InFlightBatch, parts: list[list[int]]) -> None:
-        """Send each part in an engine batch of its own; stop if the batch ends meanwhile."""
+        """Send each part in a separate engine batch; stop if the batch ends in the meantime."""
         engine_batches = []
         for indices in parts:
             engine_batch = EngineBatch(self.dispatcher, batch.request, batch.model)
-            engine_batch.add(batch.new_part(indices))
+            engine_batch.add(batch.create_part(indices))
             engine_batches.append(engine_batch)
         for engine_batch in engine_batches:
-            if not batch.is_over:
+            if not batch.is_finished:
                 self.dispatcher.send(engine_batch)
 
     def _send_group(self, group: list[InFlightBatch]) -> None:
-        group = [batch for batch in group if not batch.is_over]
+        group = [batch for batch in group if not batch.is_finished]
         if not group:
             return
         engine_batch = EngineBatch(self.dispatcher, group[0].request, group[0].model)
         for batch in group:
             batch.waiting_key = None
-            engine_batch.add(batch.new_part(batch.waiting_items))
+            engine_batch.add(batch.create_part(batch.waiting_items))
         self.dispatcher.send(engine_batch)
 
     def _arm_timer(self) -> None:
-        due = self.batcher.next_at()
-        if due is None:
+        due_at = self.batcher.next_at()
+        if due_at is None:
             return
         if self._timer is None or not self._timer.active():
-            self._timer = self.clock.callLater(max(0.0, due - self.clock.seconds()), self._send_due_groups)
+            self._timer = self.clock.callLater(max(0.0, due_at - self.clock.seconds()), self._send_due_groups)
 
     def _send_due_groups(self) -> None:
         for group in self.batcher.pop_due(self.clock.seconds()):
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -1,6 +1,6 @@
-"""Sends engine batches as far as a front's share of the engines allows, and queues the others.
+"""Sends engine batches within their front's share of the engines, and queues the others.
 
-Common engines are those whose kind serves several fronts.
+Common engines are engines of a kind that serves several fronts.
 """
 
 from collections.abc import Sequence
@@ -22,27 +22,27 @@
 
 
 class BatchDispatcher(ExecutorObserver):
-    """The engine batches of a node, and the tokens that each front has in flight at common engines.
+    """Sends the engine batches of a node, and counts each front's tokens in flight at common engines.
 
     Attributes:
         shares: the shares of the fronts, and the queued engine batches.
         fronts: the batch fronts for which the settings have a traffic type.
-        pooled_fronts: the fronts in the order of the engine pools; empty if there is one router only.
+        pooled_fronts: the fronts in the order of the engine pools; empty if there is only one router.
     """
 
     def __init__(
-        self, executor: ActionExecutor, decoder: RequestDecoder, sheet: NodeConfig, clock: Clock
+        self, executor: ActionExecutor, decoder: RequestDecoder, config: NodeConfig, clock: Clock
     ) -> None:
         self.executor = executor
         self.decoder = decoder
         self.clock = clock
-        self._utility = _utility_by_front(sheet)
+        self._utility = _utility_by_front(config)
         self.shares: FairShare[EngineBatch] = FairShare(
             {str(front): utility for front, utility in self._utility.items()}
         )
         self.fronts: list[Front] = [front for front in BATCH_FRONTS if front in self._utility]
         self.pooled_fronts: Sequence[Front] = ()
-        self._sheet = sheet
+        self._config = config
         self._common_kinds: set[str] = set()  # kinds of engines that serve several fronts
         executor.add_observer(self)
 
@@ -59,32 +59,32 @@
         engine_batch.start()
 
     def drop(self, engine_batch: EngineBatch) -> None:
-        """Remove a queued engine batch that no batch waits for."""
+        """Remove a queued engine batch that no batch waits for any more."""
         self.shares.cancel(engine_batch.request.front, engine_batch)
 
     def ended(self, engine_batch: EngineBatch) -> None:
-        """Handle the end of an engine batch: another one may be sent."""
+        """Handle the end of an engine batch, after which another one may be sent."""
         front = engine_batch.request.front
         self.shares.record_done(front, engine_batch.token_count)
         self._update_share(front, 0.0)
         self.clock.callLater(0, self._send_waiting_of, front)
 
     def send_waiting(self) -> None:
-        """Send queued engine batches, as far as the shares allow it now."""
+        """Send queued engine batches as far as the current shares allow."""
         for front in self.fronts:
             self._send_waiting_of(front)
 
     def _send_waiting_of(self, front: str) -> None:
         while (engine_batch := self.shares.next_piece(self.clock.seconds(), front)) is not None:
-            if engine_batch.wanted_by:
+            if engine_batch.waiting_batches:
                 engine_batch.start()
             else:
                 self.shares.record_done(front, engine_batch.token_count)
 
     def update_shares(self, serving: Sequence[Endpoint], capacity: FrontCapacity) -> None:
-        """Update the shares after a change of the endpoint list; `serving` are the engines that serve."""
-        kinds = {kind.name: kind for kind in self._sheet.kinds}
-        node_count = self._sheet.node.nodes
+        """Update the shares after a change of the endpoint list; `serving`: the engines in state serving."""
+        kinds = {kind.name: kind for kind in self._config.kinds}
+        node_count = self._config.node.nodes
         for front in self.fronts:
             self.shares.set_engine_count(front, capacity.engine_count(front), node_count)
         fronts = self._utility
@@ -93,9 +93,10 @@
         }
         for front in fronts:
             self.shares.has_own_engines[front] = any(
-                kinds[row.kind].serves(front) and row.kind not in self._common_kinds for row in serving
+                kinds[endpoint.kind].serves(front) and endpoint.kind not in self._common_kinds
+                for endpoint in serving
             )
-        common = [kinds[row.kind] for row in serving if row.kind in self._common_kinds]
+        common = [kinds[endpoint.kind] for endpoint in serving if endpoint.kind in self._common_kinds]
         self.shares.common_capacity = sum(kind.batch for kind in common) / node_count
 
     def attempt_started(self, attempt: Attempt) -> None:
@@ -114,7 +115,7 @@
             self._update_share(request.front, sign * request.prompt_tokens)
 
     def _update_share(self, front: str, tokens: float) -> None:
-        """Add to a front's tokens at common engines; exclude the front there, or readmit it, by its share."""
+        """Add to a front's tokens at common engines, and exclude or readmit the front there by its share."""
         if not (self.pooled_fronts and self.shares.common_capacity):
             return
         if self.shares.update_common_tokens(self.clock.seconds(), front, tokens):
@@ -122,8 +123,8 @@
             self.clock.callLater(0, self.executor.set_pool_closed, pool, self.shares.is_excluded[front])
 
 
-def _utility_by_front(sheet: NodeConfig) -> dict[Front, float]:
+def _utility_by_front(config: NodeConfig) -> dict[Front, float]:
     return {
-        front: max(traffic.utility for traffic in sheet.traffic if traffic.front == front)
-        for front in {traffic.front for traffic in sheet.traffic}
+        front: max(traffic.utility for traffic in config.traffic if traffic.front == front)
+        for front in {traffic.front for traffic in config.traffic}
     }
--- a/myrtlehub/node/batch_fronts/embeddings.py
+++ b/myrtlehub/node/batch_fronts/embeddings.py
@@ -8,7 +8,7 @@
 
 
 def decode_request(request: pb.EmbedRequest, is_stream: bool) -> BatchRequest:
-    """Decode a request; vectors depend on input and model only, so they are cacheable."""
+    """Decode a request; vectors depend only on the input and the model, so they are cacheable."""
     task = engine_pb2.BatchRequest(task="embed", dimensions=request.dimensions, normalise=request.normalise)
     return BatchRequest(
         front="embed",
@@ -23,7 +23,7 @@
 
 
 def encode_reply(results: list[IndexedResult], request: pb.EmbedRequest) -> pb.EmbedReply:
-    """Encode vectors, by index."""
+    """Encode vectors with their indices."""
     return pb.EmbedReply(
         vectors=[
             pb.Vector(index=index, packed=result.vector, error=result.error) for index, result in results
--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -8,40 +8,43 @@
 from myrtlehub.node.sequences import InFlightSequence
 from myrtlehub.proto import engine_pb2
 
-MIN_TIME_LEFT = 0.001  # seconds; above 0, because a time_left of 0 means the traffic type's abandon time
+MIN_TIME_LEFT = 0.001  # seconds; not 0, because a time_left of 0 stands for the traffic type's abandon time
 
 
 class EngineBatch:
-    """Parts that run together as one sequence of the router; the response sink of that sequence."""
+    """Parts that the router runs together as one sequence.
+
+    Implements `response_sink.ResponseSink` for that sequence.
+    """
 
     def __init__(self, runner: "EngineBatchRunner[EngineBatch]", request: BatchRequest, model: str) -> None:
-        """Make an engine batch without parts.
+        """Create an engine batch without parts.
 
         Args:
             runner: the dispatcher that will run it.
-            request: the request of its first part; the other parts have an equal `coordinator.GroupKey`.
-            model: the version of the model that has to run it; empty: any.
+            request: the request of the first part; the other parts have an equal `coordinator.GroupKey`.
+            model: the required model version; empty: any.
         """
         self.request = request
         self.model = model
         self.parts: list[BatchPart] = []
-        self.wanted_by: set[PartOwner] = set()  # batches that wait for its results
+        self.waiting_batches: set[PartOwner] = set()  # batches that wait for its results
         self.token_count = 0
         self.sequence: InFlightSequence | None = None
-        self.is_over = False
+        self.is_finished = False
         self._runner = runner
 
     def add(self, part: BatchPart) -> None:
         """Add a part."""
         batch = part.batch
         self.parts.append(part)
-        self.wanted_by.add(batch)
+        self.waiting_batches.add(batch)
         self.token_count += sum(batch.request.cost(index) for index in part.indices)
         batch.part_assigned(part.number, self)
 
     def start(self) -> None:
         """Submit the engine batch to the executor as one sequence."""
-        self.parts = [part for part in self.parts if part.batch in self.wanted_by]
+        self.parts = [part for part in self.parts if part.batch in self.waiting_batches]
         executor = self._runner.executor
         request = self._sequence_request()
         try:
@@ -73,13 +76,13 @@
         return task
 
     def tokens(self, message: EngineResults) -> None:
-        """Pass the results of an engine to the batches that wait for them."""
+        """Pass the results from an engine to the batches that wait for them."""
         model, results = message
-        begin = 0
+        start = 0
         for part in self.parts:
-            end = begin + len(part.indices)
-            part.batch.part_generated(part, results[begin:end], model)
-            begin = end
+            end = start + len(part.indices)
+            part.batch.part_generated(part, results[start:end], model)
+            start = end
 
     def generated(self, tokens: int) -> None:
         """Handle the end of the sequence."""
@@ -99,8 +102,8 @@
             part.batch.part_failed(part.number, failure)
 
     def _end(self) -> None:
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_finished:
+            self.is_finished = True
             self._runner.ended(self)
 
     @property
@@ -108,14 +111,14 @@
         """Whether the action executor has accepted the engine batch as a sequence."""
         return self.sequence is not None
 
-    def batch_left(self, batch: PartOwner) -> None:
+    def remove_batch(self, batch: PartOwner) -> None:
         """Record that a batch no longer needs the results; stop the sequence once no batch needs them."""
-        self.wanted_by.discard(batch)
-        if self.wanted_by:
+        self.waiting_batches.discard(batch)
+        if self.waiting_batches:
             return
         if self.sequence is None:
-            self.is_over = True
+            self.is_finished = True
             self._runner.drop(self)
-        elif not self.is_over:
+        elif not self.is_finished:
             self._runner.executor.client_left(self.sequence)
             self._end()
--- a/myrtlehub/node/batch_fronts/front_capacity.py
+++ b/myrtlehub/node/batch_fronts/front_capacity.py
@@ -1,4 +1,4 @@
-"""The engines of each batch front, according to the endpoint list and the settings."""
+"""The engines of each batch front, from the endpoint list and the settings."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -12,23 +12,23 @@
 class FrontCapacity:
     """The number of engines, the limits on a part, and the model version of each front."""
 
-    def __init__(self, sheet: NodeConfig, fronts: Sequence[Front]) -> None:
-        self._sheet = sheet
+    def __init__(self, config: NodeConfig, fronts: Sequence[Front]) -> None:
+        self._config = config
         self._fronts = fronts
         self._models: dict[Front, str] = {}
         self._engine_counts: dict[Front, int] = {}
-        self._part_limits = {front: self._common_limits(front) for front in fronts}
+        self._part_limits = {front: self._limits_of_all_kinds(front) for front in fronts}
 
-    def _common_limits(self, front: Front) -> PartLimits:
-        kinds = [kind for kind in self._sheet.kinds if kind.serves(front)]
+    def _limits_of_all_kinds(self, front: Front) -> PartLimits:
+        kinds = [kind for kind in self._config.kinds if kind.serves(front)]
         return PartLimits(
             min((kind.batch for kind in kinds), default=1.0),
             min((kind.batch_items for kind in kinds), default=1),
-            self._sheet.batches.least_part,
+            self._config.batches.least_part,
         )
 
     def part_limits(self, front: Front) -> PartLimits:
-        """Return the limits that apply to every kind of engine of the front."""
+        """Return the limits that every engine kind of the front can meet."""
         return self._part_limits[front]
 
     def engine_count(self, front: Front) -> int:
@@ -36,14 +36,14 @@
         return self._engine_counts.get(front, 1)
 
     def model(self, front: Front) -> str:
-        """Return the model version that most engines of the front run; empty if the list states none."""
+        """Return the most common model version of the front's engines; empty if the list states none."""
         return self._models.get(front, "")
 
     def update(self, serving: Sequence[Endpoint]) -> None:
-        """Update the counts and versions; `serving` are the engines that serve by the endpoint list."""
-        kinds = {kind.name: kind for kind in self._sheet.kinds}
+        """Update the counts and versions; `serving`: the engines in state serving."""
+        kinds = {kind.name: kind for kind in self._config.kinds}
         for front in self._fronts:
-            rows = [row for row in serving if kinds[row.kind].serves(front)]
-            models = Counter(row.model for row in rows if row.model)
+            endpoints = [endpoint for endpoint in serving if kinds[endpoint.kind].serves(front)]
+            models = Counter(endpoint.model for endpoint in endpoints if endpoint.model)
             self._models[front] = max(sorted(models), key=models.__getitem__, default="")
-            self._engine_counts[front] = max(1, len(rows))
+            self._engine_counts[front] = max(1, len(endpoints))
--- a/myrtlehub/node/batch_fronts/grpc_front.py
+++ b/myrtlehub/node/batch_fronts/grpc_front.py
@@ -1,4 +1,4 @@
-"""The gRPC calls of batch fronts: one request, and one reply or a stream of replies."""
+"""The gRPC methods of batch fronts, with one reply or a stream of replies."""
 
 from collections.abc import Callable
 from typing import Generic, NamedTuple, TypeAlias, TypeVar
@@ -17,8 +17,8 @@
 from myrtlehub.rpc.server_call import Receiver, ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-BYTES_PER_TOKEN = 4  # estimate for inputs whose tokens the client does not state
-MAX_RESULTS_PER_MESSAGE = 256  # of a stream, so that messages stay small
+BYTES_PER_TOKEN = 4  # estimate for inputs without a token count
+MAX_RESULTS_PER_MESSAGE = 256  # in a stream, which keeps messages small
 
 RequestT = TypeVar("RequestT", pb.EmbedRequest, pb.RankRequest)
 ReplyMessage: TypeAlias = pb.EmbedReply | pb.RankReply
@@ -31,12 +31,12 @@
     unary_path: str
     stream_path: str
     request_type: type[RequestT]
-    decode_request: Callable[[RequestT, bool], BatchRequest]  # raises ValueError with the name of the field
+    decode_request: Callable[[RequestT, bool], BatchRequest]  # raises ValueError that names the field
     encode_reply: Callable[[list[IndexedResult], RequestT], ReplyMessage]
 
 
 def decode_terms(terms: pb.Terms, deadline_in: float) -> DecodedRequest:
-    """Decode the terms that batches and chat have in common."""
+    """Decode the fields that batch requests have in common with chat requests."""
     return DecodedRequest(
         terms.traffic_type,
         terms.tenant,
@@ -50,7 +50,7 @@
 
 
 def item_tokens(item: pb.Input) -> int:
-    """Return the stated tokens of an input, or an estimate by its length."""
+    """Return the token count of an input as stated, or else estimated from its length."""
     return item.tokens or max(1, len(item.text) // BYTES_PER_TOKEN)
 
 
@@ -68,11 +68,11 @@
         self._unsent: list[IndexedResult] = []
 
     def accepted(self, batch: AcceptedBatch) -> None:
-        """Store the batch, which is to be stopped if the client disconnects."""
+        """Store the batch, so that it is stopped if the client disconnects."""
         self._batch = batch
 
     def send_results(self, results: list[IndexedResult]) -> None:
-        """Send results if the call is a stream, else collect them for the reply."""
+        """Send results if the call is a stream; otherwise collect them for the reply."""
         self._unsent.extend(results)
         if not self._is_stream:
             return
@@ -80,7 +80,7 @@
             self._send(self._unsent[:MAX_RESULTS_PER_MESSAGE])
             del self._unsent[:MAX_RESULTS_PER_MESSAGE]
         if self._unsent:
-            # Results that are ready in the same turn of the event loop share one message.
+            # Results that become ready in the same iteration of the event loop share one message.
             self._call.clock.callLater(0, self._send_unsent)
 
     def _send_unsent(self) -> None:
@@ -95,11 +95,11 @@
         """Send the final answer, with all results if the call is unary."""
         if self._is_stream:
             self._send_unsent()
-            last = self._front.encode_reply([], self._request)
+            reply = self._front.encode_reply([], self._request)
         else:
-            last = self._front.encode_reply(self._unsent, self._request)
-        last.final.CopyFrom(self._encode_final(answer, summary))
-        self._call.send(last.SerializeToString())
+            reply = self._front.encode_reply(self._unsent, self._request)
+        reply.final.CopyFrom(self._encode_final(answer, summary))
+        self._call.send(reply.SerializeToString())
         self._call.finish()
 
     def _encode_final(self, answer: BatchAnswer, summary: BatchSummary) -> pb.Final:
@@ -120,7 +120,7 @@
     def lost(self, code: Code) -> None:
         """Handle the disconnect of the client."""
         if self._batch is not None:
-            self._batch.client_left()
+            self._batch.client_disconnected()
 
 
 class BatchMethod(Generic[RequestT]):
@@ -141,7 +141,7 @@
         self._is_stream = is_stream
 
     def accept(self, call: ServerCall, data: bytes) -> Receiver:
-        """Handle a call with its request."""
+        """Handle a call and its request."""
         request = self._parse(data)
         batch_call = BatchCall(self._front, call, request, self._is_stream)
         terms = request.terms
@@ -158,7 +158,7 @@
             batch = self._coordinator.accept(batch_request, batch_call)
             utility = self._coordinator.utility(terms.traffic_type)
             self._client_limits.track(
-                LimitedCall(call, "batch", terms.tenant, utility, len(data), batch.cut_off)
+                LimitedCall(call, "batch", terms.tenant, utility, len(data), batch.limit_exceeded)
             )
         except (InvalidRequestError, ValueError) as error:
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from error
--- a/myrtlehub/node/batch_fronts/in_flight_batch.py
+++ b/myrtlehub/node/batch_fronts/in_flight_batch.py
@@ -1,4 +1,4 @@
-"""One batch, from its request to its final answer."""
+"""One batch, from its acceptance to its final answer."""
 
 from collections.abc import Hashable, Sequence
 from typing import NamedTuple
@@ -13,11 +13,11 @@
 from myrtlehub.node.batch_fronts.interfaces import BatchClient, BatchPart, BatchRegistry, RunningEngineBatch
 from myrtlehub.proto.engine_pb2 import ItemResult
 
-CACHE_ENTRY_OVERHEAD = 400  # bytes of memory that a cached result takes in addition to its own size
+CACHE_ENTRY_OVERHEAD = 400  # bytes of memory per cached result, in addition to the encoded size
 
 
 class ItemKey(NamedTuple):
-    """Everything that a result depends on except the model: the key of the cache, and of duplicate items."""
+    """Everything but the model that a result depends on; the key for the cache and for duplicate items."""
 
     text_digest: bytes
     tokens: int
@@ -25,7 +25,7 @@
 
 
 class InFlightBatch:
-    """A batch: its items, the parts that run, and their results."""
+    """A batch with its items, the running parts and their results."""
 
     def __init__(
         self,
@@ -33,16 +33,16 @@
         request: BatchRequest,
         client: BatchClient,
         abandon_at: float,
-        is_repeatable: bool,
+        is_idempotent: bool,
     ) -> None:
         self.request = request
         self.client = client
         self.abandon_at = abandon_at
-        self.is_repeatable = is_repeatable
-        self.engine_batches: dict[int, RunningEngineBatch] = {}  # by number of the part
-        self.is_over = False
+        self.is_idempotent = is_idempotent
+        self.engine_batches: dict[int, RunningEngineBatch] = {}  # by part number
+        self.is_finished = False
         self.timer: Timer | None = None
-        # Set while the batch waits for others to share an engine batch: its items, and the key of the group.
+        # Set while the batch waits for others to share an engine batch: item indices, and key of the group.
         self.waiting_items: list[int] = []
         self.waiting_key: Hashable | None = None
         self._coordinator = coordinator
@@ -56,11 +56,11 @@
 
     @property
     def model(self) -> str:
-        """The model version that all results must be of; empty if it is not known yet."""
+        """The model version that all results need to have; empty if it is not known yet."""
         return self._merger.model
 
     def begin(self) -> None:
-        """Take the results of cached items from the cache, and send the other items to engines."""
+        """Look up the items in the result cache, and send those without a cached result to engines."""
         if not self._keys:
             self._keys = self._item_keys()
         cached, uncached = self._look_up(self._find_duplicates())
@@ -69,7 +69,7 @@
             self._set_cached(index, result)
         if self._merger.answer_if_complete():
             self._finish()
-        elif not self.is_repeatable:
+        elif not self.is_idempotent:
             self._coordinator.send_parts(self, [uncached])
         elif not self._coordinator.share_engine_batch(self, uncached):
             self._coordinator.send_parts(self, self._split(uncached))
@@ -80,19 +80,19 @@
         return [ItemKey(digest(item.text), item.tokens, group_key) for item in self.request.items]
 
     def _find_duplicates(self) -> list[int]:
-        """Record items that have the same key as an earlier one, and return all others."""
+        """Record the items with the same key as an earlier item, and return all others."""
         self._duplicates.clear()
-        first_of: dict[ItemKey, int] = {}
+        first_index: dict[ItemKey, int] = {}
         for index, key in enumerate(self._keys):
-            if key in first_of:
-                self._duplicates.setdefault(first_of[key], []).append(index)
+            if key in first_index:
+                self._duplicates.setdefault(first_index[key], []).append(index)
             else:
-                first_of[key] = index
-        return list(first_of.values())
+                first_index[key] = index
+        return list(first_index.values())
 
     def _look_up(self, indices: list[int]) -> tuple[list[IndexedResult], list[int]]:
-        """Return the cached results, and the items without one."""
-        if not (self.request.is_cacheable and self.is_repeatable and self.model):
+        """Return the cached results, and the indices of items without one."""
+        if not (self.request.is_cacheable and self.is_idempotent and self.model):
             return [], indices
         cache = self._coordinator.cache.cache_of(self.request.terms.tenant, self.model)
         if cache is None:
@@ -121,8 +121,8 @@
         parts = split_batch(costs, capacity.part_limits(front), capacity.engine_count(front))
         return [[indices[position] for position in part] for part in parts]
 
-    def new_part(self, indices: list[int]) -> BatchPart:
-        """Make a part with these items."""
+    def create_part(self, indices: list[int]) -> BatchPart:
+        """Create a part with these items."""
         self._part_count += 1
         self._merger.begin_part(self._part_count, indices)
         return BatchPart(self, self._part_count, indices)
@@ -134,17 +134,20 @@
     def part_generated(self, part: BatchPart, results: Sequence[ItemResult], model: str) -> None:
         """Handle the results of a part; `model` is the model version that computed them."""
         engine_batch = self.engine_batches.pop(part.number, None)
-        if self.is_over or engine_batch is None:
+        if self.is_finished or engine_batch is None:
             return
         if len(results) != len(part.indices):
-            self._fail(part.number, BatchAnswer(BatchOutcome.ABORTED, 0.0, "an engine left out items"))
+            self._fail(
+                part.number,
+                BatchAnswer(BatchOutcome.ABORTED, 0.0, "an engine returned a wrong number of results"),
+            )
             return
         verdict = self._merger.part_generated(part.number, results, model)
         if verdict == MergeVerdict.RETRY_PART:
             self._retry(part, model)
             return
         for index, result in zip(part.indices, results, strict=True):
-            self._take_result(index, result, model)
+            self._store_result(index, result, model)
         if verdict == MergeVerdict.ANSWERED or self._merger.answer_if_complete():
             self._finish()
 
@@ -154,8 +157,8 @@
         else:
             self._coordinator.send_parts(self, [part.indices])
 
-    def _take_result(self, index: int, result: ItemResult, model: str) -> None:
-        if self.request.is_cacheable and self.is_repeatable and not _is_error(result):
+    def _store_result(self, index: int, result: ItemResult, model: str) -> None:
+        if self.request.is_cacheable and self.is_idempotent and not _is_error(result):
             size = result.ByteSize() + CACHE_ENTRY_OVERHEAD
             self._coordinator.cache.add(self.request.terms.tenant, model, self._keys[index], result, size)
         duplicates = self._duplicates.get(index, ())
@@ -166,7 +169,7 @@
 
     def part_failed(self, number: int, failure: BatchAnswer) -> None:
         """Handle the end of a part without results."""
-        if self.is_over or self.engine_batches.pop(number, None) is None:
+        if self.is_finished or self.engine_batches.pop(number, None) is None:
             return
         if failure.outcome == BatchOutcome.REJECTED:
             served_model = self._coordinator.capacity.model(self.request.front)
@@ -185,33 +188,33 @@
         self._merger.restart(model)
         self.begin()
 
-    def client_left(self) -> None:
-        """End without an answer: the client disconnected."""
-        if not self.is_over:
-            self._close()
+    def client_disconnected(self) -> None:
+        """End without an answer, because the client disconnected."""
+        if not self.is_finished:
+            self._stop()
 
     def deadline_passed(self) -> None:
         """Answer that the deadline has passed; the router ends the parts at engines by the same deadline."""
         is_sent = any(engine_batch.is_started for engine_batch in self.engine_batches.values())
-        may_have_run = is_sent and not self.is_repeatable
+        may_have_run = is_sent and not self.is_idempotent
         outcome = BatchOutcome.ABORTED if may_have_run else BatchOutcome.REJECTED
-        self.answer(BatchAnswer(outcome, self._coordinator.retry_after, "its time was over"))
+        self.answer(BatchAnswer(outcome, self._coordinator.retry_after, "the deadline has passed"))
 
-    def cut_off(self, reason: str) -> None:
-        """Abort: the client reads too slowly, or uses too much memory."""
+    def limit_exceeded(self, reason: str) -> None:
+        """Abort, because the client reads too slowly or uses too much memory."""
         self.answer(BatchAnswer(BatchOutcome.ABORTED, 0.0, reason))
 
     def answer(self, answer: BatchAnswer) -> None:
-        """Answer at once without waiting for parts; do nothing if the batch has ended already."""
-        if not self.is_over:
+        """Answer without waiting for parts; do nothing if the batch has already ended."""
+        if not self.is_finished:
             self._merger.answer = answer
             self._finish()
 
     def _finish(self) -> None:
         answer = self._merger.answer
-        if self.is_over or answer is None:
+        if self.is_finished or answer is None:
             return
-        self._close()
+        self._stop()
         if answer.outcome == BatchOutcome.GENERATED:
             results = [
                 IndexedResult(index, result)
@@ -235,18 +238,18 @@
             errors=self._error_count,
         )
 
-    def _close(self) -> None:
-        self.is_over = True
+    def _stop(self) -> None:
+        self.is_finished = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self._coordinator.closed(self)
+        self._coordinator.batch_finished(self)
         self._leave_engine_batches()
 
     def _leave_engine_batches(self) -> None:
         engine_batches = self.engine_batches
         self.engine_batches = {}
         for engine_batch in engine_batches.values():
-            engine_batch.batch_left(self)
+            engine_batch.remove_batch(self)
 
 
 def _is_error(result: ItemResult) -> bool:
--- a/myrtlehub/node/batch_fronts/interfaces.py
+++ b/myrtlehub/node/batch_fronts/interfaces.py
@@ -17,14 +17,14 @@
 
 
 class AcceptedBatch(Protocol):
-    """A batch, as its client's call sees it."""
+    """The interface of a batch for its client's call."""
 
     @property
     def request(self) -> BatchRequest:
         """The client's request."""
 
-    def client_left(self) -> None:
-        """End without an answer: the client disconnected."""
+    def client_disconnected(self) -> None:
+        """End without an answer, because the client disconnected."""
 
 
 class BatchClient(Protocol):
@@ -34,20 +34,20 @@
         """Receive the batch; called before the other methods."""
 
     def send_results(self, results: list[IndexedResult]) -> None:
-        """Receive results: as they become ready for a stream, else all at once before the final answer."""
+        """Receive results: in a stream as they become ready, otherwise all together before the answer."""
 
     def send_answer(self, answer: BatchAnswer, summary: BatchSummary) -> None:
         """Receive the final answer; called once."""
 
 
 class RunningEngineBatch(Protocol):
-    """An engine batch, as a batch with a part in it sees it."""
+    """The interface of an engine batch for the batches whose parts it runs."""
 
     @property
     def is_started(self) -> bool:
         """Whether the action executor has accepted it as a sequence."""
 
-    def batch_left(self, batch: "PartOwner") -> None:
+    def remove_batch(self, batch: "PartOwner") -> None:
         """Record that a batch no longer needs the results; stop the sequence once no batch needs them."""
 
 
@@ -56,11 +56,11 @@
 
     batch: "PartOwner"
     number: int
-    indices: list[int]  # of its items
+    indices: list[int]  # of the items in the batch
 
 
 class PartOwner(Protocol):
-    """A batch, as the engine batches that run its parts see it."""
+    """The interface of a batch for the engine batches that run its parts."""
 
     @property
     def request(self) -> BatchRequest:
@@ -81,21 +81,21 @@
 
 
 class EngineBatchRunner(Protocol[BatchT_contra]):
-    """The dispatcher, as an engine batch sees it."""
+    """The interface of the dispatcher for engine batches."""
 
     clock: Clock
     executor: ActionExecutor
     decoder: RequestDecoder
 
     def ended(self, engine_batch: BatchT_contra) -> None:
-        """Handle the end of an engine batch: another one may be sent."""
+        """Handle the end of an engine batch, after which another one may be sent."""
 
     def drop(self, engine_batch: BatchT_contra) -> None:
-        """Remove an engine batch that was not sent yet, and that no batch waits for."""
+        """Remove an unsent engine batch that no batch waits for any more."""
 
 
 class BatchRegistry(Protocol[BatchT_contra]):
-    """The coordinator, as a batch sees it."""
+    """The interface of the coordinator for batches."""
 
     capacity: FrontCapacity
     cache: ResultCache[ItemResult]
@@ -106,7 +106,7 @@
         """Queue a small batch to share an engine batch with others; return False if it has to run alone."""
 
     def send_parts(self, batch: BatchT_contra, parts: list[list[int]]) -> None:
-        """Send each part in an engine batch of its own."""
+        """Send each part in a separate engine batch."""
 
-    def closed(self, batch: BatchT_contra) -> None:
+    def batch_finished(self, batch: BatchT_contra) -> None:
         """Remove a batch that has ended."""
--- a/myrtlehub/node/batch_fronts/rerank.py
+++ b/myrtlehub/node/batch_fronts/rerank.py
@@ -13,10 +13,10 @@
     """Decode a request; the engine reads the query with each document, so its tokens count for each.
 
     Raises:
-        ValueError: the request sets `top` and asks for a stream.
+        ValueError: the request sets `top` for a stream.
     """
     if is_stream and request.top:
-        raise ValueError("top: is for Rank; RankStream gives scores as they are ready")
+        raise ValueError("top: only supported by Rank; RankStream sends scores as they become ready")
     query = request.query
     return BatchRequest(
         front="rank",
@@ -31,16 +31,16 @@
 
 
 def encode_reply(results: list[IndexedResult], request: pb.RankRequest) -> pb.RankReply:
-    """Encode all scores by index; with `top`, only the best ones in descending order, ties by index."""
+    """Encode all scores by index, or with `top` the best ones in descending order, ties by index."""
     if request.top:
-        results = sorted(results, key=_rank)[: request.top]
+        results = sorted(results, key=_sort_key)[: request.top]
     return pb.RankReply(
         scores=[pb.Score(index=index, score=result.score, error=result.error) for index, result in results]
     )
 
 
-def _rank(indexed: IndexedResult) -> tuple[bool, float, int]:
-    """Return a sort key: errors last, high scores first."""
+def _sort_key(indexed: IndexedResult) -> tuple[bool, float, int]:
+    """Return the sort key of a result: high scores first, errors last."""
     is_error = indexed.result.WhichOneof("result") == "error"
     return (is_error, -indexed.result.score, indexed.item)
 
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -55,7 +55,7 @@
     def _report(self, intent: AttemptIntent, reply: pb.ClaimReply | None, now: float) -> AttemptReport:
         if reply is None:
             return AttemptReport(intent, AttemptState.UNKNOWN)
-        reported = next((attempt for attempt in reply.attempts if attempt.number == intent.attempt), None)
+        reported = next((reported for reported in reply.attempts if reported.number == intent.attempt), None)
         if reported is None:
             # `age` is the length of the engine's attempt history. An older attempt may have run and been
             # removed from it (`test_an_engine_that_has_forgotten_an_attempt_is_no_proof_that_it_never_ran`).
