--- a/myrtlehub/node/admin/endpoint_list_push.py
+++ b/myrtlehub/node/admin/endpoint_list_push.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list that a client of the admin service pushes."""
+"""Changes of the endpoint list that clients of the admin service push."""
 
 from pydantic import ValidationError
 
@@ -14,22 +14,22 @@
 
 
 def push_endpoint_list(node: AdministeredNode, data: bytes) -> pb.ListTaken:
-    """Apply a complete list, or a change to it; if one endpoint is malformed, nothing is applied.
+    """Apply a complete list or a change of it; if one endpoint is invalid, nothing is applied.
 
     Raises:
-        RpcError: the node's settings do not allow pushing the list, or an endpoint is malformed.
+        RpcError: the node's settings do not allow pushing the list, or an endpoint is invalid.
     """
     if not node.sheet.list.pushed:
-        raise RpcError(Code.FAILED_PRECONDITION, "list.pushed is no in this node's file")
+        raise RpcError(Code.FAILED_PRECONDITION, "list.pushed is not enabled in this node's settings")
     message = pb.ListNews.FromString(data)
     try:
         endpoints = [_endpoint(engine) for engine in message.engines]
         check_endpoints(node.sheet, endpoints)
     except ValueError as error:
-        raise RpcError(Code.INVALID_ARGUMENT, _describe(error)) from error
+        raise RpcError(Code.INVALID_ARGUMENT, _error_message(error)) from error
     source = node.endpoint_source
     if not isinstance(source, StaticEndpointSource):
-        raise RpcError(Code.FAILED_PRECONDITION, "list.files: this node's list comes from files")
+        raise RpcError(Code.FAILED_PRECONDITION, "list.files: this node reads its endpoint list from files")
     source.push(endpoints, message.whole)
     return pb.ListTaken(version=node.executor.list_version)
 
@@ -49,7 +49,7 @@
     )
 
 
-def _describe(error: ValueError) -> str:
+def _error_message(error: ValueError) -> str:
     if not isinstance(error, ValidationError):
         return str(error)
     first = error.errors()[0]
--- a/myrtlehub/node/admin/figures.py
+++ b/myrtlehub/node/admin/figures.py
@@ -1,4 +1,4 @@
-"""A node's counters since its start, as a message; canary analysis compares them between nodes."""
+"""The counters of a node since its start, as a message that canary analysis compares between nodes."""
 
 from myrtlehub.membership.endpoint_source import EndpointSource
 from myrtlehub.node.admin.interfaces import AdministeredNode
@@ -25,9 +25,9 @@
 
 def _serving_engines_by_zone(source: EndpointSource) -> dict[str, int]:
     counts: dict[str, int] = {}
-    for row in source.endpoints():
-        is_serving = row.state == "serving" and row.weight > 0.0
-        counts[row.zone] = counts.get(row.zone, 0) + is_serving
+    for endpoint in source.endpoints():
+        is_serving = endpoint.state == "serving" and endpoint.weight > 0.0
+        counts[endpoint.zone] = counts.get(endpoint.zone, 0) + is_serving
     return counts
 
 
--- a/myrtlehub/node/admin/interfaces.py
+++ b/myrtlehub/node/admin/interfaces.py
@@ -1,4 +1,4 @@
-"""What the admin service needs of the node that it serves."""
+"""The interface of a node for its admin service."""
 
 from typing import Protocol
 
@@ -13,7 +13,7 @@
 
 
 class AdministeredNode(Protocol):
-    """A node, as its admin service sees it."""
+    """The interface of a node for its admin service."""
 
     clock: Clock
     log: Log
@@ -29,11 +29,11 @@
 
     @property
     def executor(self) -> ActionExecutor:
-        """The action executor of these settings."""
+        """The action executor that runs with these settings."""
 
     @property
     def client_limits(self) -> ClientLimits:
-        """The limits on clients of these settings."""
+        """The limits on clients that these settings define."""
 
     @property
     def endpoint_source(self) -> StaticEndpointSource | EndpointWatcher:
@@ -41,13 +41,13 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether the node has an endpoint list and has generated an answer with these settings."""
+        """Whether the node has an endpoint list and has completed an answer with these settings."""
 
     def replaced_sequence_count(self) -> int:
-        """Return the number of in-flight sequences that began with settings that have been replaced since."""
+        """Return the number of in-flight sequences that run with settings that have been replaced."""
 
-    def apply(self, sheet: NodeConfig) -> None:
-        """Apply validated settings, from the next sequence on."""
+    def apply(self, settings: NodeConfig) -> None:
+        """Apply validated settings to all sequences that begin from now on."""
 
     def request_drain(self) -> None:
         """Start the graceful shutdown of the process."""
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -43,18 +43,18 @@
 
 
 def _listed_engines(engines: EndpointIndex) -> list[pb.ListedEngine]:
-    rows = [engines.rows[index] for index in engines.index_of.values() if not engines.is_removed(index)]
+    endpoints = [engines.rows[index] for index in engines.index_of.values() if not engines.is_removed(index)]
     return [
         pb.ListedEngine(
-            address=row.address,
-            state=row.state,
-            kind=row.kind,
-            zone=row.zone,
-            cell=row.cell,
-            weight=row.weight,
-            model=row.model,
+            address=endpoint.address,
+            state=endpoint.state,
+            kind=endpoint.kind,
+            zone=endpoint.zone,
+            cell=endpoint.cell,
+            weight=endpoint.weight,
+            model=endpoint.model,
         )
-        for row in rows
+        for endpoint in endpoints
     ]
 
 
--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -1,4 +1,4 @@
-"""Orders of a rollout's controller: stage settings, apply them, accept its command, drain."""
+"""Orders of a rollout's controller: stage settings, apply them, accept a new controller generation, drain."""
 
 import os
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 from myrtlehub.rpc.server_call import ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-# Environment variable with which a controller starts a node: "GENERATION CONTROLLER".
+# Environment variable that a controller sets for a node that it starts: "GENERATION CONTROLLER".
 GENERATION_VARIABLE = "HUB_ROLL_GENERATION"
 
 
@@ -26,7 +26,7 @@
 
 
 def _initial_validator(incarnation: str) -> OrderValidator:
-    """Return the validator of orders; it knows the controller that started this process, if one did."""
+    """Return the validator of orders, which knows the controller that started this process, if any."""
     generation, _, controller = os.environ.get(GENERATION_VARIABLE, "").partition(" ")
     return OrderValidator(incarnation, int(generation) if generation.isdecimal() else 0, controller)
 
@@ -68,11 +68,11 @@
             raise RpcError(Code.FAILED_PRECONDITION, str(error)) from error
 
     def apply(self, _call: ServerCall, data: bytes) -> bytes:
-        """Apply the staged settings, from the next sequence on."""
+        """Apply the staged settings to all sequences that begin from now on."""
         order = pb.Order.FromString(data)
         self._validate(order, "apply")
         if order.settings == settings_digest(self.node.sheet):
-            return pb.OrderTaken(settings=order.settings).SerializeToString()  # a retried order
+            return pb.OrderTaken(settings=order.settings).SerializeToString()  # the order is a retry
         staged = self._take_staged(order.settings)
         self._validate_change(staged.settings)  # the endpoint list may have changed since they were staged
         self.node.apply(staged.settings)
@@ -88,19 +88,19 @@
         if staged is None or staged.digest != digest:
             raise RpcError(Code.FAILED_PRECONDITION, f"settings {digest} are not staged here")
         if self.node.is_draining:
-            raise RpcError(Code.FAILED_PRECONDITION, "this node is leaving")
+            raise RpcError(Code.FAILED_PRECONDITION, "this node is draining")
         self.staged = None
         return staged
 
-    def obey(self, _call: ServerCall, data: bytes) -> bytes:
-        """Accept the controller's generation; orders with a lower one are rejected from now on."""
+    def accept_generation(self, _call: ServerCall, data: bytes) -> bytes:
+        """Accept the controller's generation; orders with a lower generation are rejected from now on."""
         self._validate(pb.Order.FromString(data), "obey")
         return pb.OrderTaken(settings=settings_digest(self.node.sheet)).SerializeToString()
 
-    def leave(self, _call: ServerCall, data: bytes) -> bytes:
-        """Drain, and end the process."""
+    def drain(self, _call: ServerCall, data: bytes) -> bytes:
+        """Drain the node, and end the process."""
         self._validate(pb.Order.FromString(data), "leave")
         changed = not self.node.is_draining
         if changed:
-            self.node.clock.callLater(0, self.node.request_drain)  # after the reply was written
+            self.node.clock.callLater(0, self.node.request_drain)  # after the reply is written
         return pb.OrderTaken(settings=settings_digest(self.node.sheet), changed=changed).SerializeToString()
--- a/myrtlehub/node/admin/service.py
+++ b/myrtlehub/node/admin/service.py
@@ -29,8 +29,8 @@
             "Figures": self._figures,
             "Stage": self.orders.stage,
             "Apply": self.orders.apply,
-            "Obey": self.orders.obey,
-            "Leave": self.orders.leave,
+            "Obey": self.orders.accept_generation,
+            "Leave": self.orders.drain,
         }
         for name, method in methods.items():
             server.add(SERVICE + name, unary(method))
--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -11,17 +11,17 @@
 from myrtlehub.limits.admission import AdmissionController
 from myrtlehub.routing.contract import Arrival
 
-MIN_TIMER_DELAY = 0.001  # seconds; a timer without delay could run in every turn of the event loop
+MIN_TIMER_DELAY = 0.001  # seconds; without a delay, the timer could fire in every iteration of the event loop
 
 
 class AdmissionClient(Protocol):
-    """A client's call, as the queue sees it."""
+    """The interface of a client's call for the queue."""
 
     def wait_for_admission(self, pending: PendingAdmission) -> None:
-        """Store the queue, which is to be notified of the first token or of an end without one."""
+        """Store the queue, which has to be notified of the first token or of an end without one."""
 
-    def leave_admission(self) -> None:
-        """Drop the queue, which is no longer to be notified: the request is shed."""
+    def detach_from_admission(self) -> None:
+        """Drop the reference to the queue, because the request is shed."""
 
     def rejected(self, retry_after: float) -> None:
         """Send a rejection, with a Retry-After in seconds."""
@@ -33,21 +33,21 @@
 
     client: AdmissionClient
     arrival: Arrival
-    row: TrafficTypeConfig
+    traffic_type: TrafficTypeConfig
     arrived_at: float
-    start: Callable[[Arrival], None]  # called on admission, with the arrival and the time left by then
+    start: Callable[[Arrival], None]  # called on admission, with the remaining time in the arrival
     is_admitted: bool = False
 
 
 class PendingAdmission(NamedTuple):
-    """A request and the queue that has to be notified of its first token, or of its end without one."""
+    """A request, with the queue that is notified of its first token or of its end without one."""
 
     queue: AdmissionQueue
     queued: QueuedRequest
 
 
 class AdmissionQueue:
-    """Queues requests, forwards those that are admitted, and rejects those that are shed."""
+    """Queues requests, starts those that are admitted, and rejects those that are shed."""
 
     def __init__(
         self,
@@ -56,24 +56,26 @@
         max_retry_after: float,
         on_shed: Callable[[TrafficTypeConfig], None],
     ) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
         Args:
             controller: decides what is admitted and what is shed.
             clock: the node's clock.
-            max_retry_after: longest Retry-After of requests that are shed, in seconds.
+            max_retry_after: maximum Retry-After of shed requests, in seconds.
             on_shed: called with the traffic type of each request that is shed.
         """
         self.controller = controller
         self._clock = clock
         self._max_retry_after = max_retry_after
         self._on_shed = on_shed
-        self._timer: Timer | None = None  # fires when the next request is to be shed
+        self._timer: Timer | None = None  # fires when the next request is due to be shed
 
     def enqueue(self, queued: QueuedRequest) -> None:
-        """Queue a request; it may be admitted before this returns."""
+        """Queue a request, which may be admitted before this method returns."""
         queued.client.wait_for_admission(PendingAdmission(self, queued))
-        self.controller.enqueue(queued.arrived_at, queued.row.name, queued.row.latency_slo, queued)
+        self.controller.enqueue(
+            queued.arrived_at, queued.traffic_type.name, queued.traffic_type.latency_slo, queued
+        )
         self.process()
 
     def process(self) -> None:
@@ -84,23 +86,23 @@
             time_left = queued.arrival.time_left - (now - queued.arrived_at)
             queued.start(queued.arrival._replace(time_left=time_left))
         for queued in self.controller.take_shed(now):
-            queued.client.leave_admission()
-            self._on_shed(queued.row)
+            queued.client.detach_from_admission()
+            self._on_shed(queued.traffic_type)
             queued.client.rejected(self.controller.retry_after(self._max_retry_after))
         shed_at = self.controller.next_shed_at()
         if shed_at is not None and (self._timer is None or not self._timer.active()):
             self._timer = self._clock.callLater(max(MIN_TIMER_DELAY, shed_at - now), self.process)
 
-    def started(self, queued: QueuedRequest) -> None:
+    def first_token_sent(self, queued: QueuedRequest) -> None:
         """Record the first token of an admitted request."""
         now = self._clock.seconds()
-        self.controller.record_first_token(now, now - queued.arrived_at, queued.row.latency_slo)
+        self.controller.record_first_token(now, now - queued.arrived_at, queued.traffic_type.latency_slo)
         self._clock.callLater(0, self.process)
 
-    def ended(self, queued: QueuedRequest) -> None:
-        """Record the end of a request without a first token, admitted or still queued."""
+    def request_ended(self, queued: QueuedRequest) -> None:
+        """Record that a request ended without a first token, admitted or still queued."""
         if queued.is_admitted:
-            had_time = queued.arrival.time_left >= queued.row.latency_slo
+            had_time = queued.arrival.time_left >= queued.traffic_type.latency_slo
             self.controller.record_failure(self._clock.seconds(), had_time)
             self._clock.callLater(0, self.process)
         else:
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -16,14 +16,14 @@
 
 
 class ChatCall(Receiver):
-    """Encodes the response to one sequence, and applies its client's back-pressure to the writer's stream.
+    """Encodes the response to one sequence, and propagates the client's back-pressure to the writer.
 
     Implements `response_sink.ResponseSink`, `TakeoverClient`, `AdmissionClient` and `Producer`.
 
     Attributes:
-        sequence: set once the executor has accepted it.
-        takeover: set while the sequence is taken over from another node.
-        may_move: whether the client can resume the sequence, at any node, if its call ends early.
+        sequence: the sequence, once the executor has accepted it.
+        takeover: the takeover, while the sequence is taken over from another node.
+        is_resumable: whether the client can resume the sequence, at any node, if its call ends early.
         resume_grace: seconds after a lost connection until such a client counts as disconnected.
     """
 
@@ -33,32 +33,32 @@
         self.sequence: InFlightSequence | None = None
         self.takeover: Takeover | None = None
         self.deadline_timer: Timer | None = None
-        self.may_move = False
+        self.is_resumable = False
         self.resume_grace = 0.0
-        self._pending_admission: PendingAdmission | None = None  # None once the queue needs no notification
+        self._pending_admission: PendingAdmission | None = None  # None if the queue needs no notification
 
     # -- admission control ------------------------------------------------------------------------
 
     def wait_for_admission(self, pending: PendingAdmission) -> None:
-        """Store the queue, which is to be notified of the first token or of an end without one."""
+        """Store the queue, which has to be notified of the first token or of an end without one."""
         self._pending_admission = pending
 
-    def leave_admission(self) -> None:
-        """Drop the queue, which is no longer to be notified: the request is shed."""
+    def detach_from_admission(self) -> None:
+        """Drop the reference to the queue, because the request is shed."""
         self._pending_admission = None
 
     def _end_admission(self) -> None:
         pending, self._pending_admission = self._pending_admission, None
         if pending is not None:
-            pending.queue.ended(pending.queued)
+            pending.queue.request_ended(pending.queued)
 
     # -- the response -----------------------------------------------------------------------------
 
     def tokens(self, message: bytes) -> None:
-        """Send tokens as the engine sent them."""
+        """Send tokens, encoded as the engine sent them."""
         if self._pending_admission is not None:
             pending, self._pending_admission = self._pending_admission, None
-            pending.queue.started(pending.queued)
+            pending.queue.first_token_sent(pending.queued)
         self.call.send(message)
 
     def generated(self, tokens: int) -> None:
@@ -74,18 +74,18 @@
         self._send_final(pb.GenerateReply(aborted=pb.Aborted(reason=reason)))
 
     def migrated(self) -> None:
-        """Tell the client to resume at another node, because this one shuts down; this is no final answer."""
+        """Tell the client to resume at another node, because this node shuts down; not a final answer."""
         self._send_final(pb.GenerateReply(moved=pb.Moved()))
 
     def sequence_id_assigned(self, sequence_id: str) -> None:
         """Send the client the id of its sequence."""
         self.call.set_initial([(SEQUENCE_ID_HEADER, sequence_id)])
-        if self.may_move:
+        if self.is_resumable:
             self.call.set_initial([(MAY_RESUME_HEADER, "1")])
-            self.call.begin()  # the client needs the id to resume, whatever happens next
+            self.call.begin()  # sends the id at once, because the client needs it to resume
 
     def superseded(self, reason: str) -> None:
-        """End the call without an answer: another node owns the sequence."""
+        """End the call without an answer, because another node owns the sequence."""
         self._cancel_deadline()
         self.call.finish(Code.ABORTED, reason)
 
@@ -100,23 +100,25 @@
         if self.deadline_timer is not None and self.deadline_timer.active():
             self.deadline_timer.cancel()
 
-    # -- ends for reasons other than engines ------------------------------------------------------
+    # -- ends that no engine caused ---------------------------------------------------------------
 
-    def cut_off(self, reason: str) -> None:
-        """Abort the call, because its client exceeded a limit."""
+    def limit_exceeded(self, reason: str) -> None:
+        """Abort the call, because the client exceeded a limit."""
         if self.sequence is not None:
             self.executor.abort(self.sequence, reason)
         else:
             self.rejected(0.0)  # not accepted yet, so nothing ran
 
     def deadline_passed(self, retry_after: float) -> None:
-        """End the call at its deadline; `retry_after` is sent if the request is still queued."""
+        """End the call at its deadline; a request that is still queued is rejected with `retry_after`."""
         if self.takeover is not None:
             self.takeover.deadline_passed()
         elif self.sequence is None:
             self.rejected(retry_after)
         else:
-            self.executor.abort(self.sequence, "the call's deadline came before the end of the answer")
+            self.executor.abort(
+                self.sequence, "the deadline of the call passed before the answer was complete"
+            )
 
     def lost(self, code: Code) -> None:
         """Handle a cancelled call or a lost connection."""
@@ -126,13 +128,13 @@
             self.takeover.client_disconnected()
         if self.sequence is None:
             return
-        if self.may_move and self.resume_grace and code == Code.UNAVAILABLE:
+        if self.is_resumable and self.resume_grace and code == Code.UNAVAILABLE:
             # The client is expected to resume, here or at another node, which supersedes this call.
             self.executor.clock.callLater(self.resume_grace, self.executor.client_left, self.sequence)
         else:
             self.executor.client_left(self.sequence)
 
-    # -- back-pressure: a client that does not read pauses its writer's stream --------------------
+    # -- back-pressure: a client that does not read pauses the writer's stream --------------------
 
     def pauseProducing(self) -> None:  # noqa: N802
         """Pause the writer's stream."""
@@ -147,10 +149,10 @@
             source.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing, because `lost` is called as well."""
+        """Do nothing; `lost` handles the end of the call."""
 
     def _source(self) -> Producer | None:
-        """Return the engine call whose tokens are relayed; None if there is none."""
+        """Return the engine call whose tokens are relayed, or None."""
         if self.takeover is not None:
             return self.takeover.call
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -31,7 +31,7 @@
 
 
 class TakeoverSupport(NamedTuple):
-    """What the front needs to resume sequences that other nodes have accepted."""
+    """The dependencies for resuming sequences that other nodes have accepted."""
 
     replication: Replication
     transport: GrpcEngineTransport
@@ -39,11 +39,11 @@
 
 
 class ChatFrontLimits(NamedTuple):
-    """The bounds on the sequences of the front."""
+    """The limits on the sequences of the front."""
 
-    max_sequences: int  # in flight
+    max_sequences: int  # in flight at the node
     max_retry_after: float  # seconds
-    fair_share: FairShare[EngineBatch]  # divides the engines that several fronts use
+    fair_share: FairShare[EngineBatch]  # shares the engines that serve several fronts
     clients: ClientLimits
     admission: AdmissionController[QueuedRequest] | None  # None: every request is admitted
 
@@ -55,8 +55,8 @@
     message: GenerateRequest
     request: DecodedRequest
     arrival: Arrival
-    row: TrafficTypeConfig
-    is_rejected: bool = False  # the client has got its rejection already
+    traffic_type: TrafficTypeConfig
+    is_rejected: bool = False  # whether the rejection has been sent
 
 
 class ChatFront:
@@ -68,9 +68,9 @@
         decoder: RequestDecoder,
         limits: ChatFrontLimits,
         takeover_support: TakeoverSupport | None = None,
-        on_rejected: Callable[[TrafficTypeConfig], None] = lambda row: None,
+        on_rejected: Callable[[TrafficTypeConfig], None] = lambda traffic_type: None,
     ) -> None:
-        """Make a front.
+        """Create a front.
 
         Args:
             executor: runs the sequences.
@@ -78,20 +78,20 @@
             limits: the limits of the front.
             takeover_support: None if the nodes do not replicate sequence records.
             on_rejected: called with the traffic type of each request that is rejected before the executor
-                has accepted it.
+                accepts it.
         """
         self.executor = executor
         self.decoder = decoder
         self.limits = limits
         self.takeover_support = takeover_support
         self.on_rejected = on_rejected
-        self.is_closed = False  # whether every new request is rejected
+        self.is_closed = False  # whether all new requests are rejected
         self.admission: AdmissionQueue | None = None
         if limits.admission is not None:
             self.admission = AdmissionQueue(
                 limits.admission, executor.clock, limits.max_retry_after, on_rejected
             )
-        self._movable_calls: set[ChatCall] = set()  # calls whose clients can resume at another node
+        self._resumable_calls: set[ChatCall] = set()  # calls whose clients can resume at another node
 
     def serve(self, server: Server) -> None:
         """Serve the methods."""
@@ -107,7 +107,7 @@
         return accepted.chat_call
 
     def resume(self, call: ServerCall, data: bytes) -> Receiver:
-        """Resume a sequence that was accepted earlier, by another node or by this one.
+        """Resume a sequence that this node or another one accepted earlier.
 
         Raises:
             RpcError: the nodes do not replicate sequence records, or the request is malformed.
@@ -121,34 +121,36 @@
         return accepted.chat_call
 
     def _accept_call(self, call: ServerCall, data: bytes, is_resume: bool) -> AcceptedCall:
-        """Decode a call, check the limits, and account for it unless it is rejected."""
+        """Decode a call, check the limits, and track the call unless it is rejected."""
         chat_call = ChatCall(self.executor, call)
         message = parse_request(data, is_resume)
         request = decode_request(message, call.time_left())
         arrival = self._arrival(request)
-        row = self.decoder.rows[arrival.traffic]
-        accepted = AcceptedCall(chat_call, message, request, arrival, row)
+        traffic_type = self.decoder.rows[arrival.traffic]
+        accepted = AcceptedCall(chat_call, message, request, arrival, traffic_type)
         is_full = self.is_closed or len(self.executor.in_flight) >= self.limits.max_sequences
         clients = self.limits.clients
         retry_after = clients.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
         if retry_after is not None:
-            self.on_rejected(row)
+            self.on_rejected(traffic_type)
             chat_call.rejected(retry_after)  # not accepted, so nothing ran
             return accepted._replace(is_rejected=True)
         self.limits.fair_share.add_demand(self.executor.clock.seconds(), FRONT_NAME, arrival.prompt_tokens)
         call.stream.registerProducer(chat_call, True)
         self._arm_deadline(chat_call)
         clients.track(
-            LimitedCall(call, request.mark, request.tenant, row.utility, len(data), chat_call.cut_off)
+            LimitedCall(
+                call, request.mark, request.tenant, traffic_type.utility, len(data), chat_call.limit_exceeded
+            )
         )
         if self.takeover_support is not None:
-            chat_call.may_move = message.may_move
+            chat_call.is_resumable = message.may_move
             chat_call.resume_grace = self.takeover_support.replication.settings.comes_back
         return accepted
 
     def _admit(self, accepted: AcceptedCall) -> None:
-        """Give a new sequence to the executor, or queue it if the settings have admission control."""
-        chat_call, _, request, arrival, row, _ = accepted
+        """Start a new sequence, or queue it if admission control is configured."""
+        chat_call, _, request, arrival, traffic_type, _ = accepted
         if self.admission is None:
             self._start(chat_call, request, arrival)
             return
@@ -157,7 +159,7 @@
             self._start(chat_call, request, arrival)
 
         arrived_at = self.executor.clock.seconds()
-        self.admission.enqueue(QueuedRequest(chat_call, arrival, row, arrived_at, start))
+        self.admission.enqueue(QueuedRequest(chat_call, arrival, traffic_type, arrived_at, start))
 
     def _arrival(self, request: DecodedRequest) -> Arrival:
         try:
@@ -183,33 +185,36 @@
         arrival: Arrival,
         sequence_id: str | None = None,
         earlier_attempts: int = 0,
-        handle: engine_pb2.State | None = None,
+        read_state: engine_pb2.State | None = None,
     ) -> None:
-        """Pass a sequence to the executor; the client gets the id in the initial metadata."""
+        """Pass a sequence to the executor, and send its id to the client in the initial metadata."""
         sequence_id = sequence_id or self.executor.next_sequence_id()
         chat_call.sequence_id_assigned(sequence_id)
-        if chat_call.may_move:
-            self._track_movable(chat_call)
+        if chat_call.is_resumable:
+            self._track_resumable(chat_call)
         chat_call.sequence = self.executor.accept(
-            request, arrival, chat_call, sequence_id, earlier_attempts, handle
+            request, arrival, chat_call, sequence_id, earlier_attempts, read_state
         )
 
     # -- takeover ---------------------------------------------------------------------------------
 
-    def _track_movable(self, chat_call: ChatCall) -> None:
-        self._movable_calls = {open_call for open_call in self._movable_calls if not open_call.call.over}
-        self._movable_calls.add(chat_call)
+    def _track_resumable(self, chat_call: ChatCall) -> None:
+        self._resumable_calls = {tracked for tracked in self._resumable_calls if not tracked.call.over}
+        self._resumable_calls.add(chat_call)
 
     def _take_over(self, support: TakeoverSupport, accepted: AcceptedCall) -> None:
-        """Take over a sequence whose client has resumed it, to complete the answer."""
+        """Take over a sequence that its client resumes at this node."""
         chat_call, message, request, arrival, _, _ = accepted
-        self._track_movable(chat_call)
+        self._track_resumable(chat_call)
 
         def redispatch(
-            sequence_id: str | None, arrival: Arrival, earlier_attempts: int, handle: engine_pb2.State | None
+            sequence_id: str | None,
+            arrival: Arrival,
+            earlier_attempts: int,
+            read_state: engine_pb2.State | None,
         ) -> None:
             chat_call.takeover = None
-            self._start(chat_call, request, arrival, sequence_id, earlier_attempts, handle)
+            self._start(chat_call, request, arrival, sequence_id, earlier_attempts, read_state)
 
         chat_call.takeover = Takeover(
             TakeoverRequest(message.resume.sequence, message.resume.tokens, request, arrival),
@@ -224,11 +229,11 @@
         chat_call.takeover.start()
 
     def hand_over(self) -> None:
-        """Release sequences whose clients can resume, and tell these clients to resume at another node."""
+        """Release the sequences whose clients can resume, and tell the clients to resume at another node."""
         support = self.takeover_support
         if support is None:
             return
-        for chat_call in [movable for movable in self._movable_calls if not movable.call.over]:
+        for chat_call in [resumable for resumable in self._resumable_calls if not resumable.call.over]:
             if chat_call.takeover is not None:
                 chat_call.takeover.hand_over()
                 chat_call.migrated()
--- a/myrtlehub/node/chat_front/request_message.py
+++ b/myrtlehub/node/chat_front/request_message.py
@@ -1,4 +1,4 @@
-"""The protobuf request of chat, decoded."""
+"""Decodes the protobuf request of chat."""
 
 from myrtlehub.node.request_decoder import DecodedRequest
 from myrtlehub.proto import chat_pb2 as pb
@@ -6,22 +6,24 @@
 
 
 def parse_request(data: bytes, is_resume: bool) -> pb.GenerateRequest:
-    """Return the message that a client sent to `Generate`, or to `Resume`.
+    """Parse the message that a client sent to `Generate` or to `Resume`.
 
     Raises:
-        RpcError: it is malformed, or meant for the other method.
+        RpcError: the message is malformed, or is meant for the other method.
     """
     try:
         message = pb.GenerateRequest.FromString(data)
     except ValueError as error:
         raise RpcError(Code.INVALID_ARGUMENT, f"not a GenerateRequest: {error}") from error
     if is_resume != bool(message.resume.sequence):
-        raise RpcError(Code.INVALID_ARGUMENT, "resume.sequence: has to be in Resume, and nowhere else")
+        raise RpcError(
+            Code.INVALID_ARGUMENT, "resume.sequence: required for Resume, and not allowed for Generate"
+        )
     return message
 
 
 def decode_request(message: pb.GenerateRequest, deadline_in: float) -> DecodedRequest:
-    """Return a request with its times in seconds; `deadline_in` is that of the call."""
+    """Decode a request; `deadline_in` is the time until the deadline of the call, in seconds."""
     return DecodedRequest(
         traffic_type=message.traffic_type,
         tenant=message.tenant,
--- a/myrtlehub/node/engine_transport/attempt_watcher.py
+++ b/myrtlehub/node/engine_transport/attempt_watcher.py
@@ -1,4 +1,4 @@
-"""The common part of all attempts: outcomes and load reports from an engine's replies."""
+"""The common part of all attempt watchers: outcomes and load reports from an engine's replies."""
 
 from typing import Protocol, TypeVar
 
@@ -25,7 +25,7 @@
 
 
 def load_report_of(message: LoadCarrier) -> contract.LoadReport | None:
-    """Return the load report of a message for the router, or None if it has none."""
+    """Return the load report in a message, converted for the router, or None if there is none."""
     if not message.HasField("load"):
         return None
     load = message.load
@@ -35,9 +35,9 @@
 
 
 def outcome_of(status: Status) -> contract.Outcome:
-    """Return the outcome of an attempt for which the engine has sent no final reply.
+    """Return the outcome of an attempt whose call ended without a final reply from the engine.
 
-    The attempt counts as not executed only if it certainly did not reach the engine's program.
+    The outcome is `UNREACHED` only if the attempt certainly did not reach the engine's program.
     """
     if status.unprocessed:
         return contract.Outcome.UNREACHED
@@ -52,14 +52,14 @@
 
 
 class AttemptWatcher(CallWatcher):
-    """Reports the replies to an attempt, and the end of its call, to the action executor."""
+    """Reports the replies to an attempt and the end of its call to the action executor."""
 
     def __init__(self, executor: ActionExecutor, attempt: Attempt) -> None:
         self.executor = executor
         self.attempt = attempt
 
     def parse(self, reply_type: type[Reply], data: bytes) -> Reply | None:
-        """Return a reply; None if it is malformed, which ends the attempt as an error."""
+        """Parse a reply; if it is malformed, end the attempt with an error and return None."""
         try:
             return reply_type.FromString(data)
         except ValueError:
--- a/myrtlehub/node/engine_transport/batch_attempt.py
+++ b/myrtlehub/node/engine_transport/batch_attempt.py
@@ -11,14 +11,14 @@
 
 
 class EngineResults(NamedTuple):
-    """The results of an engine batch, as its attempt reports them."""
+    """The results of an engine batch, as passed to its response sink."""
 
-    model: str  # version of the model that computed them
+    model: str  # model version that computed the results
     results: Sequence[pb.ItemResult]  # in the order of the items
 
 
 class BatchWatcher(AttemptWatcher):
-    """Watches a part of a batch; its results count only once all of them have arrived."""
+    """Watches a part of a batch; results are reported only after all of them have arrived."""
 
     def __init__(self, executor: ActionExecutor, attempt: Attempt) -> None:
         super().__init__(executor, attempt)
@@ -31,12 +31,12 @@
         reply = self.parse(pb.BatchReply, data)
         if reply is None:
             return
-        which = reply.WhichOneof("reply")
-        if which == "items":
+        reply_field = reply.WhichOneof("reply")
+        if reply_field == "items":
             self.results.extend(reply.items.results)
-        elif which == "ended":
+        elif reply_field == "ended":
             self._complete(reply.ended)
-        elif which == "refused":
+        elif reply_field == "refused":
             load = load_report_of(reply.refused)
             self.executor.ended(self.attempt, contract.Outcome.FULL, 0.0, load)
 
--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -1,4 +1,4 @@
-"""The protobuf messages that the engine transport sends, and the deadlines of their calls."""
+"""Builds the protobuf requests to engines, and the deadlines of their calls."""
 
 from typing import NamedTuple
 
@@ -12,9 +12,8 @@
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import Ownership
 
-DEADLINE_MARGIN = (
-    0.05  # seconds by which the deadline stated to an engine is later than the attempt's timeout
-)
+# Seconds by which the deadline of the call to an engine is later than the attempt's timeout.
+DEADLINE_MARGIN = 0.05
 
 
 class EngineRequest(NamedTuple):
@@ -27,7 +26,7 @@
 
 
 def work_of(attempt: Attempt, ownership: Ownership, now: float) -> pb.Work:
-    """Return the part that all requests have in common."""
+    """Return the common part of all requests."""
     sequence = attempt.sequence
     request = decoded_request_of(sequence)
     return pb.Work(
@@ -58,7 +57,7 @@
 
 
 def _batch_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
-    # Two serialised protobuf messages in a row decode as one message with the fields of both.
+    # Two concatenated protobuf messages decode as one message with the fields of both.
     data = pb.BatchRequest(work=work).SerializeToString() + decoded_request_of(attempt.sequence).batch
     timeout = attempt.times_out_at - now + DEADLINE_MARGIN
     return EngineRequest("Batch", BatchWatcher(executor, attempt), timeout, data)
@@ -75,7 +74,7 @@
     handle = attempt.claimed_state.handle if attempt.claimed_state else None
     state = handle if isinstance(handle, pb.State) else None
     data = pb.WriteRequest(work=work, state=state).SerializeToString()
-    # The attempt's timeout is for its first token only; the stream may last until the call's own deadline.
+    # The attempt's timeout applies to the first token only; the stream may last until the client's deadline.
     time_left = decoded_request_of(sequence).deadline_in - (now - sequence.accepted_at)
     timeout = time_left + DEADLINE_MARGIN if time_left != NEVER else None
     return EngineRequest("Write", WriteWatcher(executor, attempt), timeout, data)
--- a/myrtlehub/node/engine_transport/read_attempt.py
+++ b/myrtlehub/node/engine_transport/read_attempt.py
@@ -1,4 +1,4 @@
-"""The reply to a read: one message and the status."""
+"""The reply to a read: one message and a status."""
 
 from myrtlehub.node.engine_transport.attempt_watcher import AttemptWatcher, load_report_of
 from myrtlehub.proto import engine_pb2 as pb
@@ -7,7 +7,7 @@
 
 
 class ReadWatcher(AttemptWatcher):
-    """Watches an attempt at a reader; its reply counts once the call has ended with status OK."""
+    """Watches an attempt at a reader; the reply is used only if the call ends with status OK."""
 
     reply: bytes | None = None
 
@@ -16,7 +16,7 @@
         self.reply = data
 
     def ended(self, status: Status) -> None:
-        """Report the outcome by the status and the reply."""
+        """Report the outcome that follows from the status and the reply."""
         if status.code != Code.OK or self.reply is None:
             super().ended(status)
             return
--- a/myrtlehub/node/engine_transport/transport.py
+++ b/myrtlehub/node/engine_transport/transport.py
@@ -26,9 +26,9 @@
 
     Attributes:
         channels: by engine address.
-        executor: outcomes are reported to it; set before the first attempt is started.
-        ownership_of: returns the ownership with which this node has a sequence; `UNOWNED` unless the nodes
-            replicate their sequence records.
+        executor: receives the outcomes; set before the first attempt is started.
+        ownership_of: returns this node's ownership of a sequence; `UNOWNED` unless the nodes replicate their
+            sequence records.
     """
 
     executor: ActionExecutor
@@ -42,14 +42,14 @@
         connect_timeout: float,
         transport_limits: TransportLimits | None = None,
     ) -> None:
-        """Make a transport without channels.
+        """Create a transport without channels.
 
         Args:
             clock: the node's clock.
-            dial: returns how a channel connects to an address.
+            dial: returns the connect function of an address.
             name: the node's name, which engines log.
-            random: adds jitter to the backoff between attempts to connect.
-            connect_timeout: seconds until an attempt to connect has failed.
+            random: adds jitter to the backoff between connection attempts.
+            connect_timeout: seconds after which a connection attempt fails.
             transport_limits: the limits of all channels.
         """
         self.clock = clock
@@ -62,11 +62,11 @@
         self.ownership_of: Callable[[str], Ownership] = lambda sequence_id: UNOWNED
 
     def channel(self, engine: int) -> Channel:
-        """Return the channel to an engine by its index, and make it at the first use."""
+        """Return the channel to an engine by endpoint index, creating it on first use."""
         return self.channel_to(self.executor.decoder.engines.rows[engine].address)
 
     def channel_to(self, address: str) -> Channel:
-        """Return the channel to an address, and make it at the first use."""
+        """Return the channel to an address, creating it on first use."""
         channel = self.channels.get(address)
         if channel is None:
             channel = self.channels[address] = Channel(
@@ -105,25 +105,30 @@
             call.cancel()
 
     def release(self, engine: int, sequence_id: str) -> None:
-        """Ask an engine to free the read state of a sequence."""
+        """Request an engine to release the read state of a sequence."""
         ownership = self.ownership_of(sequence_id)
         request = pb.ReleaseRequest(sequence=sequence_id, epoch=ownership.epoch, owner=ownership.owner)
         reply = self.channel(engine).unary(
             SERVICE + "Release", request.SerializeToString(), timeout=RELEASE_TIMEOUT
         )
-        reply.addErrback(lambda failure: None)  # an unreachable engine frees the state after its own timeout
+        reply.addErrback(
+            lambda failure: None
+        )  # an unreachable engine releases the state after its own timeout
 
     def probe(
-        self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
+        self, engine: int, timeout: float, on_result: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
-        """Request a load report; `then(is_answered, load)` is called once, in a later turn."""
+        """Request a load report.
+
+        `on_result(is_answered, load)` is called once, in a later iteration of the event loop.
+        """
         reply = self.channel(engine).unary(
             SERVICE + "Probe", pb.ProbeRequest().SerializeToString(), timeout=timeout
         )
         reply.addCallback(pb.ProbeReply.FromString)
-        # A malformed reply counts as no answer; an exception that `then` itself raises is logged.
+        # A malformed reply counts as no answer; an exception that `on_result` itself raises is logged.
         reply.addCallbacks(
-            lambda message: then(True, load_report_of(message)), lambda failure: then(False, None)
+            lambda message: on_result(True, load_report_of(message)), lambda failure: on_result(False, None)
         )
         reply.addErrback(self._log_failure)
 
@@ -141,7 +146,7 @@
             channel.close_idle()
 
     def unreachable_engines(self) -> frozenset[str]:
-        """Return the addresses to which the last attempt to connect has failed."""
+        """Return the addresses whose last connection attempt failed."""
         return frozenset(
             address
             for address, channel in self.channels.items()
--- a/myrtlehub/node/engine_transport/write_attempt.py
+++ b/myrtlehub/node/engine_transport/write_attempt.py
@@ -5,7 +5,7 @@
 from myrtlehub.routing import contract
 
 # The first byte of a reply that carries tokens: the tag of field 1. The tokens are field 1 in both
-# WriteReply and GenerateReply, so such a reply is forwarded to the client without being decoded.
+# WriteReply and GenerateReply, so such a reply is forwarded to the client without decoding it.
 TOKENS_TAG = 0x0A
 TOKENS_PREFIX = bytes((TOKENS_TAG,))
 
@@ -24,11 +24,11 @@
             return
         reply = self.parse(pb.WriteReply, data)
         if reply is not None:
-            self._final_reply(reply)
+            self._handle_final_reply(reply)
 
-    def _final_reply(self, reply: pb.WriteReply) -> None:
-        which = reply.WhichOneof("reply")
-        if which == "ended":
+    def _handle_final_reply(self, reply: pb.WriteReply) -> None:
+        reply_field = reply.WhichOneof("reply")
+        if reply_field == "ended":
             ended = reply.ended
             self.executor.ended(
                 self.attempt,
@@ -37,7 +37,7 @@
                 load_report_of(ended),
                 tokens=ended.tokens,
             )
-        elif which == "refused":
+        elif reply_field == "refused":
             rejection = reply.refused
             self.executor.ended(
                 self.attempt, contract.Outcome.FULL, float(rejection.no_state), load_report_of(rejection)
