--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -1,4 +1,4 @@
-"""The embeddings and rerank fronts on a whole fleet."""
+"""Tests of the embeddings and rerank fronts in a complete fleet."""
 
 import struct
 
@@ -54,8 +54,8 @@
     assert call.final == "generated" and call.done.errors == 1
     assert "500 tokens are more than the 400" in call.items[7].error and not call.items[7].packed
     assert_vectors(call)
-    sent = sum(r.more["items"] for r in fleet.records("got") if r.more["traffic"] == "vec")
-    assert sent == 4  # a, aa, aaa, and aa at 500 tokens
+    sent_items = sum(r.more["items"] for r in fleet.records("got") if r.more["traffic"] == "vec")
+    assert sent_items == 4  # a, aa, aaa, and aa with 500 tokens
     assert_nothing_in_flight(fleet)
 
 
@@ -69,9 +69,9 @@
     assert call.final == "generated" and stream.final == "generated"
     assert_vectors(call)
     assert_vectors(stream)
-    sent = [(r.more["seq"], r.who) for r in fleet.records("got") if r.more["traffic"] == "vec"]
-    assert len(sent) > len({s for s, _ in sent})  # some went again,
-    assert len([s for s, _ in sent]) < 2 * len({s for s, _ in sent})  # and only some
+    sent_parts = [(r.more["seq"], r.who) for r in fleet.records("got") if r.more["traffic"] == "vec"]
+    assert len(sent_parts) > len({s for s, _ in sent_parts})  # some parts were retried,
+    assert len([s for s, _ in sent_parts]) < 2 * len({s for s, _ in sent_parts})  # but not all
     assert_rules_kept(fleet)
     assert_nothing_in_flight(fleet)
 
@@ -79,10 +79,10 @@
 @pytest.mark.parametrize("is_stream", [False, True])
 def test_a_deadline_that_only_a_part_of_the_batch_can_meet(is_stream: bool) -> None:
     fleet = Fleet("R0 W0 E0", batch_rate=10000.0, batch_queue=100)
-    call = embed(fleet, texts(600), is_stream=is_stream, time_left=1.0)  # 3 s of work
-    began = fleet.clock.seconds()
+    call = embed(fleet, texts(600), is_stream=is_stream, time_left=1.0)  # the engine needs 3 s
+    started_at = fleet.clock.seconds()
     fleet.run(3.0)
-    assert call.final == "rejected" and call.done_at - began <= 1.0
+    assert call.final == "rejected" and call.done_at - started_at <= 1.0
     if is_stream:
         assert 50 < len(call.items) < 600
         assert_vectors(call, only=set(call.items))
@@ -94,10 +94,10 @@
 
 def test_no_answer_has_vectors_of_two_versions() -> None:
     fleet = Fleet("R0 W0 E0 E0 E0", batch_rate=10000.0, batch_queue=100)
-    stream, whole = embed(fleet, texts(400, 1), is_stream=True), embed(fleet, texts(400))
+    stream, unary = embed(fleet, texts(400, 1), is_stream=True), embed(fleet, texts(400))
     fleet.run(0.5)
-    assert stream.items and not whole.final
-    for name in ("E0c", "E0d", "E0e"):  # all are rolled over at once, with parts out
+    assert stream.items and not unary.final
+    for name in ("E0c", "E0d", "E0e"):  # all engines change versions while parts are in flight
         fleet.engines[name].model_name = "m2"
     fleet.run(0.3)
     for name in ("E0c", "E0d", "E0e"):
@@ -105,16 +105,17 @@
     source = fleet.nodes["n0"].endpoint_source
     source.push([EndpointConfig(**fleet.endpoints[n]) for n in fleet.endpoints], True)
     fleet.run(4.0)
-    for call in (whole, stream):
+    for call in (unary, stream):
         if call.final == "generated":
             assert_vectors(call, call.done.model)
         else:
             assert call.final == "rejected"
         values = {v.packed for v in call.items.values()}
-        both = texts(400) + texts(400, 1)
-        first, second = ({vector_of(t, m, 16, False) for t in both} for m in ("m1", "m2"))
+        all_texts = texts(400) + texts(400, 1)
+        first, second = ({vector_of(t, m, 16, False) for t in all_texts} for m in ("m1", "m2"))
         assert not (values & first and values & second)
-    assert whole.final == "generated" and whole.done.model == "m2"  # nothing had been sent: it restarted
+    # No result of the unary call had been sent, so its batch restarted with the new version.
+    assert unary.final == "generated" and unary.done.model == "m2"
     assert stream.final == "rejected" and stream.items
     again = embed(fleet, texts(400, 1))
     fleet.run(3.0)
@@ -128,13 +129,13 @@
     first = embed(fleet, texts(40))
     fleet.run(1.0)
     before = len(fleet.records("got"))
-    second, part = embed(fleet, texts(40)), embed(fleet, texts(40)[:5] + texts(5, 9), is_stream=True)
+    second, overlapping = embed(fleet, texts(40)), embed(fleet, texts(40)[:5] + texts(5, 9), is_stream=True)
     fleet.run(1.0)
-    assert first.done.kept == 0 and second.done.kept == 40 and part.done.kept == 5
+    assert first.done.kept == 0 and second.done.kept == 40 and overlapping.done.kept == 5
     assert_vectors(second)
-    assert_vectors(part)
+    assert_vectors(overlapping)
     assert len(fleet.records("got")) == before + 1
-    other = embed(fleet, texts(40), dimensions=4)  # another question
+    other = embed(fleet, texts(40), dimensions=4)  # other parameters
     fleet.run(1.0)
     assert other.done.kept == 0
     assert_vectors(other)
@@ -151,8 +152,8 @@
     assert all(c.final == "generated" for c in calls)
     for call in calls:
         assert_vectors(call)
-    got = [r for r in fleet.records("got") if r.more["traffic"] == "vec"]
-    assert len(got) < 35 and sum(r.more["items"] for r in got) == 120
+    received = [r for r in fleet.records("got") if r.more["traffic"] == "vec"]
+    assert len(received) < 35 and sum(r.more["items"] for r in received) == 120
     assert_nothing_in_flight(fleet)
 
 
@@ -171,24 +172,24 @@
     assert [c.final for c in calls] == ["generated", "", "", "generated"]
     assert_vectors(calls[0])
     assert_vectors(calls[3])
-    all_gone = [embed(fleet, texts(5, 100 + i), tokens=40) for i in range(2)]
+    cancelled_calls = [embed(fleet, texts(5, 100 + i), tokens=40) for i in range(2)]
     fleet.run(0.3)
     stops = len(fleet.records("stopped"))
-    for call in all_gone:
+    for call in cancelled_calls:
         call.call.cancel()
     fleet.run(0.5)
-    assert len(fleet.records("stopped")) > stops  # no client waits: the attempt is cancelled
+    assert len(fleet.records("stopped")) > stops  # no client waits, so the attempt was cancelled
     fleet.run(3.0)
     assert_nothing_in_flight(fleet)
 
 
 def test_a_batch_that_is_not_idempotent_is_not_split_and_not_retried() -> None:
     fleet = Fleet("R0 W0 E0 E0", batch_rate=1000.0)
-    lost, fine = embed(fleet, texts(30), "vec1", mark="a"), embed(fleet, texts(20, 1), "vec1", mark="b")
+    lost, kept = embed(fleet, texts(30), "vec1", mark="a"), embed(fleet, texts(20, 1), "vec1", mark="b")
     fleet.run(0.2)
     fleet.kill(next(r.who[:-2] for r in fleet.records("ran") if r.more["mark"] == "a"))
     fleet.run(5.0)
-    assert lost.final == "aborted" and fine.final == "generated"
+    assert lost.final == "aborted" and kept.final == "generated"
     assert len([r for r in fleet.records("got") if r.more["mark"] == "a"]) == 1
     big = embed(fleet, texts(65), "vec1")
     fleet.run(0.1)
@@ -238,11 +239,11 @@
 
 def test_a_flood_of_embeddings_leaves_chat_its_share_of_engines() -> None:
     fleet = Fleet("R0 M0 M0", batch_rate=20000.0, batch_queue=400, slots=16)
-    flood = [embed(fleet, texts(200, i), is_stream=True) for i in range(12)]
+    embed_calls = [embed(fleet, texts(200, i), is_stream=True) for i in range(12)]
     fleet.run(0.05)
-    chats = []
+    chat_calls = []
     for _ in range(20):
-        chats.append(fleet.generate(prompt=300, output=20))
+        chat_calls.append(fleet.generate(prompt=300, output=20))
         fleet.run(0.05)
     batches = fleet.nodes["n0"].batches
     assert (
@@ -250,8 +251,8 @@
         and batches.shares.tokens_in_flight["embed"] <= 0.5 * batches.shares.common_capacity + 4000.0
     )
     fleet.run(4.0)
-    assert all(c.answer == "generated" for c in chats)
-    finals = {c.final for c in flood}
+    assert all(c.answer == "generated" for c in chat_calls)
+    finals = {c.final for c in embed_calls}
     assert finals <= {"generated", "rejected"} and "generated" in finals
     assert_rules_kept(fleet)
     fleet.run(4.0)
@@ -260,30 +261,31 @@
 
 def test_a_front_with_engines_of_its_own_keeps_to_its_share_of_common_ones() -> None:
     fleet = Fleet("R0 M0 M0 E0", batch_rate=20000.0, batch_queue=400, slots=16)
-    host, batches = fleet.nodes["n0"].executor, fleet.nodes["n0"].batches
-    alone = embed(fleet, texts(600), is_stream=True)
+    node_executor, batches = fleet.nodes["n0"].executor, fleet.nodes["n0"].batches
+    only_call = embed(fleet, texts(600), is_stream=True)
     fleet.run(0.1)
-    assert batches.shares.common_tokens["embed"] > 0.0  # no other front has demand: it may use all
+    assert batches.shares.common_tokens["embed"] > 0.0  # no other front has demand, so it may use all of them
     fleet.run(2.0)
-    assert alone.final == "generated"
-    chats, flood, most = [], [], 0.0
+    assert only_call.final == "generated"
+    chat_calls, embed_calls, max_common_tokens = [], [], 0.0
     for i in range(30):
-        chats.append(fleet.generate(prompt=300, output=20))
-        flood.append(embed(fleet, texts(150, i), is_stream=True))
+        chat_calls.append(fleet.generate(prompt=300, output=20))
+        embed_calls.append(embed(fleet, texts(150, i), is_stream=True))
         fleet.run(0.04)
         if i > 5:
-            most = max(most, batches.shares.common_tokens["embed"])
-    assert most <= 0.5 * batches.shares.common_capacity + 4000.0
-    seen = {r.who for r in fleet.records("got") if r.more["traffic"] == "vec"}
-    assert "E0d:1" in seen and any(batches.shares.is_excluded.values())
+            max_common_tokens = max(max_common_tokens, batches.shares.common_tokens["embed"])
+    assert max_common_tokens <= 0.5 * batches.shares.common_capacity + 4000.0
+    engines_used = {r.who for r in fleet.records("got") if r.more["traffic"] == "vec"}
+    assert "E0d:1" in engines_used and any(batches.shares.is_excluded.values())
     fleet.run(6.0)
-    assert all(c.answer == "generated" for c in chats)
-    fleet.run(90.0)  # no front has demand any more
-    late = embed(fleet, texts(5, 999))
+    assert all(c.answer == "generated" for c in chat_calls)
+    fleet.run(90.0)  # until no front has demand any more
+    late_call = embed(fleet, texts(5, 999))
     fleet.run(1.0)
-    assert late.final == "generated" and not any(batches.shares.is_excluded.values())
-    assert sum(c.final == "generated" for c in flood) > 10
-    engines = host.router.routers[1].estimates.engines
-    assert all(engines[index].state == EngineState.SERVING for index in host.router._known[1])  # let in again
+    assert late_call.final == "generated" and not any(batches.shares.is_excluded.values())
+    assert sum(c.final == "generated" for c in embed_calls) > 10
+    engines = node_executor.router.routers[1].estimates.engines
+    # The front is readmitted to the common engines.
+    assert all(engines[index].state == EngineState.SERVING for index in node_executor.router._known[1])
     assert_rules_kept(fleet)
     assert_nothing_in_flight(fleet)
