--- a/myrtlehub/node/admin/service.py
+++ b/myrtlehub/node/admin/service.py
@@ -14,7 +14,7 @@
 
 
 class NodeAdmin:
-    """Serves NodeAdmin for a node."""
+    """Serves the gRPC service `NodeAdmin` for a node."""
 
     def __init__(self, node: AdministeredNode) -> None:
         self.node = node
--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -50,7 +50,7 @@
         try:
             arrival = self._runner.decoder.arrival(request, self._runner.clock.seconds())
         except InvalidRequestError as error:
-            self.rejected(0.0, str(error))  # not accepted, so nothing ran
+            self.rejected(0.0, str(error))  # not accepted, so no attempt was sent
             return
         self.sequence = executor.accept(request, arrival, self)
 
--- a/myrtlehub/node/chat_front/admission_queue.py
+++ b/myrtlehub/node/chat_front/admission_queue.py
@@ -102,8 +102,8 @@
     def request_ended(self, queued: QueuedRequest) -> None:
         """Record that a request ended without a first token, admitted or still queued."""
         if queued.is_admitted:
-            had_time = queued.arrival.time_left >= queued.traffic_type.latency_slo
-            self.controller.record_failure(self._clock.seconds(), had_time)
+            could_meet_slo = queued.arrival.time_left >= queued.traffic_type.latency_slo
+            self.controller.record_failure(self._clock.seconds(), could_meet_slo)
             self._clock.callLater(0, self.process)
         else:
             self.controller.cancel(queued)
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -107,7 +107,7 @@
         if self.sequence is not None:
             self.executor.abort(self.sequence, reason)
         else:
-            self.rejected(0.0)  # not accepted yet, so nothing ran
+            self.rejected(0.0)  # not accepted yet, so no attempt was sent
 
     def deadline_passed(self, retry_after: float) -> None:
         """End the call at its deadline; a request that is still queued is rejected with `retry_after`."""
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -60,7 +60,7 @@
 
 
 class ChatFront:
-    """Serves Chat for one action executor."""
+    """Serves the gRPC service `Chat` for one action executor."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         retry_after = clients.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
         if retry_after is not None:
             self.on_rejected(traffic_type)
-            chat_call.rejected(retry_after)  # not accepted, so nothing ran
+            chat_call.rejected(retry_after)  # not accepted, so no attempt was sent
             return accepted._replace(is_rejected=True)
         self.limits.fair_share.add_demand(self.executor.clock.seconds(), FRONT_NAME, arrival.prompt_tokens)
         call.stream.registerProducer(chat_call, True)
--- a/myrtlehub/node/engine_transport/attempt_watcher.py
+++ b/myrtlehub/node/engine_transport/attempt_watcher.py
@@ -13,7 +13,7 @@
 Reply = TypeVar("Reply", bound=Message)
 
 
-class LoadCarrier(Protocol):
+class MessageWithLoad(Protocol):
     """A message with an optional load report."""
 
     @property
@@ -24,7 +24,7 @@
         """Return whether a field is set."""
 
 
-def load_report_of(message: LoadCarrier) -> contract.LoadReport | None:
+def load_report_of(message: MessageWithLoad) -> contract.LoadReport | None:
     """Return the load report in a message, converted for the router, or None if there is none."""
     if not message.HasField("load"):
         return None
--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -25,8 +25,8 @@
     data: bytes
 
 
-def work_of(attempt: Attempt, ownership: Ownership, now: float) -> pb.Work:
-    """Return the common part of all requests."""
+def build_work(attempt: Attempt, ownership: Ownership, now: float) -> pb.Work:
+    """Build the part that all requests have in common."""
     sequence = attempt.sequence
     request = decoded_request_of(sequence)
     return pb.Work(
@@ -47,8 +47,8 @@
     )
 
 
-def request_of(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
-    """Return the request of an attempt: a part of a batch, a read or a write."""
+def build_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
+    """Build the request of an attempt: a part of a batch, a read or a write."""
     if decoded_request_of(attempt.sequence).batch:
         return _batch_request(executor, attempt, work, now)
     if attempt.is_read:
--- a/myrtlehub/node/engine_transport/transport.py
+++ b/myrtlehub/node/engine_transport/transport.py
@@ -9,7 +9,7 @@
 from myrtlehub.log_events import LogEvent
 from myrtlehub.node.action_executor import ActionExecutor
 from myrtlehub.node.engine_transport.attempt_watcher import call_of, load_report_of
-from myrtlehub.node.engine_transport.engine_requests import request_of, work_of
+from myrtlehub.node.engine_transport.engine_requests import build_request, build_work
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
@@ -17,7 +17,7 @@
 from myrtlehub.rpc.channel import Channel, ChannelState, Dialer
 from myrtlehub.rpc.transport_limits import TransportLimits
 
-SERVICE = "/myrtlehub.v1.Engine/"
+ENGINE_SERVICE = "/myrtlehub.v1.Engine/"
 RELEASE_TIMEOUT = 1.0  # seconds
 
 
@@ -83,8 +83,8 @@
         """Send an attempt."""
         sequence_id = attempt.sequence.sequence_id
         now = self.clock.seconds()
-        work = work_of(attempt, self.ownership_of(sequence_id), now)
-        request = request_of(self.executor, attempt, work, now)
+        work = build_work(attempt, self.ownership_of(sequence_id), now)
+        request = build_request(self.executor, attempt, work, now)
         metadata = (
             ("myrtle-seq", sequence_id),
             ("myrtle-attempt", str(work.attempt)),
@@ -93,7 +93,7 @@
         )
         channel = self.channel(attempt.engine)
         call = attempt.call = channel.call(
-            SERVICE + request.method, request.watcher, metadata, request.timeout
+            ENGINE_SERVICE + request.method, request.watcher, metadata, request.timeout
         )
         call.send(request.data)
         call.half_close()
@@ -109,7 +109,7 @@
         ownership = self.ownership_of(sequence_id)
         request = pb.ReleaseRequest(sequence=sequence_id, epoch=ownership.epoch, owner=ownership.owner)
         reply = self.channel(engine).unary(
-            SERVICE + "Release", request.SerializeToString(), timeout=RELEASE_TIMEOUT
+            ENGINE_SERVICE + "Release", request.SerializeToString(), timeout=RELEASE_TIMEOUT
         )
         reply.addErrback(
             lambda failure: None
@@ -123,7 +123,7 @@
         `on_result(is_answered, load)` is called once, in a later iteration of the event loop.
         """
         reply = self.channel(engine).unary(
-            SERVICE + "Probe", pb.ProbeRequest().SerializeToString(), timeout=timeout
+            ENGINE_SERVICE + "Probe", pb.ProbeRequest().SerializeToString(), timeout=timeout
         )
         reply.addCallback(pb.ProbeReply.FromString)
         # A malformed reply counts as no answer; an exception that `on_result` itself raises is logged.
--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from myrtlehub.node.engine_transport.transport import SERVICE, GrpcEngineTransport
+from myrtlehub.node.engine_transport.transport import ENGINE_SERVICE, GrpcEngineTransport
 from myrtlehub.node.engine_transport.write_attempt import TOKENS_TAG
 from myrtlehub.node.replication.takeover_interfaces import TakeoverRequest
 from myrtlehub.proto import engine_pb2 as pb
@@ -93,7 +93,7 @@
         ("myrtle-node", transport.name),
     )
     channel = transport.channel_to(target.engine)
-    call = channel.call(SERVICE + "Write", AttachedStream(observer), metadata)
+    call = channel.call(ENGINE_SERVICE + "Write", AttachedStream(observer), metadata)
     call.send(pb.WriteRequest(work=work, attach=attach).SerializeToString())
     call.half_close()
     return call
--- a/myrtlehub/node/replication/engine_claims.py
+++ b/myrtlehub/node/replication/engine_claims.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from myrtlehub.node.engine_transport.transport import SERVICE, GrpcEngineTransport
+from myrtlehub.node.engine_transport.transport import ENGINE_SERVICE, GrpcEngineTransport
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.fencing import AttemptState
 from myrtlehub.recovery.recovery_decision import STREAMING_STATES, AttemptReport
@@ -99,7 +99,7 @@
         close=close,
     )
     reply = transport.channel_to(engine).unary(
-        SERVICE + "Claim", request.SerializeToString(), timeout=CLAIM_TIMEOUT
+        ENGINE_SERVICE + "Claim", request.SerializeToString(), timeout=CLAIM_TIMEOUT
     )
     return reply.addCallbacks(pb.ClaimReply.FromString, lambda failure: None)
 
--- a/myrtlehub/node/replication/former_ownerships.py
+++ b/myrtlehub/node/replication/former_ownerships.py
@@ -6,13 +6,15 @@
 
 from myrtlehub.recovery.sequence_records import UNOWNED, Ownership
 
-CAPACITY = 20000  # sequences; enough for the seconds between a final answer and the release of the read state
+DEFAULT_CAPACITY = (
+    20000  # sequences; enough for the seconds between a final answer and the release of the read state
+)
 
 
 class FormerOwnerships:
     """The last ownerships of ended sequences, bounded in number, and which of them have migrated."""
 
-    def __init__(self, capacity: int = CAPACITY) -> None:
+    def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self.capacity = capacity
         self._ownerships: dict[str, Ownership] = {}  # by sequence id, oldest first
         self._migrated: set[str] = set()
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -46,7 +46,7 @@
         clock: Clock,
         log: Log,
     ) -> None:
-        """Make a publisher without sequences.
+        """Create a publisher without sequences.
 
         Args:
             owner: the name of this node as an owner, NODE.INCARNATION.
--- a/myrtlehub/node/replication/replica_service.py
+++ b/myrtlehub/node/replication/replica_service.py
@@ -34,7 +34,7 @@
         clock: Clock,
         log: Log,
     ) -> None:
-        """Make the service.
+        """Create the service.
 
         Args:
             node: this node's name.
