--- a/myrtlehub/node/admin/service.py
+++ b/myrtlehub/node/admin/service.py
@@ -14,7 +14,7 @@
 
 
 class NodeAdmin:
-    """Serves NodeAdmin for a node."""
+    """Serves the gRPC service `NodeAdmin` for a node."""
 
     def __init__(self, node: AdministeredNode) -> None:
         self.node = node
@@ -29,8 +29,8 @@
             "Figures": self._figures,
             "Stage": self.orders.stage,
             "Apply": self.orders.apply,
-            "Obey": self.orders.obey,
-            "Leave": self.orders.leave,
+            "Obey": self.orders.accept_generation,
+            "Leave": self.orders.drain,
         }
         for name, method in methods.items():
             server.add(SERVICE + name, unary(method))
