--- a/myrtlehub/recovery/model/owner_steps.py
+++ b/myrtlehub/recovery/model/owner_steps.py
@@ -72,7 +72,7 @@
     if parameters.send_decision(owner.sequence) == SendDecision.ABANDON:
         yield from give_up(parameters, state, index, owner)
     owned = owner.sequence
-    for replica in set(owned.lagging_replicas()) - owned.uncertain:
+    for replica in set(owned.lagging_replicas()) - owned.uncertain_replicas:
         owned = owned.mark_uncertain(replica)
     if owned != owner.sequence:
         # The late replies may still arrive.
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -35,7 +35,9 @@
     merge_update: Callable[[SequenceRecord | None, SequenceRecord], MergeResult] = (
         sequence_records.merge_update
     )
-    transfer: Callable[[SequenceRecord, str, int], SequenceRecord] = sequence_records.transfer
+    transfer_ownership: Callable[[SequenceRecord, str, int], SequenceRecord] = (
+        sequence_records.transfer_ownership
+    )
     admits: Callable[[Fence, Ownership], bool] = fencing.admits
     claim_fence: Callable[[Fence, Ownership, bool], ClaimResult] = fencing.claim_fence
     send_decision: Callable[[OwnedSequence], SendDecision] = OwnedSequence.send_decision
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -42,7 +42,7 @@
     record = state.records[replica]
     transferred = state
     if record is not None:
-        record = parameters.transfer(record, OWNER_NAMES[index], 0)
+        record = parameters.transfer_ownership(record, OWNER_NAMES[index], 0)
         transferred = state.with_record(replica, record)
     fetched = owner._replace(fetched=(*owner.fetched, FetchedRecord(replica, record)))
     yield Step(f"node {index} queries replica {replica}", transferred.with_owner(index, fetched))
--- a/myrtlehub/recovery/ownership.py
+++ b/myrtlehub/recovery/ownership.py
@@ -3,7 +3,8 @@
 Attempts of an idempotent sequence are sent at once, and the replicas are updated in parallel. Any other
 attempt waits until every replica to which the record was ever sent has acknowledged the intent without a
 restart in between. Only the attempt of the first intent may be sent with fewer acknowledgements: a replica
-that did not answer has either this intent, which is the complete record, or no record to hand out.
+that did not reply has either this intent, which is the complete record, or no record that a successor could
+fetch.
 """
 
 from collections.abc import Mapping
@@ -17,7 +18,7 @@
     SequenceRecord,
 )
 
-NO_VERSION = -1  # of a replica that has acknowledged no version yet; lower than every version
+NO_VERSION = -1  # of a replica that has acknowledged no version yet; lower than any version
 
 
 class SendDecision(StrEnum):
@@ -36,13 +37,13 @@
 
 
 class OwnedSequence(NamedTuple):
-    """An in-flight sequence of this node, and what its replicas have acknowledged."""
+    """An in-flight sequence that this node owns, and what its replicas have acknowledged."""
 
     record: SequenceRecord
     replicas: tuple[ReplicaIncarnation, ...]
     version: int = 0  # of the record; every intent increments it
-    acknowledged: tuple[int, ...] = ()  # by replica: the newest version that it is known to have
-    uncertain: frozenset[str] = frozenset()  # replicas that may have any version, or none
+    acknowledged_versions: tuple[int, ...] = ()  # of each of `replicas`: the newest that it acknowledged
+    uncertain_replicas: frozenset[str] = frozenset()  # may have any version of the record, or none
     is_superseded: bool = False
 
     @classmethod
@@ -53,8 +54,8 @@
 
         Args:
             record: the record.
-            incarnations: by replica.
-            was_taken_over: the record has intents of former owners, so none of this node's is the first.
+            incarnations: of each replica; None if it was not reached.
+            was_taken_over: the record has intents of former owners, so this node adds no first intent.
         """
         return cls(
             record, _sorted_replicas(incarnations), int(was_taken_over), (NO_VERSION,) * len(incarnations)
@@ -63,10 +64,11 @@
     def assign_replicas(self, incarnations: Mapping[str, str | None]) -> Self:
         """Assign replicas to a sequence that began without any.
 
-        The record already lists all attempts that were sent; the next one waits for acknowledgements.
+        The record already lists all attempts that were sent. The next attempt waits for acknowledgements.
         """
         return self._replace(
-            replicas=_sorted_replicas(incarnations), acknowledged=(NO_VERSION,) * len(incarnations)
+            replicas=_sorted_replicas(incarnations),
+            acknowledged_versions=(NO_VERSION,) * len(incarnations),
         )
 
     def add_intent(self, intent: AttemptIntent) -> Self:
@@ -83,32 +85,36 @@
             version: of the record in the update.
             reply: a value of `ReplicaReply`; an unknown one counts as `STORED`.
         """
-        index = next((index for index, row in enumerate(self.replicas) if row.node == replica), None)
+        index = next((index for index, known in enumerate(self.replicas) if known.node == replica), None)
         if index is None:
             return self
         if reply == ReplicaReply.SUPERSEDED:
             return self._replace(is_superseded=True)
         if incarnation != self.replicas[index].incarnation:
-            # The former incarnation may have handed the record out before the replica restarted.
+            # A successor may have fetched the record from the former incarnation.
             return self.mark_uncertain(replica)
         if reply == ReplicaReply.FULL:
-            # A replica that never stored the record cannot hand it out.
-            never_stored = self.acknowledged[index] == NO_VERSION
+            # A replica that never stored the record has none that a successor could fetch.
+            never_stored = self.acknowledged_versions[index] == NO_VERSION
             return self._without_replica(index) if never_stored else self.mark_uncertain(replica)
-        newest = max(self.acknowledged[index], version)
+        newest = max(self.acknowledged_versions[index], version)
         return self._replace(
-            acknowledged=(*self.acknowledged[:index], newest, *self.acknowledged[index + 1 :])
+            acknowledged_versions=(
+                *self.acknowledged_versions[:index],
+                newest,
+                *self.acknowledged_versions[index + 1 :],
+            )
         )
 
     def mark_uncertain(self, replica: str) -> Self:
         """Mark a replica that did not reply in time, lost its connection or restarted."""
-        return self._replace(uncertain=self.uncertain | {replica})
+        return self._replace(uncertain_replicas=self.uncertain_replicas | {replica})
 
     def lagging_replicas(self) -> list[str]:
         """Return the replicas that are not known to have the newest version."""
         return [
             replica.node
-            for replica, version in zip(self.replicas, self.acknowledged, strict=True)
+            for replica, version in zip(self.replicas, self.acknowledged_versions, strict=True)
             if version < self.version
         ]
 
@@ -120,15 +126,16 @@
             return SendDecision.SEND
         lagging = set(self.lagging_replicas())
         if self.version <= 1:
-            return SendDecision.SEND if lagging <= self.uncertain else SendDecision.WAIT
-        if lagging & self.uncertain:
+            return SendDecision.SEND if lagging <= self.uncertain_replicas else SendDecision.WAIT
+        if lagging & self.uncertain_replicas:
             return SendDecision.ABANDON
         return SendDecision.WAIT if lagging else SendDecision.SEND
 
     def _without_replica(self, index: int) -> Self:
         return self._replace(
             replicas=self.replicas[:index] + self.replicas[index + 1 :],
-            acknowledged=self.acknowledged[:index] + self.acknowledged[index + 1 :],
+            acknowledged_versions=self.acknowledged_versions[:index]
+            + self.acknowledged_versions[index + 1 :],
         )
 
 
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -1,8 +1,8 @@
 """The recovery decision: how a sequence continues after a takeover.
 
-The decision depends on the retry semantics, on what the engines reported when they were claimed, and on how
-many tokens the client has received. An attempt counts as having run unless it is certain that it had no
-effect.
+The decision depends on the sequence's retry semantics, on the attempt states that engines reported in reply
+to claims, and on how many tokens the client has received. An attempt counts as having run unless it is
+certain that it had no effect.
 """
 
 from enum import StrEnum
@@ -17,30 +17,38 @@
 
     ATTACH = "attach"  # relay the stream that a writer is still generating
     USE_READ_STATE = "held"  # send a write that fetches the read state from its reader
-    RETRY = "again"  # route the sequence like a new arrival
+    RETRY = "again"  # route the sequence again like a new arrival
     ABORT = "abort"
 
 
 class AttemptReport(NamedTuple):
-    """What one engine reported of one attempt."""
+    """What an engine reported about one attempt."""
 
     intent: AttemptIntent
     state: AttemptState
     token_count: int = 0  # generated so far
-    first_token: int = 0  # index of the first token that the engine still has
+    first_token: int = 0  # index of the first token that the engine still stores
 
 
 class RecoveryDecision(NamedTuple):
-    """What to do with a sequence that was taken over."""
+    """What to do with a sequence that was taken over.
+
+    Attributes:
+        action: What to do.
+        target: The attempt whose engine is used. Set with `ATTACH` and `USE_READ_STATE`.
+        abort_reason: Set with `ABORT`.
+        uncertain_attempt: The first attempt that may have run; None if there is none. Set with `RETRY` and
+            `USE_READ_STATE`.
+    """
 
     action: RecoveryAction
-    target: AttemptIntent | None = None  # `ATTACH`, `USE_READ_STATE`: the attempt whose engine is used
-    abort_reason: str | None = None  # `ABORT` only
-    uncertain_attempt: AttemptIntent | None = None  # `RETRY`, `USE_READ_STATE`: the first that may have run
+    target: AttemptIntent | None = None
+    abort_reason: str | None = None
+    uncertain_attempt: AttemptIntent | None = None
 
 
 STREAMING_STATES = (AttemptState.WAITING, AttemptState.WRITING, AttemptState.ENDED)
-HARMLESS_STATES = (
+EFFECT_FREE_STATES = (
     AttemptState.NEVER_RAN,
     AttemptState.REJECTED,
     AttemptState.READING,
@@ -49,8 +57,8 @@
 
 
 def may_have_run(report: AttemptReport) -> bool:
-    """Return whether an attempt may have had an effect, or may still have one; a read has none."""
-    return not report.intent.is_read and report.state not in HARMLESS_STATES
+    """Return whether an attempt may have had an effect or still may have one; reads have no effect."""
+    return not report.intent.is_read and report.state not in EFFECT_FREE_STATES
 
 
 def decide(
@@ -59,47 +67,50 @@
     client_token_count: int,
     is_record_complete: bool = True,
 ) -> RecoveryDecision:
-    """Decide how a sequence continues.
+    """Decide how a sequence continues after a takeover.
 
     Args:
         retry_semantics: a value of `RetrySemantics`.
         reports: one per attempt in the record.
-        client_token_count: tokens that the client has received.
-        is_record_complete: the record lists all attempts. False if no replica had a record; then any
-            sequence that is not idempotent may have run.
+        client_token_count: number of tokens that the client has received.
+        is_record_complete: whether the record lists all attempts. False if no replica had a record; a
+            sequence that is not idempotent then counts as having run.
     """
     writes = [report for report in reports if not report.intent.is_read]
-    streams = [report for report in writes if _can_attach(report, client_token_count)]
-    if streams:
-        return RecoveryDecision(RecoveryAction.ATTACH, _best_stream(streams))
+    attachable = [report for report in writes if _can_attach(report, client_token_count)]
+    if attachable:
+        return RecoveryDecision(RecoveryAction.ATTACH, _select_stream(attachable))
     uncertain_attempt = _first_that_may_have_run(writes)
     abort_reason = _abort_reason(retry_semantics, uncertain_attempt, client_token_count, is_record_complete)
     if abort_reason is not None:
         return RecoveryDecision(RecoveryAction.ABORT, abort_reason=abort_reason)
-    reads = [
+    reads_with_state = [
         report.intent
         for report in reports
         if report.intent.is_read and report.state == AttemptState.HAS_READ_STATE
     ]
-    if reads:
-        return RecoveryDecision(RecoveryAction.USE_READ_STATE, reads[-1], uncertain_attempt=uncertain_attempt)
+    if reads_with_state:
+        return RecoveryDecision(
+            RecoveryAction.USE_READ_STATE, reads_with_state[-1], uncertain_attempt=uncertain_attempt
+        )
     return RecoveryDecision(RecoveryAction.RETRY, uncertain_attempt=uncertain_attempt)
 
 
 def _can_attach(report: AttemptReport, client_token_count: int) -> bool:
-    """Return whether the engine can continue the stream right after the client's last token."""
+    """Return whether the engine can resume the stream at the token after the client's last one."""
     if report.state not in STREAMING_STATES or report.first_token > client_token_count:
         return False
     return report.state != AttemptState.ENDED or report.token_count >= client_token_count
 
 
-def _best_stream(streams: list[AttemptReport]) -> AttemptIntent:
-    """Return the attempt to attach to: the latest that has begun to generate, else the latest that waits.
+def _select_stream(attachable: list[AttemptReport]) -> AttemptIntent:
+    """Return the attempt to attach to: the latest that has generated tokens, else the latest that waits.
 
-    If the client has received tokens, they are of this attempt: no attempt is sent while another one streams.
+    Tokens that the client has received are always of this attempt, because no attempt is sent while another
+    one streams.
     """
     return max(
-        streams, key=lambda report: (report.state != AttemptState.WAITING, report.intent.attempt)
+        attachable, key=lambda report: (report.state != AttemptState.WAITING, report.intent.attempt)
     ).intent
 
 
@@ -114,11 +125,11 @@
     client_token_count: int,
     is_record_complete: bool,
 ) -> str | None:
-    """Return why the sequence cannot be sent again; None if it can."""
+    """Return why the sequence must not be sent again; None if it may be."""
     if not is_record_complete and (client_token_count or retry_semantics != RetrySemantics.IDEMPOTENT):
-        return "no replica knows what was sent for it"
+        return "no replica has its record, so it may have been sent already"
     if client_token_count:
-        return "the writer of what was begun is gone, and no other goes on with its text"
+        return "the stream of its writer is lost, and another writer would generate different tokens"
     if uncertain_attempt is not None and retry_semantics == RetrySemantics.AT_MOST_ONCE:
         return f"attempt {uncertain_attempt.attempt} may have run at {uncertain_attempt.engine}"
     return None
--- a/myrtlehub/recovery/replica_store.py
+++ b/myrtlehub/recovery/replica_store.py
@@ -1,4 +1,4 @@
-"""Replica store: the sequence records that one replica holds for other nodes, bounded in count."""
+"""Replica store: the sequence records that one replica stores for other nodes, bounded in count."""
 
 from typing import NamedTuple
 
@@ -10,37 +10,37 @@
     SequenceRecord,
     merge_completion,
     merge_update,
-    transfer,
+    transfer_ownership,
 )
 
-# The record whose loss costs least comes first; with equal semantics, one whose answer does not stream yet.
+# The semantics whose records cost least to lose come first.
 EVICTION_ORDER = (RetrySemantics.IDEMPOTENT, RetrySemantics.IDEMPOTENCY_KEY, RetrySemantics.AT_MOST_ONCE)
 
 
 class EvictionRank(NamedTuple):
-    """How much the loss of a record costs; records of a low rank are evicted first."""
+    """The cost of losing a record; records with a low rank are evicted first."""
 
     semantics_rank: int  # index in `EVICTION_ORDER`
-    is_streaming: bool
+    is_streaming: bool  # with equal semantics, records that do not stream yet are evicted first
 
 
 class ReplicaStore:
-    """All records that one replica holds for other nodes.
+    """All records that one replica stores for other nodes.
 
-    When the store is full, it evicts the record with the lowest `EvictionRank`, the oldest first. The client
-    of an idempotent sequence that does not stream yet can simply send it again, so its record is evicted
-    first. A record that was handed out is never evicted: without it, this replica would accept updates of
-    the former owner again.
+    A full store evicts the record with the lowest `EvictionRank`, and among equal ranks the oldest. Records
+    of idempotent sequences that do not stream yet are evicted first, because their clients can simply send
+    the request again. A record that was transferred to a new owner is never evicted: without it, this replica
+    would accept updates of the former owner again.
     """
 
     def __init__(self, capacity: int) -> None:
         """Make an empty store for `capacity` records."""
         self.capacity = capacity
-        self.records: dict[str, SequenceRecord] = {}  # by sequence, the oldest first
+        self.records: dict[str, SequenceRecord] = {}  # by sequence id, the oldest first
         self.eviction_count = 0  # since the start
 
     def store(self, update: SequenceRecord) -> ReplicaReply:
-        """Merge an update of the record's owner."""
+        """Merge an update that the record's owner sent."""
         stored = self.records.get(update.sequence_id)
         if stored is None and len(self.records) >= self.capacity and not self._evict_for(update):
             return ReplicaReply.FULL
@@ -50,14 +50,14 @@
         return reply
 
     def complete(self, sequence_id: str, ownership: Ownership) -> ReplicaReply:
-        """Drop the record of a sequence whose owner has given the final answer."""
+        """Remove the record of a sequence whose owner has given the final answer."""
         record, reply = merge_completion(self.records.get(sequence_id), ownership)
         if record is None:
             self.records.pop(sequence_id, None)
         return reply
 
     def hand_out(self, sequence_id: str, new_owner: str, min_epoch: int = 0) -> SequenceRecord | None:
-        """Transfer a record to the node that takes its sequence over.
+        """Transfer a record to the node that takes over its sequence.
 
         Returns:
             The record with its new ownership; None if there is no record.
@@ -65,12 +65,12 @@
         stored = self.records.get(sequence_id)
         if stored is None:
             return None
-        transferred = transfer(stored, new_owner, min_epoch)
+        transferred = transfer_ownership(stored, new_owner, min_epoch)
         self.records[sequence_id] = transferred
         return transferred
 
     def records_of(self, owner: str) -> list[SequenceRecord]:
-        """Return the records of one owner, the one that expires first at the front."""
+        """Return the records of one owner, sorted by their time of expiry."""
         records = (record for record in self.records.values() if record.ownership.owner == owner)
         return sorted(records, key=lambda record: record.expires_at)
 
@@ -86,7 +86,7 @@
         return expired
 
     def _evict_for(self, update: SequenceRecord) -> bool:
-        """Evict a record that ranks no higher than the update; return False if there is none."""
+        """Evict a record that ranks no higher than the update; return False if there is no such record."""
         candidates = [
             (_eviction_rank(record), age_rank, record.sequence_id)
             for age_rank, record in enumerate(self.records.values())
--- a/myrtlehub/recovery/sequence_records.py
+++ b/myrtlehub/recovery/sequence_records.py
@@ -1,18 +1,18 @@
-"""Sequence records: what the replicas of a node know of its in-flight sequences, and how they are merged.
+"""Sequence records: what a node replicates about its in-flight sequences, and how replicas merge updates.
 
 A record lists every engine to which an attempt of the sequence may have been sent. Where a second execution
 could do harm, the owner sends an attempt only after its replicas have stored the intent to send it. A
-takeover raises the record's epoch; from then on the replica refuses updates of the former owner, so an
-owner that was only paused cannot add an engine that the new owner does not know.
+takeover raises the record's epoch. From then on the replica rejects updates of the former owner, so an owner
+that was only paused cannot add an engine that the new owner does not know of.
 
-Two invariants together make a sequence run at most once:
+Two invariants together ensure that a sequence runs at most once:
 
-1. Every engine to which an owner of a lower epoch may send is in the record of every replica that may hand
-   the record out.
-2. An engine that has seen a higher fencing token refuses all messages with a lower one (`fencing`).
+1. Every engine to which an owner of a lower epoch may send is in the record of every replica from which a
+   successor may fetch it.
+2. An engine that has received a higher fencing token rejects all messages with a lower one (`fencing`).
 
-After a takeover has claimed every engine in the record, each attempt of a former owner either shows in an
-engine's report or is refused from then on.
+After a takeover has claimed every engine in the record, each attempt of a former owner is either included in
+an engine's report or rejected from then on.
 """
 
 from collections.abc import Iterable
@@ -21,9 +21,9 @@
 
 
 class RetrySemantics(StrEnum):
-    """What a second execution of a sequence does; the values are those of the settings and of the protocol.
+    """Whether a sequence may be executed twice; the values are those of the settings and of the protocol.
 
-    `routing.contract` defines the same values; this package does not depend on it.
+    `routing.contract` defines the same values, but this package does not depend on it.
     """
 
     IDEMPOTENT = "repeatable"
@@ -35,14 +35,14 @@
     """A replica's reply to an update of a record; the values are those of the protocol."""
 
     STORED = "kept"
-    SUPERSEDED = "superseded"  # another node owns the sequence by a higher epoch
+    SUPERSEDED = "superseded"  # another node owns the sequence, by a higher epoch
     FULL = "full"
 
 
 class Ownership(NamedTuple):
-    """Which node may act for a sequence. The higher ownership wins: by epoch, then by owner.
+    """Which node may act for a sequence. Ownerships are ordered by epoch, then by owner; the higher one wins.
 
-    The owner is a node and its incarnation, so a node that restarted is a different owner. Engines use the
+    The owner is a node with its incarnation, so a node that restarted is a different owner. Engines use the
     ownership as a fencing token.
     """
 
@@ -50,17 +50,17 @@
     owner: str  # NODE.INCARNATION
 
 
-UNOWNED = Ownership(0, "")  # lower than the ownership of any owner
-FIRST_EPOCH = 1  # of a sequence that has not been taken over
+UNOWNED = Ownership(0, "")  # lower than any ownership with an owner
+FIRST_EPOCH = 1  # epoch of a sequence that was never taken over
 
 
 class AttemptIntent(NamedTuple):
     """An attempt that may have been sent."""
 
-    attempt: int  # number among all attempts of the sequence, those of former owners included
+    attempt: int  # number of the attempt; attempts of former owners count too
     engine: str  # address
     is_read: bool
-    intended_at: float  # seconds on the clock of the node that holds the record
+    intended_at: float  # seconds on the clock of the node that stores the record
 
 
 class SequenceRecord(NamedTuple):
@@ -68,23 +68,23 @@
 
     sequence_id: str
     ownership: Ownership
-    retry_semantics: str  # of `RetrySemantics`, or a value that only a later version of a peer knows
-    expires_at: float  # seconds on the clock of the node that holds the record
+    retry_semantics: str  # a value of `RetrySemantics`, or one that a later version of a peer defines
+    expires_at: float  # seconds on the clock of the node that stores the record
     intents: tuple[AttemptIntent, ...] = ()
     is_streaming: bool = False  # the client may have received tokens
 
 
 class MergeResult(NamedTuple):
-    """The record that a replica holds after a message, None if it holds none, and its reply to the owner."""
+    """The record that a replica stores after a message (None if it has none), and its reply to the owner."""
 
     record: SequenceRecord | None
     reply: ReplicaReply
 
 
 def merge_update(stored: SequenceRecord | None, update: SequenceRecord) -> MergeResult:
-    """Merge an owner's update, which always has the complete record, into the stored record.
+    """Merge an owner's update, which always contains the complete record, into the stored record.
 
-    Intents are only ever added, so an update that arrives late or twice removes none.
+    Intents are only added, so an update that arrives late or twice removes none.
     """
     if stored is None:
         return MergeResult(update, ReplicaReply.STORED)
@@ -98,19 +98,19 @@
 
 
 def merge_completion(stored: SequenceRecord | None, ownership: Ownership) -> MergeResult:
-    """Drop a record whose owner has given the final answer, unless the owner was superseded."""
+    """Remove a record whose owner has given the final answer, unless the owner was superseded."""
     if stored is not None and ownership < stored.ownership:
         return MergeResult(stored, ReplicaReply.SUPERSEDED)
     return MergeResult(None, ReplicaReply.STORED)
 
 
-def transfer(stored: SequenceRecord, new_owner: str, min_epoch: int = 0) -> SequenceRecord:
-    """Return the record with a new owner, whose epoch is above the stored one and above `min_epoch`."""
+def transfer_ownership(stored: SequenceRecord, new_owner: str, min_epoch: int = 0) -> SequenceRecord:
+    """Return the record with a new owner, and an epoch above both the stored one and `min_epoch`."""
     return stored._replace(ownership=Ownership(max(stored.ownership.epoch, min_epoch) + 1, new_owner))
 
 
 def merge_copies(copies: list[SequenceRecord]) -> SequenceRecord:
-    """Merge the copies that several replicas hold of one record; the highest ownership wins."""
+    """Merge the copies of one record from several replicas; the highest ownership wins."""
     highest = max(copies, key=lambda copy: copy.ownership)
     return highest._replace(
         intents=_union_of_intents(copies), is_streaming=any(copy.is_streaming for copy in copies)
@@ -118,6 +118,6 @@
 
 
 def _union_of_intents(records: Iterable[SequenceRecord]) -> tuple[AttemptIntent, ...]:
-    """Return all intents in the order of their attempts; for the same attempt the last record wins."""
+    """Return all intents in the order of their attempts; the last record wins for each attempt."""
     by_attempt = {intent.attempt: intent for record in records for intent in record.intents}
     return tuple(by_attempt[attempt] for attempt in sorted(by_attempt))
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from myrtlehub.recovery.failure_detector import HEARTBEAT_INTERVAL, SILENCE_TIMEOUT, FailureDetector
+from myrtlehub.recovery.failure_detector import HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, FailureDetector
 from myrtlehub.recovery.fencing import AttemptState, ClaimResult, Fence, FenceTable
 from myrtlehub.recovery.model import ModelParameters, RecoveryModel, initial_state
 from myrtlehub.recovery.ownership import OwnedSequence, SendDecision
@@ -113,7 +113,7 @@
 FAULTS = {
     "a replica accepts updates of a superseded owner": ModelParameters(merge_update=_store_any_update),
     "a successor gets the record without a higher epoch": ModelParameters(
-        transfer=lambda stored, new_owner, min_epoch: stored
+        transfer_ownership=lambda stored, new_owner, min_epoch: stored
     ),
     "an engine accepts work with any ownership": ModelParameters(admits=lambda fence, ownership: True),
     "an engine grants claims with any ownership": ModelParameters(claim_fence=_grant_any_claim),
@@ -122,7 +122,9 @@
     ),
     "a later attempt is sent without the replicas that did not reply": ModelParameters(
         send_decision=_send_unless(
-            lambda owned: not owned.is_superseded and set(owned.lagging_replicas()) <= owned.uncertain
+            lambda owned: (
+                not owned.is_superseded and set(owned.lagging_replicas()) <= owned.uncertain_replicas
+            )
         )
     ),
     "an owner continues after it was superseded": ModelParameters(
@@ -299,7 +301,7 @@
     assert detector.record_heartbeat("a", "1", 0.0) is None
     assert detector.record_heartbeat("b", "1", 0.0) is None
     now = 0.0
-    while now < SILENCE_TIMEOUT + 2 * HEARTBEAT_INTERVAL:
+    while now < HEARTBEAT_TIMEOUT + 2 * HEARTBEAT_INTERVAL:
         now += HEARTBEAT_INTERVAL
         detector.record_heartbeat("b", "1", now)
         silent = detector.check(now)
