--- a/myrtlehub/recovery/model/checker_model.py
+++ b/myrtlehub/recovery/model/checker_model.py
@@ -1,4 +1,4 @@
-"""All steps of the model, and the rules that every reachable state has to keep."""
+"""All steps of the model, and the invariants that every reachable state has to satisfy."""
 
 from collections.abc import Iterator
 
@@ -16,27 +16,27 @@
 
 
 class RecoveryModel:
-    """The model, called by the model checker with a state to get the steps that are possible from it."""
+    """The model; the model checker calls it with a state to get the steps that are possible from it."""
 
     def __init__(self, parameters: ModelParameters) -> None:
         self.parameters = parameters
 
     def __call__(self, state: ModelState) -> Iterator[tuple[str, ModelState, str]]:
-        """Yield the label, the next state and its violation (empty if there is none) of each step."""
+        """Yield the label, the next state and the violation (empty if there is none) of each step."""
         for label, next_state in self._steps(state):
             yield label, next_state, self._violation(next_state)
 
     def _violation(self, state: ModelState) -> str:
-        """Return which rule a state violates; empty if it violates none."""
-        if self.parameters.retry_semantics == RetrySemantics.AT_MOST_ONCE and state.effect_count > 1:
-            return f"rule 2: it ran {state.effect_count} times"
+        """Return a description of the invariant that a state violates; empty if it violates none."""
+        if self.parameters.retry_semantics == RetrySemantics.AT_MOST_ONCE and state.execution_count > 1:
+            return f"rule 2: an at-most-once sequence ran {state.execution_count} times"
         was_rejected = any(owner.answer == Answer.REJECTED for owner in state.owners)
         if (
             was_rejected
-            and state.effect_count
+            and state.execution_count
             and self.parameters.retry_semantics != RetrySemantics.IDEMPOTENT
         ):
-            return "rule 2: a client was told that nothing ran, and it ran"
+            return "rule 2: a client got a rejection although the sequence has run"
         return ""
 
     def _steps(self, state: ModelState) -> Iterator[Step]:
@@ -44,20 +44,20 @@
             yield from self._owner_steps(state, index, owner)
         yield from network_steps.deliver_messages(self.parameters, state)
         yield from network_steps.run_attempts(state)
-        if state.fault_count < self.parameters.faults:
+        if state.fault_count < self.parameters.max_faults:
             yield from network_steps.restart_processes(self.parameters, state)
 
     def _owner_steps(self, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
         match owner.phase:
             case Phase.IDLE if state.owners[FIRST_OWNER].answer is None:
                 next_state = state.with_owner(index, owner._replace(phase=Phase.FETCHING_RECORD))
-                yield Step(f"the client reaches node {index}", next_state)
+                yield Step(f"the client resumes at node {index}", next_state)
             case Phase.FETCHING_RECORD:
                 yield from takeover_steps.query_replicas(self.parameters, state, index, owner)
             case Phase.CLAIMING_ENGINES:
                 yield from takeover_steps.claim_engines(self.parameters, state, index, owner)
             case Phase.INTENDING:
-                yield from owner_steps.intend(self.parameters, state, index, owner)
+                yield from owner_steps.add_intent(self.parameters, state, index, owner)
             case Phase.WAITING:
                 yield from owner_steps.wait_for_replicas(self.parameters, state, index, owner)
             case Phase.SENT:
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -16,7 +16,7 @@
     SequenceRecord,
 )
 
-Item = TypeVar("Item")
+ItemT = TypeVar("ItemT")
 
 FIRST_OWNER = 0  # index of the node that accepted the sequence; the nodes that may take it over follow
 OWNER_NAMES = "ACD"
@@ -24,14 +24,14 @@
 
 
 class ModelParameters(NamedTuple):
-    """The size of the model, the number of faults, and the functions that its processes run."""
+    """The size of the model, the number of faults, and the functions that its processes call."""
 
     retry_semantics: RetrySemantics = RetrySemantics.AT_MOST_ONCE
-    successors: int = 2  # nodes that may take the sequence over
-    replicas: int = 2
-    engines: int = 2
-    attempts: int = 2  # that the first owner may make; every successor may make one
-    faults: int = 1  # at most, in one run: restarts plus requests of successors that are lost
+    successor_count: int = 2  # nodes that may take the sequence over
+    replica_count: int = 2
+    engine_count: int = 2
+    max_first_owner_attempts: int = 2  # every successor may make one attempt
+    max_faults: int = 1  # in one run: restarts, and requests of successors that are lost
     merge_update: Callable[[SequenceRecord | None, SequenceRecord], MergeResult] = (
         sequence_records.merge_update
     )
@@ -42,11 +42,13 @@
     claim_fence: Callable[[Fence, Ownership, bool], ClaimResult] = fencing.claim_fence
     send_decision: Callable[[OwnedSequence], SendDecision] = OwnedSequence.send_decision
     acknowledge: Callable[[OwnedSequence, str, str, int, str], OwnedSequence] = OwnedSequence.acknowledge
-    decide: Callable[[str, list[AttemptReport], int, bool], RecoveryDecision] = recovery_decision.decide
+    decide_recovery: Callable[[str, list[AttemptReport], int, bool], RecoveryDecision] = (
+        recovery_decision.decide
+    )
 
 
 class Phase(StrEnum):
-    """What an owner does at present."""
+    """What an owner is doing."""
 
     IDLE = "idle"
     FETCHING_RECORD = "fetching record"  # from replicas
@@ -68,36 +70,36 @@
 
 
 class NotAnOwnerError(Exception):
-    """The sequence of a node was read in a phase in which the node does not own it: the model is wrong."""
+    """A step read the owned sequence of a node that owns none; this is a defect of the model."""
 
     def __init__(self, phase: Phase) -> None:
-        super().__init__(f"a node in the phase {phase!r} does not own the sequence")
+        super().__init__(f"a node in phase {phase!r} does not own the sequence")
         self.phase = phase
 
 
 class FetchedRecord(NamedTuple):
-    """What a replica returned to a successor."""
+    """The reply of a replica that a successor queried."""
 
     replica: int
     record: SequenceRecord | None
 
 
 class EngineReport(NamedTuple):
-    """What an engine reported when it was claimed."""
+    """What an engine reported in reply to a claim."""
 
     engine: int
     state: AttemptState
-    attempt: int | None  # the attempt of this state; None if the engine knows of none
+    attempt: int | None  # the attempt with this state; None if the engine has none
 
 
 class ModelOwner(NamedTuple):
-    """A node that owns the sequence, owned it, or may take it over."""
+    """A node that owns the sequence, has owned it, or may take it over."""
 
     owned: OwnedSequence | None = None
     phase: Phase = Phase.IDLE
-    fetched: tuple[FetchedRecord, ...] = ()
-    unreached: frozenset[int] = frozenset()  # replicas that did not reply
-    reports: tuple[EngineReport, ...] = ()
+    fetched_records: tuple[FetchedRecord, ...] = ()
+    unreached_replicas: frozenset[int] = frozenset()  # replicas that did not reply
+    engine_reports: tuple[EngineReport, ...] = ()
     answer: Answer | None = None
 
     @property
@@ -105,7 +107,7 @@
         """The sequence that the node owns.
 
         Raises:
-            NotAnOwnerError: it owns none in its present phase.
+            NotAnOwnerError: it owns none in its current phase.
         """
         if self.owned is None:
             raise NotAnOwnerError(self.phase)
@@ -117,7 +119,7 @@
 
 
 class EngineAttempt(NamedTuple):
-    """An attempt that reached an engine, and the ownership that it was sent with."""
+    """An attempt that reached an engine, and the ownership with which it was sent."""
 
     attempt: int
     state: AttemptState
@@ -131,16 +133,16 @@
     attempts: tuple[EngineAttempt, ...] = ()
     has_restarted: bool = False
 
-    def report(self, engine: int) -> EngineReport:
-        """Return what this engine, whose index is `engine`, reports to a claim."""
+    def report(self, engine_index: int) -> EngineReport:
+        """Return what this engine, which has index `engine_index`, reports in reply to a claim."""
         if self.has_restarted:
-            return EngineReport(engine, AttemptState.UNKNOWN, None)
+            return EngineReport(engine_index, AttemptState.UNKNOWN, None)
         accepted = [attempt for attempt in self.attempts if attempt.state != AttemptState.REJECTED]
         if accepted:
-            return EngineReport(engine, accepted[-1].state, accepted[-1].attempt)
+            return EngineReport(engine_index, accepted[-1].state, accepted[-1].attempt)
         if self.attempts:
-            return EngineReport(engine, AttemptState.REJECTED, self.attempts[-1].attempt)
-        return EngineReport(engine, AttemptState.NEVER_RAN, None)
+            return EngineReport(engine_index, AttemptState.REJECTED, self.attempts[-1].attempt)
+        return EngineReport(engine_index, AttemptState.NEVER_RAN, None)
 
 
 class RecordUpdate(NamedTuple):
@@ -177,27 +179,27 @@
 
     owners: tuple[ModelOwner, ...]
     records: tuple[SequenceRecord | None, ...]  # by replica
-    incarnations: tuple[int, ...]  # by replica: its number of restarts
+    incarnations: tuple[int, ...]  # by replica: the number of its restarts
     engines: tuple[ModelEngine, ...]
-    updates: frozenset[RecordUpdate] = frozenset()
-    replies: frozenset[UpdateReply] = frozenset()
-    sends: frozenset[SentAttempt] = frozenset()
-    effect_count: int = 0  # how often the sequence had its effect
+    updates_in_transit: frozenset[RecordUpdate] = frozenset()
+    replies_in_transit: frozenset[UpdateReply] = frozenset()
+    attempts_in_transit: frozenset[SentAttempt] = frozenset()
+    execution_count: int = 0  # how often engines executed the sequence
     fault_count: int = 0
 
     def with_owner(self, index: int, owner: ModelOwner) -> Self:
         """Return the state with an owner replaced.
 
-        Details that cannot affect any further step are removed, so that the checker visits equivalent states
-        only once: a node that is done keeps only its answer, and replies to a node that no longer waits are
+        Removes details that cannot affect any later step, so that the checker visits equivalent states only
+        once: a node in phase `DONE` keeps only its answer, and replies to a node that no longer waits are
         dropped.
         """
         if owner.phase == Phase.DONE:
             owner = ModelOwner(phase=Phase.DONE, answer=owner.answer)
-        replies = self.replies
+        replies = self.replies_in_transit
         if owner.phase != Phase.WAITING:
             replies = frozenset(reply for reply in replies if reply.owner != index)
-        return self._replace(owners=_with_item(self.owners, index, owner), replies=replies)
+        return self._replace(owners=_with_item(self.owners, index, owner), replies_in_transit=replies)
 
     def with_engine(self, index: int, engine: ModelEngine) -> Self:
         """Return the state with an engine replaced."""
@@ -208,13 +210,13 @@
         return self._replace(records=_with_item(self.records, replica, record))
 
     def with_restarted_replica(self, replica: int) -> Self:
-        """Return the state after the restart of a replica, which loses its record."""
+        """Return the state after a restart of a replica, in which it loses its record."""
         incarnations = _with_item(self.incarnations, replica, self.incarnations[replica] + 1)
         return self.with_record(replica, None)._replace(incarnations=incarnations)
 
 
 class Step(NamedTuple):
-    """A possible step, and the state after it."""
+    """A possible step of the model, and the state after it."""
 
     label: str
     state: ModelState
@@ -240,15 +242,15 @@
     record = SequenceRecord(
         "s", Ownership(FIRST_EPOCH, OWNER_NAMES[FIRST_OWNER]), parameters.retry_semantics, EXPIRES_AT
     )
-    incarnations = {replica_name(index): "0" for index in range(parameters.replicas)}
+    incarnations = {replica_name(index): "0" for index in range(parameters.replica_count)}
     first = ModelOwner(OwnedSequence.begin(record, incarnations), Phase.INTENDING)
     return ModelState(
-        (first, *(ModelOwner(),) * parameters.successors),
-        (None,) * parameters.replicas,
-        (0,) * parameters.replicas,
-        (ModelEngine(),) * parameters.engines,
+        (first, *(ModelOwner(),) * parameters.successor_count),
+        (None,) * parameters.replica_count,
+        (0,) * parameters.replica_count,
+        (ModelEngine(),) * parameters.engine_count,
     )
 
 
-def _with_item(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
+def _with_item(items: tuple[ItemT, ...], index: int, item: ItemT) -> tuple[ItemT, ...]:
     return (*items[:index], item, *items[index + 1 :])
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a node that takes over: it fetches the record from replicas, claims engines, and decides."""
+"""Steps of a successor: it fetches the record from replicas, claims engines, and decides how to continue."""
 
 from collections.abc import Iterator
 
@@ -22,10 +22,10 @@
 
 
 class UnsafeRetryError(Exception):
-    """The recovery decision would retry a sequence that may already have run."""
+    """The recovery decision is to retry a sequence that may have run."""
 
     def __init__(self, decision: RecoveryDecision) -> None:
-        super().__init__(f"without a record, a sequence that is not idempotent would continue: {decision}")
+        super().__init__(f"a sequence that is not idempotent would be retried without its record: {decision}")
         self.decision = decision
 
 
@@ -33,8 +33,8 @@
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Iterator[Step]:
     """Query the next replica for its record; the request or the reply may be lost."""
-    queried = {fetched.replica for fetched in owner.fetched} | owner.unreached
-    remaining = [replica for replica in range(parameters.replicas) if replica not in queried]
+    queried = {fetched.replica for fetched in owner.fetched_records} | owner.unreached_replicas
+    remaining = [replica for replica in range(parameters.replica_count) if replica not in queried]
     if not remaining:
         yield _take_ownership(parameters, state, index, owner)
         return
@@ -44,28 +44,28 @@
     if record is not None:
         record = parameters.transfer_ownership(record, OWNER_NAMES[index], 0)
         transferred = state.with_record(replica, record)
-    fetched = owner._replace(fetched=(*owner.fetched, FetchedRecord(replica, record)))
+    fetched = owner._replace(fetched_records=(*owner.fetched_records, FetchedRecord(replica, record)))
     yield Step(f"node {index} queries replica {replica}", transferred.with_owner(index, fetched))
-    if state.fault_count < parameters.faults:
-        unreached = owner._replace(unreached=owner.unreached | {replica})
+    if state.fault_count < parameters.max_faults:
+        unreached = owner._replace(unreached_replicas=owner.unreached_replicas | {replica})
         fault_count = state.fault_count + 1
         lost_request = state.with_owner(index, unreached)._replace(fault_count=fault_count)
         yield Step(f"node {index} does not reach replica {replica}", lost_request)
         lost_reply = transferred.with_owner(index, unreached)._replace(fault_count=fault_count)
-        yield Step(f"node {index} gets no reply of replica {replica}", lost_reply)
+        yield Step(f"node {index} gets no reply from replica {replica}", lost_reply)
 
 
 def _take_ownership(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
-    """Become the owner of the sequence with the merged record; abort if no replica returned one."""
-    records = [fetched.record for fetched in owner.fetched if fetched.record is not None]
+    """Take ownership of the sequence with the merged record; abort if no replica returned one."""
+    records = [fetched.record for fetched in owner.fetched_records if fetched.record is not None]
     if not records:
         return _recover_without_record(parameters, state, index, owner)
     record = merge_copies(records)
     incarnations = {
-        replica_name(replica): str(state.incarnations[replica]) for replica in range(parameters.replicas)
+        replica_name(replica): str(state.incarnations[replica]) for replica in range(parameters.replica_count)
     }
     owned = OwnedSequence.begin(record, incarnations, was_taken_over=True)
-    for replica in owner.unreached:
+    for replica in owner.unreached_replicas:
         owned = owned.mark_uncertain(replica_name(replica))
     next_state = state.with_owner(index, owner._replace(owned=owned, phase=Phase.CLAIMING_ENGINES))
     return Step(f"node {index} claims as {record.ownership}", next_state)
@@ -74,14 +74,14 @@
 def _recover_without_record(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Step:
-    """Abort, as no replica has a record.
+    """Abort, because no replica has a record.
 
-    The program would retry an idempotent sequence under another id; the model does not cover that.
+    A real node would retry an idempotent sequence under a new id, which the model does not cover.
 
     Raises:
         UnsafeRetryError: the decision is to retry a sequence that is not idempotent.
     """
-    decision = parameters.decide(parameters.retry_semantics, [], 0, False)
+    decision = parameters.decide_recovery(parameters.retry_semantics, [], 0, False)
     is_idempotent = parameters.retry_semantics == RetrySemantics.IDEMPOTENT
     if decision.action != RecoveryAction.ABORT and not is_idempotent:
         raise UnsafeRetryError(decision)
@@ -93,9 +93,9 @@
 def claim_engines(
     parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
 ) -> Iterator[Step]:
-    """Claim the sequence at the next engine of the record; the engine may be unreachable."""
+    """Claim the sequence at the next engine in the record; the engine may be unreachable."""
     record = owner.sequence.record
-    claimed = {report.engine for report in owner.reports}
+    claimed = {report.engine for report in owner.engine_reports}
     remaining = {index_of(intent.engine) for intent in record.intents} - claimed
     if not remaining:
         yield _recover(parameters, state, index, owner)
@@ -105,14 +105,14 @@
     fence, is_granted = parameters.claim_fence(engine.fence, record.ownership, False)
     if not is_granted:
         superseded = state.with_owner(index, owner.finish(Answer.SUPERSEDED))
-        yield Step(f"engine {engine_index} refuses the claim of node {index}", superseded)
+        yield Step(f"engine {engine_index} rejects the claim of node {index}", superseded)
     else:
         claimed_state = state.with_engine(engine_index, engine._replace(fence=fence))
-        reported = owner._replace(reports=(*owner.reports, engine.report(engine_index)))
+        reported = owner._replace(engine_reports=(*owner.engine_reports, engine.report(engine_index)))
         yield Step(f"node {index} claims at engine {engine_index}", claimed_state.with_owner(index, reported))
-    if state.fault_count < parameters.faults:
+    if state.fault_count < parameters.max_faults:
         unknown = EngineReport(engine_index, AttemptState.UNKNOWN, None)
-        unreached = state.with_owner(index, owner._replace(reports=(*owner.reports, unknown)))
+        unreached = state.with_owner(index, owner._replace(engine_reports=(*owner.engine_reports, unknown)))
         yield Step(
             f"node {index} does not reach engine {engine_index}",
             unreached._replace(fault_count=state.fault_count + 1),
@@ -121,17 +121,19 @@
 
 def _recover(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
     """Carry out the recovery decision."""
-    reports = {report.engine: report for report in owner.reports}
+    report_by_engine = {report.engine: report for report in owner.engine_reports}
     record = owner.sequence.record
-    attempts = [_attempt_report(intent, reports[index_of(intent.engine)]) for intent in record.intents]
-    match parameters.decide(parameters.retry_semantics, attempts, 0, True):
+    attempt_reports = [
+        _attempt_report(intent, report_by_engine[index_of(intent.engine)]) for intent in record.intents
+    ]
+    match parameters.decide_recovery(parameters.retry_semantics, attempt_reports, 0, True):
         case RecoveryDecision(action=RecoveryAction.ATTACH, target=AttemptIntent(engine=engine)):
             fence = state.engines[index_of(engine)].fence
             if parameters.admits(fence, record.ownership):
                 attached = state.with_owner(index, owner.finish(Answer.ATTACHED))
                 return Step(f"node {index} attaches", attached)
             superseded = state.with_owner(index, owner.finish(Answer.SUPERSEDED))
-            return Step(f"node {index} is refused at its attach", superseded)
+            return Step(f"node {index} attaches and is rejected", superseded)
         case RecoveryDecision(action=RecoveryAction.ABORT):
             return Step(f"node {index} aborts", state.with_owner(index, owner.finish(Answer.ABORTED)))
     next_state = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
@@ -139,8 +141,8 @@
 
 
 def _attempt_report(intent: AttemptIntent, report: EngineReport) -> AttemptReport:
-    """Return what the report of an engine says about one attempt that was intended for it."""
+    """Return what an engine's report says about one attempt that was intended for that engine."""
     states_without_attempt = (AttemptState.NEVER_RAN, AttemptState.UNKNOWN, AttemptState.REJECTED)
     if report.state not in states_without_attempt and report.attempt != intent.attempt:
-        return AttemptReport(intent, AttemptState.NEVER_RAN)  # the state is that of another attempt
+        return AttemptReport(intent, AttemptState.NEVER_RAN)  # the report is about another attempt
     return AttemptReport(intent, report.state)
--- a/tests/recovery/test_takeover.py
+++ b/tests/recovery/test_takeover.py
@@ -1,4 +1,4 @@
-"""Takeover, with nodes, engines and clients on an in-memory network; a node is killed at every message."""
+"""Takeover with nodes, engines and clients on an in-memory network; nodes are killed at every message."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -39,7 +39,7 @@
         engine_options.setdefault("read_rate", 30000.0)
         engine_options.setdefault("stream_bound", "6s" if claims else "0s")
         super().__init__(engines, nodes, **engine_options)
-        self.draws = iter(range(10**9))
+        self.counter = iter(range(10**9))
 
     def settings_text(self, index: int) -> str:
         peers = ", ".join(f'{{name: n{i}, address: "n{i}:3", zone: north}}' for i in range(self.node_count))
@@ -48,8 +48,8 @@
             f'takeover: {{listen: "n{index}:3", peers: [{peers}], comes_back: 1500ms}}\n'
         )
 
-    def start_node(self, index: int, run: str = "1", text: str = "", **more: object) -> Node:
-        node = super().start_node(index, run, text, **more)
+    def start_node(self, index: int, run: str = "1", text: str = "", **options: object) -> Node:
+        node = super().start_node(index, run, text, **options)
         self.net.listen(f"n{index}:3", node.replication.server)
         return node
 
@@ -63,15 +63,15 @@
             node.replication.server.methods.clear()
 
     def client_library(self, first_node: str = "n0") -> Client:
-        """Return a client that calls `first_node`, and the other nodes after a loss."""
+        """Return a client that calls `first_node`, and after its failure the other nodes."""
         names = [first_node, *(name for name in sorted(self.channels) if name != first_node)]
         limits = TransportLimits(keepalive_interval=0.4, keepalive_timeout=0.4)
         channels = [Channel(self.clock, self.net.dialer(f"{name}:1"), name, limits) for name in names]
-        return Client(channels[0], self.clock, lambda: next(self.draws) * 0.37 % 1.0, channels[1:])
+        return Client(channels[0], self.clock, lambda: next(self.counter) * 0.37 % 1.0, channels[1:])
 
 
 class ClientSequence:
-    """One sequence sent with the client library, and everything that its caller observed."""
+    """One sequence sent with the client library, and all that its caller received."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self.fleet = fleet
         self.token_ids: list[int] = []
         self.token_times: list[float] = []
-        self.mark = f"{traffic}{next(fleet.draws)}"
+        self.mark = f"{traffic}{next(fleet.counter)}"
         request = ChatRequest(
             traffic,
             3000,
@@ -95,7 +95,7 @@
             timeout=timeout,
             **options,
         )
-        self.result: object = None  # `Generated`, or the error
+        self.result: object = None  # `Generated`, or the error; None until the answer
         self.stream: ChatStream = fleet.client_of(first_node).generate(request, self._tokens)
         self.stream.done.addCallbacks(self._ended, self._failed)
 
@@ -110,34 +110,37 @@
         self.result = failure.value
 
     def check(self) -> str:
-        """Check that it ran as often as allowed and got the tokens of one attempt; return its outcome."""
+        """Check that it ran as often as allowed and got one attempt's tokens; return its outcome."""
         fleet = self.fleet
-        ran = [r for r in fleet.records("ran") if r.more["mark"] == self.mark]
+        executions = [record for record in fleet.records("ran") if record.more["mark"] == self.mark]
         if RETRY_SEMANTICS[self.mark.rstrip("0123456789")] == "once-only":
-            assert len(ran) <= 1, [(r.who, r.more) for r in ran]
+            assert len(executions) <= 1, [(record.who, record.more) for record in executions]
         if self.token_ids:
-            made = [
-                [token_id(r.who, r.more["seq"], r.more["attempt"], i) for i in range(len(self.token_ids))]
-                for r in ran
+            expected_token_ids = [
+                [
+                    token_id(record.who, record.more["seq"], record.more["attempt"], i)
+                    for i in range(len(self.token_ids))
+                ]
+                for record in executions
             ]
-            assert self.token_ids in made, (self.token_ids, ran)
+            assert self.token_ids in expected_token_ids, (self.token_ids, executions)
         if isinstance(self.result, Generated):
-            ended = [
-                r.more["tokens"]
-                for r in fleet.records("ended")
-                if any(r.more["seq"] == x.more["seq"] for x in ran)
+            token_counts = [
+                record.more["tokens"]
+                for record in fleet.records("ended")
+                if any(record.more["seq"] == execution.more["seq"] for execution in executions)
             ]
-            assert len(self.token_ids) in ended
+            assert len(self.token_ids) in token_counts
             return "generated"
         assert isinstance(self.result, AnswerError), self.result
         if isinstance(self.result, RejectedError):
-            assert not ran or RETRY_SEMANTICS[self.mark.rstrip("0123456789")] != "once-only"
+            assert not executions or RETRY_SEMANTICS[self.mark.rstrip("0123456789")] != "once-only"
         return str(self.result.outcome)
 
 
-def make_fleet(*args: object, **more: object) -> ReplicatedFleet:
-    """Make a fleet, and open its connections with a first sequence."""
-    fleet = ReplicatedFleet(*args, **more)
+def make_fleet(*args: object, **options: object) -> ReplicatedFleet:
+    """Make a fleet, and open its connections by running one sequence."""
+    fleet = ReplicatedFleet(*args, **options)
     clients: dict[str, Client] = {}
     fleet.client_of = lambda node: clients.setdefault(node, fleet.client_library(node))
     warm_up = ClientSequence(fleet, "ask")
@@ -147,7 +150,7 @@
 
 
 def check_nothing_is_left(fleet: ReplicatedFleet) -> None:
-    """Check that no node and no engine has a sequence, a record or a read state left."""
+    """Check that no node or engine has a sequence, a record or a read state left."""
     for node in fleet.nodes.values():
         assert not node.executor.in_flight and not node.executor.outstanding_attempt_count()
         assert not node.replication.publisher.sequences and not node.replication.publisher.send_gate.waiting
@@ -166,29 +169,29 @@
     while len(sequence.token_ids) < 5:
         fleet.run(0.02)
     fleet.kill("n0")
-    lost_at = fleet.clock.seconds()
+    killed_at = fleet.clock.seconds()
     fleet.run(8.0)
     assert sequence.check() == "generated" and len(sequence.token_ids) > 5
-    assert len([r for r in fleet.records("ran") if r.more["mark"] == sequence.mark]) == 1
+    assert len([record for record in fleet.records("ran") if record.more["mark"] == sequence.mark]) == 1
     assert len(fleet.records("attached")) == 1 and max(b - a for a, b in pairwise(sequence.token_times)) < 0.5
-    assert next(t for t in sequence.token_times if t > lost_at) - lost_at < 0.5
+    assert next(time for time in sequence.token_times if time > killed_at) - killed_at < 0.5
     check_nothing_is_left(fleet)
 
 
 def test_a_sequence_that_began_without_a_replica_is_replicated_once_one_is_reachable() -> None:
     fleet = make_fleet(step="60ms")
-    others = {f"n{i}:3": fleet.net.hosts.pop(f"n{i}:3") for i in (1, 2, 3)}
-    for pipe in [p for p in fleet.net.pipes if p.host in others]:
+    replica_hosts = {f"n{i}:3": fleet.net.hosts.pop(f"n{i}:3") for i in (1, 2, 3)}
+    for pipe in [pipe for pipe in fleet.net.pipes if pipe.host in replica_hosts]:
         fleet.net.cut(pipe)
     fleet.run(0.5)
     counters = fleet.nodes["n0"].replication.publisher.counters
-    before = counters.unprotected
+    unprotected_before = counters.unprotected
     sequence = ClientSequence(fleet, "post")
     while len(sequence.token_ids) < 2:
         fleet.run(0.02)
-    assert counters.unprotected == before + 1
-    fleet.net.hosts.update(others)
-    while not any(n.replication.store.records for n in fleet.nodes.values()):
+    assert counters.unprotected == unprotected_before + 1
+    fleet.net.hosts.update(replica_hosts)
+    while not any(node.replication.store.records for node in fleet.nodes.values()):
         fleet.run(0.1)
     assert sequence.result is None
     fleet.kill("n0")
@@ -201,16 +204,22 @@
 def test_a_read_state_is_used_and_its_prompt_not_read_again(traffic: str) -> None:
     fleet = make_fleet()
     sequence = ClientSequence(fleet, traffic)
-    while not [r for r in fleet.records("held") if r.more["seq"] == sequence.stream.retries.sequence != ""]:
+    while not [
+        record
+        for record in fleet.records("held")
+        if record.more["seq"] == sequence.stream.retries.sequence != ""
+    ]:
         fleet.run(0.0)
         fleet.net.run(0.002)
     fleet.kill("n0")
     fleet.run(8.0)
-    seq = sequence.stream.retries.sequence
-    assert sequence.check() == "generated" and seq.startswith("n0."), seq
-    got = [r.more["reads"] for r in fleet.records("got") if r.more["seq"] == seq]
-    fetched = [r.more["whole"] for r in fleet.records("fetched") if r.more["seq"] == seq]
-    assert got.count(True) == 1 and any(fetched)
+    sequence_id = sequence.stream.retries.sequence
+    assert sequence.check() == "generated" and sequence_id.startswith("n0."), sequence_id
+    are_reads = [record.more["reads"] for record in fleet.records("got") if record.more["seq"] == sequence_id]
+    are_whole_fetches = [
+        record.more["whole"] for record in fleet.records("fetched") if record.more["seq"] == sequence_id
+    ]
+    assert are_reads.count(True) == 1 and any(are_whole_fetches)
     check_nothing_is_left(fleet)
 
 
@@ -226,7 +235,7 @@
 
 
 def count_messages(traffic: str) -> int:
-    """Return how many messages cross the network for one sequence."""
+    """Return the number of messages delivered for one sequence."""
     fleet = make_fleet()
     fleet.net.delivery_count = 0
     sequence = ClientSequence(fleet, traffic)
@@ -239,14 +248,14 @@
 @pytest.mark.parametrize("traffic", RETRY_SEMANTICS)
 @pytest.mark.parametrize("also_killed", ["", "a replica", "the successor"])
 def test_a_node_killed_at_every_message(traffic: str, also_killed: str) -> None:
-    """Kill the owner before and after the record, the read, its state, the write, each token, the answer.
+    """Kill the owner before and after each message: record, read, read state, write, tokens and answer.
 
-    One of its replicas, or the node that takes over, may be killed as well.
+    One of its replicas, or its successor, may be killed as well.
     """
     count = count_messages(traffic)
     assert count > 40
     outcomes: Counter[str] = Counter()
-    step = 3 if also_killed else 1 if traffic == "post" else 2  # at-most-once: at every message
+    step = 3 if also_killed else 1 if traffic == "post" else 2  # at-most-once: kill at every message
     for message in range(1, count + 1, step):
         fleet = make_fleet()
         fleet.net.delivery_count = 0
@@ -268,20 +277,20 @@
             if successor in fleet.nodes and len(fleet.nodes) > 2:
                 fleet.kill(successor)
         fleet.run(14.0)
-        where = f"{message}: {killed_at}"
-        assert sequence.result is not None, where
+        kill_point = f"message {message}: {killed_at}"
+        assert sequence.result is not None, kill_point
         try:
             outcomes[sequence.check()] += 1
             check_nothing_is_left(fleet)
-        except AssertionError as fault:
-            raise AssertionError(where) from fault
+        except AssertionError as error:
+            raise AssertionError(kill_point) from error
     total = sum(outcomes.values())
-    # A client whose node is lost before it knows the sequence id sends only an idempotent request again.
+    # A client whose node fails before it has received the sequence id retries only an idempotent request.
     assert outcomes["generated"] >= (total if traffic == "ask" else 0.9 * total), outcomes
 
 
-def pause(fleet: ReplicatedFleet, name: str) -> Callable[[], None]:
-    """Pause a node and all messages to it; return a function that resumes it."""
+def pause_node(fleet: ReplicatedFleet, name: str) -> Callable[[], None]:
+    """Pause a node and the delivery of messages to it; return a function that resumes it."""
     node = fleet.nodes[name]
     addresses = [f"{name}:{port}" for port in (1, 2, 3)]
     fleet.net.silent |= set(addresses)
@@ -313,13 +322,17 @@
     sequence = ClientSequence(fleet, traffic)
     while len(sequence.token_ids) < 5:
         fleet.run(0.02)
-    resume = pause(fleet, "n0")
+    resume = pause_node(fleet, "n0")
     fleet.run(1.2)
     assert len(fleet.records("attached")) == 1
     resume()
     fleet.run(9.0)
     assert sequence.check() == "generated"
-    assert not [r for r in fleet.records("stopped") if r.more["seq"] == sequence.stream.retries.sequence]
+    assert not [
+        record
+        for record in fleet.records("stopped")
+        if record.more["seq"] == sequence.stream.retries.sequence
+    ]
     check_nothing_is_left(fleet)
 
 
@@ -330,19 +343,19 @@
         fleet.run(0.02)
     fleet.kill("n0")
     with patch.object(ChatStream, "_start_call", lambda stream: None):
-        other = ClientSequence(fleet, "post", first_node="n2")
-    other.mark, other.token_ids = sequence.mark, list(sequence.token_ids)
-    retries = other.stream.retries
+        second_client = ClientSequence(fleet, "post", first_node="n2")
+    second_client.mark, second_client.token_ids = sequence.mark, list(sequence.token_ids)
+    retries = second_client.stream.retries
     retries.sequence, retries.resuming, retries.tokens = (
         sequence.stream.retries.sequence,
         True,
         len(sequence.token_ids),
     )
-    other.stream._start_call()
+    second_client.stream._start_call()
     fleet.run(9.0)
-    outcomes = sorted([sequence.check(), other.check()])
+    outcomes = sorted([sequence.check(), second_client.check()])
     assert outcomes in (["aborted", "generated"], ["aborted", "aborted"]), outcomes
-    assert len([r for r in fleet.records("ran") if r.more["mark"] == sequence.mark]) == 1
+    assert len([record for record in fleet.records("ran") if record.more["mark"] == sequence.mark]) == 1
     check_nothing_is_left(fleet)
 
 
@@ -355,50 +368,51 @@
     sequence.stream.retries.deadline = 0.0
     fleet.run(5.0)
     check_nothing_is_left(fleet)
-    assert any(r.more["why"] == "closed" for r in fleet.records("stopped")) or fleet.records("ended")
+    assert any(record.more["why"] == "closed" for record in fleet.records("stopped")) or fleet.records(
+        "ended"
+    )
 
 
 def test_a_draining_node_hands_over_its_streams_at_once() -> None:
     fleet = make_fleet()
     sequences = [ClientSequence(fleet, traffic) for traffic in RETRY_SEMANTICS]
-    while min(len(a.token_ids) for a in sequences) < 3:
+    while min(len(sequence.token_ids) for sequence in sequences) < 3:
         fleet.run(0.02)
-    node, started_at, done = fleet.nodes["n0"], fleet.clock.seconds(), []
-    node.drain().addCallback(lambda none: done.append(fleet.clock.seconds() - started_at))
+    node, started_at, drain_times = fleet.nodes["n0"], fleet.clock.seconds(), []
+    node.drain().addCallback(lambda none: drain_times.append(fleet.clock.seconds() - started_at))
     fleet.run(0.3)
-    assert done and done[0] < 0.2, "it waited for its streams"
+    assert drain_times and drain_times[0] < 0.2, "the node waited for its streams to end"
     fleet.kill("n0")
     fleet.run(9.0)
-    assert [a.check() for a in sequences] == ["generated"] * 3
+    assert [sequence.check() for sequence in sequences] == ["generated"] * 3
     check_nothing_is_left(fleet)
 
 
 def test_an_engine_that_restarted_meanwhile_counts_as_having_run() -> None:
     fleet = make_fleet("R0 W0")
-    once, free = ClientSequence(fleet, "post"), ClientSequence(fleet, "ask")
-    while not (once.token_ids and free.token_ids):
+    at_most_once, idempotent = ClientSequence(fleet, "post"), ClientSequence(fleet, "ask")
+    while not (at_most_once.token_ids and idempotent.token_ids):
         fleet.run(0.02)
     fleet.kill("n0")
     fleet.kill("W0b")
     fleet.start_engine("W0b")
     fleet.run(10.0)
-    assert isinstance(once.result, AbortedError) and isinstance(
-        free.result, AbortedError
-    )  # its client has received tokens
-    assert once.check() == "aborted"
+    # The idempotent sequence is aborted too, because its client has received tokens.
+    assert isinstance(at_most_once.result, AbortedError) and isinstance(idempotent.result, AbortedError)
+    assert at_most_once.check() == "aborted"
 
 
 def test_an_engine_that_has_forgotten_an_attempt_is_no_proof_that_it_never_ran() -> None:
     fleet = make_fleet(stream_bound="300ms", step="5ms")
     sequence = ClientSequence(fleet, "post")
-    # The warm-up and this sequence: its writer fetches the read state and has not run it yet.
+    # Two fetches of a read state, the warm-up's and this sequence's, whose writer has not run it yet.
     while len(fleet.records("fetching")) < 2:
         fleet.net.run(0.002)
     fleet.kill("n0")
-    sequence.stream.retries.resumes = 10  # the client resumes after the engine has forgotten the answer
+    sequence.stream.retries.resumes = 10  # delays the resume until the engine has forgotten the attempt
     fleet.run(9.0)
     assert not sequence.token_ids and sequence.check() == "aborted"
-    assert len([r for r in fleet.records("ran") if r.more["mark"] == sequence.mark]) == 1
+    assert len([record for record in fleet.records("ran") if record.more["mark"] == sequence.mark]) == 1
 
 
 def test_an_unread_stream_continues_until_its_timeout_and_no_longer() -> None:
@@ -407,7 +421,9 @@
     while len(sequence.token_ids) < 2:
         fleet.run(0.02)
     fleet.kill("n0")
-    sequence.stream.retries.resumes = 5  # the client resumes late
+    sequence.stream.retries.resumes = 5  # delays the resume until the stream has timed out
     fleet.run(8.0)
-    assert sequence.check() == "aborted" and any(r.more["why"] == "bound" for r in fleet.records("stopped"))
+    assert sequence.check() == "aborted" and any(
+        record.more["why"] == "bound" for record in fleet.records("stopped")
+    )
     check_nothing_is_left(fleet)
--- a/tests/recovery/test_takeover_processes.py
+++ b/tests/recovery/test_takeover_processes.py
@@ -1,7 +1,7 @@
-"""Takeover between processes: nodes are killed, paused, cut off and drained, and others continue their work.
+"""Takeover between processes: nodes are killed, paused, cut off and drained while they serve sequences.
 
-The scenario is judged by the five rules, from what passed on sockets, and by what became of in-flight
-sequences.
+The scenario runner checks the five rules on the messages that were sent and received on sockets, and reports
+how the in-flight sequences of lost nodes ended.
 """
 
 import json
@@ -14,7 +14,7 @@
 from myrtlehub.node.replication.takeover_machine import TAKEOVER_TABLE
 
 TRAFFIC = {"latency_slo": "2s", "abandon_time": "5s", "prompt": [50, 300], "output": [150, 400]}
-DAY = {
+SCENARIO = {
     "length": "19s",
     "rate": 16,
     "fleet": {"nodes": 4, "readers": 2, "writers": 3},
@@ -48,9 +48,9 @@
 
 
 def run_scenario(folder: Path, **takeover: object) -> dict:
-    day = {**DAY, "takeover": {**DAY["takeover"], **takeover}}
-    (folder / "day.yaml").write_text(json.dumps(day))
-    done = subprocess.run(
+    scenario = {**SCENARIO, "takeover": {**SCENARIO["takeover"], **takeover}}
+    (folder / "day.yaml").write_text(json.dumps(scenario))
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -65,27 +65,27 @@
         text=True,
         timeout=240,
     )
-    assert done.returncode in (0, 1), done.stderr[-3000:]
-    return json.loads(done.stdout)
+    assert completed.returncode in (0, 1), completed.stderr[-3000:]
+    return json.loads(completed.stdout)
 
 
 @pytest.mark.parametrize("claims", [True, False], ids=["engines answer claims", "engines answer none"])
 def test_a_scenario_of_losses_keeps_the_rules_and_work_continues(tmp_path: Path, claims: bool) -> None:
     verdict = run_scenario(tmp_path, claims=claims)
-    breaches = [b for r in verdict["rules"] for b in r["breaches"]]
+    breaches = [breach for rule in verdict["rules"] for breach in rule["breaches"]]
     assert not breaches and not verdict["unclean"], (breaches, verdict["unclean"])
     lost = verdict["takeover"]["lost"]
     streaming = {
-        ends: sum(row.get(ends, 0) for what, row in lost.items() if "streaming" in what)
-        for ends in ("generated", "aborted", "lost")
+        outcome: sum(counts.get(outcome, 0) for phase, counts in lost.items() if "streaming" in phase)
+        for outcome in ("generated", "aborted", "lost")
     }
-    total = sum(streaming.values())
-    assert total >= 8, lost
+    lost_stream_count = sum(streaming.values())
+    assert lost_stream_count >= 8, lost
     if claims:
-        assert streaming["generated"] >= 0.9 * total, lost
+        assert streaming["generated"] >= 0.9 * lost_stream_count, lost
         assert verdict["takeover"]["does"].get("attach", 0) >= 8, verdict["takeover"]
     else:
-        # Nobody knows what has run, and the writers' streams ended with their node: as without takeover.
+        # No engine reports what has run, and the writers' streams end with their node, as without takeover.
         assert not streaming["generated"] and not verdict["takeover"]["does"].get("attach"), lost
 
 
