--- a/myrtlehub/recovery/model/checker_model.py
+++ b/myrtlehub/recovery/model/checker_model.py
@@ -40,25 +40,25 @@
         return ""
 
     def _steps(self, state: ModelState) -> Iterator[Step]:
-        for index, owner in enumerate(state.owners):
-            yield from self._owner_steps(state, index, owner)
+        for owner_index, owner in enumerate(state.owners):
+            yield from self._owner_steps(state, owner_index, owner)
         yield from network_steps.deliver_messages(self.parameters, state)
         yield from network_steps.run_attempts(state)
         if state.fault_count < self.parameters.max_faults:
             yield from network_steps.restart_processes(self.parameters, state)
 
-    def _owner_steps(self, state: ModelState, index: int, owner: ModelOwner) -> Iterator[Step]:
+    def _owner_steps(self, state: ModelState, owner_index: int, owner: ModelOwner) -> Iterator[Step]:
         match owner.phase:
             case Phase.IDLE if state.owners[FIRST_OWNER].answer is None:
-                next_state = state.with_owner(index, owner._replace(phase=Phase.FETCHING_RECORD))
-                yield Step(f"the client resumes at node {index}", next_state)
+                next_state = state.with_owner(owner_index, owner._replace(phase=Phase.FETCHING_RECORD))
+                yield Step(f"the client resumes at node {owner_index}", next_state)
             case Phase.FETCHING_RECORD:
-                yield from takeover_steps.query_replicas(self.parameters, state, index, owner)
+                yield from takeover_steps.query_replicas(self.parameters, state, owner_index, owner)
             case Phase.CLAIMING_ENGINES:
-                yield from takeover_steps.claim_engines(self.parameters, state, index, owner)
+                yield from takeover_steps.claim_engines(self.parameters, state, owner_index, owner)
             case Phase.INTENDING:
-                yield from owner_steps.add_intent(self.parameters, state, index, owner)
+                yield from owner_steps.add_intent(self.parameters, state, owner_index, owner)
             case Phase.WAITING:
-                yield from owner_steps.wait_for_replicas(self.parameters, state, index, owner)
+                yield from owner_steps.wait_for_replicas(self.parameters, state, owner_index, owner)
             case Phase.SENT:
-                yield from owner_steps.observe_attempt(state, index, owner)
+                yield from owner_steps.observe_attempt(state, owner_index, owner)
--- a/myrtlehub/recovery/model/network_steps.py
+++ b/myrtlehub/recovery/model/network_steps.py
@@ -60,8 +60,7 @@
     engine = state.engines[sent.engine]
     if not parameters.admits(engine.fence, sent.ownership):
         yield Step(
-            f"engine {sent.engine} rejects the ownership {sent.ownership} of attempt {sent.attempt}",
-            without_attempt,
+            f"engine {sent.engine} rejects attempt {sent.attempt} of {sent.ownership}", without_attempt
         )
         return
     fence = engine.fence._replace(ownership=sent.ownership)
@@ -100,10 +99,10 @@
     next_state = state.with_engine(engine, ModelEngine(has_restarted=True))._replace(
         attempts_in_transit=attempts
     )
-    for index, owner in enumerate(next_state.owners):
+    for owner_index, owner in enumerate(next_state.owners):
         if owner.phase == Phase.WAITING:
             # A restart takes longer than `MAX_ACKNOWLEDGEMENT_AGE` of `node.replication.record_publisher`,
             # so the owner has to update its replicas again before it may send.
             owned = owner.sequence._replace(version=owner.sequence.version + 1)
-            next_state = update_replicas(parameters, next_state, index, owner._replace(owned=owned))
+            next_state = update_replicas(parameters, next_state, owner_index, owner._replace(owned=owned))
     return next_state
--- a/myrtlehub/recovery/model/state.py
+++ b/myrtlehub/recovery/model/state.py
@@ -187,7 +187,7 @@
     execution_count: int = 0  # how often engines executed the sequence
     fault_count: int = 0
 
-    def with_owner(self, index: int, owner: ModelOwner) -> Self:
+    def with_owner(self, owner_index: int, owner: ModelOwner) -> Self:
         """Return the state with an owner replaced.
 
         Removes details that cannot affect any later step, so that the checker visits equivalent states only
@@ -198,8 +198,8 @@
             owner = ModelOwner(phase=Phase.DONE, answer=owner.answer)
         replies = self.replies_in_transit
         if owner.phase != Phase.WAITING:
-            replies = frozenset(reply for reply in replies if reply.owner != index)
-        return self._replace(owners=_with_item(self.owners, index, owner), replies_in_transit=replies)
+            replies = frozenset(reply for reply in replies if reply.owner != owner_index)
+        return self._replace(owners=_with_item(self.owners, owner_index, owner), replies_in_transit=replies)
 
     def with_engine(self, index: int, engine: ModelEngine) -> Self:
         """Return the state with an engine replaced."""
--- a/myrtlehub/recovery/model/takeover_steps.py
+++ b/myrtlehub/recovery/model/takeover_steps.py
@@ -30,36 +30,38 @@
 
 
 def query_replicas(
-    parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
+    parameters: ModelParameters, state: ModelState, owner_index: int, owner: ModelOwner
 ) -> Iterator[Step]:
     """Query the next replica for its record; the request or the reply may be lost."""
     queried = {fetched.replica for fetched in owner.fetched_records} | owner.unreached_replicas
     remaining = [replica for replica in range(parameters.replica_count) if replica not in queried]
     if not remaining:
-        yield _take_ownership(parameters, state, index, owner)
+        yield _take_ownership(parameters, state, owner_index, owner)
         return
     replica = remaining[0]
     record = state.records[replica]
     transferred = state
     if record is not None:
-        record = parameters.transfer_ownership(record, OWNER_NAMES[index], 0)
+        record = parameters.transfer_ownership(record, OWNER_NAMES[owner_index], 0)
         transferred = state.with_record(replica, record)
     fetched = owner._replace(fetched_records=(*owner.fetched_records, FetchedRecord(replica, record)))
-    yield Step(f"node {index} queries replica {replica}", transferred.with_owner(index, fetched))
+    yield Step(f"node {owner_index} queries replica {replica}", transferred.with_owner(owner_index, fetched))
     if state.fault_count < parameters.max_faults:
         unreached = owner._replace(unreached_replicas=owner.unreached_replicas | {replica})
         fault_count = state.fault_count + 1
-        lost_request = state.with_owner(index, unreached)._replace(fault_count=fault_count)
-        yield Step(f"node {index} does not reach replica {replica}", lost_request)
-        lost_reply = transferred.with_owner(index, unreached)._replace(fault_count=fault_count)
-        yield Step(f"node {index} gets no reply from replica {replica}", lost_reply)
+        lost_request = state.with_owner(owner_index, unreached)._replace(fault_count=fault_count)
+        yield Step(f"node {owner_index} does not reach replica {replica}", lost_request)
+        lost_reply = transferred.with_owner(owner_index, unreached)._replace(fault_count=fault_count)
+        yield Step(f"node {owner_index} gets no reply from replica {replica}", lost_reply)
 
 
-def _take_ownership(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
+def _take_ownership(
+    parameters: ModelParameters, state: ModelState, owner_index: int, owner: ModelOwner
+) -> Step:
     """Take ownership of the sequence with the merged record; abort if no replica returned one."""
     records = [fetched.record for fetched in owner.fetched_records if fetched.record is not None]
     if not records:
-        return _recover_without_record(parameters, state, index, owner)
+        return _recover_without_record(parameters, state, owner_index, owner)
     record = merge_copies(records)
     incarnations = {
         replica_name(replica): str(state.incarnations[replica]) for replica in range(parameters.replica_count)
@@ -67,12 +69,12 @@
     owned = OwnedSequence.begin(record, incarnations, was_taken_over=True)
     for replica in owner.unreached_replicas:
         owned = owned.mark_uncertain(replica_name(replica))
-    next_state = state.with_owner(index, owner._replace(owned=owned, phase=Phase.CLAIMING_ENGINES))
-    return Step(f"node {index} claims as {record.ownership}", next_state)
+    next_state = state.with_owner(owner_index, owner._replace(owned=owned, phase=Phase.CLAIMING_ENGINES))
+    return Step(f"node {owner_index} claims as {record.ownership}", next_state)
 
 
 def _recover_without_record(
-    parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
+    parameters: ModelParameters, state: ModelState, owner_index: int, owner: ModelOwner
 ) -> Step:
     """Abort, because no replica has a record.
 
@@ -86,40 +88,46 @@
     if decision.action != RecoveryAction.ABORT and not is_idempotent:
         raise UnsafeRetryError(decision)
     return Step(
-        f"node {index} aborts without a record", state.with_owner(index, owner.finish(Answer.ABORTED))
+        f"node {owner_index} aborts without a record",
+        state.with_owner(owner_index, owner.finish(Answer.ABORTED)),
     )
 
 
 def claim_engines(
-    parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner
+    parameters: ModelParameters, state: ModelState, owner_index: int, owner: ModelOwner
 ) -> Iterator[Step]:
     """Claim the sequence at the next engine in the record; the engine may be unreachable."""
     record = owner.sequence.record
     claimed = {report.engine for report in owner.engine_reports}
     remaining = {index_of(intent.engine) for intent in record.intents} - claimed
     if not remaining:
-        yield _recover(parameters, state, index, owner)
+        yield _recover(parameters, state, owner_index, owner)
         return
     engine_index = min(remaining)
     engine = state.engines[engine_index]
     fence, is_granted = parameters.claim_fence(engine.fence, record.ownership, False)
     if not is_granted:
-        superseded = state.with_owner(index, owner.finish(Answer.SUPERSEDED))
-        yield Step(f"engine {engine_index} rejects the claim of node {index}", superseded)
+        superseded = state.with_owner(owner_index, owner.finish(Answer.SUPERSEDED))
+        yield Step(f"engine {engine_index} rejects the claim of node {owner_index}", superseded)
     else:
         claimed_state = state.with_engine(engine_index, engine._replace(fence=fence))
         reported = owner._replace(engine_reports=(*owner.engine_reports, engine.report(engine_index)))
-        yield Step(f"node {index} claims at engine {engine_index}", claimed_state.with_owner(index, reported))
+        yield Step(
+            f"node {owner_index} claims at engine {engine_index}",
+            claimed_state.with_owner(owner_index, reported),
+        )
     if state.fault_count < parameters.max_faults:
         unknown = EngineReport(engine_index, AttemptState.UNKNOWN, None)
-        unreached = state.with_owner(index, owner._replace(engine_reports=(*owner.engine_reports, unknown)))
+        unreached = state.with_owner(
+            owner_index, owner._replace(engine_reports=(*owner.engine_reports, unknown))
+        )
         yield Step(
-            f"node {index} does not reach engine {engine_index}",
+            f"node {owner_index} does not reach engine {engine_index}",
             unreached._replace(fault_count=state.fault_count + 1),
         )
 
 
-def _recover(parameters: ModelParameters, state: ModelState, index: int, owner: ModelOwner) -> Step:
+def _recover(parameters: ModelParameters, state: ModelState, owner_index: int, owner: ModelOwner) -> Step:
     """Carry out the recovery decision."""
     report_by_engine = {report.engine: report for report in owner.engine_reports}
     record = owner.sequence.record
@@ -130,14 +138,16 @@
         case RecoveryDecision(action=RecoveryAction.ATTACH, target=AttemptIntent(engine=engine)):
             fence = state.engines[index_of(engine)].fence
             if parameters.admits(fence, record.ownership):
-                attached = state.with_owner(index, owner.finish(Answer.ATTACHED))
-                return Step(f"node {index} attaches", attached)
-            superseded = state.with_owner(index, owner.finish(Answer.SUPERSEDED))
-            return Step(f"node {index} attaches and is rejected", superseded)
+                attached = state.with_owner(owner_index, owner.finish(Answer.ATTACHED))
+                return Step(f"node {owner_index} attaches", attached)
+            superseded = state.with_owner(owner_index, owner.finish(Answer.SUPERSEDED))
+            return Step(f"node {owner_index} attaches and is rejected", superseded)
         case RecoveryDecision(action=RecoveryAction.ABORT):
-            return Step(f"node {index} aborts", state.with_owner(index, owner.finish(Answer.ABORTED)))
-    next_state = state.with_owner(index, owner._replace(phase=Phase.INTENDING))
-    return Step(f"node {index} retries", next_state)
+            return Step(
+                f"node {owner_index} aborts", state.with_owner(owner_index, owner.finish(Answer.ABORTED))
+            )
+    next_state = state.with_owner(owner_index, owner._replace(phase=Phase.INTENDING))
+    return Step(f"node {owner_index} retries", next_state)
 
 
 def _attempt_report(intent: AttemptIntent, report: EngineReport) -> AttemptReport:
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -104,7 +104,7 @@
 
 
 def _select_stream(attachable: list[AttemptReport]) -> AttemptIntent:
-    """Return the attempt to attach to: the latest that has generated tokens, else the latest that waits.
+    """Return the attempt to attach to: the latest that has begun to generate, else the latest that waits.
 
     Tokens that the client has received are always of this attempt, because no attempt is sent while another
     one streams.
--- a/tests/recovery/test_takeover.py
+++ b/tests/recovery/test_takeover.py
@@ -96,10 +96,10 @@
             **options,
         )
         self.result: object = None  # `Generated`, or the error; None until the answer
-        self.stream: ChatStream = fleet.client_of(first_node).generate(request, self._tokens)
+        self.stream: ChatStream = fleet.client_of(first_node).generate(request, self._tokens_received)
         self.stream.done.addCallbacks(self._ended, self._failed)
 
-    def _tokens(self, ids: tuple[int, ...]) -> None:
+    def _tokens_received(self, ids: tuple[int, ...]) -> None:
         self.token_ids += ids
         self.token_times.append(self.fleet.clock.seconds())
 
