--- a/myrtlehub/emulator/batch_results.py
+++ b/myrtlehub/emulator/batch_results.py
@@ -11,7 +11,7 @@
 def batch_results(
     request: pb.BatchRequest, config: EmulatedEngineConfig, model_name: str
 ) -> list[pb.ItemResult]:
-    """Return a result for each item; the result of an input that is too long is an error."""
+    """Return a result for each item: a vector, a score, or an error if the input is too long."""
     return [_result(index, item, request, config, model_name) for index, item in enumerate(request.items)]
 
 
--- a/myrtlehub/emulator/batch_stage.py
+++ b/myrtlehub/emulator/batch_stage.py
@@ -1,4 +1,4 @@
-"""Batches of embedding and rerank items in an engine model; each batch is computed in one pass."""
+"""The batch stage of an engine model: it computes each batch of embedding or rerank items in one pass."""
 
 from collections import deque
 from typing import Generic, NamedTuple
@@ -19,7 +19,7 @@
 class RunningBatch(NamedTuple):
     """A batch that is being computed."""
 
-    ready_at: float
+    completes_at: float
     tokens: float
 
 
@@ -53,12 +53,12 @@
         """Return when the next batch completes, or NEVER if none is running."""
         if not self.running:
             return NEVER
-        return min(batch.ready_at for batch in self.running.values())
+        return min(batch.completes_at for batch in self.running.values())
 
     def advance(self, now: float, stream_count: int, events: list[ModelEvent[KeyT]]) -> None:
         """Complete the batches that are due, then start queued ones; concurrent streams slow these down."""
         for key, batch in list(self.running.items()):
-            if batch.ready_at <= now + TIME_TOLERANCE:
+            if batch.completes_at <= now + TIME_TOLERANCE:
                 del self.running[key]
                 events.append(BatchDone(key))
         machine = self._resources.machine
--- a/myrtlehub/emulator/decode_stage.py
+++ b/myrtlehub/emulator/decode_stage.py
@@ -1,4 +1,4 @@
-"""Generation of answers in an engine model: all running streams advance by one token in each step."""
+"""The decode stage of an engine model: in each step, all running streams advance by one token."""
 
 from collections import OrderedDict, deque
 from typing import Generic
@@ -18,28 +18,28 @@
 
 
 class Stream(Generic[KeyT]):
-    """One answer that is queued, is being prepared or is being generated."""
+    """One answer: queued, in preparation or being generated."""
 
     __slots__ = (
         "cached_tokens",
         "fetches_state",
-        "generated",
+        "generated_tokens",
         "has_started",
         "key",
+        "output_tokens",
         "ready_at",
         "task",
-        "total",
         "used_memory",
     )
 
-    def __init__(self, key: KeyT, task: Task, total: int, fetches_state: bool) -> None:
+    def __init__(self, key: KeyT, task: Task, output_tokens: int, fetches_state: bool) -> None:
         self.key = key
         self.task = task
-        self.total = total
+        self.output_tokens = output_tokens
         self.fetches_state = fetches_state
         self.cached_tokens = 0.0
         self.used_memory = 0.0
-        self.generated = 0
+        self.generated_tokens = 0
         self.ready_at = NEVER
         self.has_started = False
 
@@ -57,7 +57,9 @@
     def has_capacity_for(self, task: Task) -> bool:
         """Return whether an attempt can be queued."""
         machine = self._resources.machine
-        return len(self.queue) < machine.queue and task.prompt + task.max_output <= machine.memory
+        return (
+            len(self.queue) < machine.queue and task.prompt_tokens + task.max_output_tokens <= machine.memory
+        )
 
     def enqueue(self, stream: Stream[KeyT]) -> None:
         """Queue a stream."""
@@ -69,7 +71,7 @@
             if stream.key == key:
                 self.queue.remove(stream)
         if key in self.running:
-            self._drop(self.running[key])
+            self._free_slot(self.running[key])
 
     def fetched(self, now: float, key: KeyT, is_complete: bool) -> list[ModelEvent[KeyT]]:
         """Continue a stream whose read state was fetched, or reject it if the fetch failed."""
@@ -77,18 +79,20 @@
         if stream is None:
             return []
         if not is_complete:
-            self._drop(stream)
+            self._free_slot(stream)
             return [Rejected(key, is_state_missing=True)]
         stream.ready_at = now + self._resources.machine.begin
         return []
 
     def backlog(self) -> float:
         """Return the prompt tokens of streams that have not started."""
-        queued = sum(stream.task.prompt for stream in self.queue)
-        return queued + sum(stream.task.prompt for stream in self.running.values() if not stream.has_started)
+        queued = sum(stream.task.prompt_tokens for stream in self.queue)
+        return queued + sum(
+            stream.task.prompt_tokens for stream in self.running.values() if not stream.has_started
+        )
 
     def next_at(self) -> float:
-        """Return when the next stream is prepared or the next step begins; NEVER if there is neither."""
+        """Return when the next stream is prepared or the next step is due; NEVER if there is neither."""
         preparing = [stream.ready_at for stream in self.running.values() if not stream.has_started]
         return min(self._step_at, *preparing) if preparing else self._step_at
 
@@ -109,19 +113,19 @@
         self._start_prepared(now, events)
 
     def _fits_memory(self, stream: Stream[KeyT]) -> bool:
-        needed = self._resources.used_memory + stream.task.prompt + stream.generated
-        return not self.running or needed <= self._resources.machine.memory
+        needed_memory = self._resources.used_memory + stream.task.prompt_tokens + stream.generated_tokens
+        return not self.running or needed_memory <= self._resources.machine.memory
 
     def _prepare(self, now: float, stream: Stream[KeyT], events: list[ModelEvent[KeyT]]) -> None:
         """Assign a slot and memory to a stream, then request its read state or read its prompt."""
         self.running[stream.key] = stream
-        stream.used_memory = stream.task.prompt + stream.generated
+        stream.used_memory = stream.task.prompt_tokens + stream.generated_tokens
         self._resources.used_memory += stream.used_memory
         if stream.fetches_state and not stream.has_started:
             events.append(FetchNeeded(stream.key))
             return
-        stream.cached_tokens = self._resources.prefix_cache.find(stream.task)
-        duration = self._resources.read_seconds(stream.task.prompt - stream.cached_tokens)
+        stream.cached_tokens = self._resources.prefix_cache.count_cached_tokens(stream.task)
+        duration = self._resources.read_seconds(stream.task.prompt_tokens - stream.cached_tokens)
         duration *= 1.0 + self._resources.machine.batch_drag * len(self._batches.running)
         stream.ready_at = now + duration
         if self._step_at != NEVER:
@@ -150,19 +154,19 @@
         for stream in list(self.running.values()):
             if not stream.has_started or stream.ready_at > ready_by:
                 continue
-            stream.generated += 1
+            stream.generated_tokens += 1
             stream.used_memory += 1
             resources.used_memory += 1
             events.append(TokensGenerated(stream.key, 1))
-            if stream.generated >= stream.total:
-                self._drop(stream)
-                events.append(AnswerDone(stream.key, stream.cached_tokens, stream.generated))
+            if stream.generated_tokens >= stream.output_tokens:
+                self._free_slot(stream)
+                events.append(AnswerDone(stream.key, stream.cached_tokens, stream.generated_tokens))
 
     def _preempt_newest(self) -> None:
-        """Return the newest streams to the queue while memory is exceeded; their prompts are read again."""
+        """Preempt the newest streams while memory is exceeded: requeue them, to read their prompts again."""
         while self._resources.used_memory > self._resources.machine.memory and len(self.running) > 1:
             newest = next(reversed(self.running.values()))
-            self._drop(newest)
+            self._free_slot(newest)
             newest.ready_at = NEVER
             self.queue.appendleft(newest)
 
@@ -176,7 +180,7 @@
         slowdown_factor += machine.batch_drag * len(self._batches.running)
         return machine.step * slowdown_factor * self._resources.faults.slowdown
 
-    def _drop(self, stream: Stream[KeyT]) -> None:
+    def _free_slot(self, stream: Stream[KeyT]) -> None:
         self.running.pop(stream.key, None)
         self._resources.used_memory -= stream.used_memory
         stream.used_memory = 0.0
--- a/myrtlehub/emulator/engine_context.py
+++ b/myrtlehub/emulator/engine_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an emulated engine need of the engine as a whole."""
+"""The interface of an emulated engine that its services and event handlers depend on."""
 
 from collections.abc import Iterable
 from random import Random
@@ -15,12 +15,12 @@
 
 
 class EngineContext(Protocol):
-    """The engine, as its services and event handlers see it.
+    """An emulated engine, as seen by its services and event handlers.
 
     Attributes:
-        random: decides whether a random fault occurs; the model has a generator of its own.
+        random: generator for random faults; the model has a separate one.
         jobs: the writes and batches that are being served.
-        model_name: version of the model that computes batches.
+        model_name: version of the embedding or rerank model.
     """
 
     config: EmulatedEngineConfig
@@ -31,17 +31,17 @@
     jobs: set[Job]
     model_name: str
 
-    def act(self, events: Iterable[ModelEvent[Job]]) -> None:
-        """Handle the events of a call to the model, and schedule the model's next wake-up."""
+    def handle_events(self, events: Iterable[ModelEvent[Job]]) -> None:
+        """Handle the events that the model returned, and schedule its next wake-up."""
 
-    def occurs(self, probability: float) -> bool:
+    def fault_occurs(self, probability: float) -> bool:
         """Return whether a fault with this probability occurs now."""
 
     def open_fetch(self, address: str, watcher: CallWatcher) -> ClientCall:
-        """Begin a call that fetches a read state from another engine."""
+        """Start a call that fetches a read state from another engine."""
 
-    def load_with_answer(self) -> pb.LoadReport | None:
-        """Return the load report that an answer carries; None if answers carry none."""
+    def answer_load_report(self) -> pb.LoadReport | None:
+        """Return the load report to include in an answer; None if answers include none."""
 
     def crash(self) -> None:
-        """Abort all connections and report the crash."""
+        """Abort all connections and call the crash callback."""
--- a/myrtlehub/emulator/engine_service.py
+++ b/myrtlehub/emulator/engine_service.py
@@ -1,4 +1,4 @@
-"""The service `Engine` of an emulated engine: it admits attempts and passes them to the engine model."""
+"""The service `Engine` of an emulated engine: admits attempts and passes them to the engine model."""
 
 from twisted.internet.defer import Deferred
 
@@ -16,18 +16,18 @@
 from myrtlehub.rpc.server_call import Receiver, ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-LIST_VERSION_KEY = "myrtle-list"  # metadata: the version of the endpoint list that the node used
-SHORTEST_LATE_FAILURE = 0.2  # seconds until an attempt fails by the fault `fail_late`
-LATE_FAILURE_SPREAD = 0.4  # seconds added to that, times a random number from 0 to 1
+LIST_VERSION_METADATA_KEY = "myrtle-list"  # version of the endpoint list that the node used
+MIN_LATE_FAILURE_DELAY = 0.2  # seconds until the fault `fail_late` fails an attempt
+LATE_FAILURE_DELAY_RANGE = 0.4  # seconds; maximum random addition to MIN_LATE_FAILURE_DELAY
 
 
 class EngineService:
-    """Serves the calls that read, write, compute batches, release read states and probe."""
+    """Implements the methods for reads, writes, batches, releases of read states, and probes."""
 
     def __init__(
         self, engine: EngineContext, owner: JobOwner, claims: ClaimableJobs, event_handlers: EventHandlers
     ) -> None:
-        """Make the service of an engine; `owner` is the owner of the jobs that it creates."""
+        """Make the service of an engine; `owner` becomes the owner of the jobs that it creates."""
         self._engine = engine
         self._owner = owner
         self._claims = claims
@@ -37,17 +37,17 @@
         """Serve `Engine.Read`."""
         engine = self._engine
         if not engine.config.reads:
-            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not read for others")
+            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not serve reads")
         job = Job(self._owner, call, pb.ReadRequest.FromString(data).work, is_read=True)
         self._admit(job, fetches_state=False)
-        engine.act(engine.model.read(engine.clock.seconds(), job, self._task(job.work)))
+        engine.handle_events(engine.model.read(engine.clock.seconds(), job, self._task_of(job.work)))
         return job.read_answer
 
     def write(self, call: ServerCall, data: bytes) -> Receiver:
         """Serve `Engine.Write`: a new attempt, or a call that attaches to the stream of an earlier one."""
         engine = self._engine
         if not engine.config.writes:
-            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not write")
+            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not serve writes")
         request = pb.WriteRequest.FromString(data)
         if request.HasField("attach"):
             return self._claims.attach(call, request)
@@ -55,30 +55,34 @@
         job = Job(self._owner, call, request.work, read_state=state)
         self._admit(job, state is not None)
         engine.jobs.add(job)
-        if engine.occurs(engine.config.mishaps.fail_late):
-            delay = SHORTEST_LATE_FAILURE + LATE_FAILURE_SPREAD * engine.random.random()
+        if engine.fault_occurs(engine.config.mishaps.fail_late):
+            delay = MIN_LATE_FAILURE_DELAY + LATE_FAILURE_DELAY_RANGE * engine.random.random()
             engine.clock.callLater(delay, self._fail_late, job)
             return job
-        engine.act(engine.model.write(engine.clock.seconds(), job, self._task(job.work), state is not None))
+        engine.handle_events(
+            engine.model.write(engine.clock.seconds(), job, self._task_of(job.work), state is not None)
+        )
         return job
 
     def batch(self, call: ServerCall, data: bytes) -> Receiver:
         """Serve `Engine.Batch`."""
         engine = self._engine
         request = pb.BatchRequest.FromString(data)
-        if not self._has_task(request.task):
-            raise RpcError(Code.FAILED_PRECONDITION, f"this engine has no work {request.task!r}")
+        if not self._supports_batch_task(request.task):
+            raise RpcError(
+                Code.FAILED_PRECONDITION, f"this engine does not support the batch task {request.task!r}"
+            )
         tokens = sum(item.tokens for item in request.items)
         tokens += len(request.items) * request.work.shared_tokens
         job = Job(self._owner, call, request.work, batch=request)
-        work = tokens / engine.model.machine.batch_rate
-        self._record_attempt(job, items=len(request.items), work=work)
+        slot_seconds = tokens / engine.model.machine.batch_rate
+        self._record_attempt(job, items=len(request.items), work=slot_seconds)
         engine.jobs.add(job)
         if request.model and request.model != engine.model_name:
-            engine.act([Rejected(job)])
+            engine.handle_events([Rejected(job)])
             return job
         start_before = self._start_before(request.work)
-        engine.act(engine.model.batch(engine.clock.seconds(), job, tokens, start_before))
+        engine.handle_events(engine.model.batch(engine.clock.seconds(), job, tokens, start_before))
         return job
 
     def release(self, call: ServerCall, data: bytes) -> bytes:
@@ -90,7 +94,7 @@
         if request.epoch and not self._claims.fences.admit(sequence_id, ownership):
             return pb.ReleaseReply().SerializeToString()
         tokens = engine.model.state_tokens(sequence_id)
-        engine.act(engine.model.release(engine.clock.seconds(), sequence_id))
+        engine.handle_events(engine.model.release(engine.clock.seconds(), sequence_id))
         return pb.ReleaseReply(tokens=int(tokens)).SerializeToString()
 
     def probe(self, call: ServerCall, data: bytes) -> "bytes | Deferred[bytes]":
@@ -100,15 +104,15 @@
             return Deferred()
         return pb.ProbeReply(load=load_report(self._engine.model)).SerializeToString()
 
-    def _has_task(self, task: str) -> bool:
+    def _supports_batch_task(self, task: str) -> bool:
         config = self._engine.config
         return (task == EMBED_TASK and config.embeds) or (task == RANK_TASK and config.ranks)
 
-    def _task(self, work: pb.Work) -> Task:
+    def _task_of(self, work: pb.Work) -> Task:
         return Task(
             sequence_id=work.sequence,
-            prompt=work.prompt_tokens,
-            max_output=work.most_output,
+            prompt_tokens=work.prompt_tokens,
+            max_output_tokens=work.most_output,
             session=work.session,
             prefix=work.shared_prefix,
             shared_tokens=work.shared_tokens,
@@ -123,21 +127,21 @@
 
     def _admit(self, job: Job, fetches_state: bool) -> None:
         self._claims.admit(job)
-        work = self._engine.model.work(self._task(job.work), job.is_read, fetches_state)
+        work = self._engine.model.estimate_slot_seconds(self._task_of(job.work), job.is_read, fetches_state)
         self._record_attempt(job, work=work)
 
     def _record_attempt(self, job: Job, **fields: float) -> None:
-        job.note(
+        job.record_event(
             "got",
             reads=job.is_read,
             node=job.node,
             mark=job.work.mark,
             traffic=job.work.traffic_type,
-            list=first(job.stream_calls[0].call.metadata, LIST_VERSION_KEY),
+            list=first(job.stream_calls[0].call.metadata, LIST_VERSION_METADATA_KEY),
             hung=self._engine.model.is_hung,
             **fields,
         )
 
     def _fail_late(self, job: Job) -> None:
-        if not job.is_over:
+        if not job.has_ended:
             self._event_handlers.handle([Failed(job)])
--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -1,4 +1,4 @@
-"""The effects of an engine model's events on the jobs of an emulated engine."""
+"""Handlers that apply the events of an engine model to the jobs of an emulated engine."""
 
 from collections.abc import Iterable
 from typing import assert_never
@@ -18,7 +18,7 @@
 from myrtlehub.rpc.server_call import ServerCall
 from myrtlehub.rpc.status import Code, RpcError
 
-MAX_TOKENS_BEFORE_BREAK = 10  # tokens that a stream sends at most before `break_stream` breaks it
+MAX_TOKENS_BEFORE_BREAK = 10  # maximum tokens of a stream before the fault `break_stream` resets it
 
 
 class EventHandlers:
@@ -56,64 +56,66 @@
             case events.Rejected():
                 self._reject(event.key, event.is_state_missing)
             case events.Failed():
-                _fail(event.key, "failed", RpcError(Code.INTERNAL, "the engine failed"))
+                _fail(event.key, "failed", RpcError(Code.INTERNAL, "the attempt failed by an injected fault"))
             case events.Expired():
-                error = RpcError(Code.DEADLINE_EXCEEDED, "its time was over before it could begin")
+                error = RpcError(
+                    Code.DEADLINE_EXCEEDED, "the attempt was not started by its latest start time"
+                )
                 _fail(event.key, "expired", error)
             case _:
                 assert_never(event)
 
     def _answer_read(self, event: events.PromptRead[Job]) -> None:
         job = event.key
-        job.note("held", tokens=event.tokens)
-        job.close(AttemptState.HAS_READ_STATE)
+        job.record_event("held", tokens=event.tokens)
+        job.end(AttemptState.HAS_READ_STATE)
         address = self._engine.config.listen
         state = pb.State(engine=address, handle=job.work.sequence, tokens=int(event.tokens))
         reply = pb.ReadReply(
-            read=state, kept_tokens=int(event.cached_tokens), load=self._engine.load_with_answer()
+            read=state, kept_tokens=int(event.cached_tokens), load=self._engine.answer_load_report()
         )
         job.read_answer.callback(reply.SerializeToString())
 
     def _send_results(self, job: Job) -> None:
-        """Send the results of a batch in two messages, then its end; a fault may break it after either."""
+        """Send the results in two messages, then the end; a fault may reset the stream after either."""
         engine = self._engine
         results = batch_results(job.batch, engine.config, engine.model_name)
         half = len(results) // 2
-        for piece in (results[:half], results[half:]):
-            if piece:
-                job.send(pb.BatchReply(items=pb.ItemResults(results=piece)).SerializeToString())
-            if engine.occurs(engine.config.mishaps.break_stream):
+        for part in (results[:half], results[half:]):
+            if part:
+                job.send(pb.BatchReply(items=pb.ItemResults(results=part)).SerializeToString())
+            if engine.fault_occurs(engine.config.mishaps.break_stream):
                 self._end_batch(job)
-                job.note("broken")
+                job.record_event("broken")
                 self._reset_stream_soon(job.call)
                 return
         self._end_batch(job)
-        job.note("ended", tokens=len(results))
-        ended = pb.BatchEnded(model=engine.model_name, load=engine.load_with_answer())
+        job.record_event("ended", tokens=len(results))
+        ended = pb.BatchEnded(model=engine.model_name, load=engine.answer_load_report())
         job.send(pb.BatchReply(ended=ended).SerializeToString())
         job.finish()
 
     def _end_batch(self, job: Job) -> None:
-        job.is_over = True
+        job.has_ended = True
         self._engine.jobs.discard(job)
 
     def _reset_stream_soon(self, call: ServerCall | None) -> None:
-        """Reset a stream in the next turn of the event loop, after the messages that were written to it."""
+        """Reset a stream in the next event loop iteration, after the messages that were written to it."""
         if call is not None:
             self._engine.clock.callLater(0, call.stream.reset, ErrorCodes.INTERNAL_ERROR)
 
     def _fetch_state(self, job: Job) -> None:
-        job.note("fetching")
-        fetch = self._engine.open_fetch(job.read_state.engine, StateFetch(self._engine, job))
-        job.fetch = fetch
-        fetch.send(pb.FetchRequest(handle=job.read_state.handle).SerializeToString())
-        fetch.half_close()
+        job.record_event("fetching")
+        fetch_call = self._engine.open_fetch(job.read_state.engine, StateFetch(self._engine, job))
+        job.fetch_call = fetch_call
+        fetch_call.send(pb.FetchRequest(handle=job.read_state.handle).SerializeToString())
+        fetch_call.half_close()
 
     def _start(self, job: Job) -> None:
-        job.has_run = True
+        job.has_started = True
         job.attempt_state = AttemptState.WRITING
-        job.note("ran", mark=job.work.mark, traffic=job.work.traffic_type)
-        if not job.is_batch and self._engine.occurs(self._engine.config.mishaps.break_stream):
+        job.record_event("ran", mark=job.work.mark, traffic=job.work.traffic_type)
+        if not job.is_batch and self._engine.fault_occurs(self._engine.config.mishaps.break_stream):
             job.tokens_until_break = self._engine.random.randint(1, MAX_TOKENS_BEFORE_BREAK)
 
     def _send_tokens(self, job: Job, token_count: int) -> None:
@@ -130,9 +132,9 @@
 
     def _count_down_to_break(self, job: Job, tokens_left: int) -> None:
         job.tokens_until_break = tokens_left or None
-        if tokens_left or job.is_over:
+        if tokens_left or job.has_ended:
             return
-        job.note("broken")
+        job.record_event("broken")
         if job.call is not None:
             self._reset_stream_soon(job.call)
         else:
@@ -140,21 +142,21 @@
 
     def _finish_answer(self, event: events.AnswerDone[Job]) -> None:
         job = event.key
-        job.close(AttemptState.ENDED)
-        job.note("ended", tokens=event.tokens, sum=checksum(job.token_ids))
+        job.end(AttemptState.ENDED)
+        job.record_event("ended", tokens=event.tokens, sum=checksum(job.token_ids))
         ended = pb.Ended(
             tokens=event.tokens,
             kept_tokens=int(event.cached_tokens),
-            load=self._engine.load_with_answer(),
+            load=self._engine.answer_load_report(),
         )
         job.final_message = pb.WriteReply(ended=ended).SerializeToString()
         job.send(job.final_message)
         job.finish()
 
     def _reject(self, job: Job, is_state_missing: bool) -> None:
-        job.close(AttemptState.REJECTED)
-        job.note("refused", no_state=is_state_missing)
-        rejection = pb.Refused(no_state=is_state_missing, load=self._engine.load_with_answer())
+        job.end(AttemptState.REJECTED)
+        job.record_event("refused", no_state=is_state_missing)
+        rejection = pb.Refused(no_state=is_state_missing, load=self._engine.answer_load_report())
         if job.is_batch:
             rejection.model = self._engine.model_name
             job.send(pb.BatchReply(refused=rejection).SerializeToString())
@@ -167,8 +169,8 @@
 
 
 def _fail(job: Job, record_name: str, error: RpcError) -> None:
-    job.close(AttemptState.NEVER_RAN)  # it has not started, and will not
-    job.note(record_name)
+    job.end(AttemptState.NEVER_RAN)  # it has not started and will not start
+    job.record_event(record_name)
     if job.is_read:
         job.read_answer.errback(error)
     elif job.call is not None:
--- a/myrtlehub/emulator/events.py
+++ b/myrtlehub/emulator/events.py
@@ -1,4 +1,4 @@
-"""The events that an engine model reports, one type for each; a `KeyT` identifies an attempt."""
+"""The events that an engine model reports; a `KeyT` identifies the attempt of an event."""
 
 from enum import StrEnum
 from typing import Generic, NamedTuple, TypeAlias
@@ -31,13 +31,13 @@
 
 
 class FetchNeeded(NamedTuple, Generic[KeyT]):
-    """A write has a slot and memory; its read state must be fetched, then `EngineModel.fetched` called."""
+    """A write has a slot and memory; the caller must fetch its read state and call `EngineModel.fetched`."""
 
     key: KeyT
 
 
 class Started(NamedTuple, Generic[KeyT]):
-    """An answer or a batch has begun to be computed; from now on the attempt counts as executed."""
+    """The computation of an answer or a batch has started; from now on the attempt counts as executed."""
 
     key: KeyT
 
@@ -71,7 +71,7 @@
 
 
 class Expired(NamedTuple, Generic[KeyT]):
-    """The time by which an attempt had to start passed while it was queued."""
+    """An attempt was not started by its latest start time."""
 
     key: KeyT
 
@@ -85,7 +85,7 @@
 
 
 class Crashed(NamedTuple):
-    """The engine was overloaded while warming up; it processes nothing from now on."""
+    """The engine crashed by overload during slow start; it processes nothing from now on."""
 
 
 AttemptEvent: TypeAlias = (
--- a/myrtlehub/emulator/fault_service.py
+++ b/myrtlehub/emulator/fault_service.py
@@ -1,4 +1,4 @@
-"""The RPC method `Stand.Misbehave`, by which tests inject faults into an emulated engine."""
+"""The RPC method `Stand.Misbehave`, which injects faults into an emulated engine for tests."""
 
 from h2.errors import ErrorCodes
 
@@ -19,7 +19,7 @@
         """Serve `Stand.Misbehave`.
 
         Raises:
-            RpcError: the engine does not have this fault.
+            RpcError: the engine does not support this fault.
         """
         engine = self._engine
         request = pb.Misbehaviour.FromString(data)
@@ -28,7 +28,7 @@
             self._inject(request)
         except UnknownFaultError as error:
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from error
-        engine.act([])
+        engine.handle_events([])  # a fault changes when the model has to be called next
         return pb.Misbehaving().SerializeToString()
 
     def _inject(self, request: pb.Misbehaviour) -> None:
@@ -42,10 +42,10 @@
             self._engine.model.inject_fault(now, kind, request.factor, request.seconds)
 
     def _break_streams(self, share: float) -> None:
-        running = [job for job in self._engine.jobs if job.has_run]
+        running = [job for job in self._engine.jobs if job.has_started]
         for job in sorted(running, key=lambda job: job.work.sequence):
             if job.call is not None and self._engine.random.random() < share:
-                job.note("broken")
+                job.record_event("broken")
                 job.call.stream.reset(ErrorCodes.INTERNAL_ERROR)
 
 
--- a/myrtlehub/emulator/faults.py
+++ b/myrtlehub/emulator/faults.py
@@ -6,7 +6,7 @@
 
 
 class FaultKind(StrEnum):
-    """The kinds of faults; the values are those of `Misbehaviour.how` in the protocol."""
+    """The kinds of faults; the values are the wire values of `Misbehaviour.how`."""
 
     HANG = "hang"
     REJECT = "refuse"
@@ -19,10 +19,10 @@
 
 
 class UnknownFaultError(ValueError):
-    """A requested fault does not exist, or the engine model does not have it.
+    """A requested fault is unknown, or the engine model does not support it.
 
     Attributes:
-        kind: the value that was received.
+        kind: the requested value.
     """
 
     def __init__(self, kind: str) -> None:
@@ -31,29 +31,29 @@
 
 
 class InjectedFaults:
-    """The faults that one engine has at present; all of them end at the same time."""
+    """The active faults of one engine; all of them end at the same time."""
 
     def __init__(self) -> None:
         self.is_hung = False
-        self.slowdown = 1.0  # factor by which work takes longer
-        self.rejected_share = 0.0  # fraction of attempts
-        self.failed_share = 0.0  # fraction of attempts
+        self.slowdown = 1.0  # factor on processing times
+        self.reject_probability = 0.0  # per attempt
+        self.fail_probability = 0.0  # per attempt
         self.end_at = NEVER
 
     def inject(self, now: float, kind: FaultKind, factor: float, seconds: float) -> None:
-        """Begin a fault that lasts this number of seconds; 0 stands for "until it is cleared".
+        """Activate a fault for this number of seconds; 0: until it is cleared.
 
         Raises:
-            UnknownFaultError: the engine model does not have this fault.
+            UnknownFaultError: the engine model does not support this fault.
         """
         if kind == FaultKind.HANG:
             self.is_hung = True
         elif kind == FaultKind.SLOW:
             self.slowdown = max(1.0, factor)
         elif kind == FaultKind.REJECT:
-            self.rejected_share = factor or 1.0
+            self.reject_probability = factor or 1.0
         elif kind == FaultKind.ERROR:
-            self.failed_share = factor or 1.0
+            self.fail_probability = factor or 1.0
         else:
             raise UnknownFaultError(kind)
         self.end_at = now + seconds if seconds else NEVER
@@ -62,6 +62,6 @@
         """End all faults."""
         self.is_hung = False
         self.slowdown = 1.0
-        self.rejected_share = 0.0
-        self.failed_share = 0.0
+        self.reject_probability = 0.0
+        self.fail_probability = 0.0
         self.end_at = NEVER
--- a/myrtlehub/emulator/machine.py
+++ b/myrtlehub/emulator/machine.py
@@ -4,17 +4,17 @@
 from dataclasses import dataclass
 from typing import NamedTuple, TypeVar
 
-NEVER = float("inf")  # a time that is not reached
-TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early, by rounding
+NEVER = float("inf")  # stands for no scheduled time
+TIME_TOLERANCE = 1e-9  # seconds by which a timer may fire early because of rounding
 
-KeyT = TypeVar("KeyT", bound=Hashable)  # by which the owner of a model identifies an attempt
+KeyT = TypeVar("KeyT", bound=Hashable)  # identifies an attempt; chosen by the model's caller
 
 
 @dataclass(frozen=True)
 class Machine:
-    """The parameters of an emulated machine; times are in seconds, memory and cached text in tokens.
+    """The parameters of an emulated machine; times are in seconds, memory and cache capacity in tokens.
 
-    The fields have the names of the settings in `config/emulated_engine.py`, which explains them.
+    The fields have the names of the settings in `config/emulated_engine.py`, which documents them.
     """
 
     slots: int = 8
@@ -42,8 +42,8 @@
     """One attempt as the engine received it; sizes are in tokens."""
 
     sequence_id: str
-    prompt: float
-    max_output: float
+    prompt_tokens: float
+    max_output_tokens: float
     session: str = ""
     prefix: str = ""
     shared_tokens: float = 0.0
--- a/myrtlehub/emulator/model.py
+++ b/myrtlehub/emulator/model.py
@@ -1,9 +1,9 @@
-"""A model of an engine without sockets or a clock; the caller passes the time. Its figures are simulated.
+"""A simulated engine without sockets or a clock; the caller passes the current time.
 
-The machine has slots, a queue, memory, a prefix cache, a reading rate, and a time per decode step that grows
-with the number of running streams. An engine that has just started has part of its capacity, and crashes if
-it receives much more work than that. Emulated engines on sockets and in-process experiments use the same
-model. Its methods return events (`myrtlehub.emulator.events`).
+The machine has slots, a queue, memory, a prefix cache, a prefill rate, and a time per decode step that grows
+with the number of running streams. A cold engine has part of its capacity, and crashes if it receives much
+more work than that. Emulated engines on sockets and in-process experiments use the same model. Its methods
+return events (`myrtlehub.emulator.events`).
 """
 
 from random import Random
@@ -17,9 +17,9 @@
 from myrtlehub.emulator.prefill_stage import PrefillStage
 from myrtlehub.emulator.resources import Resources
 
-EXPECTED_OUTPUT_SHARE = 0.25  # part of the maximum output that an estimate of work assumes
-LEAST_OUTPUT_SHARE = 0.1  # length of the shortest answer, as a part of the maximum output
-OUTPUT_SHARE_SPREAD = 0.4  # range of the random part that is added to LEAST_OUTPUT_SHARE
+EXPECTED_OUTPUT_SHARE = 0.25  # fraction of the maximum output that a work estimate assumes
+MIN_OUTPUT_SHARE = 0.1  # minimum answer length, as a fraction of the maximum output
+OUTPUT_SHARE_RANGE = 0.4  # range of the random fraction added to MIN_OUTPUT_SHARE
 
 
 class ModelLoad(NamedTuple):
@@ -38,7 +38,7 @@
         Args:
             machine: the parameters of the machine.
             seed: for the random choices of the model.
-            started: time of a cold start; None for an engine that is warm.
+            started: time of a cold start; None for a warm engine.
         """
         self.machine = machine
         self._random = Random(seed).random
@@ -55,20 +55,20 @@
 
     @property
     def slowdown(self) -> float:
-        """The factor by which an injected fault prolongs work."""
+        """The factor by which an injected fault lengthens processing times."""
         return self.resources.faults.slowdown
 
     def inject_fault(self, now: float, kind: FaultKind, factor: float, seconds: float) -> None:
-        """Begin a fault, or clear all faults.
+        """Inject a fault, or clear all faults.
 
         Args:
-            now: the present time.
+            now: the current time.
             kind: the fault; `NONE` clears all of them.
-            factor: slowdown, or fraction of attempts, by the kind.
-            seconds: duration; 0 stands for "until it is cleared".
+            factor: slowdown factor or fraction of attempts, depending on the kind.
+            seconds: duration; 0: until the fault is cleared.
 
         Raises:
-            UnknownFaultError: the model does not have this fault.
+            UnknownFaultError: the model does not support this fault.
         """
         if kind == FaultKind.NONE:
             self.resources.faults.clear()
@@ -77,14 +77,20 @@
         else:
             self.resources.faults.inject(now, kind, factor, seconds)
 
-    def work(self, task: Task, is_read: bool, fetches_state: bool) -> float:
+    def estimate_slot_seconds(self, task: Task, is_read: bool, fetches_state: bool) -> float:
         """Estimate the slot-seconds of an attempt on a warm engine without cached prefixes."""
-        read = 0.0 if fetches_state else task.prompt / self.machine.read_rate
-        return read if is_read else read + EXPECTED_OUTPUT_SHARE * task.max_output * self.machine.step
+        read_seconds = 0.0 if fetches_state else task.prompt_tokens / self.machine.read_rate
+        return (
+            read_seconds
+            if is_read
+            else read_seconds + EXPECTED_OUTPUT_SHARE * task.max_output_tokens * self.machine.step
+        )
 
     def read(self, now: float, key: KeyT, task: Task) -> list[ModelEvent[KeyT]]:
         """Receive an attempt to read a prompt."""
-        fault_events = self._events_of_faults(now, key, self.work(task, is_read=True, fetches_state=False))
+        fault_events = self._apply_admission_faults(
+            now, key, self.estimate_slot_seconds(task, is_read=True, fetches_state=False)
+        )
         if fault_events is not None:
             return fault_events
         if not self.prefill.has_capacity_for(task):
@@ -94,23 +100,23 @@
 
     def write(self, now: float, key: KeyT, task: Task, fetches_state: bool) -> list[ModelEvent[KeyT]]:
         """Receive an attempt to generate an answer, from a fetched read state or from the prompt."""
-        fault_events = self._events_of_faults(
-            now, key, self.work(task, is_read=False, fetches_state=fetches_state)
+        fault_events = self._apply_admission_faults(
+            now, key, self.estimate_slot_seconds(task, is_read=False, fetches_state=fetches_state)
         )
         if fault_events is not None:
             return fault_events
         if not self.decode.has_capacity_for(task):
             return [Rejected(key)]
-        share = LEAST_OUTPUT_SHARE + OUTPUT_SHARE_SPREAD * self._random()
-        total = max(1, round(task.max_output * share))
-        self.decode.enqueue(Stream(key, task, total, fetches_state))
+        output_share = MIN_OUTPUT_SHARE + OUTPUT_SHARE_RANGE * self._random()
+        output_tokens = max(1, round(task.max_output_tokens * output_share))
+        self.decode.enqueue(Stream(key, task, output_tokens, fetches_state))
         return self.tick(now)
 
     def batch(
         self, now: float, key: KeyT, tokens: float, start_before: float = NEVER
     ) -> list[ModelEvent[KeyT]]:
         """Receive a batch, whose items are computed in one pass."""
-        fault_events = self._events_of_faults(now, key, tokens / self.machine.batch_rate)
+        fault_events = self._apply_admission_faults(now, key, tokens / self.machine.batch_rate)
         if fault_events is not None:
             return fault_events
         if not self.batches.has_capacity():
@@ -118,24 +124,26 @@
         self.batches.enqueue(key, tokens, start_before)
         return self.tick(now)
 
-    def _events_of_faults(self, now: float, key: KeyT, work: float) -> list[ModelEvent[KeyT]] | None:
-        """Count the work of an attempt; return the events if a crash or fault prevents it, else None."""
+    def _apply_admission_faults(
+        self, now: float, key: KeyT, slot_seconds: float
+    ) -> list[ModelEvent[KeyT]] | None:
+        """Count an attempt's work; return events if a crash or fault prevents the attempt, else None."""
         if self.has_crashed:
             return []
-        if self.resources.warm_up.is_overloaded_by(now, work):
+        if self.resources.warm_up.is_overloaded_after(now, slot_seconds):
             self.has_crashed = True
             return [Crashed()]
         faults = self.resources.faults
         if faults.is_hung:
             return []
-        if faults.failed_share and self._random() < faults.failed_share:
+        if faults.fail_probability and self._random() < faults.fail_probability:
             return [Failed(key)]
-        if faults.rejected_share and self._random() < faults.rejected_share:
+        if faults.reject_probability and self._random() < faults.reject_probability:
             return [Rejected(key)]
         return None
 
     def fetched(self, now: float, key: KeyT, is_complete: bool) -> list[ModelEvent[KeyT]]:
-        """Continue an attempt after `FetchNeeded`; `is_complete`: the read state was fetched completely."""
+        """Continue an attempt after `FetchNeeded`; `is_complete`: the entire read state was fetched."""
         if key not in self.decode.running:
             return []
         return [*self.decode.fetched(now, key, is_complete), *self.tick(now)]
@@ -151,7 +159,7 @@
         self, now: float, sequence_id: str, reason: FreeReason = FreeReason.RELEASED
     ) -> list[ModelEvent[KeyT]]:
         """Free the read state of a sequence, if there is one."""
-        tokens = self.prefill.drop_state(sequence_id)
+        tokens = self.prefill.free_state(sequence_id)
         if not tokens:
             return []
         return [StateFreed(sequence_id, tokens, reason), *self.tick(now)]
@@ -161,7 +169,7 @@
         return self.prefill.state_tokens(sequence_id)
 
     def load(self) -> ModelLoad:
-        """Return the present load."""
+        """Return the current load."""
         batch_tokens = self.batches.backlog()
         memory_share = (self.resources.used_memory + batch_tokens) / self.machine.memory
         unread = self.prefill.backlog() + self.decode.backlog() + batch_tokens
@@ -177,7 +185,7 @@
         return min(faults.end_at, self.prefill.next_at(), self.decode.next_at(), self.batches.next_at())
 
     def tick(self, now: float) -> list[ModelEvent[KeyT]]:
-        """Advance all stages to the present time."""
+        """Advance all stages to the current time."""
         if now >= self.resources.faults.end_at:
             self.resources.faults.clear()
         if self.has_crashed or self.is_hung:
--- a/myrtlehub/emulator/prefix_cache.py
+++ b/myrtlehub/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an emulated engine; it evicts the least recently used prefixes."""
+"""The prefix cache of an emulated engine, with LRU eviction."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -11,41 +11,41 @@
 
     def __init__(self, capacity: float) -> None:
         self._capacity = capacity
-        self._tokens: OrderedDict[str, float] = OrderedDict()
+        self._tokens_by_key: OrderedDict[str, float] = OrderedDict()
 
-    def find(self, task: Task) -> float:
-        """Return how many tokens of a prompt are cached; at least one token always has to be read."""
-        longest = 0.0
-        for name, usable in _prefixes_of(task):
-            if name in self._tokens:
-                self._tokens.move_to_end(name)
-                longest = max(longest, min(self._tokens[name], usable))
-        return min(longest, max(0.0, task.prompt - 1.0))
+    def count_cached_tokens(self, task: Task) -> float:
+        """Return how many tokens of a prompt are cached: at most all but one, which always has to be read."""
+        cached_tokens = 0.0
+        for key, usable_tokens in _prefixes_of(task):
+            if key in self._tokens_by_key:
+                self._tokens_by_key.move_to_end(key)
+                cached_tokens = max(cached_tokens, min(self._tokens_by_key[key], usable_tokens))
+        return min(cached_tokens, max(0.0, task.prompt_tokens - 1.0))
 
     def store(self, task: Task) -> None:
         """Cache the prefixes of a prompt that was read."""
-        for name, tokens in _prefixes_of(task):
+        for key, tokens in _prefixes_of(task):
             if tokens:
-                self._tokens.pop(name, None)
-                self._tokens[name] = tokens
-        while sum(self._tokens.values()) > self._capacity and self._tokens:
-            self._tokens.popitem(last=False)
+                self._tokens_by_key.pop(key, None)
+                self._tokens_by_key[key] = tokens
+        while sum(self._tokens_by_key.values()) > self._capacity and self._tokens_by_key:
+            self._tokens_by_key.popitem(last=False)
 
     def clear(self) -> None:
         """Evict all prefixes."""
-        self._tokens.clear()
+        self._tokens_by_key.clear()
 
 
 class _Prefix(NamedTuple):
-    name: str
+    key: str
     tokens: float
 
 
 def _prefixes_of(task: Task) -> list[_Prefix]:
-    """Return the prefixes under which a prompt is cached: that of its session and the shared one."""
+    """Return the cacheable prefixes of a prompt: that of its session and the shared one."""
     prefixes = []
     if task.session:
-        prefixes.append(_Prefix(f"s:{task.session}", task.prompt))
+        prefixes.append(_Prefix(f"s:{task.session}", task.prompt_tokens))
     if task.prefix:
         prefixes.append(_Prefix(f"p:{task.prefix}", task.shared_tokens))
     return prefixes
--- a/myrtlehub/emulator/resources.py
+++ b/myrtlehub/emulator/resources.py
@@ -1,4 +1,4 @@
-"""The resources that the stages of an engine model share: machine, memory, faults, cache and slow start."""
+"""The resources that the stages of an engine model share: machine, memory, faults, cache, slow start."""
 
 from collections import deque
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 from myrtlehub.emulator.machine import Machine
 from myrtlehub.emulator.prefix_cache import PrefixCache
 
-SHORTEST_COLD_TIME = 1e-9  # seconds; prevents a division by zero if the setting is 0
+MIN_COLD_TIME = 1e-9  # seconds; prevents a division by zero if the setting is 0
 
 
 class _ReceivedWork(NamedTuple):
@@ -16,25 +16,25 @@
 
 
 class WarmUp:
-    """The slow start of a machine: its capacity after a cold start, and the work that crashes it."""
+    """The slow start of a machine: its capacity after a cold start, and the overload that crashes it."""
 
     def __init__(self, machine: Machine, started: float | None) -> None:
-        """Begin with a cold start at this time; None stands for a machine that is warm."""
+        """Start cold at the time `started`; None stands for a warm machine."""
         self._machine = machine
         self._started = started
         self._recent: deque[_ReceivedWork] = deque()
         self._recent_slot_seconds = 0.0
 
     def capacity(self, now: float) -> float:
-        """Return the fraction of the full capacity that is available now; 1 once warm."""
+        """Return the fraction of the full capacity that is available now; 1 when warm."""
         if self._started is None:
             return 1.0
         cold_share = self._machine.cold_share
-        age = max(0.0, now - self._started) / max(self._machine.cold_time, SHORTEST_COLD_TIME)
-        return min(1.0, cold_share + (1.0 - cold_share) * age)
+        warm_fraction = max(0.0, now - self._started) / max(self._machine.cold_time, MIN_COLD_TIME)
+        return min(1.0, cold_share + (1.0 - cold_share) * warm_fraction)
 
-    def is_overloaded_by(self, now: float, slot_seconds: float) -> bool:
-        """Count received work; return whether it crashes a machine that is warming up."""
+    def is_overloaded_after(self, now: float, slot_seconds: float) -> bool:
+        """Add received work; return whether it overloads a machine in slow start, which then crashes."""
         self._recent.append(_ReceivedWork(now, slot_seconds))
         self._recent_slot_seconds += slot_seconds
         while self._recent and self._recent[0].received_at <= now - self._machine.fall_time:
@@ -55,9 +55,9 @@
         self.used_memory = 0.0  # tokens
 
     def slots(self, now: float) -> int:
-        """Return how many slots are usable now."""
+        """Return the number of usable slots."""
         return max(1, int(self.machine.slots * self.warm_up.capacity(now)))
 
     def read_seconds(self, tokens: float) -> float:
-        """Return the seconds that reading this number of tokens takes."""
+        """Return the duration of reading this number of tokens, in seconds."""
         return tokens / self.machine.read_rate * self.faults.slowdown
--- a/myrtlehub/emulator/server.py
+++ b/myrtlehub/emulator/server.py
@@ -1,4 +1,4 @@
-"""An emulated engine on sockets: a gRPC server that records its calls and passes them to the engine model."""
+"""An emulated engine on sockets: a gRPC server that passes its calls to the engine model and records them."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -14,7 +14,7 @@
 from myrtlehub.emulator.load_report import load_report
 from myrtlehub.emulator.machine import Machine
 from myrtlehub.emulator.model import EngineModel
-from myrtlehub.emulator.state_transfer import StateTransfers
+from myrtlehub.emulator.state_transfer import FetchService
 from myrtlehub.emulator.timer import ModelTimer
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.records import Recorder
@@ -23,7 +23,7 @@
 from myrtlehub.rpc.method_handlers import server_stream, unary
 from myrtlehub.rpc.server import Server
 
-SERVICE = "/myrtlehub.v1.Engine/"
+SERVICE_PREFIX = "/myrtlehub.v1.Engine/"
 FAULT_METHOD = "/myrtlehub.v1.Stand/Misbehave"
 
 
@@ -33,7 +33,7 @@
 
 
 class EmulatedEngine:
-    """One emulated engine: it implements `EngineContext` for its parts and `JobOwner` for its jobs."""
+    """One emulated engine: it implements `EngineContext` for its services and `JobOwner` for its jobs."""
 
     def __init__(
         self,
@@ -43,14 +43,14 @@
         recorder: Recorder,
         on_crashed: Callable[[], None] = lambda: None,
     ) -> None:
-        """Make an engine; the caller makes its `server` listen.
+        """Make an engine; the caller has to make its `server` listen.
 
         Args:
             config: the settings.
             clock: the clock of the process.
             dialer: connects to other engines, to fetch read states.
-            recorder: receives the records of the engine.
-            on_crashed: called after the engine was overloaded while warming up.
+            recorder: records the events of the engine.
+            on_crashed: called after the engine crashed by overload during slow start.
         """
         self.config = config
         self.clock = clock
@@ -74,15 +74,15 @@
 
     def _add_methods(self) -> None:
         service = EngineService(self, self, self._claims, self._event_handlers)
-        state_transfers = StateTransfers(self)
+        fetch_service = FetchService(self)
         fault_service = FaultService(self)
-        self.server.add(SERVICE + "Read", unary(service.read))
-        self.server.add(SERVICE + "Write", server_stream(service.write))
-        self.server.add(SERVICE + "Release", unary(service.release))
-        self.server.add(SERVICE + "Probe", unary(service.probe))
-        self.server.add(SERVICE + "Claim", unary(self._claims.claim))
-        self.server.add(SERVICE + "Fetch", server_stream(state_transfers.serve))
-        self.server.add(SERVICE + "Batch", server_stream(service.batch))
+        self.server.add(SERVICE_PREFIX + "Read", unary(service.read))
+        self.server.add(SERVICE_PREFIX + "Write", server_stream(service.write))
+        self.server.add(SERVICE_PREFIX + "Release", unary(service.release))
+        self.server.add(SERVICE_PREFIX + "Probe", unary(service.probe))
+        self.server.add(SERVICE_PREFIX + "Claim", unary(self._claims.claim))
+        self.server.add(SERVICE_PREFIX + "Fetch", server_stream(fetch_service.serve))
+        self.server.add(SERVICE_PREFIX + "Batch", server_stream(service.batch))
         self.server.add(FAULT_METHOD, unary(fault_service.inject))
 
     def _record_start(self) -> None:
@@ -100,31 +100,31 @@
 
     # -- EngineContext ----------------------------------------------------------------------------
 
-    def act(self, events: Iterable[ModelEvent[Job]]) -> None:
-        """Handle the events of a call to the model, and schedule the model's next wake-up."""
+    def handle_events(self, events: Iterable[ModelEvent[Job]]) -> None:
+        """Handle the events that the model returned, and schedule its next wake-up."""
         self._event_handlers.handle(events)
         self._timer.set(self.model.next_at())
 
     def _tick(self) -> None:
-        self.act(self.model.tick(self.clock.seconds()))
+        self.handle_events(self.model.tick(self.clock.seconds()))
 
-    def occurs(self, probability: float) -> bool:
+    def fault_occurs(self, probability: float) -> bool:
         """Return whether a fault with this probability occurs now."""
         return probability > 0.0 and self.random.random() < probability
 
     def open_fetch(self, address: str, watcher: CallWatcher) -> ClientCall:
-        """Begin a call that fetches a read state from another engine."""
+        """Start a call that fetches a read state from another engine."""
         if address not in self._channels:
             connect = self._dialer(address)
             self._channels[address] = Channel(self.clock, connect, address, random=self.random)
-        return self._channels[address].call(SERVICE + "Fetch", watcher)
+        return self._channels[address].call(SERVICE_PREFIX + "Fetch", watcher)
 
-    def load_with_answer(self) -> pb.LoadReport | None:
-        """Return the load report that an answer carries; None if answers carry none."""
+    def answer_load_report(self) -> pb.LoadReport | None:
+        """Return the load report to include in an answer; None if answers include none."""
         return load_report(self.model) if self.config.reports == "answers" else None
 
     def crash(self) -> None:
-        """Abort all connections and report the crash."""
+        """Abort all connections and call the crash callback."""
         for connection in list(self.server.connections):
             connection.transport.abortConnection()
         self._on_crashed()
@@ -132,18 +132,18 @@
     # -- JobOwner ---------------------------------------------------------------------------------
 
     def may_outlive_node(self, job: Job) -> bool:
-        """Return whether a job continues without the node that sent it."""
+        """Return whether a job may continue after the connection of the node that sent it is lost."""
         return self._claims.may_outlive_node(job)
 
     def detach(self, job: Job) -> None:
         """Continue a job whose stream has no reader."""
         self._claims.detach(job)
 
-    def job_closed(self, job: Job) -> None:
-        """Record that a job has ended."""
+    def job_ended(self, job: Job) -> None:
+        """Handle the end of a job."""
         self.jobs.discard(job)
-        self._claims.job_ended(job)
+        self._claims.retain_ended_job(job)
 
     def cancel(self, job: Job) -> None:
         """Remove a job from the engine model."""
-        self.act(self.model.cancel(self.clock.seconds(), job))
+        self.handle_events(self.model.cancel(self.clock.seconds(), job))
--- a/myrtlehub/emulator/timer.py
+++ b/myrtlehub/emulator/timer.py
@@ -1,4 +1,4 @@
-"""The timer that wakes an engine model up, for engines on sockets and for in-process experiments."""
+"""The timer for the wake-ups of an engine model, on sockets and in in-process experiments."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 class ModelTimer:
-    """Calls `callback` at the time that was set last."""
+    """Calls `callback` at the latest time that was set."""
 
     def __init__(self, clock: Clock, callback: Callable[[], None]) -> None:
         self._clock = clock
@@ -16,7 +16,7 @@
         self._due_at = NEVER
 
     def set(self, due_at: float) -> None:
-        """Replace the time of the call; NEVER cancels it. Setting the pending time again has no effect."""
+        """Reschedule the callback; NEVER cancels it. Setting the pending time again has no effect."""
         pending_call = self._delayed_call
         if pending_call is not None and pending_call.active():
             if due_at == self._due_at:
--- a/myrtlehub/emulator/tokens.py
+++ b/myrtlehub/emulator/tokens.py
@@ -3,12 +3,12 @@
 from binascii import crc32
 from collections.abc import Iterable
 
-VOCABULARY = 120  # number of token ids, so that each takes one byte on the wire
+VOCABULARY_SIZE = 120  # number of token ids; small enough for each to take one byte on the wire
 
 
 def token_id(writer: str, sequence_id: str, attempt: int, index: int) -> int:
-    """Return the id of a token; it depends on writer and attempt, so a mix of answers is detectable."""
-    return crc32(f"{writer} {sequence_id} {attempt} {index}".encode()) % VOCABULARY + 1
+    """Return the id of a token; it depends on writer and attempt, so that mixed-up answers are detectable."""
+    return crc32(f"{writer} {sequence_id} {attempt} {index}".encode()) % VOCABULARY_SIZE + 1
 
 
 def checksum(token_ids: Iterable[int], start: int = 0) -> int:
--- a/myrtlehub/emulator/vectors.py
+++ b/myrtlehub/emulator/vectors.py
@@ -1,7 +1,7 @@
-"""The vectors and scores that emulated engines compute: functions of the input and the model's version.
+"""The vectors and scores of emulated engines: deterministic functions of the input and the model version.
 
 A client that has the input can therefore check each result for value, order and completeness. The numbers
-have no meaning.
+have no semantic meaning.
 """
 
 import struct
