--- a/myrtlehub/batching/__init__.py
+++ b/myrtlehub/batching/__init__.py
@@ -1,5 +1,5 @@
-"""Batches of embeddings and rerank: splitting, merging of results, dynamic batching, caching of results.
+"""Embedding and rerank batches: splitting, merging of results, dynamic batching and caching of results.
 
-These modules are used by the batch fronts in `node/batch_fronts`. They have no sockets, timers or clocks: the
-caller passes in the time. The router decides which engine runs each part of a batch.
+The batch fronts in `node/batch_fronts` use these modules, which do no I/O and have no timers or clocks: the
+caller passes the current time. The router decides which engine runs each part of a batch.
 """
--- a/myrtlehub/batching/result_cache.py
+++ b/myrtlehub/batching/result_cache.py
@@ -1,10 +1,10 @@
-"""Cache of results, so that repeated inputs of a tenant are not computed again by the same model version.
+"""Cache of results, which saves engines from recomputing repeated inputs of a tenant.
 
-Each tenant has a separate cache for each model version; all caches share one memory bound. The eviction
+Each tenant has a separate cache for each model version; all caches share one memory limit. The eviction
 algorithm is S3-FIFO (Yang et al., "FIFO queues are all you need for cache eviction", SOSP 2023). New keys
-enter a small queue. At its end, keys with a hit move to the main queue, and the others are evicted. The key
-of an evicted entry stays in a ghost queue for some time; if it is added again, it enters the main queue. So a
-flood of inputs that never recur occupies about a tenth of the memory, and does not displace the main queue.
+enter a small queue. At its head, keys with a hit move to the main queue, and the others are evicted. The key
+of an evicted entry stays in a ghost queue for some time; if it is added again, it enters the main queue. A
+scan of inputs that do not recur therefore uses about a tenth of the memory and leaves the main queue intact.
 docs/design/fronts.md compares S3-FIFO with LRU and W-TinyLFU.
 """
 
@@ -13,11 +13,11 @@
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, TypeVar
 
-# Fraction of a cache's capacity for the small queue, as in the paper; a larger value is not cached.
+# Fraction of the capacity for the small queue, as in the paper; larger values are not cached.
 SMALL_QUEUE_SHARE = 0.1
-MAX_HITS = 3  # highest value of a key's hit counter, as in the paper
-MIN_GHOST_KEYS = 16  # size of the ghost queue of a cache that has fewer entries than this
-MAX_CACHES = 1024  # one per tenant and model version; the least recently used is dropped first
+MAX_HITS = 3  # maximum of a key's hit counter, as in the paper
+MIN_GHOST_KEYS = 16  # minimum capacity of the ghost queue, for caches with fewer entries
+MAX_CACHES = 1024  # one per tenant and model version; the least recently used is evicted first
 
 Value = TypeVar("Value")
 
@@ -33,7 +33,7 @@
 
 
 class S3FifoCache(Generic[Value]):
-    """A cache bounded in bytes, which evicts by S3-FIFO."""
+    """A cache with a capacity in bytes and S3-FIFO eviction."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -56,7 +56,7 @@
         return entry.value
 
     def add(self, key: Hashable, value: Value, size: int) -> None:
-        """Cache a value of `size` bytes, unless it is too large or its key is cached already."""
+        """Cache a value of `size` bytes, unless it is too large or its key is already cached."""
         if key in self._entries or size > self.capacity * SMALL_QUEUE_SHARE:
             return
         while self.used + size > self.capacity:
@@ -72,7 +72,7 @@
         self.used += size
 
     def resize(self, capacity: int) -> None:
-        """Change the capacity, and evict entries until the others fit."""
+        """Change the capacity, and evict entries until the rest fits."""
         self.capacity = capacity
         while self.used > capacity:
             self._evict()
@@ -92,7 +92,7 @@
             entry.is_in_main = True
             self._main.append(key)
             return
-        self._remove(key, entry)
+        self._remove_entry(key, entry)
         self._ghost[key] = None
         while len(self._ghost) > max(MIN_GHOST_KEYS, len(self._entries)):
             self._ghost.popitem(last=False)
@@ -104,9 +104,9 @@
             entry.hits -= 1
             self._main.append(key)
         else:
-            self._remove(key, entry)
+            self._remove_entry(key, entry)
 
-    def _remove(self, key: Hashable, entry: CacheEntry[Value]) -> None:
+    def _remove_entry(self, key: Hashable, entry: CacheEntry[Value]) -> None:
         del self._entries[key]
         self.used -= entry.size
 
@@ -125,8 +125,8 @@
         """Make an empty cache.
 
         Args:
-            capacity: bound of all caches together, in bytes; 0: nothing is cached.
-            max_share: largest fraction of the capacity for a single cache.
+            capacity: total capacity of all caches, in bytes; 0 disables caching.
+            max_share: maximum fraction of the capacity for a single cache.
         """
         self.capacity = capacity
         self.max_share = max_share
@@ -140,7 +140,7 @@
 
     def cache_of(self, tenant: Hashable, model: str) -> S3FifoCache[Value] | None:
         """Return the cache for a tenant and a model version; None if there is none yet."""
-        return self._touch(CacheKey(tenant, model))
+        return self._find_cache(CacheKey(tenant, model))
 
     def get(self, tenant: Hashable, model: str, key: Hashable) -> Value | None:
         """Return a cached result; None if there is none."""
@@ -148,13 +148,13 @@
         return cache.get(key) if cache is not None else None
 
     def add(self, tenant: Hashable, model: str, key: Hashable, value: Value, size: int) -> None:
-        """Cache a result of `size` bytes, unless its version is unknown or no longer in the endpoint list."""
+        """Cache a result of `size` bytes, unless its version is unknown or not in the endpoint list."""
         if not model or (self.models and model not in self.models):
             return
         cache_key = CacheKey(tenant, model)
-        cache = self._touch(cache_key)
+        cache = self._find_cache(cache_key)
         if cache is None:
-            cache = self._create(cache_key)
+            cache = self._create_cache(cache_key)
         if cache is not None:
             cache.add(key, value, size)
 
@@ -162,7 +162,7 @@
         """Set the model versions of the engines in the endpoint list, and drop the caches of other versions.
 
         Args:
-            models: the versions; empty if the list names no versions: then no cache is dropped.
+            models: the versions; if empty, the list states no versions, and no cache is dropped.
 
         Returns:
             The number of dropped results.
@@ -171,27 +171,28 @@
         outdated = [key for key in self._caches if models and key.model not in models]
         dropped = sum(len(self._caches.pop(key)) for key in outdated)
         if outdated:
-            self._resize()
+            self._resize_caches()
         return dropped
 
-    def _touch(self, cache_key: CacheKey) -> S3FifoCache[Value] | None:
+    def _find_cache(self, cache_key: CacheKey) -> S3FifoCache[Value] | None:
+        """Return a cache, if there is one, and mark it as the most recently used."""
         cache = self._caches.get(cache_key)
         if cache is not None:
             self._caches.move_to_end(cache_key)
         return cache
 
-    def _create(self, cache_key: CacheKey) -> S3FifoCache[Value] | None:
+    def _create_cache(self, cache_key: CacheKey) -> S3FifoCache[Value] | None:
         if not self.capacity:
             return None
         cache = self._caches[cache_key] = S3FifoCache(0)
         while len(self._caches) > MAX_CACHES:
             self._caches.popitem(last=False)
-        self._resize()
+        self._resize_caches()
         return cache
 
-    def _resize(self) -> None:
-        """Divide the capacity evenly among the caches, up to `max_share` for each."""
-        share = min(self.max_share, 1.0 / max(1, len(self._caches)))
-        capacity = int(self.capacity * share)
+    def _resize_caches(self) -> None:
+        """Divide the capacity evenly among the caches, with at most `max_share` for each."""
+        capacity_share = min(self.max_share, 1.0 / max(1, len(self._caches)))
+        capacity = int(self.capacity * capacity_share)
         for cache in self._caches.values():
             cache.resize(capacity)
--- a/myrtlehub/batching/result_merger.py
+++ b/myrtlehub/batching/result_merger.py
@@ -1,16 +1,16 @@
-"""Merging of the results of a batch's parts into one answer, in input order and from one model version.
+"""Merging of the results of batch parts into one answer, in input order and from one model version.
 
 Like any sequence, a part ends with the outcome generated, rejected or aborted. The outcomes of the parts
 determine that of the batch:
 
 - If every item has a result or an item error, the batch ends as generated.
-- If a part fails and the batch is not streaming, it fails at once, and the client gets no results.
-- If a part fails and the batch is streaming, it fails after its last part has ended. Results that were sent
-  remain valid.
-- A failed batch is aborted if any of its failed parts was aborted, because that part may have run. Otherwise
-  it is rejected. In both cases it has the longest Retry-After among the failures that decided it.
+- If a part of a non-streaming batch fails, the batch fails immediately and returns no results.
+- If a part of a streaming batch fails, the batch fails after its last part has ended. Results that were
+  already sent remain valid.
+- A failed batch is aborted if any of its failed parts was aborted, because that part may have run; otherwise
+  it is rejected. Its Retry-After is the longest among the failures that determined the outcome.
 - All results of a batch come from one model version. A part with results of another version is retried. If no
-  result was sent yet and no engine has the version any more, the entire batch restarts, at most
+  result was sent and no engine serves the version any more, the entire batch restarts, at most
   `MAX_RESTARTS` times.
 """
 
@@ -35,9 +35,9 @@
     """The final answer of a batch, or the failure of one of its parts.
 
     Attributes:
-        outcome: how it ended.
+        outcome: how the batch or part ended.
         retry_after: the Retry-After of a rejection, in seconds; unused for other outcomes.
-        reason: the reason of a rejection or abort, as text for the client.
+        reason: the reason for a rejection or abort, as a message for the client.
     """
 
     outcome: BatchOutcome
@@ -46,11 +46,11 @@
 
 
 class MergeVerdict(StrEnum):
-    """The action that the caller has to take after a part has ended."""
+    """The caller's next action after a part has ended."""
 
     WAIT_FOR_PARTS = "wait-for-parts"
     RETRY_PART = "retry-part"  # or restart the batch, see `may_restart`
-    ANSWERED = "answered"  # the final answer is decided, now or earlier: send it unless it was sent
+    ANSWERED = "answered"  # the final answer was decided now or earlier: send it if it has not been sent
 
 
 class ResultMerger(Generic[Result]):
@@ -71,7 +71,7 @@
         self.sent_items = 0  # items whose results were sent to the client of a streaming batch
         self.answer: BatchAnswer | None = None
         self.restarts = 0
-        self._open_parts: dict[int, Sequence[int]] = {}  # item indices of the parts in flight, by part
+        self._open_parts: dict[int, Sequence[int]] = {}  # item indices, by part in flight
         self._failures: list[BatchAnswer] = []
 
     def begin_part(self, part: int, indices: Sequence[int]) -> None:
@@ -79,7 +79,7 @@
         self._open_parts[part] = indices
 
     def set_result(self, index: int, result: Result) -> None:
-        """Set the result of an item: that of its part, a cached one, or that of an identical item."""
+        """Set the result of an item: from its part, from the cache, or from an identical item."""
         if self.results[index] is None:
             self.missing -= 1
         self.results[index] = result
@@ -112,11 +112,11 @@
         return self._decide_answer()
 
     def may_restart(self) -> bool:
-        """Return whether the batch may restart: it is unanswered, sent no result and has restarts left."""
+        """Return whether the batch may restart: not answered, no result sent, and below `MAX_RESTARTS`."""
         return not self.sent_items and self.restarts < MAX_RESTARTS and self.answer is None
 
     def restart(self, model: str) -> None:
-        """Discard all results and parts, so that the batch can be run again by this model version."""
+        """Discard all results and parts, to run the batch again on this model version."""
         self.restarts += 1
         self.model = model
         self.results = [None] * len(self.results)
--- a/myrtlehub/emulator/engine_service.py
+++ b/myrtlehub/emulator/engine_service.py
@@ -18,7 +18,7 @@
 
 LIST_VERSION_METADATA_KEY = "myrtle-list"  # version of the endpoint list that the node used
 MIN_LATE_FAILURE_DELAY = 0.2  # seconds until the fault `fail_late` fails an attempt
-LATE_FAILURE_DELAY_RANGE = 0.4  # seconds; maximum random addition to MIN_LATE_FAILURE_DELAY
+LATE_FAILURE_DELAY_RANGE = 0.4  # seconds; times a random number from 0 to 1, added to the minimum
 
 
 class EngineService:
--- a/tests/batching/test_batch_split.py
+++ b/tests/batching/test_batch_split.py
@@ -1,4 +1,4 @@
-"""Splitting of batches into parts: limits, balance, and the number of parts."""
+"""Splitting of batches: the limits, balance and number of parts."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 
 
 @given(COSTS, st.integers(1, 64), st.integers(1, 12))
-def test_parts_observe_the_limits_and_have_every_item_once(
+def test_parts_respect_the_limits_and_contain_every_item_once(
     costs: list[int], max_items: int, engine_count: int
 ) -> None:
     limits = PartLimits(8000.0, max_items, 2000.0)
@@ -26,5 +26,7 @@
     assert split_batch([100] * 12, PartLimits(8000.0, 64, 2000.0), 8) == [list(range(12))]
     parts = split_batch([100] * 120, PartLimits(8000.0, 64, 2000.0), 4)
     assert [len(part) for part in parts] == [30] * 4
-    even = split_batch([Random(1).randint(10, 900) for _ in range(200)], PartLimits(16000.0, 256, 2000.0), 5)
-    assert len(even) == 5
+    parts_of_random_costs = split_batch(
+        [Random(1).randint(10, 900) for _ in range(200)], PartLimits(16000.0, 256, 2000.0), 5
+    )
+    assert len(parts_of_random_costs) == 5
--- a/tests/batching/test_result_merger.py
+++ b/tests/batching/test_result_merger.py
@@ -1,4 +1,4 @@
-"""Merging of the results of parts into one answer."""
+"""Merging of the results of batch parts into one answer."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -11,17 +11,17 @@
 
 @settings(max_examples=300)
 @given(st.integers(1, 12), st.booleans(), st.data())
-def test_one_answer_with_results_in_order_and_of_one_version(
+def test_a_batch_has_one_answer_with_results_in_order_and_of_one_model_version(
     item_count: int, is_stream: bool, data: st.DataObject
 ) -> None:
-    """Parts of any size end in any order, with any outcome; what follows the answer does not change it."""
+    """Parts of any size end in any order and with any outcome; those after the answer do not change it."""
     merger = ResultMerger(item_count, is_stream, "m1")
     parts: dict[int, list[int]] = {}
-    begin = 0
-    while begin < item_count:
-        size = data.draw(st.integers(1, item_count - begin))
-        parts[len(parts)] = list(range(begin, begin + size))
-        begin += size
+    first_index = 0
+    while first_index < item_count:
+        size = data.draw(st.integers(1, item_count - first_index))
+        parts[len(parts)] = list(range(first_index, first_index + size))
+        first_index += size
     for part, indices in parts.items():
         merger.begin_part(part, indices)
     answers = []
@@ -29,16 +29,16 @@
     for part in data.draw(st.permutations(sorted(parts))):
         outcome = data.draw(st.sampled_from(["generated"] * 3 + ["other version", "rejected", "aborted"]))
         if outcome in ("generated", "other version"):
-            verdict = merger.part_generated(
+            next_action = merger.part_generated(
                 part, [f"v{index}" for index in parts[part]], "m1" if outcome == "generated" else "m2"
             )
-            if verdict == MergeVerdict.RETRY_PART:
+            if next_action == MergeVerdict.RETRY_PART:
                 merger.begin_part(part + 100, parts[part])
-                verdict = merger.part_generated(part + 100, [f"v{index}" for index in parts[part]], "m1")
+                next_action = merger.part_generated(part + 100, [f"v{index}" for index in parts[part]], "m1")
         else:
-            verdict = merger.part_failed(part, REJECTED if outcome == "rejected" else ABORTED)
+            next_action = merger.part_failed(part, REJECTED if outcome == "rejected" else ABORTED)
             has_failed = True
-        if verdict == MergeVerdict.ANSWERED and merger.answer is not None:
+        if next_action == MergeVerdict.ANSWERED and merger.answer is not None:
             answers.append(merger.answer)
     assert len(set(answers)) == 1
     if merger.answer.outcome == BatchOutcome.GENERATED:
@@ -47,7 +47,7 @@
         assert has_failed
 
 
-def test_failed_parts_decide_the_answer() -> None:
+def test_failed_parts_determine_the_answer() -> None:
     merger = ResultMerger(3, False)
     for part in range(3):
         merger.begin_part(part, [part])
