--- a/myrtlehub/emulator/batch_stage.py
+++ b/myrtlehub/emulator/batch_stage.py
@@ -13,7 +13,7 @@
 
     key: KeyT
     tokens: float
-    start_before: float
+    expires_at: float
 
 
 class RunningBatch(NamedTuple):
@@ -35,9 +35,9 @@
         """Return whether a batch can be queued."""
         return len(self.queue) < self._resources.machine.batch_queue
 
-    def enqueue(self, key: KeyT, tokens: float, start_before: float) -> None:
-        """Queue a batch; it expires if it has not started at `start_before`."""
-        self.queue.append(QueuedBatch(key, tokens, start_before))
+    def enqueue(self, key: KeyT, tokens: float, expires_at: float) -> None:
+        """Queue a batch; it expires if it has not started by `expires_at`."""
+        self.queue.append(QueuedBatch(key, tokens, expires_at))
 
     def cancel(self, key: KeyT) -> None:
         """Remove a batch, whether it is queued or running."""
@@ -63,8 +63,8 @@
                 events.append(BatchDone(key))
         machine = self._resources.machine
         while self.queue and len(self.running) < machine.batch_slots:
-            key, tokens, start_before = self.queue.popleft()
-            if now > start_before:
+            key, tokens, expires_at = self.queue.popleft()
+            if now > expires_at:
                 events.append(Expired(key))
                 continue
             self.running[key] = RunningBatch(now + self._duration(now, tokens, stream_count), tokens)
--- a/myrtlehub/emulator/decode_stage.py
+++ b/myrtlehub/emulator/decode_stage.py
@@ -106,7 +106,7 @@
         slots = self._resources.slots(now)
         while self.queue and len(self.running) < slots and self._fits_memory(self.queue[0]):
             stream = self.queue.popleft()
-            if now > stream.task.start_before and not stream.has_started:
+            if now > stream.task.expires_at and not stream.has_started:
                 events.append(Expired(stream.key))
                 continue
             self._prepare(now, stream, events)
--- a/myrtlehub/emulator/engine_service.py
+++ b/myrtlehub/emulator/engine_service.py
@@ -18,7 +18,7 @@
 
 LIST_VERSION_METADATA_KEY = "myrtle-list"  # version of the endpoint list that the node used
 MIN_LATE_FAILURE_DELAY = 0.2  # seconds until the fault `fail_late` fails an attempt
-LATE_FAILURE_DELAY_RANGE = 0.4  # seconds; times a random number from 0 to 1, added to the minimum
+LATE_FAILURE_DELAY_RANGE = 0.4  # seconds added to the minimum, times a random number from 0 to 1
 
 
 class EngineService:
@@ -81,8 +81,8 @@
         if request.model and request.model != engine.model_name:
             engine.handle_events([Rejected(job)])
             return job
-        start_before = self._start_before(request.work)
-        engine.handle_events(engine.model.batch(engine.clock.seconds(), job, tokens, start_before))
+        expires_at = self._expiry_of(request.work)
+        engine.handle_events(engine.model.batch(engine.clock.seconds(), job, tokens, expires_at))
         return job
 
     def release(self, call: ServerCall, data: bytes) -> bytes:
@@ -117,18 +117,20 @@
             prefix=work.shared_prefix,
             shared_tokens=work.shared_tokens,
             idempotency_key=work.mark,
-            start_before=self._start_before(work),
+            expires_at=self._expiry_of(work),
         )
 
-    def _start_before(self, work: pb.Work) -> float:
+    def _expiry_of(self, work: pb.Work) -> float:
         if not work.first_within_ms:
             return NEVER
         return self._engine.clock.seconds() + work.first_within_ms / 1000.0
 
     def _admit(self, job: Job, fetches_state: bool) -> None:
         self._claims.admit(job)
-        work = self._engine.model.estimate_slot_seconds(self._task_of(job.work), job.is_read, fetches_state)
-        self._record_attempt(job, work=work)
+        slot_seconds = self._engine.model.estimate_slot_seconds(
+            self._task_of(job.work), job.is_read, fetches_state
+        )
+        self._record_attempt(job, work=slot_seconds)
 
     def _record_attempt(self, job: Job, **fields: float) -> None:
         job.record_event(
--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -58,9 +58,7 @@
             case events.Failed():
                 _fail(event.key, "failed", RpcError(Code.INTERNAL, "the attempt failed by an injected fault"))
             case events.Expired():
-                error = RpcError(
-                    Code.DEADLINE_EXCEEDED, "the attempt was not started by its latest start time"
-                )
+                error = RpcError(Code.DEADLINE_EXCEEDED, "the attempt expired in the queue")
                 _fail(event.key, "expired", error)
             case _:
                 assert_never(event)
--- a/myrtlehub/emulator/events.py
+++ b/myrtlehub/emulator/events.py
@@ -71,7 +71,7 @@
 
 
 class Expired(NamedTuple, Generic[KeyT]):
-    """An attempt was not started by its latest start time."""
+    """An attempt expired in the queue, because its turn came too late."""
 
     key: KeyT
 
--- a/myrtlehub/emulator/machine.py
+++ b/myrtlehub/emulator/machine.py
@@ -48,4 +48,4 @@
     prefix: str = ""
     shared_tokens: float = 0.0
     idempotency_key: str = ""
-    start_before: float = NEVER  # time after which the attempt expires if it has not started
+    expires_at: float = NEVER  # time by which an attempt must start, and a read must complete
--- a/myrtlehub/emulator/model.py
+++ b/myrtlehub/emulator/model.py
@@ -113,7 +113,7 @@
         return self.tick(now)
 
     def batch(
-        self, now: float, key: KeyT, tokens: float, start_before: float = NEVER
+        self, now: float, key: KeyT, tokens: float, expires_at: float = NEVER
     ) -> list[ModelEvent[KeyT]]:
         """Receive a batch, whose items are computed in one pass."""
         fault_events = self._apply_admission_faults(now, key, tokens / self.machine.batch_rate)
@@ -121,7 +121,7 @@
             return fault_events
         if not self.batches.has_capacity():
             return [Rejected(key)]
-        self.batches.enqueue(key, tokens, start_before)
+        self.batches.enqueue(key, tokens, expires_at)
         return self.tick(now)
 
     def _apply_admission_faults(
--- a/myrtlehub/emulator/prefill_stage.py
+++ b/myrtlehub/emulator/prefill_stage.py
@@ -116,7 +116,7 @@
             key, task = self.queue.popleft()
             cached_tokens = self._resources.prefix_cache.count_cached_tokens(task)
             duration = self._resources.read_seconds(task.prompt_tokens - cached_tokens) + READ_OVERHEAD
-            if now + duration > task.start_before:
+            if now + duration > task.expires_at:
                 self._resources.used_memory -= task.prompt_tokens
                 events.append(Expired(key))
                 continue
