--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -85,7 +85,7 @@
             if engine.fault_occurs(engine.config.mishaps.break_stream):
                 self._end_batch(job)
                 job.record_event("broken")
-                self._reset_stream_soon(job.call)
+                self._reset_stream_after_writes(job.call)
                 return
         self._end_batch(job)
         job.record_event("ended", tokens=len(results))
@@ -97,7 +97,7 @@
         job.has_ended = True
         self._engine.jobs.discard(job)
 
-    def _reset_stream_soon(self, call: ServerCall | None) -> None:
+    def _reset_stream_after_writes(self, call: ServerCall | None) -> None:
         """Reset a stream in the next event loop iteration, after the messages that were written to it."""
         if call is not None:
             self._engine.clock.callLater(0, call.stream.reset, ErrorCodes.INTERNAL_ERROR)
@@ -134,7 +134,7 @@
             return
         job.record_event("broken")
         if job.call is not None:
-            self._reset_stream_soon(job.call)
+            self._reset_stream_after_writes(job.call)
         else:
             job.stop("broken")
 
--- a/myrtlehub/emulator/resources.py
+++ b/myrtlehub/emulator/resources.py
@@ -18,19 +18,19 @@
 class WarmUp:
     """The slow start of a machine: its capacity after a cold start, and the overload that crashes it."""
 
-    def __init__(self, machine: Machine, started: float | None) -> None:
-        """Start cold at the time `started`; None stands for a warm machine."""
+    def __init__(self, machine: Machine, started_at: float | None) -> None:
+        """Start cold at the time `started_at`; None stands for a warm machine."""
         self._machine = machine
-        self._started = started
+        self._started_at = started_at
         self._recent: deque[_ReceivedWork] = deque()
         self._recent_slot_seconds = 0.0
 
     def capacity(self, now: float) -> float:
         """Return the fraction of the full capacity that is available now; 1 when warm."""
-        if self._started is None:
+        if self._started_at is None:
             return 1.0
         cold_share = self._machine.cold_share
-        warm_fraction = max(0.0, now - self._started) / max(self._machine.cold_time, MIN_COLD_TIME)
+        warm_fraction = max(0.0, now - self._started_at) / max(self._machine.cold_time, MIN_COLD_TIME)
         return min(1.0, cold_share + (1.0 - cold_share) * warm_fraction)
 
     def is_overloaded_after(self, now: float, slot_seconds: float) -> bool:
@@ -40,16 +40,19 @@
         while self._recent and self._recent[0].received_at <= now - self._machine.fall_time:
             self._recent_slot_seconds -= self._recent.popleft().slot_seconds
         capacity = self.capacity(now)
-        sustainable = self._machine.slots * capacity * self._machine.fall_time
-        return capacity < 1.0 and self._recent_slot_seconds > self._machine.fall_multiple * sustainable
+        sustainable_slot_seconds = self._machine.slots * capacity * self._machine.fall_time
+        return (
+            capacity < 1.0
+            and self._recent_slot_seconds > self._machine.fall_multiple * sustainable_slot_seconds
+        )
 
 
 class Resources:
     """The resources of one engine model."""
 
-    def __init__(self, machine: Machine, started: float | None) -> None:
+    def __init__(self, machine: Machine, started_at: float | None) -> None:
         self.machine = machine
-        self.warm_up = WarmUp(machine, started)
+        self.warm_up = WarmUp(machine, started_at)
         self.faults = InjectedFaults()
         self.prefix_cache = PrefixCache(machine.kept)
         self.used_memory = 0.0  # tokens
--- a/myrtlehub/emulator/state_transfer.py
+++ b/myrtlehub/emulator/state_transfer.py
@@ -13,9 +13,8 @@
 from myrtlehub.rpc.status import Code, Status
 
 PIECE_TOKENS = 512  # tokens of read state in one message
-PIECE_BYTES = (
-    512  # payload bytes in one message; a real state is far larger, but the model determines durations
-)
+# Payload bytes in one message; a real state is far larger, but the model determines the duration.
+PIECE_BYTES = 512
 
 
 @dataclass(slots=True)
