--- a/myrtlehub/emulator/batch_stage.py
+++ b/myrtlehub/emulator/batch_stage.py
@@ -1,4 +1,4 @@
-"""Batches of embedding and rerank items in an engine model; each batch is computed in one pass."""
+"""The batch stage of an engine model: it computes each batch of embedding or rerank items in one pass."""
 
 from collections import deque
 from typing import Generic, NamedTuple
@@ -13,13 +13,13 @@
 
     key: KeyT
     tokens: float
-    start_before: float
+    expires_at: float
 
 
 class RunningBatch(NamedTuple):
     """A batch that is being computed."""
 
-    ready_at: float
+    completes_at: float
     tokens: float
 
 
@@ -35,9 +35,9 @@
         """Return whether a batch can be queued."""
         return len(self.queue) < self._resources.machine.batch_queue
 
-    def enqueue(self, key: KeyT, tokens: float, start_before: float) -> None:
-        """Queue a batch; it expires if it has not started at `start_before`."""
-        self.queue.append(QueuedBatch(key, tokens, start_before))
+    def enqueue(self, key: KeyT, tokens: float, expires_at: float) -> None:
+        """Queue a batch; it expires if it has not started by `expires_at`."""
+        self.queue.append(QueuedBatch(key, tokens, expires_at))
 
     def cancel(self, key: KeyT) -> None:
         """Remove a batch, whether it is queued or running."""
@@ -53,18 +53,18 @@
         """Return when the next batch completes, or NEVER if none is running."""
         if not self.running:
             return NEVER
-        return min(batch.ready_at for batch in self.running.values())
+        return min(batch.completes_at for batch in self.running.values())
 
     def advance(self, now: float, stream_count: int, events: list[ModelEvent[KeyT]]) -> None:
         """Complete the batches that are due, then start queued ones; concurrent streams slow these down."""
         for key, batch in list(self.running.items()):
-            if batch.ready_at <= now + TIME_TOLERANCE:
+            if batch.completes_at <= now + TIME_TOLERANCE:
                 del self.running[key]
                 events.append(BatchDone(key))
         machine = self._resources.machine
         while self.queue and len(self.running) < machine.batch_slots:
-            key, tokens, start_before = self.queue.popleft()
-            if now > start_before:
+            key, tokens, expires_at = self.queue.popleft()
+            if now > expires_at:
                 events.append(Expired(key))
                 continue
             self.running[key] = RunningBatch(now + self._duration(now, tokens, stream_count), tokens)
