--- a/myrtlehub/node/admin/endpoint_list_push.py
+++ b/myrtlehub/node/admin/endpoint_list_push.py
@@ -20,7 +20,7 @@
         RpcError: the node's settings do not allow pushing the list, or an endpoint is invalid.
     """
     if not node.sheet.list.pushed:
-        raise RpcError(Code.FAILED_PRECONDITION, "list.pushed is not enabled in this node's settings")
+        raise RpcError(Code.FAILED_PRECONDITION, "list.pushed is no in this node's file")
     message = pb.ListNews.FromString(data)
     try:
         endpoints = [_endpoint(engine) for engine in message.engines]
@@ -29,7 +29,7 @@
         raise RpcError(Code.INVALID_ARGUMENT, _error_message(error)) from error
     source = node.endpoint_source
     if not isinstance(source, StaticEndpointSource):
-        raise RpcError(Code.FAILED_PRECONDITION, "list.files: this node reads its endpoint list from files")
+        raise RpcError(Code.FAILED_PRECONDITION, "list.files: this node's list comes from files")
     source.push(endpoints, message.whole)
     return pb.ListTaken(version=node.executor.list_version)
 
--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -88,7 +88,7 @@
         if staged is None or staged.digest != digest:
             raise RpcError(Code.FAILED_PRECONDITION, f"settings {digest} are not staged here")
         if self.node.is_draining:
-            raise RpcError(Code.FAILED_PRECONDITION, "this node is draining")
+            raise RpcError(Code.FAILED_PRECONDITION, "this node is leaving")
         self.staged = None
         return staged
 
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -94,11 +94,7 @@
         batch = InFlightBatch(self, request._replace(terms=terms), client, abandon_at, is_idempotent)
         client.accepted(batch)
         if self._is_full():
-            batch.answer(
-                BatchAnswer(
-                    BatchOutcome.REJECTED, self.retry_after, "the node has its maximum number of sequences"
-                )
-            )
+            batch.answer(BatchAnswer(BatchOutcome.REJECTED, self.retry_after, "the node is full"))
             return batch
         self.in_flight.add(batch)
         # Parts that are still queued here have to be answered by the same deadline as those at engines.
@@ -111,16 +107,16 @@
         limit = self._config.batches.most_items
         count = len(request.items)
         if not count:
-            raise InvalidRequestError("inputs: must not be empty")
+            raise InvalidRequestError("inputs: there is none")
         if count > limit:
-            raise InvalidRequestError(f"inputs: {count} items exceed the limit of {limit} per request")
+            raise InvalidRequestError(f"inputs: {count} are more than the {limit} of one request")
 
     def _check_fits_one_engine(self, request: BatchRequest, traffic_type: str, total_tokens: int) -> None:
         limits = self.capacity.part_limits(request.front)
         if total_tokens > limits.max_tokens or len(request.items) > limits.max_items:
             raise InvalidRequestError(
-                f"inputs: traffic type {traffic_type!r} is not idempotent, so each batch runs "
-                f"unsplit on one engine: at most {limits.max_items} items and {limits.max_tokens:g} tokens"
+                f"inputs: traffic type {traffic_type!r} is not repeatable, so its batches go whole to "
+                f"one engine: at most {limits.max_items} items and {limits.max_tokens:g} tokens"
             )
 
     def _is_full(self) -> bool:
--- a/myrtlehub/node/batch_fronts/in_flight_batch.py
+++ b/myrtlehub/node/batch_fronts/in_flight_batch.py
@@ -139,7 +139,7 @@
         if len(results) != len(part.indices):
             self._fail(
                 part.number,
-                BatchAnswer(BatchOutcome.ABORTED, 0.0, "an engine returned a wrong number of results"),
+                BatchAnswer(BatchOutcome.ABORTED, 0.0, "an engine left out items"),
             )
             return
         verdict = self._merger.part_generated(part.number, results, model)
@@ -198,7 +198,7 @@
         is_sent = any(engine_batch.is_started for engine_batch in self.engine_batches.values())
         may_have_run = is_sent and not self.is_idempotent
         outcome = BatchOutcome.ABORTED if may_have_run else BatchOutcome.REJECTED
-        self.answer(BatchAnswer(outcome, self._coordinator.retry_after, "the deadline has passed"))
+        self.answer(BatchAnswer(outcome, self._coordinator.retry_after, "its time was over"))
 
     def limit_exceeded(self, reason: str) -> None:
         """Abort, because the client reads too slowly or uses too much memory."""
--- a/myrtlehub/node/batch_fronts/rerank.py
+++ b/myrtlehub/node/batch_fronts/rerank.py
@@ -16,7 +16,7 @@
         ValueError: the request sets `top` for a stream.
     """
     if is_stream and request.top:
-        raise ValueError("top: only supported by Rank; RankStream sends scores as they become ready")
+        raise ValueError("top: is for Rank; RankStream gives scores as they are ready")
     query = request.query
     return BatchRequest(
         front="rank",
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -116,9 +116,7 @@
         elif self.sequence is None:
             self.rejected(retry_after)
         else:
-            self.executor.abort(
-                self.sequence, "the deadline of the call passed before the answer was complete"
-            )
+            self.executor.abort(self.sequence, "the call's deadline came before the end of the answer")
 
     def lost(self, code: Code) -> None:
         """Handle a cancelled call or a lost connection."""
--- a/myrtlehub/node/chat_front/request_message.py
+++ b/myrtlehub/node/chat_front/request_message.py
@@ -16,9 +16,7 @@
     except ValueError as error:
         raise RpcError(Code.INVALID_ARGUMENT, f"not a GenerateRequest: {error}") from error
     if is_resume != bool(message.resume.sequence):
-        raise RpcError(
-            Code.INVALID_ARGUMENT, "resume.sequence: required for Resume, and not allowed for Generate"
-        )
+        raise RpcError(Code.INVALID_ARGUMENT, "resume.sequence: has to be in Resume, and nowhere else")
     return message
 
 
--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -49,7 +49,7 @@
         if reply.WhichOneof("reply") == "ended":
             self.observer.stream_completed(reply.ended.tokens)
         else:
-            self.observer.stream_failed("the engine no longer has the stream")
+            self.observer.stream_failed("the stream is not there any more")
 
     def ended(self, status: Status) -> None:
         """Handle the end of the call."""
@@ -59,7 +59,7 @@
         if status.code == Code.FAILED_PRECONDITION:
             self.observer.superseded(status.message)
         else:
-            self.observer.stream_failed(f"the engine's stream ended early: {status.code.name}")
+            self.observer.stream_failed(f"the stream broke: {status.code.name}")
 
 
 def attach_to_stream(
--- a/myrtlehub/node/replication/published_sequence.py
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -47,4 +47,4 @@
             self.executor.hand_over(sequence)
             if not isinstance(sequence.client, ReplicatedClient):
                 raise UnsupportedSequenceError(sequence_id, "its client cannot be superseded")
-            sequence.client.superseded("another node now owns this sequence")
+            sequence.client.superseded("another node has this sequence now")
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -119,7 +119,7 @@
         """Abort, because the deadline of the call or of the first token has passed."""
         if self._apply_event(TakeoverEvent.ABORT):
             self._stop()
-            self.client.aborted("the deadline has passed")
+            self.client.aborted("its time is over")
 
     def _apply_event(self, event: TakeoverEvent) -> bool:
         """Step the state machine, and return False if the takeover had already ended."""
@@ -177,7 +177,7 @@
         if self.machine.is_final:
             return
         if any(is_rejected(reply) for reply in replies):
-            self.superseded("another node has claimed the sequence")
+            self.superseded("another node has claimed it")
             return
         reports = claims.reports(replies, self.clock.seconds())
         self.machine.step(TakeoverEvent.ENGINES_REPORTED)
