--- a/benchmarks/bench_processes.py
+++ b/benchmarks/bench_processes.py
@@ -15,10 +15,10 @@
 from twisted.python.failure import Failure
 
 from myrtlehub.lab.processes import HOST, free_ports
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 from myrtlehub.rpc.channel import Channel
 
-CLOCK = SteadyClock(reactor)
+CLOCK = MonotonicClock(reactor)
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 STOP_TIMEOUT = 20  # seconds
 CONNECT_TIMEOUT = 30  # seconds
--- a/benchmarks/router_restart.py
+++ b/benchmarks/router_restart.py
@@ -116,7 +116,7 @@
                 raise TypeError(f"a node has another router: {old!r}")
             handover = _RouterHandover(Router(router_config_of(config)), old)
             executor.router = handover  # type: ignore[assignment] # it passes all calls on
-            handover.begin(self.fleet.clock.seconds(), executor.decoder.engines.index_of.values())
+            handover.begin(self.fleet.clock.seconds(), executor.decoder.engines.index_by_address.values())
 
 
 class _RouterHandover:
--- a/myrtlehub/cli/emulator.py
+++ b/myrtlehub/cli/emulator.py
@@ -28,12 +28,12 @@
     """
     settings = load_or_exit(config, EmulatedEngineConfig)
     from myrtlehub.emulator.server import EmulatedEngine
-    from myrtlehub.node.clock import SteadyClock
+    from myrtlehub.node.clock import MonotonicClock
     from myrtlehub.records import Recorder
 
     event_loop = get_event_loop()
     log = make_log(engine=settings.name)
-    clock = SteadyClock(event_loop)
+    clock = MonotonicClock(event_loop)
     recorder = Recorder(settings.listen, clock, settings.records)
 
     def on_crashed() -> None:
--- a/myrtlehub/cli/event_loop.py
+++ b/myrtlehub/cli/event_loop.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from myrtlehub.node.clock import ReactorTime
+from myrtlehub.node.clock import ReactorClock
 from myrtlehub.node.process import ThreadSafeReactor
 
 ResultT = TypeVar("ResultT")
@@ -20,7 +20,7 @@
         """Close the port; accepted connections stay open."""
 
 
-class EventLoop(ReactorTime, ThreadSafeReactor, Protocol):
+class EventLoop(ReactorClock, ThreadSafeReactor, Protocol):
     """The part of the reactor that the programs use."""
 
     def run(self, installSignalHandlers: bool = True) -> None:  # noqa: N803 - Twisted's name
--- a/myrtlehub/cli/faulty_node.py
+++ b/myrtlehub/cli/faulty_node.py
@@ -20,7 +20,7 @@
 from myrtlehub.lab.program_patch import replace_attribute
 from myrtlehub.lab.rollout_fleet import FOLDER_VARIABLE, NODE_COUNT_VARIABLE
 from myrtlehub.node import node, node_runtime, revision
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 from myrtlehub.node.engine_transport.transport import GrpcEngineTransport
 from myrtlehub.node.sequences import Attempt
 from myrtlehub.records import Recorder
@@ -91,7 +91,7 @@
     def crash() -> None:
         # The rule checker needs the time of the crash, which only this process knows.
         path = Path(os.environ[FOLDER_VARIABLE]) / f"crash-{os.getpid()}.rec"
-        Recorder("variant", SteadyClock(event_loop), path).note("killed", who=name)
+        Recorder("variant", MonotonicClock(event_loop), path).note("killed", who=name)
         os._exit(CRASH_EXIT_CODE)
 
     event_loop.callLater(CRASH_AFTER_S, crash)
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -52,12 +52,14 @@
 
 
 def _make_node(settings: NodeConfig, folder: Path, event_loop: EventLoop, log: Log) -> "Node":
-    from myrtlehub.node.clock import SteadyClock
+    from myrtlehub.node.clock import MonotonicClock
     from myrtlehub.node.node import Node, NodeEnvironment
 
     incarnation = f"{time.time_ns() // 1000 % 2**40:x}-{os.getpid():x}"
     files = _file_access(settings, folder)
-    environment = NodeEnvironment(SteadyClock(event_loop), dialer(event_loop), incarnation, log, files=files)
+    environment = NodeEnvironment(
+        MonotonicClock(event_loop), dialer(event_loop), incarnation, log, files=files
+    )
     return Node(settings, environment)
 
 
--- a/myrtlehub/cli/rollout.py
+++ b/myrtlehub/cli/rollout.py
@@ -47,7 +47,7 @@
 
 
 def _make_controller(plan: Path) -> "RolloutController":
-    from myrtlehub.node.clock import SteadyClock
+    from myrtlehub.node.clock import MonotonicClock
     from myrtlehub.rollout_controller.controller import RolloutController
 
     config = load_or_exit(plan, RolloutPlanConfig)
@@ -57,7 +57,7 @@
             config,
             plan.read_text(),
             plan.resolve().parent,
-            SteadyClock(event_loop),
+            MonotonicClock(event_loop),
             dialer(event_loop),
             _print_event,
         )
--- a/myrtlehub/lab/endpoint_publisher.py
+++ b/myrtlehub/lab/endpoint_publisher.py
@@ -9,7 +9,7 @@
 from myrtlehub.lab.endpoint_row import EndpointRow, EngineState
 from myrtlehub.lab.fleet_layout import ZONE, FleetLayout, kind_of
 from myrtlehub.lab.scenario_file import ENGINE_KINDS, Scenario
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 from myrtlehub.proto import admin_pb2
 from myrtlehub.records import Recorder
 
@@ -31,7 +31,7 @@
         self,
         scenario: Scenario,
         layout: FleetLayout,
-        clock: SteadyClock,
+        clock: MonotonicClock,
         random: Random,
         recorder: Recorder,
         call_admin: Callable[[str, str, bytes], Deferred[bytes]],
--- a/myrtlehub/lab/interfaces.py
+++ b/myrtlehub/lab/interfaces.py
@@ -48,7 +48,7 @@
     seconds: Callable[[], float]
 
     def callLater(  # noqa: N802
-        self, delay: float, call: Callable[..., object], *args: object, **more: object
+        self, delay: float, callback: Callable[..., object], *args: object, **more: object
     ) -> Timer:
         """Schedule a call `delay` seconds from now."""
 
--- a/myrtlehub/lab/scenario_context.py
+++ b/myrtlehub/lab/scenario_context.py
@@ -10,7 +10,7 @@
 
 from myrtlehub.lab.interfaces import Reactor
 from myrtlehub.lab.scenario_file import Scenario
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 from myrtlehub.records import Recorder
 
 Result = TypeVar("Result")
@@ -31,7 +31,7 @@
     scenario: Scenario
     folder: Path
     reactor: Reactor
-    clock: SteadyClock
+    clock: MonotonicClock
     seed: int
     random: Random
     recorder: Recorder
--- a/myrtlehub/lab/scenario_runner.py
+++ b/myrtlehub/lab/scenario_runner.py
@@ -17,7 +17,7 @@
 from myrtlehub.lab.scenario_fleet import ScenarioFleet
 from myrtlehub.lab.verdict import judge_records
 from myrtlehub.lab.verdict_format import Verdict
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 from myrtlehub.records import Recorder
 
 LAST_LIST_WRITE = 1.5  # seconds before the end of the traffic at which list files are written a last time
@@ -47,7 +47,7 @@
         report: Callable[[str], None] = lambda line: None,
     ) -> None:
         """Make a runner; `sequences` and `seed` replace the rate and the seed of the scenario."""
-        self.clock = SteadyClock(reactor)
+        self.clock = MonotonicClock(reactor)
         seed = scenario.seed if seed is None else seed
         self.context = ScenarioContext(
             scenario,
--- a/myrtlehub/lab/takeover_fleet.py
+++ b/myrtlehub/lab/takeover_fleet.py
@@ -12,7 +12,7 @@
 from myrtlehub.lab.scenario_context import ScenarioContext
 from myrtlehub.lab.scenario_file import CUT_OFF, PEER_FAULTS, FaultConfig, TakeoverScenarioConfig
 from myrtlehub.lab.scenario_fleet import ScenarioFleet
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 
 DRAIN_WITHIN = "5s"
 
@@ -56,7 +56,7 @@
             elif link.peer == name:
                 proxy.stall(Direction.BACKWARD)
 
-    def restore_later(self, name: str, clock: SteadyClock, seconds: float) -> None:
+    def restore_later(self, name: str, clock: MonotonicClock, seconds: float) -> None:
         """End the faults between a node and all others after some seconds."""
         for link, proxy in self._proxies.items():
             if name in link:
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -69,7 +69,7 @@
             self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
             return
         delay = max(0.0, attempt.times_out_at - now)
-        attempt.timer = self.clock.callLater(delay, self._timed_out, attempt)
+        attempt.timer = self.clock.callLater(delay, self._handle_timeout, attempt)
         try:
             self.transport.start(attempt)
         except BaseException:
@@ -173,10 +173,10 @@
         # The engine may be removed before it responds; until then its index must not be reused for another
         # engine (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
         self.decoder.engines.increment_use_count(action.engine)
-        on_result = partial(self._probed, action.engine, self.clock.seconds())
+        on_result = partial(self._probe_ended, action.engine, self.clock.seconds())
         self.transport.probe(action.engine, self.probe_timeout, on_result)
 
-    def _probed(
+    def _probe_ended(
         self, engine: int, sent_at: float, is_answered: bool, load: contract.LoadReport | None
     ) -> None:
         latency = self.clock.seconds() - sent_at
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -61,7 +61,7 @@
         if not self.dispatcher.fronts:
             return  # the node serves chat only
         engines = self.executor.decoder.engines
-        listed = [engines.rows[index] for index in engines.index_of.values()]
+        listed = [engines.rows[index] for index in engines.index_by_address.values()]
         serving = [endpoint for endpoint in listed if is_serving(endpoint)]
         self.capacity.update(serving)
         self.dispatcher.update_shares(serving, self.capacity)
--- a/myrtlehub/node/clock.py
+++ b/myrtlehub/node/clock.py
@@ -7,18 +7,18 @@
 from myrtlehub.clock import Timer
 
 
-class ReactorTime(Protocol):
+class ReactorClock(Protocol):
     """The part of a reactor that schedules calls; its timers read the time from `seconds`."""
 
     seconds: Callable[[], float]
 
     def callLater(  # noqa: N802 - Twisted's name
-        self, delay: float, call: Callable[..., object], *args: object, **kwargs: object
+        self, delay: float, callback: Callable[..., object], *args: object, **kwargs: object
     ) -> Timer:
-        """Schedule `call`, `delay` seconds from now."""
+        """Schedule a call of `callback`, `delay` seconds from now."""
 
 
-class SteadyClock:
+class MonotonicClock:
     """A clock that returns the machine's monotonic time, which all of its processes share.
 
     The reactor's timers are switched to it too. By default Twisted's timers use the wall clock: if that is
@@ -26,7 +26,7 @@
     (`test_timers_ignore_changes_of_the_wall_clock`).
     """
 
-    def __init__(self, reactor: ReactorTime) -> None:
+    def __init__(self, reactor: ReactorClock) -> None:
         self._reactor = reactor
         self.seconds = reactor.seconds = time.monotonic
 
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -37,12 +37,12 @@
     attempts or probes.
 
     Attributes:
-        index_of: The index of each engine, by address.
+        index_by_address: The index of each engine, by address.
         rows: The engines, by index.
     """
 
     def __init__(self) -> None:
-        self.index_of: dict[str, int] = {}
+        self.index_by_address: dict[str, int] = {}
         self.rows: list[Endpoint] = []
         self._use_counts: list[int] = []  # outstanding attempts and probes, by index
         self._hash_seeds: list[int] = []  # by index
@@ -71,16 +71,18 @@
             listed.add(update.engine)
             updates.append(update)
         if is_complete:
-            self._removed_indices.update(index for index in self.index_of.values() if index not in listed)
+            self._removed_indices.update(
+                index for index in self.index_by_address.values() if index not in listed
+            )
         return updates
 
     def state_changes(self, endpoints: Sequence[Endpoint], is_complete: bool) -> list[EngineStateChange]:
         """Return the state changes that a following `apply` makes with the same endpoints."""
         removed_state = EndpointState.GONE.value
         previous_states = {
-            endpoint.address: self.rows[self.index_of[endpoint.address]].state
+            endpoint.address: self.rows[self.index_by_address[endpoint.address]].state
             for endpoint in endpoints
-            if endpoint.address in self.index_of
+            if endpoint.address in self.index_by_address
         }
         changes = [
             EngineStateChange(endpoint.address, endpoint.state)
@@ -88,7 +90,7 @@
             if previous_states.get(endpoint.address, removed_state) != endpoint.state
         ]
         if is_complete:
-            removed = set(self.index_of).difference(endpoint.address for endpoint in endpoints)
+            removed = set(self.index_by_address).difference(endpoint.address for endpoint in endpoints)
             changes += [EngineStateChange(address, removed_state) for address in sorted(removed)]
         return changes
 
@@ -97,12 +99,12 @@
     ) -> contract.EndpointUpdate | None:
         """Apply the state of one engine; return None for the removal of an unknown engine."""
         address, kind, zone, cell, weight, state_name, age, _ = endpoint.field_values
-        state, index = _ENGINE_STATES_BY_NAME[state_name], self.index_of.get(address)
+        state, index = _ENGINE_STATES_BY_NAME[state_name], self.index_by_address.get(address)
         is_new = index is None
         if index is None:
             if state == contract.EngineState.REMOVED:
                 return None
-            index = self.index_of[address] = self._new_index(endpoint)
+            index = self.index_by_address[address] = self._new_index(endpoint)
         else:
             self.rows[index] = endpoint
         if state == contract.EngineState.REMOVED:
@@ -143,7 +145,7 @@
         self._removed_indices.discard(index)
         self._available_indices.append(index)
         address = self.rows[index].address
-        del self.index_of[address]
+        del self.index_by_address[address]
         return address
 
     def increment_use_count(self, index: int) -> None:
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -178,7 +178,7 @@
     @property
     def is_proven(self) -> bool:
         """Whether the node has an endpoint list and has generated an answer with the current settings."""
-        has_endpoints = bool(self.executor.decoder.engines.index_of)
+        has_endpoints = bool(self.executor.decoder.engines.index_by_address)
         return has_endpoints and self.counters.generated_count > self._generated_with_previous_settings
 
     def _all_runtimes(self) -> tuple[NodeRuntime, ...]:
--- a/myrtlehub/node/replication/takeover.py
+++ b/myrtlehub/node/replication/takeover.py
@@ -207,7 +207,7 @@
 
     def _redispatch(self, decision: RecoveryDecision, claims: EngineClaims) -> None:
         now = self.clock.seconds()
-        engine_indices = self.executor.decoder.engines.index_of
+        engine_indices = self.executor.decoder.engines.index_by_address
         arrival = retry_arrival(self.request.arrival, decision, engine_indices, self.started_at, now)
         read_state = None
         if decision.target is not None and decision.target.engine in engine_indices:
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -254,7 +254,7 @@
             self._report_answer(sequence)
             sequence.client.aborted(f"the stream broke: {outcome}")
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _handle_timeout(self, attempt: Attempt) -> None:
         self._stop_attempt(attempt, contract.Outcome.TIMEOUT)
 
     def _stop_attempt(self, attempt: Attempt, outcome: contract.Outcome = contract.Outcome.CANCELLED) -> None:
--- a/myrtlehub/relay/__main__.py
+++ b/myrtlehub/relay/__main__.py
@@ -12,7 +12,7 @@
 
 from myrtlehub.http1.connection_pool import Dial
 from myrtlehub.log_events import LogEvent
-from myrtlehub.node.clock import SteadyClock
+from myrtlehub.node.clock import MonotonicClock
 from myrtlehub.node.process import call_on_signal, call_on_termination, freeze_startup_objects
 from myrtlehub.relay.errors import SettingsError
 from myrtlehub.relay.monitoring.event_log import EventLog
@@ -54,7 +54,7 @@
     def __init__(self, path: str, reactor: Any) -> None:  # noqa: ANN401
         self.path = path
         self.reactor = reactor
-        clock = SteadyClock(reactor)
+        clock = MonotonicClock(reactor)
         self.log = EventLog(LogWriter(STANDARD_OUTPUT), clock.seconds, os.environ.get("RELAY_LOG") == "all")
         # Registered before the settings are read and the port is bound, so that a signal received during
         # start-up is not lost: it is handled once the reactor runs.
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -150,7 +150,7 @@
     write_list(fleet, **{writer: {"kind": "reader"}})
     fleet.run(1.0)
     engines = fleet.nodes["n0"].executor.decoder.engines
-    assert engines.rows[engines.index_of[f"{writer}:1"]].kind == "reader"
+    assert engines.rows[engines.index_by_address[f"{writer}:1"]].kind == "reader"
     after = [fleet.generate("post", prompt=2000, output=20) for _ in range(6)]
     fleet.run(4.0)
     assert stream.answer == "generated" and [call.answer for call in after] == ["generated"] * 6
@@ -205,9 +205,9 @@
     fleet = start_fleet(tmp_path, "R0 R0 W0 W0 W0", lists=lists)
     write_list(fleet, W0c=None, W0d=None, R0a=None)
     fleet.run(0.6)
-    assert len(fleet.nodes["n0"].executor.decoder.engines.index_of) == 5  # deferred
+    assert len(fleet.nodes["n0"].executor.decoder.engines.index_by_address) == 5  # deferred
     fleet.run(1.5)
-    assert len(fleet.nodes["n0"].executor.decoder.engines.index_of) == 2
+    assert len(fleet.nodes["n0"].executor.decoder.engines.index_by_address) == 2
 
 
 def test_a_file_without_its_end_mark_is_never_accepted(tmp_path: Path) -> None:
@@ -287,7 +287,7 @@
     write_list(fleet)
     fleet.run(0.5)
     node = fleet.nodes["n0"]
-    assert len(node.executor.decoder.engines.index_of) == 2000
+    assert len(node.executor.decoder.engines.index_by_address) == 2000
     write_list(
         fleet, **{engine: {"cell": row["cell"] + 100, "weight": 2} for engine, row in fleet.endpoints.items()}
     )
@@ -297,7 +297,7 @@
     fleet.endpoints = {engine: {**fleet.endpoints[engine], "cell": 100} for engine in ("R0a", "W0b", "W0c")}
     write_list(fleet)
     fleet.run(0.5)
-    assert sorted(node.executor.decoder.engines.index_of) == ["R0a:1", "W0b:1", "W0c:1"]
+    assert sorted(node.executor.decoder.engines.index_by_address) == ["R0a:1", "W0b:1", "W0c:1"]
     call = fleet.generate(prompt=2000, output=10)
     fleet.run(2.0)
     assert call.answer == "generated"
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -10,8 +10,8 @@
 read_wall_clock, offset = time.time, [0.0]
 time.time = lambda: read_wall_clock() + offset[0]
 from twisted.internet import reactor
-from myrtlehub.node.clock import SteadyClock
-clock = SteadyClock(reactor)
+from myrtlehub.node.clock import MonotonicClock
+clock = MonotonicClock(reactor)
 early_timers = []
 def stop():
     print(round(clock.seconds() - started_at, 1), early_timers)
--- a/tests/node/test_request_path.py
+++ b/tests/node/test_request_path.py
@@ -277,7 +277,7 @@
     attempt = executor.in_flight[0].attempts[0]
     events = [
         lambda: executor.ended(attempt, contract.Outcome.GENERATED, tokens=0),
-        lambda: executor._timed_out(attempt),
+        lambda: executor._handle_timeout(attempt),
     ]
     for event in events if answer_first else reversed(events):
         event()
--- a/tests/relay/test_relay_settings.py
+++ b/tests/relay/test_relay_settings.py
@@ -37,7 +37,7 @@
     rig.engines["w2"] = rig.engines["w1"]
     reload()
     rig.run(0.1)
-    assert rig.node.discovery.address == "disco:2" and "w2" in rig.node.decoder.engines.index_of
+    assert rig.node.discovery.address == "disco:2" and "w2" in rig.node.decoder.engines.index_by_address
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -43,9 +43,9 @@
         super().__init__(*args)
         self.probe_results: list[ProbeResult] = []
 
-    def _probed(self, engine: int, since: float, is_answered: bool, load: object) -> None:
+    def _probe_ended(self, engine: int, since: float, is_answered: bool, load: object) -> None:
         self.probe_results.append(ProbeResult(self.decoder.engines.rows[engine].address, is_answered, load))
-        super()._probed(engine, since, is_answered, load)
+        super()._probe_ended(engine, since, is_answered, load)
 
 
 def probing_fleet(engines: str = "R0 W0 W0", **more: object) -> Fleet:
@@ -98,7 +98,7 @@
     fleet.push_list_event("W0b", "gone")
     fleet.run(3.0)  # the probe times out after the engine was removed from the list
     assert any(result.address == "W0b:1" for result in fleet.nodes["n0"].executor.probe_results)
-    assert len(fleet.nodes["n0"].executor.decoder.engines.index_of) == 2
+    assert len(fleet.nodes["n0"].executor.decoder.engines.index_by_address) == 2
 
 
 def test_without_probes_responses_report_load() -> None:
