--- a/myrtlehub/lab/in_process_fleet.py
+++ b/myrtlehub/lab/in_process_fleet.py
@@ -68,11 +68,11 @@
         self._clock.callLater(LINK_DELAY, self._engine(engine).release, sequence_id)
 
     def probe(
-        self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
+        self, engine: int, timeout: float, on_result: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
         """Request a load report of an engine."""
         target = self._engine(engine)
-        self._clock.callLater(2 * LINK_DELAY, lambda: then(True, target.load_report()))
+        self._clock.callLater(2 * LINK_DELAY, lambda: on_result(True, target.load_report()))
 
     def close_idle(self, engine: int) -> None:
         """Do nothing: there are no connections."""
--- a/myrtlehub/membership/background.py
+++ b/myrtlehub/membership/background.py
@@ -13,6 +13,6 @@
         """Run `work`, and call `callback` with its result in the event loop."""
 
 
-def run_now(work: Callable[[], Result], callback: Callable[[Result], None], /) -> None:
+def run_synchronously(work: Callable[[], Result], callback: Callable[[Result], None], /) -> None:
     """Run `work` synchronously in the event loop; for tests, and for programs whose work does not block."""
     callback(work())
--- a/myrtlehub/membership/endpoint.py
+++ b/myrtlehub/membership/endpoint.py
@@ -19,7 +19,7 @@
 
     SERVING = "serving"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class Endpoint(Protocol):
@@ -76,7 +76,7 @@
 
 def is_removed(endpoint: Endpoint) -> bool:
     """Return whether the endpoint is listed only to be removed."""
-    return endpoint.state == EndpointState.GONE
+    return endpoint.state == EndpointState.REMOVED
 
 
 def as_draining(endpoint: EndpointT) -> EndpointT:
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -11,7 +11,7 @@
 from myrtlehub.clock import Clock
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.log_events import Log, LogEvent, no_log
-from myrtlehub.membership.background import RunInBackground, run_now
+from myrtlehub.membership.background import RunInBackground, run_synchronously
 from myrtlehub.membership.endpoint_source import (
     EndpointListener,
     EndpointListUpdate,
@@ -72,7 +72,7 @@
         notify: WatchDirectories = poll_only,
         unresponsive: Callable[[], frozenset[str]] = frozenset,
         reader: SnapshotReader | None = None,
-        run_in_background: RunInBackground = run_now,
+        run_in_background: RunInBackground = run_synchronously,
     ) -> None:
         """Create a watcher, which does nothing until `follow` is called.
 
--- a/myrtlehub/membership/list_version.py
+++ b/myrtlehub/membership/list_version.py
@@ -54,7 +54,7 @@
             *self.added,
             *self.draining,
             *(change.endpoint for change in self.changed),
-            *(endpoint.with_fields(state=EndpointState.GONE.value) for endpoint in self.removed),
+            *(endpoint.with_fields(state=EndpointState.REMOVED.value) for endpoint in self.removed),
         ]
 
 
--- a/myrtlehub/node/admin/interfaces.py
+++ b/myrtlehub/node/admin/interfaces.py
@@ -40,7 +40,7 @@
         """The source of the endpoint list."""
 
     @property
-    def is_proven(self) -> bool:
+    def has_answered_with_settings(self) -> bool:
         """Whether the node has an endpoint list and has completed an answer with these settings."""
 
     def replaced_sequence_count(self) -> int:
--- a/myrtlehub/node/admin/limits_state.py
+++ b/myrtlehub/node/admin/limits_state.py
@@ -29,7 +29,7 @@
                 tenant=disconnection.tenant,
                 why=disconnection.reason,
             )
-            for disconnection in limits.cuts
+            for disconnection in limits.recent_disconnects
         ],
         counts=limits.counts,
     )
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -23,7 +23,7 @@
         pid=os.getpid(),
         age=now - node.started_at,
         leaving=node.is_draining,
-        proven=node.is_proven,
+        proven=node.has_answered_with_settings,
         generation=orders.validator.generation,
         controller=orders.validator.controller,
         format=FORMAT_VERSION,
--- a/myrtlehub/node/client_limits.py
+++ b/myrtlehub/node/client_limits.py
@@ -99,7 +99,7 @@
             MemoryBudgets(limits.held_bytes, limits.peer_share, limits.tenant_share)
         )
         self.calls: dict[int, LimitedCall] = {}
-        self.cuts: deque[Disconnect] = deque(maxlen=MAX_RECENT_DISCONNECTS)
+        self.recent_disconnects: deque[Disconnect] = deque(maxlen=MAX_RECENT_DISCONNECTS)
         self.counts: dict[str, int] = dict.fromkeys(LimitCounter, 0)
         self._next_key = 0
         self._timer: Timer | None = None
@@ -230,7 +230,7 @@
         call = limited.call
         stream = call.stream
         self.counts[counter] += 1
-        self.cuts.append(Disconnect(self.clock.seconds(), call.peer, limited.tenant, reason))
+        self.recent_disconnects.append(Disconnect(self.clock.seconds(), call.peer, limited.tenant, reason))
         self.log(
             LogEvent.CLIENT_DISCONNECTED,
             sequence_id=limited.name,
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -13,7 +13,7 @@
 _ENGINE_STATES_BY_NAME = {
     EndpointState.SERVING.value: contract.EngineState.SERVING,
     EndpointState.DRAINING.value: contract.EngineState.DRAINING,
-    EndpointState.GONE.value: contract.EngineState.REMOVED,
+    EndpointState.REMOVED.value: contract.EngineState.REMOVED,
 }
 _HASH_SHIFT_BITS = 11  # dropped from a 64-bit hash: a double represents integers up to 2^53 exactly
 
@@ -78,7 +78,7 @@
 
     def state_changes(self, endpoints: Sequence[Endpoint], is_complete: bool) -> list[EngineStateChange]:
         """Return the state changes that a following `apply` makes with the same endpoints."""
-        removed_state = EndpointState.GONE.value
+        removed_state = EndpointState.REMOVED.value
         previous_states = {
             endpoint.address: self.rows[self.index_by_address[endpoint.address]].state
             for endpoint in endpoints
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -7,7 +7,7 @@
 from myrtlehub.clock import Clock
 from myrtlehub.config.node import NodeConfig
 from myrtlehub.log_events import Log
-from myrtlehub.membership.background import RunInBackground, run_now
+from myrtlehub.membership.background import RunInBackground, run_synchronously
 from myrtlehub.membership.endpoint_source import StaticEndpointSource
 from myrtlehub.membership.endpoint_watcher import EndpointWatcher, SnapshotReader
 from myrtlehub.membership.file_monitor import WatchConfig, WatchDirectories, poll_only
@@ -25,7 +25,7 @@
     base: Path = Path()  # directory to which relative paths in the settings refer
     notify: WatchDirectories = poll_only  # watches directories for changes
     reader: SnapshotReader | None = None  # None: files are read in the event loop
-    run_in_background: RunInBackground = run_now  # runs blocking calls
+    run_in_background: RunInBackground = run_synchronously  # runs blocking calls
 
 
 def make_endpoint_source(
--- a/myrtlehub/node/engine_pools.py
+++ b/myrtlehub/node/engine_pools.py
@@ -42,7 +42,7 @@
         self._pool_by_sequence: dict[int, int] = {}
         self._generations: list[int] = []  # by engine index: number of engines that have had the index so far
         self._closed_pools: set[int] = set()  # pools that may not use the engines that they share
-        self._known: list[dict[int, KnownEngine]] = [{} for _ in configs]  # by pool and engine index
+        self._known_engines: list[dict[int, KnownEngine]] = [{} for _ in configs]  # by pool and engine index
 
     def start(self, now: float) -> list[contract.Action]:
         """Start all routers."""
@@ -88,7 +88,7 @@
     def _updates_for_pool(
         self, pool: int, updates: Sequence[contract.EndpointUpdate]
     ) -> list[contract.EndpointUpdate]:
-        pool_updates, known = [], self._known[pool]
+        pool_updates, known = [], self._known_engines[pool]
         for update in updates:
             generation = self._generations[update.engine]
             is_known = update.engine in known and known[update.engine].generation == generation
@@ -102,7 +102,7 @@
 
     def _mark_missing_as_removed(self, pool: int, updates: Sequence[contract.EndpointUpdate]) -> None:
         """Mark the engines of a pool that a complete list does not contain as removed."""
-        known = self._known[pool]
+        known = self._known_engines[pool]
         for engine in set(known).difference(update.engine for update in updates):
             generation, update = known[engine]
             known[engine] = KnownEngine(generation, update._replace(state=contract.EngineState.REMOVED))
@@ -126,7 +126,7 @@
             self._closed_pools.discard(pool)
         updates = [
             self._with_pool_state(pool, update._replace(is_new=False))
-            for generation, update in self._known[pool].values()
+            for generation, update in self._known_engines[pool].values()
             if generation == self._generations[update.engine]
             and update.kind in self.kinds_by_pool[pool]
             and self._is_shared(update)
--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -8,7 +8,7 @@
 from myrtlehub.node.engine_transport.read_attempt import ReadWatcher
 from myrtlehub.node.engine_transport.write_attempt import WriteWatcher
 from myrtlehub.node.request_decoder import decoded_request_of
-from myrtlehub.node.sequences import NEVER, Attempt
+from myrtlehub.node.sequences import NO_DEADLINE, Attempt
 from myrtlehub.proto import engine_pb2 as pb
 from myrtlehub.recovery.sequence_records import Ownership
 
@@ -76,5 +76,5 @@
     data = pb.WriteRequest(work=work, state=state).SerializeToString()
     # The attempt's timeout applies to the first token only; the stream may last until the client's deadline.
     time_left = decoded_request_of(sequence).deadline_in - (now - sequence.accepted_at)
-    timeout = time_left + DEADLINE_MARGIN if time_left != NEVER else None
+    timeout = time_left + DEADLINE_MARGIN if time_left != NO_DEADLINE else None
     return EngineRequest("Write", WriteWatcher(executor, attempt), timeout, data)
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -176,7 +176,7 @@
         return self.runtime.client_limits
 
     @property
-    def is_proven(self) -> bool:
+    def has_answered_with_settings(self) -> bool:
         """Whether the node has an endpoint list and has generated an answer with the current settings."""
         has_endpoints = bool(self.executor.decoder.engines.index_by_address)
         return has_endpoints and self.counters.generated_count > self._generated_with_previous_settings
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -59,15 +59,15 @@
         """Ask an engine to free the read state of a sequence."""
 
     def probe(
-        self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
+        self, engine: int, timeout: float, on_result: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
         """Ask an engine for a load report.
 
         Args:
             engine: Index of the engine.
             timeout: Seconds until the probe fails.
-            then: Called once, in a later iteration of the event loop, with whether the engine answered and
-                with its load report.
+            on_result: Called once, in a later iteration of the event loop, with whether the engine answered
+                and with its load report.
         """
 
     def close_idle(self, engine: int) -> None:
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -30,7 +30,7 @@
     """Counters since the start of the process."""
 
     taken_over: int = 0
-    unprotected: int = 0  # sequences that began while no replica was reachable
+    unreplicated: int = 0  # sequences that began while no replica was reachable
 
 
 class RecordPublisher:
@@ -164,7 +164,7 @@
         if not isinstance(request, DecodedRequest):
             raise UnsupportedSequenceError(sequence.sequence_id, "its request has no deadline")
         incarnations = self.connections.reachable_incarnations(self.replicas)
-        self.counters.unprotected += not incarnations
+        self.counters.unreplicated += not incarnations
         lifetime = min(request.deadline_in, MAX_RECORD_LIFETIME)
         record = SequenceRecord(
             sequence.sequence_id,
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -18,7 +18,7 @@
 )
 from myrtlehub.state.state_machine import StateMachine
 
-NEVER = float("inf")  # seconds; the deadline of a sequence without one
+NO_DEADLINE = float("inf")  # seconds; the deadline of a sequence without one
 
 # Constants because they are used for each token message, and looking up an enum member costs more than
 # comparing it.
--- a/myrtlehub/relay/discovery/endpoint_list.py
+++ b/myrtlehub/relay/discovery/endpoint_list.py
@@ -13,9 +13,9 @@
 STATE_BY_HEALTH = {
     "active": EndpointState.SERVING,
     "leaving": EndpointState.DRAINING,
-    "left": EndpointState.GONE,
+    "left": EndpointState.REMOVED,
 }
-LEAVING_STATES = (EndpointState.DRAINING, EndpointState.GONE)
+LEAVING_STATES = (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
 class EndpointEntry(NamedTuple):
@@ -113,7 +113,7 @@
         return EndpointListUpdate(version if isinstance(version, int) else 0, is_complete, entries)
 
     def _store(self, entry: EndpointEntry) -> None:
-        if entry.state == EndpointState.GONE:
+        if entry.state == EndpointState.REMOVED:
             self.entries.pop(entry.address, None)
             self.start_times.forget(entry.address)
         else:
@@ -137,7 +137,7 @@
             if raw.get("born_ms") and not stated_start_ms:
                 return None
             dial_address = raw.get("dial", "")
-            if state != EndpointState.GONE and parse_address(dial_address) is None:
+            if state != EndpointState.REMOVED and parse_address(dial_address) is None:
                 return None
             kind = raw.get("class", "")
             zone = raw.get("site", "")
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -200,7 +200,7 @@
         self.releaser.release(engine, sequence_id, sequence_id in self.uncertain_attempts)
 
     def probe(
-        self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
+        self, engine: int, timeout: float, on_result: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
         """Request a load report from an engine; see `EngineTransport`."""
         name = self.directory.name(engine)
@@ -208,11 +208,11 @@
         def on_end(succeeded: bool, body: bytes) -> None:
             if timer.active():
                 timer.cancel()
-                then(succeeded, parse_load_report(body) if succeeded else None)
+                on_result(succeeded, parse_load_report(body) if succeeded else None)
 
         def on_timeout() -> None:
             pending.cancel()
-            then(False, None)
+            on_result(False, None)
 
         timer = self.clock.callLater(timeout, on_timeout)
         pending = self.pool.send(
--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -286,6 +286,8 @@
     assert sum(c.final == "generated" for c in embed_calls) > 10
     engines = node_executor.router.routers[1].estimates.engines
     # The front is readmitted to the common engines.
-    assert all(engines[index].state == EngineState.SERVING for index in node_executor.router._known[1])
+    assert all(
+        engines[index].state == EngineState.SERVING for index in node_executor.router._known_engines[1]
+    )
     assert_rules_kept(fleet)
     assert_nothing_in_flight(fleet)
--- a/tests/node/test_client_limits.py
+++ b/tests/node/test_client_limits.py
@@ -152,7 +152,9 @@
         [fleet.generate(prompt=100, output=200) for _ in range(3)],
     )
     run_with_balanced_ledger(fleet, 5.0)
-    assert fleet.engines["W0a"].model.decode.running and not fleet.nodes["n0"].client_limits.cuts
+    assert (
+        fleet.engines["W0a"].model.decode.running and not fleet.nodes["n0"].client_limits.recent_disconnects
+    )
     run_with_balanced_ledger(fleet, 3.0)
     assert not fleet.engines["W0a"].model.decode.running  # the attempt was cancelled
     stalled.call.resumeProducing()
@@ -160,7 +162,7 @@
     assert stalled.answer == "aborted" and stalled.status.code == Code.OK  # received once it reads
     assert all(caller.answer == "generated" for caller in others)
     limits = fleet.nodes["n0"].client_limits
-    assert limits.counts["slow"] == 1 and "under 50 bytes a second" in limits.cuts[0].reason
+    assert limits.counts["slow"] == 1 and "under 50 bytes a second" in limits.recent_disconnects[0].reason
     assert limits.ledger.node.in_use == 0 and limits.ledger.node.dropped > 1000 and not limits.calls
     breaches = [breach.text for breach in check_rules(fleet).breaches]
     # The client itself caused this: it read nothing for 8 s.
@@ -189,7 +191,7 @@
         run_with_balanced_ledger(fleet, 3.0)
         caller.call.resumeProducing()
     run_with_balanced_ledger(fleet, 8.0)
-    assert caller.answer == "generated" and not fleet.nodes["n0"].client_limits.cuts
+    assert caller.answer == "generated" and not fleet.nodes["n0"].client_limits.recent_disconnects
     assert_nothing_left(fleet)
 
 
@@ -209,7 +211,9 @@
     run_with_balanced_ledger(fleet, 1.0)
     # The utilities are 3 and 1.
     assert "aborted" in {caller.answer for caller in low_utility} and high_utility.answer == ""
-    assert "the peer holds more than its 20000 bytes here" in {cut.reason for cut in limits.cuts}
+    assert "the peer holds more than its 20000 bytes here" in {
+        cut.reason for cut in limits.recent_disconnects
+    }
     for caller in (high_utility, *low_utility):
         if not caller.answer:
             fleet.cancel(caller)
--- a/tests/recovery/test_takeover.py
+++ b/tests/recovery/test_takeover.py
@@ -182,11 +182,11 @@
         fleet.net.cut(pipe)
     fleet.run(0.5)
     counters = fleet.nodes["n0"].replication.publisher.counters
-    before = counters.unprotected
+    before = counters.unreplicated
     sequence = ClientSequence(fleet, "post")
     while len(sequence.token_ids) < 2:
         fleet.run(0.02)
-    assert counters.unprotected == before + 1
+    assert counters.unreplicated == before + 1
     fleet.net.hosts.update(others)
     while not any(n.replication.store.records for n in fleet.nodes.values()):
         fleet.run(0.1)
