--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -21,7 +21,7 @@
 from twisted.internet.defer import DeferredList, inlineCallbacks
 from twisted.internet.task import LoopingCall, deferLater
 
-from myrtlehub.node.admin.service import SERVICE
+from myrtlehub.node.admin.service import ADMIN_SERVICE
 
 
 class WindowCost(NamedTuple):
@@ -40,7 +40,7 @@
 
     def poll() -> None:
         for method in ("Show", "Figures"):
-            admin.unary(SERVICE + method, b"", timeout=2.0)
+            admin.unary(ADMIN_SERVICE + method, b"", timeout=2.0)
 
     cost: dict[bool, list[WindowCost]] = {False: [], True: []}
     for window in range(count + 2):
@@ -93,7 +93,7 @@
         first_token_latency=0.2,
     )
     counters = TrafficCounters()
-    counters.follow(executor, executor.decoder.rows)
+    counters.observe(executor, executor.decoder.rows)
     began = time.process_time()
     for i in range(times):
         sequence.first_token_latency = 0.1 + i % 100 / 500.0
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -117,7 +117,7 @@
         LogEvent.READY,
         listen=settings.node.listen,
         engines=len(settings.list.engines),
-        program=node.program,
+        program=node.program_digest,
         settings=settings_digest(settings),
         incarnation=node.incarnation,
     )
--- a/myrtlehub/membership/endpoint_source.py
+++ b/myrtlehub/membership/endpoint_source.py
@@ -43,7 +43,7 @@
 class EndpointSource(Protocol):
     """The interface of a source of the endpoint list."""
 
-    def follow(self, listener: EndpointListener) -> None:
+    def subscribe(self, listener: EndpointListener) -> None:
         """Set the listener, and send it the complete list as soon as it is known, and then each change."""
 
     def republish(self) -> None:
@@ -64,7 +64,7 @@
         self._endpoints = {endpoint.address: endpoint for endpoint in endpoints}
         self._listener: EndpointListener = ignore_update
 
-    def follow(self, listener: EndpointListener) -> None:
+    def subscribe(self, listener: EndpointListener) -> None:
         """Set the listener, and send it the complete list now, and then each pushed change."""
         self._listener = listener
         self.republish()
--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -69,8 +69,8 @@
         clock: Clock,
         store: VersionStore | None = None,
         log: Log = no_log,
-        notify: WatchDirectories = poll_only,
-        unresponsive: Callable[[], frozenset[str]] = frozenset,
+        watch_directories: WatchDirectories = poll_only,
+        unresponsive_addresses: Callable[[], frozenset[str]] = frozenset,
         reader: SnapshotReader | None = None,
         run_in_background: RunInBackground = run_synchronously,
     ) -> None:
@@ -82,8 +82,9 @@
             clock: the node's clock.
             store: preserves accepted versions across restarts. None: versions are not stored.
             log: the node's log.
-            notify: sets up change notification by the operating system.
-            unresponsive: returns the addresses of endpoints that currently do not respond to this node.
+            watch_directories: sets up change notification by the operating system.
+            unresponsive_addresses: returns the addresses of endpoints that currently do not respond to this
+                node.
             reader: reads snapshots without blocking the event loop, because a list of thousands of endpoints
                 takes seconds to parse. None: snapshots are read in the event loop.
             run_in_background: runs disk operations that may block.
@@ -92,16 +93,16 @@
         self.validator = validator
         self.clock = clock
         self.log = log
-        self.unresponsive = unresponsive
+        self.unresponsive_addresses = unresponsive_addresses
         self.reader = reader or _read_synchronously
         self._saver = VersionSaver(store, run_in_background, log) if store is not None else None
-        self._monitor = FileMonitor(config, clock, notify, self._read)
+        self._monitor = FileMonitor(config, clock, watch_directories, self._read)
         self._listener: EndpointListener = ignore_update
         self._is_busy = False  # from a read request until the verdict on its snapshot is handled
         self._must_read_again = False  # a read was requested while the watcher was busy
         self._last_digest: str | None = None  # of the bytes of the last snapshot
 
-    def follow(self, listener: EndpointListener) -> None:
+    def subscribe(self, listener: EndpointListener) -> None:
         """Read the files now, then watch them; use the stored version if they are missing or invalid."""
         self._listener = listener
         stored = self._saver.load_latest() if self._saver is not None else None
@@ -159,7 +160,7 @@
             must_read_again = True
         else:
             self._is_busy = True
-            verdict = self._validate(snapshot, self.unresponsive())
+            verdict = self._validate(snapshot, self.unresponsive_addresses())
             # Validating and applying a long list are both slow, so each has its own event loop iteration.
             self.clock.callLater(0, self._finish_validation, verdict)
         if must_read_again:
--- a/myrtlehub/membership/validation.py
+++ b/myrtlehub/membership/validation.py
@@ -73,7 +73,7 @@
 class Rejection(NamedTuple):
     """A rejected snapshot, as the admin service shows it."""
 
-    at: float  # seconds on the node's clock
+    rejected_at: float  # seconds on the node's clock
     source: str
     reason: str
 
@@ -190,7 +190,7 @@
         confirmable_at = self._unconfirmed.first_seen_at + self.config.confirm_after
         return None if now >= confirmable_at - TIME_TOLERANCE else confirmable_at
 
-    def age(self, now: float) -> float:
+    def version_age(self, now: float) -> float:
         """Return the seconds since the current version was accepted, or since its source was lost.
 
         If there is no version yet, the age is 0.
--- a/myrtlehub/node/admin/endpoint_list_push.py
+++ b/myrtlehub/node/admin/endpoint_list_push.py
@@ -19,12 +19,12 @@
     Raises:
         RpcError: the node's settings do not allow pushing the list, or an endpoint is invalid.
     """
-    if not node.sheet.list.pushed:
+    if not node.settings.list.pushed:
         raise RpcError(Code.FAILED_PRECONDITION, "list.pushed is not enabled in this node's settings")
     message = pb.ListNews.FromString(data)
     try:
         endpoints = [_endpoint(engine) for engine in message.engines]
-        check_endpoints(node.sheet, endpoints)
+        check_endpoints(node.settings, endpoints)
     except ValueError as error:
         raise RpcError(Code.INVALID_ARGUMENT, _error_message(error)) from error
     source = node.endpoint_source
--- a/myrtlehub/node/admin/interfaces.py
+++ b/myrtlehub/node/admin/interfaces.py
@@ -18,13 +18,13 @@
     clock: Clock
     log: Log
     incarnation: str
-    program: str
+    program_digest: str
     started_at: float
     counters: TrafficCounters
     is_draining: bool
 
     @property
-    def sheet(self) -> NodeConfig:
+    def settings(self) -> NodeConfig:
         """The settings that apply to new sequences."""
 
     @property
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -17,8 +17,8 @@
     now = node.clock.seconds()
     executor = node.executor
     state = pb.NodeState(
-        program=node.program,
-        settings=settings_digest(node.sheet),
+        program=node.program_digest,
+        settings=settings_digest(node.settings),
         run=node.incarnation,
         pid=os.getpid(),
         age=now - node.started_at,
@@ -62,12 +62,12 @@
 
 def _add_list_state(state: pb.NodeState, validator: ListValidator, now: float) -> None:
     state.refused.extend(
-        pb.Refusal(age=now - rejection.at, source=rejection.source, why=rejection.reason)
+        pb.Refusal(age=now - rejection.rejected_at, source=rejection.source, why=rejection.reason)
         for rejection in validator.rejections
     )
     version = validator.version
     if version is not None:
         state.list_source = version.source
-        state.list_age = validator.age(now)
+        state.list_age = validator.version_age(now)
         state.list_digest = version.digest
         state.list_old = version.is_from_store
--- a/myrtlehub/node/admin/orders.py
+++ b/myrtlehub/node/admin/orders.py
@@ -63,7 +63,7 @@
 
     def _validate_change(self, settings: NodeConfig) -> None:
         try:
-            validate_change(self.node.sheet, settings, self.node.endpoint_source.endpoints())
+            validate_change(self.node.settings, settings, self.node.endpoint_source.endpoints())
         except SettingsChangeError as error:
             raise RpcError(Code.FAILED_PRECONDITION, str(error)) from error
 
@@ -71,7 +71,7 @@
         """Apply the staged settings to all sequences that begin from now on."""
         order = pb.Order.FromString(data)
         self._validate(order, "apply")
-        if order.settings == settings_digest(self.node.sheet):
+        if order.settings == settings_digest(self.node.settings):
             return pb.OrderTaken(settings=order.settings).SerializeToString()  # the order is a retry
         staged = self._take_staged(order.settings)
         self._validate_change(staged.settings)  # the endpoint list may have changed since they were staged
@@ -95,7 +95,7 @@
     def accept_generation(self, _call: ServerCall, data: bytes) -> bytes:
         """Accept the controller's generation; orders with a lower generation are rejected from now on."""
         self._validate(pb.Order.FromString(data), "obey")
-        return pb.OrderTaken(settings=settings_digest(self.node.sheet)).SerializeToString()
+        return pb.OrderTaken(settings=settings_digest(self.node.settings)).SerializeToString()
 
     def drain(self, _call: ServerCall, data: bytes) -> bytes:
         """Drain the node, and end the process."""
@@ -103,4 +103,6 @@
         changed = not self.node.is_draining
         if changed:
             self.node.clock.callLater(0, self.node.request_drain)  # after the reply is written
-        return pb.OrderTaken(settings=settings_digest(self.node.sheet), changed=changed).SerializeToString()
+        return pb.OrderTaken(
+            settings=settings_digest(self.node.settings), changed=changed
+        ).SerializeToString()
--- a/myrtlehub/node/admin/service.py
+++ b/myrtlehub/node/admin/service.py
@@ -10,7 +10,7 @@
 from myrtlehub.rpc.server import Server
 from myrtlehub.rpc.server_call import ServerCall
 
-SERVICE = "/myrtlehub.v1.NodeAdmin/"
+ADMIN_SERVICE = "/myrtlehub.v1.NodeAdmin/"
 
 
 class NodeAdmin:
@@ -33,7 +33,7 @@
             "Leave": self.orders.drain,
         }
         for name, method in methods.items():
-            server.add(SERVICE + name, unary(method))
+            server.add(ADMIN_SERVICE + name, unary(method))
 
     def _push_list(self, _call: ServerCall, data: bytes) -> bytes:
         return push_endpoint_list(self.node, data).SerializeToString()
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -51,7 +51,7 @@
             )
         )
         self.dispatcher = BatchDispatcher(executor, decoder, config, clock)
-        self.shares = self.dispatcher.shares
+        self.fair_share = self.dispatcher.fair_share
         self.capacity = FrontCapacity(config, self.dispatcher.fronts)
         self._config = config
         self._timer: Timer | None = None  # fires when the next group of the batcher is due
@@ -103,7 +103,7 @@
         self.in_flight.add(batch)
         # Parts that are still queued here have to be answered by the same deadline as those at engines.
         batch.timer = self.clock.callLater(max(0.0, arrival.time_left), batch.deadline_passed)
-        self.shares.add_demand(now, request.front, total_tokens)
+        self.fair_share.add_demand(now, request.front, total_tokens)
         batch.begin()
         return batch
 
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -25,7 +25,7 @@
     """Sends the engine batches of a node, and counts each front's tokens in flight at common engines.
 
     Attributes:
-        shares: the shares of the fronts, and the queued engine batches.
+        fair_share: the shares of the fronts, and the queued engine batches.
         fronts: the batch fronts for which the settings have a traffic type.
         pooled_fronts: the fronts in the order of the engine pools; empty if there is only one router.
     """
@@ -37,7 +37,7 @@
         self.decoder = decoder
         self.clock = clock
         self._utility = _utility_by_front(config)
-        self.shares: FairShare[EngineBatch] = FairShare(
+        self.fair_share: FairShare[EngineBatch] = FairShare(
             {str(front): utility for front, utility in self._utility.items()}
         )
         self.fronts: list[Front] = [front for front in BATCH_FRONTS if front in self._utility]
@@ -52,20 +52,20 @@
         front = engine_batch.request.front
         size = engine_batch.token_count
         self._update_share(front, 0.0)
-        if self.shares.queue_length(front) or not self.shares.may_send(now, front, size):
-            self.shares.enqueue(front, engine_batch, size)
+        if self.fair_share.queue_length(front) or not self.fair_share.may_send(now, front, size):
+            self.fair_share.enqueue(front, engine_batch, size)
             return
-        self.shares.record_sent(front, size)
+        self.fair_share.record_sent(front, size)
         engine_batch.start()
 
     def drop(self, engine_batch: EngineBatch) -> None:
         """Remove a queued engine batch that no batch waits for any more."""
-        self.shares.cancel(engine_batch.request.front, engine_batch)
+        self.fair_share.cancel(engine_batch.request.front, engine_batch)
 
     def ended(self, engine_batch: EngineBatch) -> None:
         """Handle the end of an engine batch, after which another one may be sent."""
         front = engine_batch.request.front
-        self.shares.record_done(front, engine_batch.token_count)
+        self.fair_share.record_done(front, engine_batch.token_count)
         self._update_share(front, 0.0)
         self.clock.callLater(0, self._send_waiting_of, front)
 
@@ -75,29 +75,29 @@
             self._send_waiting_of(front)
 
     def _send_waiting_of(self, front: str) -> None:
-        while (engine_batch := self.shares.next_batch(self.clock.seconds(), front)) is not None:
+        while (engine_batch := self.fair_share.next_batch(self.clock.seconds(), front)) is not None:
             if engine_batch.waiting_batches:
                 engine_batch.start()
             else:
-                self.shares.record_done(front, engine_batch.token_count)
+                self.fair_share.record_done(front, engine_batch.token_count)
 
     def update_shares(self, serving: Sequence[Endpoint], capacity: FrontCapacity) -> None:
         """Update the shares after a change of the endpoint list; `serving`: the engines in state serving."""
         kinds = {kind.name: kind for kind in self._config.kinds}
         node_count = self._config.node.nodes
         for front in self.fronts:
-            self.shares.set_engine_count(front, capacity.engine_count(front), node_count)
+            self.fair_share.set_engine_count(front, capacity.engine_count(front), node_count)
         fronts = self._utility
         self._common_kinds = {
             kind.name for kind in kinds.values() if sum(kind.serves(front) for front in fronts) > 1
         }
         for front in fronts:
-            self.shares.has_own_engines[front] = any(
+            self.fair_share.has_own_engines[front] = any(
                 kinds[endpoint.kind].serves(front) and endpoint.kind not in self._common_kinds
                 for endpoint in serving
             )
         common = [kinds[endpoint.kind] for endpoint in serving if endpoint.kind in self._common_kinds]
-        self.shares.common_capacity = sum(kind.batch for kind in common) / node_count
+        self.fair_share.common_capacity = sum(kind.batch for kind in common) / node_count
 
     def attempt_started(self, attempt: Attempt) -> None:
         """Add an attempt's tokens to those of its front at common engines."""
@@ -116,11 +116,11 @@
 
     def _update_share(self, front: str, tokens: float) -> None:
         """Add to a front's tokens at common engines, and exclude or readmit the front there by its share."""
-        if not (self.pooled_fronts and self.shares.common_capacity):
+        if not (self.pooled_fronts and self.fair_share.common_capacity):
             return
-        if self.shares.update_common_tokens(self.clock.seconds(), front, tokens):
+        if self.fair_share.update_common_tokens(self.clock.seconds(), front, tokens):
             pool = self.pooled_fronts.index(front)
-            self.clock.callLater(0, self.executor.set_pool_closed, pool, self.shares.is_excluded[front])
+            self.clock.callLater(0, self.executor.set_pool_closed, pool, self.fair_share.is_excluded[front])
 
 
 def _utility_by_front(config: NodeConfig) -> dict[Front, float]:
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -44,7 +44,7 @@
     max_sequences: int  # in flight at the node
     max_retry_after: float  # seconds
     fair_share: FairShare[EngineBatch]  # shares the engines that serve several fronts
-    clients: ClientLimits
+    client_limits: ClientLimits
     admission: AdmissionController[QueuedRequest] | None  # None: every request is admitted
 
 
@@ -129,8 +129,8 @@
         traffic_type = self.decoder.rows[arrival.traffic]
         accepted = AcceptedCall(chat_call, message, request, arrival, traffic_type)
         is_full = self.is_closed or len(self.executor.in_flight) >= self.limits.max_sequences
-        clients = self.limits.clients
-        retry_after = clients.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
+        client_limits = self.limits.client_limits
+        retry_after = client_limits.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
         if retry_after is not None:
             self.on_rejected(traffic_type)
             chat_call.rejected(retry_after)  # not accepted, so no attempt was sent
@@ -138,7 +138,7 @@
         self.limits.fair_share.add_demand(self.executor.clock.seconds(), FRONT_NAME, arrival.prompt_tokens)
         call.stream.registerProducer(chat_call, True)
         self._arm_deadline(chat_call)
-        clients.track(
+        client_limits.track(
             LimitedCall(
                 call, request.mark, request.tenant, traffic_type.utility, len(data), chat_call.limit_exceeded
             )
--- a/myrtlehub/node/endpoint_list_source.py
+++ b/myrtlehub/node/endpoint_list_source.py
@@ -54,8 +54,8 @@
         clock,
         store=store,
         log=log,
-        notify=access.notify,
-        unresponsive=unresponsive,
+        watch_directories=access.notify,
+        unresponsive_addresses=unresponsive,
         reader=access.reader,
         run_in_background=access.run_in_background,
     )
--- a/myrtlehub/node/node.py
+++ b/myrtlehub/node/node.py
@@ -84,7 +84,7 @@
         self.clock = environment.clock
         self.log = environment.log
         self.incarnation = environment.incarnation
-        self.program = program_digest()
+        self.program_digest = program_digest()
         self.started_at = self.clock.seconds()
         self.counters = TrafficCounters()
         self.replication = self._make_replication(settings, environment.dial)
@@ -114,7 +114,7 @@
         self.admin_service.serve(self.admin)
         self._endpoint_republisher = _EndpointRepublisher(self.endpoint_source)
         self.executor.add_observer(self._endpoint_republisher)
-        self.endpoint_source.follow(self._update_endpoints)
+        self.endpoint_source.subscribe(self._update_endpoints)
 
     # -- construction ------------------------------------------------------------------------------------
 
@@ -129,7 +129,7 @@
         if self.replication is None:
             return
         self.replication.service.on_abandoned = lambda record: close_at_engines(self.transport, record)
-        if not self.sheet.engines_may.claims:
+        if not self.settings.engines_may.claims:
             self.log(
                 LogEvent.TAKEOVER_LIMITED,
                 reason="the engines do not support claims: a stream ends when its node is lost, and a "
@@ -137,18 +137,18 @@
             )
 
     def _make_server(self) -> Server:
-        limits = self.sheet.limits
+        limits = self.settings.limits
         return Server(
             self.clock,
-            TransportLimits(max_message=self.sheet.node.prompt_limit, idle_timeout=limits.idle),
+            TransportLimits(max_message=self.settings.node.prompt_limit, idle_timeout=limits.idle),
             max_connections=limits.connections,
             max_connections_per_host=limits.peer_connections,
         )
 
     @property
-    def sheet(self) -> NodeConfig:
+    def settings(self) -> NodeConfig:
         """The current settings."""
-        return self.runtime.sheet
+        return self.runtime.settings
 
     @property
     def executor(self) -> ActionExecutor:
@@ -252,11 +252,11 @@
         self.is_draining = True
         self.front.is_closed = True
         connections_closed = self.server.drain()
-        timeout = self.sheet.node.drain_within
+        timeout = self.settings.node.drain_within
         runtimes = self._all_runtimes()
         sequence_count = sum(len(runtime.executor.in_flight) for runtime in runtimes)
         self.log(LogEvent.DRAINING, in_flight=sequence_count, timeout_s=timeout)
         drain = Drain(self.clock, runtimes, timeout)
-        hand_over_sequences = self.replication is not None and self.sheet.engines_may.claims
+        hand_over_sequences = self.replication is not None and self.settings.engines_may.claims
         drain.start(hand_over_sequences, connections_closed)
         return drain
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -90,7 +90,7 @@
             settings_change_count: Number of changes that the process has applied; 0 for its first runtime.
             predecessor: The runtime that it replaces.
         """
-        self.sheet = settings
+        self.settings = settings
         self.context = context
         self.settings_change_count = settings_change_count
         self.fronts = fronts_of(settings)
@@ -111,7 +111,7 @@
     # -- construction ------------------------------------------------------------------------------------
 
     def _make_transport(self) -> GrpcEngineTransport:
-        node = self.sheet.node
+        node = self.settings.node
         return GrpcEngineTransport(
             self.context.clock,
             self.context.dial,
@@ -134,18 +134,18 @@
         executor = context.executor_class(
             self._make_router(),
             self.decoder,
-            router_config_of(self.sheet),
+            router_config_of(self.settings),
             context.clock,
             transport,
-            f"{self.sheet.node.name}.{runtime_id}.",
+            f"{self.settings.node.name}.{runtime_id}.",
             context.log,
         )
-        executor.probe_timeout = self.sheet.reports.probe_timeout
+        executor.probe_timeout = self.settings.reports.probe_timeout
         return executor
 
     def _make_router(self) -> contract.Router:
         """Return the router of the only front, or with several fronts the routers of their engine pools."""
-        settings, fronts = self.sheet, self.fronts
+        settings, fronts = self.settings, self.fronts
         if len(fronts) == 1:
             return Router(router_config_of(settings, fronts[0]))
         return EnginePools(
@@ -165,26 +165,26 @@
 
     def _observe_answers(self) -> None:
         counters, replication = self.context.counters, self.context.replication
-        counters.follow(self.executor, self.decoder.rows)
+        counters.observe(self.executor, self.decoder.rows)
         if replication is None:
             return
         self.executor.add_observer(_ReplicationObserver(replication.publisher))
         self.transport.ownership_of = replication.publisher.ownership_of
 
     def _make_client_limits(self) -> ClientLimits:
-        node, limits = self.sheet.node, self.sheet.limits
+        node, limits = self.settings.node, self.settings.limits
         retry_budget = None
         if limits.retries != UNLIMITED_RETRIES:
             retry_budget = RetryBudget(limits.retries, Random(node.seed + RETRY_BUDGET_SEED_OFFSET))
         return ClientLimits(limits, self.context.clock, self.context.log, retry_budget, node.max_wait)
 
     def _make_chat_front(self) -> ChatFront:
-        node = self.sheet.node
+        node = self.settings.node
         limits = ChatFrontLimits(
             max_sequences=node.most_sequences,
             max_retry_after=node.max_wait,
-            fair_share=self.batches.shares,
-            clients=self.client_limits,
+            fair_share=self.batches.fair_share,
+            client_limits=self.client_limits,
             admission=self._make_admission_controller(),
         )
         return ChatFront(
@@ -196,20 +196,20 @@
         )
 
     def _make_admission_controller(self) -> AdmissionController[QueuedRequest] | None:
-        if not self.sheet.limits.admit:
+        if not self.settings.limits.admit:
             return None
         utility_by_traffic_type = {
-            traffic_type.name: traffic_type.utility for traffic_type in self.sheet.traffic
+            traffic_type.name: traffic_type.utility for traffic_type in self.settings.traffic
         }
         return AdmissionController(
-            Random(self.sheet.node.seed + ADMISSION_SEED_OFFSET), utility_by_traffic_type
+            Random(self.settings.node.seed + ADMISSION_SEED_OFFSET), utility_by_traffic_type
         )
 
     def _takeover_support(self) -> TakeoverSupport | None:
         replication = self.context.replication
         if replication is None:
             return None
-        return TakeoverSupport(replication, self.transport, self.sheet.engines_may.claims)
+        return TakeoverSupport(replication, self.transport, self.settings.engines_may.claims)
 
     # -- use by the node ---------------------------------------------------------------
 
--- a/myrtlehub/node/traffic_counters.py
+++ b/myrtlehub/node/traffic_counters.py
@@ -57,7 +57,7 @@
         self.by_type: dict[str, TrafficTypeCounters] = {}
         self.generated_count = 0  # complete answers of all traffic types
 
-    def follow(self, executor: ActionExecutor, traffic_types: Sequence[TrafficTypeConfig]) -> None:
+    def observe(self, executor: ActionExecutor, traffic_types: Sequence[TrafficTypeConfig]) -> None:
         """Count the answers of an executor; `traffic_types` are those of its settings, by index."""
         executor.add_observer(_AnswerObserver(self, traffic_types))
 
--- a/myrtlehub/rollout_controller/node_client.py
+++ b/myrtlehub/rollout_controller/node_client.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 
 from myrtlehub.clock import Clock
-from myrtlehub.node.admin.service import SERVICE
+from myrtlehub.node.admin.service import ADMIN_SERVICE
 from myrtlehub.proto import admin_pb2 as pb
 from myrtlehub.rollout.node_status import NodeStatus, Revision
 from myrtlehub.rollout.samples import NodeCounters, TrafficCounters
@@ -72,10 +72,10 @@
 
     def order(self, method: OrderMethod, message: OrderMessage) -> Deferred[bytes]:
         """Send an order; fails with RpcError if the node rejects it or does not answer."""
-        return self._channel.unary(SERVICE + method, message.SerializeToString(), timeout=ORDER_TIMEOUT)
+        return self._channel.unary(ADMIN_SERVICE + method, message.SerializeToString(), timeout=ORDER_TIMEOUT)
 
     def _poll(self, method: str) -> Deferred[bytes | None]:
-        reply: Deferred[bytes] = self._channel.unary(SERVICE + method, b"", timeout=POLL_TIMEOUT)
+        reply: Deferred[bytes] = self._channel.unary(ADMIN_SERVICE + method, b"", timeout=POLL_TIMEOUT)
         return reply.addErrback(lambda failure: None)
 
 
--- a/tests/membership/test_endpoint_watcher.py
+++ b/tests/membership/test_endpoint_watcher.py
@@ -34,7 +34,7 @@
             store=store,
             log=lambda event, **fields: self.logged.append((event, fields)),
         )
-        self.watcher.follow(self.receive)
+        self.watcher.subscribe(self.receive)
 
     def receive(self, update: EndpointListUpdate) -> None:
         """Apply an update; the watcher's listener."""
@@ -125,7 +125,7 @@
     harness.run(1.6)
     assert harness.names() == "r1 w1 w2 w4" and harness.logged[-1][0] == LogEvent.ENDPOINT_LIST_REJECTED
     assert harness.validator.source_lost_at is not None
-    assert harness.validator.age(harness.clock.seconds() + 5.0) > 5.0
+    assert harness.validator.version_age(harness.clock.seconds() + 5.0) > 5.0
     folder.mkdir()
     (folder / "9.yaml").write_text(list_text("r1 w9"))
     harness.run(1.6)
--- a/tests/membership/test_version_store.py
+++ b/tests/membership/test_version_store.py
@@ -79,7 +79,7 @@
         store=store,
         log=lambda event, **fields: logged.append(event),
     )
-    watcher.follow(lambda update: received.append(len(update.endpoints)))
+    watcher.subscribe(lambda update: received.append(len(update.endpoints)))
     clock.pump([0.5] * 10)
     assert received and {LogEvent.VERSION_STORE_READ_FAILED, LogEvent.VERSION_STORE_WRITE_FAILED} & set(
         logged
--- a/tests/node/test_action_executor.py
+++ b/tests/node/test_action_executor.py
@@ -271,7 +271,7 @@
 def test_executor_and_simulator_get_the_same_actions() -> None:
     fleet = run_with_faults()
     calls = fleet.nodes["n0"].executor.router.calls
-    config = router_config_of(fleet.nodes["n0"].sheet)
+    config = router_config_of(fleet.nodes["n0"].settings)
     settings = platform_settings_of(config)
     assert platform_settings.router_config_from_settings(settings, config.seed) == config
     adapter = simulator.Node("n0", {"Settings": settings, "Entropy": config.seed}, calls[0].now)
--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -247,8 +247,8 @@
         fleet.run(0.05)
     batches = fleet.nodes["n0"].batches
     assert (
-        batches.shares.common_capacity == 8000.0
-        and batches.shares.tokens_in_flight["embed"] <= 0.5 * batches.shares.common_capacity + 4000.0
+        batches.fair_share.common_capacity == 8000.0
+        and batches.fair_share.tokens_in_flight["embed"] <= 0.5 * batches.fair_share.common_capacity + 4000.0
     )
     fleet.run(4.0)
     assert all(c.answer == "generated" for c in chat_calls)
@@ -264,7 +264,9 @@
     node_executor, batches = fleet.nodes["n0"].executor, fleet.nodes["n0"].batches
     only_call = embed(fleet, texts(600), is_stream=True)
     fleet.run(0.1)
-    assert batches.shares.common_tokens["embed"] > 0.0  # no other front has demand, so it may use all of them
+    assert (
+        batches.fair_share.common_tokens["embed"] > 0.0
+    )  # no other front has demand, so it may use all of them
     fleet.run(2.0)
     assert only_call.final == "generated"
     chat_calls, embed_calls, max_common_tokens = [], [], 0.0
@@ -273,16 +275,16 @@
         embed_calls.append(embed(fleet, texts(150, i), is_stream=True))
         fleet.run(0.04)
         if i > 5:
-            max_common_tokens = max(max_common_tokens, batches.shares.common_tokens["embed"])
-    assert max_common_tokens <= 0.5 * batches.shares.common_capacity + 4000.0
+            max_common_tokens = max(max_common_tokens, batches.fair_share.common_tokens["embed"])
+    assert max_common_tokens <= 0.5 * batches.fair_share.common_capacity + 4000.0
     engines_used = {r.who for r in fleet.records("got") if r.more["traffic"] == "vec"}
-    assert "E0d:1" in engines_used and any(batches.shares.is_excluded.values())
+    assert "E0d:1" in engines_used and any(batches.fair_share.is_excluded.values())
     fleet.run(6.0)
     assert all(c.answer == "generated" for c in chat_calls)
     fleet.run(90.0)  # until no front has demand any more
     late_call = embed(fleet, texts(5, 999))
     fleet.run(1.0)
-    assert late_call.final == "generated" and not any(batches.shares.is_excluded.values())
+    assert late_call.final == "generated" and not any(batches.fair_share.is_excluded.values())
     assert sum(c.final == "generated" for c in embed_calls) > 10
     engines = node_executor.router.routers[1].estimates.engines
     # The front is readmitted to the common engines.
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -203,5 +203,5 @@
     assert settings_digest(settings[0]) != settings_digest(parse_settings(changed_settings(fleet)))
     fleet.push_list_event("W0b", "draining")
     fleet.run(0.1)
-    assert isinstance(fleet.nodes["n0"], Node) and fleet.nodes["n0"].program == program_digest()
+    assert isinstance(fleet.nodes["n0"], Node) and fleet.nodes["n0"].program_digest == program_digest()
     assert len(program_digest()) == 16
--- a/tests/rollout/test_rollout_controller.py
+++ b/tests/rollout/test_rollout_controller.py
@@ -108,7 +108,7 @@
         self.exit_codes: list = []
 
     def _attach(self, index: int, node: Node, program: str) -> None:
-        node.program = program
+        node.program_digest = program
         node.on_drain_requested = lambda: (
             node.is_draining
             or node.drain().addCallback(
@@ -191,10 +191,10 @@
         return self.exit_codes[-1]
 
     def programs(self) -> list[str]:
-        return [node.program for _, node in sorted(self.fleet.nodes.items())]
+        return [node.program_digest for _, node in sorted(self.fleet.nodes.items())]
 
     def max_waits(self) -> list[float]:
-        return [node.sheet.node.max_wait for _, node in sorted(self.fleet.nodes.items())]
+        return [node.settings.node.max_wait for _, node in sorted(self.fleet.nodes.items())]
 
 
 def test_an_equal_program_is_committed_one_node_at_a_time(tmp_path: Path) -> None:
@@ -495,6 +495,6 @@
 
 def test_no_rollout_begins_on_a_fleet_with_two_revisions(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    rig.fleet.nodes["n2"].program = "third"
+    rig.fleet.nodes["n2"].program_digest = "third"
     rig.start_controller()
     assert rig.run() == 2 and "more than one revision already" in rig.controller.reason
--- a/tests/support/batch_calls.py
+++ b/tests/support/batch_calls.py
@@ -144,7 +144,11 @@
     assert_nothing_left(fleet)
     for node in fleet.nodes.values():
         batches = node.batches
-        assert not batches.in_flight and batches.batcher.is_empty and not any(batches.shares._queues.values())
-        assert all(abs(out) < 1e-6 for out in batches.shares.tokens_in_flight.values())
+        assert (
+            not batches.in_flight
+            and batches.batcher.is_empty
+            and not any(batches.fair_share._queues.values())
+        )
+        assert all(abs(out) < 1e-6 for out in batches.fair_share.tokens_in_flight.values())
     for engine in fleet.engines.values():
         assert engine.model.has_crashed or not (engine.model.batches.running or engine.model.batches.queue)
