--- a/benchmarks/admission_policies.py
+++ b/benchmarks/admission_policies.py
@@ -184,7 +184,7 @@
             prompt_tokens=self.random.choice([300, 900, 2500]),
             max_output_tokens=self.random.randint(60, 240),
             session=f"s{self.random.randrange(400)}",
-            mark=f"m{self.random.randrange(10**9)}",
+            idempotency_key=f"m{self.random.randrange(10**9)}",
         )
         node = self.random.randrange(self.nodes)
         self.controllers[node].enqueue(now, name, SLO[name], QueuedRequest(request, now))
--- a/benchmarks/list_propagation.py
+++ b/benchmarks/list_propagation.py
@@ -212,7 +212,7 @@
         self.heartbeat.record_to(self.calm)
         # Drain the engine that got the last attempt: the worst case.
         watcher.drained_engine = watcher.latest_engine
-        row = watcher.node.executor.decoder.engines.rows[watcher.latest_engine]
+        row = watcher.node.executor.decoder.engines.endpoints[watcher.latest_engine]
         started_at = CLOCK.seconds()
         new = self.path.with_name("new")
         new.write_text(list_text(self.count, 2 + number, int(row.address[1:-2])))
--- a/benchmarks/observation_cost.py
+++ b/benchmarks/observation_cost.py
@@ -93,7 +93,7 @@
         first_token_latency=0.2,
     )
     counters = TrafficCounters()
-    counters.observe(executor, executor.decoder.rows)
+    counters.observe(executor, executor.decoder.traffic_types)
     began = time.process_time()
     for i in range(times):
         sequence.first_token_latency = 0.1 + i % 100 / 500.0
--- a/myrtlehub/lab/in_process_engine.py
+++ b/myrtlehub/lab/in_process_engine.py
@@ -159,6 +159,6 @@
         request.session,
         request.prefix,
         request.shared_tokens,
-        request.mark,
+        request.idempotency_key,
         sequence.deadline,
     )
--- a/myrtlehub/lab/in_process_fleet.py
+++ b/myrtlehub/lab/in_process_fleet.py
@@ -81,7 +81,7 @@
         """Do nothing: nothing is stored of an engine."""
 
     def _engine(self, index: int) -> InProcessEngine:
-        return self._engines[self._decoder.engines.rows[index].address]
+        return self._engines[self._decoder.engines.endpoints[index].address]
 
 
 class InProcessFleet:
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -79,8 +79,8 @@
             raise
 
     def _new_attempt(self, sequence: InFlightSequence, engine: int, timeout: float, now: float) -> Attempt:
-        kind = self.decoder.engines.rows[engine].kind
-        is_chat = self.decoder.rows[sequence.arrival.traffic].front == CHAT_FRONT
+        kind = self.decoder.engines.endpoints[engine].kind
+        is_chat = self.decoder.traffic_types[sequence.arrival.traffic].front == CHAT_FRONT
         # Embeddings and reranking have a single stage, even at engines that read the prompts of chat
         # sequences.
         is_read = is_chat and not self.config.writes[self.decoder.kinds[kind]]
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -44,7 +44,9 @@
 
 def _listed_engines(engines: EndpointIndex) -> list[pb.ListedEngine]:
     endpoints = [
-        engines.rows[index] for index in engines.index_by_address.values() if not engines.is_removed(index)
+        engines.endpoints[index]
+        for index in engines.index_by_address.values()
+        if not engines.is_removed(index)
     ]
     return [
         pb.ListedEngine(
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -61,7 +61,7 @@
         if not self.dispatcher.fronts:
             return  # the node serves chat only
         engines = self.executor.decoder.engines
-        listed = [engines.rows[index] for index in engines.index_by_address.values()]
+        listed = [engines.endpoints[index] for index in engines.index_by_address.values()]
         serving = [endpoint for endpoint in listed if is_serving(endpoint)]
         self.capacity.update(serving)
         self.dispatcher.update_shares(serving, self.capacity)
@@ -71,7 +71,7 @@
     def utility(self, traffic_type: str) -> float:
         """Return the utility of one batch."""
         decoder = self.decoder
-        return decoder.rows[decoder.traffic[traffic_type]].utility
+        return decoder.traffic_types[decoder.traffic_type_indices[traffic_type]].utility
 
     def accept(self, request: BatchRequest, client: BatchClient) -> InFlightBatch:
         """Accept a request, or reject it if the node has its maximum of sequences.
@@ -86,7 +86,7 @@
         )
         now = self.clock.seconds()
         arrival = self.decoder.arrival(terms, now)
-        traffic = self.decoder.rows[arrival.traffic]
+        traffic = self.decoder.traffic_types[arrival.traffic]
         is_idempotent = RetrySemantics(traffic.repeats) is RetrySemantics.IDEMPOTENT
         if not is_idempotent:
             self._check_fits_one_engine(request, traffic.name, total_tokens)
--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -61,7 +61,7 @@
             max_output_tokens=1,
             time_left=max(MIN_TIME_LEFT, time_left),
             shared_tokens=self.request.shared_tokens,
-            batch=self._task().SerializeToString(),
+            batch_request=self._task().SerializeToString(),
             deadline_in=float("inf"),
         )
 
--- a/myrtlehub/node/batch_fronts/grpc_front.py
+++ b/myrtlehub/node/batch_fronts/grpc_front.py
@@ -44,7 +44,7 @@
         max_output_tokens=1,
         time_left=terms.time_left_ms / 1000.0,
         deadline_in=deadline_in,
-        mark=terms.mark,
+        idempotency_key=terms.mark,
         is_retry=terms.repeated,
     )
 
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -126,7 +126,7 @@
         message = parse_request(data, is_resume)
         request = decode_request(message, call.time_left())
         arrival = self._arrival(request)
-        traffic_type = self.decoder.rows[arrival.traffic]
+        traffic_type = self.decoder.traffic_types[arrival.traffic]
         accepted = AcceptedCall(chat_call, message, request, arrival, traffic_type)
         is_full = self.is_closed or len(self.executor.in_flight) >= self.limits.max_sequences
         client_limits = self.limits.client_limits
@@ -140,7 +140,12 @@
         self._arm_deadline(chat_call)
         client_limits.track(
             LimitedCall(
-                call, request.mark, request.tenant, traffic_type.utility, len(data), chat_call.limit_exceeded
+                call,
+                request.idempotency_key,
+                request.tenant,
+                traffic_type.utility,
+                len(data),
+                chat_call.limit_exceeded,
             )
         )
         if self.takeover_support is not None:
--- a/myrtlehub/node/chat_front/request_message.py
+++ b/myrtlehub/node/chat_front/request_message.py
@@ -34,8 +34,8 @@
         max_output_tokens=message.most_output,
         time_left=message.time_left_ms / 1000.0,
         deadline_in=deadline_in,
-        mark=message.mark,
+        idempotency_key=message.mark,
         is_retry=message.repeated,
         expected_seconds=message.expected_ms / 1000.0,
-        text=message.prompt,
+        prompt=message.prompt,
     )
--- a/myrtlehub/node/endpoint_index.py
+++ b/myrtlehub/node/endpoint_index.py
@@ -38,12 +38,12 @@
 
     Attributes:
         index_by_address: The index of each engine, by address.
-        rows: The engines, by index.
+        endpoints: The engines, by index.
     """
 
     def __init__(self) -> None:
         self.index_by_address: dict[str, int] = {}
-        self.rows: list[Endpoint] = []
+        self.endpoints: list[Endpoint] = []
         self._use_counts: list[int] = []  # outstanding attempts and probes, by index
         self._hash_seeds: list[int] = []  # by index
         self._removed_indices: set[int] = set()
@@ -80,7 +80,7 @@
         """Return the state changes that a following `apply` makes with the same endpoints."""
         removed_state = EndpointState.REMOVED.value
         previous_states = {
-            endpoint.address: self.rows[self.index_by_address[endpoint.address]].state
+            endpoint.address: self.endpoints[self.index_by_address[endpoint.address]].state
             for endpoint in endpoints
             if endpoint.address in self.index_by_address
         }
@@ -106,7 +106,7 @@
                 return None
             index = self.index_by_address[address] = self._new_index(endpoint)
         else:
-            self.rows[index] = endpoint
+            self.endpoints[index] = endpoint
         if state == contract.EngineState.REMOVED:
             self._removed_indices.add(index)
         else:
@@ -128,13 +128,13 @@
         hash_seed = crc32(endpoint.address.encode())
         if self._available_indices:
             index = self._available_indices.popleft()
-            self.rows[index] = endpoint
+            self.endpoints[index] = endpoint
             self._hash_seeds[index] = hash_seed
             return index
-        self.rows.append(endpoint)
+        self.endpoints.append(endpoint)
         self._use_counts.append(0)
         self._hash_seeds.append(hash_seed)
-        return len(self.rows) - 1
+        return len(self.endpoints) - 1
 
     def free_unused_indices(self) -> list[str]:
         """Free the indices of removed engines that are unused; return the addresses of these engines."""
@@ -144,7 +144,7 @@
     def _free_index(self, index: int) -> str:
         self._removed_indices.discard(index)
         self._available_indices.append(index)
-        address = self.rows[index].address
+        address = self.endpoints[index].address
         del self.index_by_address[address]
         return address
 
--- a/myrtlehub/node/engine_transport/engine_requests.py
+++ b/myrtlehub/node/engine_transport/engine_requests.py
@@ -41,15 +41,15 @@
         shared_tokens=request.shared_tokens,
         prompt_tokens=request.prompt_tokens,
         most_output=request.max_output_tokens,
-        mark=request.mark,
-        prompt=request.text,
+        mark=request.idempotency_key,
+        prompt=request.prompt,
         first_within_ms=max(1, int((sequence.deadline - now) * 1000)),
     )
 
 
 def build_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
     """Build the request of an attempt: a part of a batch, a read or a write."""
-    if decoded_request_of(attempt.sequence).batch:
+    if decoded_request_of(attempt.sequence).batch_request:
         return _batch_request(executor, attempt, work, now)
     if attempt.is_read:
         return _read_request(executor, attempt, work, now)
@@ -58,7 +58,7 @@
 
 def _batch_request(executor: ActionExecutor, attempt: Attempt, work: pb.Work, now: float) -> EngineRequest:
     # Two concatenated protobuf messages decode as one message with the fields of both.
-    data = pb.BatchRequest(work=work).SerializeToString() + decoded_request_of(attempt.sequence).batch
+    data = pb.BatchRequest(work=work).SerializeToString() + decoded_request_of(attempt.sequence).batch_request
     timeout = attempt.times_out_at - now + DEADLINE_MARGIN
     return EngineRequest("Batch", BatchWatcher(executor, attempt), timeout, data)
 
--- a/myrtlehub/node/engine_transport/transport.py
+++ b/myrtlehub/node/engine_transport/transport.py
@@ -63,7 +63,7 @@
 
     def channel(self, engine: int) -> Channel:
         """Return the channel to an engine by endpoint index, creating it on first use."""
-        return self.channel_to(self.executor.decoder.engines.rows[engine].address)
+        return self.channel_to(self.executor.decoder.engines.endpoints[engine].address)
 
     def channel_to(self, address: str) -> Channel:
         """Return the channel to an address, creating it on first use."""
--- a/myrtlehub/node/node_runtime.py
+++ b/myrtlehub/node/node_runtime.py
@@ -165,7 +165,7 @@
 
     def _observe_answers(self) -> None:
         counters, replication = self.context.counters, self.context.replication
-        counters.observe(self.executor, self.decoder.rows)
+        counters.observe(self.executor, self.decoder.traffic_types)
         if replication is None:
             return
         self.executor.add_observer(_ReplicationObserver(replication.publisher))
--- a/myrtlehub/node/protocols.py
+++ b/myrtlehub/node/protocols.py
@@ -34,7 +34,7 @@
     """
 
     @property
-    def rows(self) -> Sequence[TrafficTypeSettings]:
+    def traffic_types(self) -> Sequence[TrafficTypeSettings]:
         """The traffic types, by index."""
 
     kinds: Mapping[str, int]
--- a/myrtlehub/node/replication/attached_stream.py
+++ b/myrtlehub/node/replication/attached_stream.py
@@ -84,7 +84,7 @@
         epoch=record.ownership.epoch,
         owner=record.ownership.owner,
         traffic_type=request.request.traffic_type,
-        mark=request.request.mark,
+        mark=request.request.idempotency_key,
     )
     attach = pb.Attach(**{"from": request.client_token_count})  # `from` is a keyword of Python
     metadata = (
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -148,7 +148,7 @@
             if attempt.number:
                 return SendDecision.SEND  # its earlier attempts are in no record, so no record is created now
             published = PublishedSequence(self._begin(executor, sequence, now), executor, now)
-        engine = executor.decoder.engines.rows[attempt.engine].address
+        engine = executor.decoder.engines.endpoints[attempt.engine].address
         number = sequence.earlier_attempts + attempt.number
         owned = published.owned.add_intent(AttemptIntent(number, engine, attempt.is_read, now))
         published.owned = owned
--- a/myrtlehub/node/request_decoder.py
+++ b/myrtlehub/node/request_decoder.py
@@ -29,12 +29,13 @@
     max_output_tokens: int = 0
     time_left: float = 0.0  # seconds until the client abandons it; 0: the traffic type's abandon time
     deadline_in: float = float("inf")  # seconds until the deadline of the call
-    mark: str = ""  # idempotency key
+    idempotency_key: str = ""
     is_retry: bool = False
     expected_seconds: float = 0.0  # estimated duration of the answer; 0: no estimate
-    text: bytes = b""
+    prompt: bytes = b""
     front: str = "chat"
-    batch: bytes = b""  # set for a part of a batch: a serialised BatchRequest without its field `work`
+    # Set for a part of a batch: a serialised BatchRequest without its field `work`.
+    batch_request: bytes = b""
 
 
 def decoded_request_of(sequence: InFlightSequence) -> DecodedRequest:
@@ -52,8 +53,10 @@
     """Validates requests against a node's settings, and maps names in the settings to indices."""
 
     def __init__(self, settings: NodeConfig) -> None:
-        self.rows = settings.traffic
-        self.traffic = {traffic_type.name: index for index, traffic_type in enumerate(settings.traffic)}
+        self.traffic_types = settings.traffic
+        self.traffic_type_indices = {
+            traffic_type.name: index for index, traffic_type in enumerate(settings.traffic)
+        }
         self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         self.kinds: Mapping[str, int] = {kind.name: index for index, kind in enumerate(settings.kinds)}
         self.zones: Mapping[str, int] = {zone: index for index, zone in enumerate(settings.zones)}
@@ -69,8 +72,8 @@
         """
         self._check_names(request)
         _check_token_counts(request)
-        traffic_index = self.traffic[request.traffic_type]
-        traffic_type = self.rows[traffic_index]
+        traffic_index = self.traffic_type_indices[request.traffic_type]
+        traffic_type = self.traffic_types[traffic_index]
         _check_traffic_type(request, traffic_type)
         abandon_time = traffic_type.abandon_time
         time_left = min(
@@ -90,8 +93,8 @@
         )
 
     def _check_names(self, request: DecodedRequest) -> None:
-        if request.traffic_type not in self.traffic:
-            known = ", ".join(sorted(self.traffic))
+        if request.traffic_type not in self.traffic_type_indices:
+            known = ", ".join(sorted(self.traffic_type_indices))
             raise InvalidRequestError(f"traffic_type {request.traffic_type!r} is not one of {known}")
         if request.tenant and self.tenants and request.tenant not in self.tenants:
             raise InvalidRequestError(f"tenant {request.tenant!r} is not known here")
@@ -113,7 +116,7 @@
     if traffic_type.front != request.front:
         raise InvalidRequestError(f"traffic_type {name!r} is for the front {traffic_type.front!r}")
     retry_semantics = contract.RetrySemantics(traffic_type.repeats)
-    if retry_semantics is contract.RetrySemantics.IDEMPOTENCY_KEY and not request.mark:
+    if retry_semantics is contract.RetrySemantics.IDEMPOTENCY_KEY and not request.idempotency_key:
         raise InvalidRequestError(f"mark is required for traffic type {name!r}: repeats are known by it")
-    if len(request.mark.encode()) > MAX_IDEMPOTENCY_KEY_BYTES:
+    if len(request.idempotency_key.encode()) > MAX_IDEMPOTENCY_KEY_BYTES:
         raise InvalidRequestError(f"mark is longer than {MAX_IDEMPOTENCY_KEY_BYTES} bytes")
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -134,7 +134,7 @@
             LogEvent.SEQUENCE_ANSWERED,
             sequence_id=sequence.sequence_id,
             answer=answer,
-            traffic_type=self.decoder.rows[sequence.arrival.traffic].name,
+            traffic_type=self.decoder.traffic_types[sequence.arrival.traffic].name,
             attempts=len(sequence.attempts),
             last_outcome=sequence.attempts[-1].outcome if sequence.attempts else None,
             time_left_s=round(sequence.deadline - self.clock.seconds(), 4),
--- a/myrtlehub/relay/clients/request_decoder.py
+++ b/myrtlehub/relay/clients/request_decoder.py
@@ -81,7 +81,7 @@
     """Decodes requests according to the platform's settings.
 
     Attributes:
-        rows: Traffic types, by index.
+        traffic_types: Traffic types, by index.
         traffic_indices: Indices of the traffic types, by name.
         tenant_indices: Indices of the tenants, by name.
         kinds: Indices of the machine types, by name.
@@ -92,11 +92,11 @@
 
     def __init__(self, settings: NodeSettings, config: contract.RouterConfig) -> None:
         platform_settings = settings.platform_settings
-        self.rows = [
+        self.traffic_types = [
             TrafficType(row["Name"], traffic.retry_semantics == contract.RetrySemantics.AT_MOST_ONCE)
             for row, traffic in zip(platform_settings["Classes"], config.traffic, strict=True)
         ]
-        self.traffic_indices = _indices_by_name(row.name for row in self.rows)
+        self.traffic_indices = _indices_by_name(row.name for row in self.traffic_types)
         self.tenant_indices = _indices_by_name(row["Name"] for row in platform_settings.get("Orgs") or [])
         self.kinds: Mapping[str, int] = _indices_by_name(platform_settings.get("MachineTypes") or [""])
         self.zones: Mapping[str, int] = _indices_by_name(platform_settings.get("Zones") or [""])
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -184,7 +184,7 @@
         if attempt.claimed_state is not None:
             return True
         sequence = attempt.sequence
-        return self.decoder.rows[sequence.arrival.traffic].is_at_most_once and (
+        return self.decoder.traffic_types[sequence.arrival.traffic].is_at_most_once and (
             not attempt.is_read or sequence.sequence_id in self.uncertain_attempts
         )
 
--- a/myrtlehub/relay/engines/engine_directory.py
+++ b/myrtlehub/relay/engines/engine_directory.py
@@ -23,15 +23,17 @@
 
     def name(self, engine: int) -> str:
         """Return the name of the engine in the endpoint list."""
-        return self.index.rows[engine].address
+        return self.index.endpoints[engine].address
 
     def is_serving(self, engine: int) -> bool:
         """Return whether the engine is in the endpoint list and in state serving."""
-        return not self.index.is_removed(engine) and self.index.rows[engine].state == EndpointState.SERVING
+        return (
+            not self.index.is_removed(engine) and self.index.endpoints[engine].state == EndpointState.SERVING
+        )
 
     def serving_names(self) -> list[str]:
         """Return the names of all engines in state serving."""
-        return [row.address for row in self.index.rows if row.state == EndpointState.SERVING]
+        return [row.address for row in self.index.endpoints if row.state == EndpointState.SERVING]
 
     def record_contact(self, engine: int) -> None:
         """Record that the engine has just sent data, so that it is reachable."""
--- a/myrtlehub/relay/node.py
+++ b/myrtlehub/relay/node.py
@@ -161,7 +161,7 @@
         if not self._is_open:
             self._is_open = True
             self.on_open()
-            self.log(LogEvent.READY, name=self.settings.name, engines=len(self.decoder.engines.rows))
+            self.log(LogEvent.READY, name=self.settings.name, engines=len(self.decoder.engines.endpoints))
 
     def _is_ready(self) -> bool:
         """Return whether there is an endpoint list, from discovery or from the settings."""
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -150,7 +150,7 @@
     write_list(fleet, **{writer: {"kind": "reader"}})
     fleet.run(1.0)
     engines = fleet.nodes["n0"].executor.decoder.engines
-    assert engines.rows[engines.index_by_address[f"{writer}:1"]].kind == "reader"
+    assert engines.endpoints[engines.index_by_address[f"{writer}:1"]].kind == "reader"
     after = [fleet.generate("post", prompt=2000, output=20) for _ in range(6)]
     fleet.run(4.0)
     assert stream.answer == "generated" and [call.answer for call in after] == ["generated"] * 6
@@ -292,7 +292,7 @@
         fleet, **{engine: {"cell": row["cell"] + 100, "weight": 2} for engine, row in fleet.endpoints.items()}
     )
     fleet.run(0.5)
-    rows = node.executor.decoder.engines.rows
+    rows = node.executor.decoder.engines.endpoints
     assert len(rows) == 2000 and all(row.cell >= 100 and row.weight == 2 for row in rows)
     fleet.endpoints = {engine: {**fleet.endpoints[engine], "cell": 100} for engine in ("R0a", "W0b", "W0c")}
     write_list(fleet)
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -95,7 +95,7 @@
     fleet.run(0.1)
     for executor in (old_runtime.executor, node.executor):
         index = executor.decoder.engines.index_by_address["W0b:1"]
-        assert executor.decoder.engines.rows[index].state == "draining"
+        assert executor.decoder.engines.endpoints[index].state == "draining"
     fleet.run(8.0)
     assert {caller.answer for caller in fleet.calls} == {"generated"} and not node.replaced_runtimes
 
--- a/tests/relay/test_relay_discovery.py
+++ b/tests/relay/test_relay_discovery.py
@@ -119,7 +119,7 @@
         rig.entries["w1"] = rig.entry("w1", "leaving")
         rig.run(0.2)
         engines = rig.node.decoder.engines
-        assert engines.rows[engines.index_by_address["w1"]].state == "draining", silence
+        assert engines.endpoints[engines.index_by_address["w1"]].state == "draining", silence
         count = len(rig.discovery.requests)
         assert count < 10 + 9 * silence  # a request every 120 ms
         rig.run(1.0)
@@ -187,7 +187,7 @@
                 connection.transport.abortConnection()  # no idle connection can be reused
         WATCH_FAULTS[fault](rig, watch)
         changed_at, engines = rig.clock.seconds(), rig.node.decoder.engines
-        while engines.rows[engines.index_by_address["w1"]].state != "draining":
+        while engines.endpoints[engines.index_by_address["w1"]].state != "draining":
             rig.run(0.05)
             assert rig.clock.seconds() < changed_at + 6.0, (fault, phase)
         assert rig.node.discovery.pool.count <= 18
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -44,7 +44,9 @@
         self.probe_results: list[ProbeResult] = []
 
     def _probe_ended(self, engine: int, since: float, is_answered: bool, load: object) -> None:
-        self.probe_results.append(ProbeResult(self.decoder.engines.rows[engine].address, is_answered, load))
+        self.probe_results.append(
+            ProbeResult(self.decoder.engines.endpoints[engine].address, is_answered, load)
+        )
         super()._probe_ended(engine, since, is_answered, load)
 
 
