--- a/myrtlehub/lab/fault_soak/planted_faults.py
+++ b/myrtlehub/lab/fault_soak/planted_faults.py
@@ -119,7 +119,7 @@
 def ignore_disconnects() -> None:
     """Continue requests whose clients have disconnected."""
     _skip_check_before_first_byte()
-    replace_attribute(ActionExecutor, "client_left", _do_nothing)
+    replace_attribute(ActionExecutor, "client_disconnected", _do_nothing)
 
 
 def ignore_draining() -> None:
--- a/myrtlehub/lab/in_process_engine.py
+++ b/myrtlehub/lab/in_process_engine.py
@@ -116,17 +116,19 @@
         outcome = contract.Outcome
         match event:
             case TokensGenerated():
-                (executor.tokens_received if attempt.is_streaming else executor.began)(attempt, b"")
+                (executor.tokens_received if attempt.is_streaming else executor.attempt_began)(attempt, b"")
             case PromptRead():
-                executor.ended(attempt, outcome.READ, event.cached_tokens, load, self._address)
+                executor.attempt_ended(attempt, outcome.READ, event.cached_tokens, load, self._address)
             case AnswerDone():
-                executor.ended(attempt, outcome.GENERATED, event.cached_tokens, load, tokens=event.tokens)
+                executor.attempt_ended(
+                    attempt, outcome.GENERATED, event.cached_tokens, load, tokens=event.tokens
+                )
             case Rejected():
-                executor.ended(attempt, outcome.FULL, float(event.is_state_missing), load)
+                executor.attempt_ended(attempt, outcome.FULL, float(event.is_state_missing), load)
             case Failed():
-                executor.ended(attempt, outcome.ERROR)
+                executor.attempt_ended(attempt, outcome.ERROR)
             case _:
-                executor.ended(attempt, outcome.TIMEOUT)
+                executor.attempt_ended(attempt, outcome.TIMEOUT)
 
     def _fetch(self, key: int) -> None:
         received = self._received.get(key)
--- a/myrtlehub/lab/in_process_fleet.py
+++ b/myrtlehub/lab/in_process_fleet.py
@@ -54,12 +54,12 @@
     def start(self, attempt: Attempt) -> None:
         """Send an attempt to its engine."""
         call = _SimulatedCall(self._engine(attempt.engine), self._attempt_keys())
-        attempt.call = call
+        attempt.transport_call = call
         self._clock.callLater(LINK_DELAY, call.engine.receive, call.key, attempt, self.executor)
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt at its engine."""
-        call = attempt.call
+        call = attempt.transport_call
         if isinstance(call, _SimulatedCall):
             self._clock.callLater(LINK_DELAY, call.engine.cancel, call.key)
 
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -66,7 +66,7 @@
         self._step_read_state(attempt)
         if sequence.answer.is_final:
             # An earlier action sent the final answer, so no further attempt is sent for this sequence.
-            self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
+            self.clock.callLater(0, self.attempt_ended, attempt, contract.Outcome.UNSENT)
             return
         delay = max(0.0, attempt.times_out_at - now)
         attempt.timer = self.clock.callLater(delay, self._handle_timeout, attempt)
@@ -75,7 +75,7 @@
         except BaseException:
             # The transport does not write in this iteration of the event loop, so the attempt was not sent
             # (`test_a_request_whose_send_raised_is_retried`).
-            self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
+            self.clock.callLater(0, self.attempt_ended, attempt, contract.Outcome.UNSENT)
             raise
 
     def _new_attempt(self, sequence: InFlightSequence, engine: int, timeout: float, now: float) -> Attempt:
@@ -135,9 +135,9 @@
             return
         self._report_answer(sequence)
         if sequence.answer.state == AnswerState.REJECTED:
-            sequence.client.rejected(retry_after)
+            sequence.response_sink.rejected(retry_after)
         else:
-            sequence.client.aborted("no engine could answer in time, and it may have run")
+            sequence.response_sink.aborted("no engine could answer in time, and it may have run")
 
     def _schedule_wakeup(self, action: contract.ScheduleWakeup) -> None:
         self.clock.callLater(action.delay, self.wake, action.token)
--- a/myrtlehub/node/batch_fronts/dispatcher.py
+++ b/myrtlehub/node/batch_fronts/dispatcher.py
@@ -111,7 +111,7 @@
         if not self.pooled_fronts:
             return
         request = decoded_request_of(attempt.sequence)
-        if request.front != CHAT_FRONT and attempt.kind in self._common_kinds:
+        if request.front != CHAT_FRONT and attempt.engine_kind in self._common_kinds:
             self._update_share(request.front, sign * request.prompt_tokens)
 
     def _update_share(self, front: str, tokens: float) -> None:
--- a/myrtlehub/node/batch_fronts/engine_batch.py
+++ b/myrtlehub/node/batch_fronts/engine_batch.py
@@ -120,5 +120,5 @@
             self.is_finished = True
             self._runner.drop(self)
         elif not self.is_finished:
-            self._runner.executor.client_left(self.sequence)
+            self._runner.executor.client_disconnected(self.sequence)
             self._end()
--- a/myrtlehub/node/chat_front/chat_call.py
+++ b/myrtlehub/node/chat_front/chat_call.py
@@ -130,9 +130,9 @@
             return
         if self.is_resumable and self.resume_grace and code == Code.UNAVAILABLE:
             # The client is expected to resume, here or at another node, which supersedes this call.
-            self.executor.clock.callLater(self.resume_grace, self.executor.client_left, self.sequence)
+            self.executor.clock.callLater(self.resume_grace, self.executor.client_disconnected, self.sequence)
         else:
-            self.executor.client_left(self.sequence)
+            self.executor.client_disconnected(self.sequence)
 
     # -- back-pressure: a client that does not read pauses the writer's stream --------------------
 
--- a/myrtlehub/node/engine_transport/attempt_watcher.py
+++ b/myrtlehub/node/engine_transport/attempt_watcher.py
@@ -48,7 +48,7 @@
 
 def call_of(attempt: Attempt) -> ClientCall | None:
     """Return the gRPC call of an attempt, or None before the attempt is sent."""
-    return attempt.call if isinstance(attempt.call, ClientCall) else None
+    return attempt.transport_call if isinstance(attempt.transport_call, ClientCall) else None
 
 
 class AttemptWatcher(CallWatcher):
@@ -66,9 +66,9 @@
             call = call_of(self.attempt)
             if call is not None:
                 call.cancel()
-            self.executor.ended(self.attempt, contract.Outcome.ERROR)
+            self.executor.attempt_ended(self.attempt, contract.Outcome.ERROR)
             return None
 
     def ended(self, status: Status) -> None:
         """Report the outcome of the call."""
-        self.executor.ended(self.attempt, outcome_of(status))
+        self.executor.attempt_ended(self.attempt, outcome_of(status))
--- a/myrtlehub/node/engine_transport/batch_attempt.py
+++ b/myrtlehub/node/engine_transport/batch_attempt.py
@@ -38,11 +38,11 @@
             self._complete(reply.ended)
         elif reply_field == "refused":
             load = load_report_of(reply.refused)
-            self.executor.ended(self.attempt, contract.Outcome.FULL, 0.0, load)
+            self.executor.attempt_ended(self.attempt, contract.Outcome.FULL, 0.0, load)
 
     def _complete(self, ended: pb.BatchEnded) -> None:
-        self.executor.began(self.attempt, EngineResults(ended.model, self.results))
-        self.executor.ended(
+        self.executor.attempt_began(self.attempt, EngineResults(ended.model, self.results))
+        self.executor.attempt_ended(
             self.attempt,
             contract.Outcome.GENERATED,
             0.0,
--- a/myrtlehub/node/engine_transport/read_attempt.py
+++ b/myrtlehub/node/engine_transport/read_attempt.py
@@ -26,7 +26,7 @@
         load = load_report_of(reply)
         if reply.HasField("read"):
             cached_tokens = float(reply.kept_tokens)
-            self.executor.ended(self.attempt, contract.Outcome.READ, cached_tokens, load, reply.read)
+            self.executor.attempt_ended(self.attempt, contract.Outcome.READ, cached_tokens, load, reply.read)
         else:
             load = load_report_of(reply.refused) or load
-            self.executor.ended(self.attempt, contract.Outcome.FULL, 0.0, load)
+            self.executor.attempt_ended(self.attempt, contract.Outcome.FULL, 0.0, load)
--- a/myrtlehub/node/engine_transport/transport.py
+++ b/myrtlehub/node/engine_transport/transport.py
@@ -92,7 +92,7 @@
             ("myrtle-list", self.executor.list_label),
         )
         channel = self.channel(attempt.engine)
-        call = attempt.call = channel.call(
+        call = attempt.transport_call = channel.call(
             ENGINE_SERVICE + request.method, request.watcher, metadata, request.timeout
         )
         call.send(request.data)
--- a/myrtlehub/node/engine_transport/write_attempt.py
+++ b/myrtlehub/node/engine_transport/write_attempt.py
@@ -20,7 +20,7 @@
             if attempt.is_streaming:
                 self.executor.tokens_received(attempt, data)
             elif attempt.is_outstanding:
-                self.executor.began(attempt, data)
+                self.executor.attempt_began(attempt, data)
             return
         reply = self.parse(pb.WriteReply, data)
         if reply is not None:
@@ -30,7 +30,7 @@
         reply_field = reply.WhichOneof("reply")
         if reply_field == "ended":
             ended = reply.ended
-            self.executor.ended(
+            self.executor.attempt_ended(
                 self.attempt,
                 contract.Outcome.GENERATED,
                 float(ended.kept_tokens),
@@ -39,6 +39,6 @@
             )
         elif reply_field == "refused":
             rejection = reply.refused
-            self.executor.ended(
+            self.executor.attempt_ended(
                 self.attempt, contract.Outcome.FULL, float(rejection.no_state), load_report_of(rejection)
             )
--- a/myrtlehub/node/replication/published_sequence.py
+++ b/myrtlehub/node/replication/published_sequence.py
@@ -45,6 +45,6 @@
             other for other in self.executor.in_flight.values() if other.sequence_id == sequence_id
         ]:
             self.executor.hand_over(sequence)
-            if not isinstance(sequence.client, ReplicatedClient):
+            if not isinstance(sequence.response_sink, ReplicatedClient):
                 raise UnsupportedSequenceError(sequence_id, "its client cannot be superseded")
-            sequence.client.superseded("another node now owns this sequence")
+            sequence.response_sink.superseded("another node now owns this sequence")
--- a/myrtlehub/node/replication/replicated_transport.py
+++ b/myrtlehub/node/replication/replicated_transport.py
@@ -50,11 +50,11 @@
         if decision == SendDecision.SEND:
             self.transport.start(attempt)
         else:
-            self._executor.ended(attempt, Outcome.UNSENT)
+            self._executor.attempt_ended(attempt, Outcome.UNSENT)
 
     def cancel(self, attempt: Attempt) -> None:
         """Reset an attempt, or drop it if it has not been sent yet."""
-        if attempt.call is None:
+        if attempt.transport_call is None:
             self.publisher.send_gate.cancel(attempt.sequence.sequence_id)
         else:
             self.transport.cancel(attempt)
--- a/myrtlehub/node/sequence_lifecycle.py
+++ b/myrtlehub/node/sequence_lifecycle.py
@@ -94,7 +94,7 @@
         self._call_router(lambda now: self.router.arrive(now, number, arrival))
         return sequence
 
-    def client_left(self, sequence: InFlightSequence) -> None:
+    def client_disconnected(self, sequence: InFlightSequence) -> None:
         """Handle a client's disconnection: it gets no answer, and outstanding attempts are stopped."""
         if sequence.answer.step(AnswerEvent.CLIENT_LEFT) != CommonEffect.LATE:
             self._finish_without_router(sequence)
@@ -102,7 +102,7 @@
     def abort(self, sequence: InFlightSequence, reason: str) -> None:
         """Abort a sequence, unless it already has a final answer."""
         if sequence.answer.step(AnswerEvent.DEADLINE_PASSED) == AnswerEffect.ANSWER:
-            sequence.client.aborted(reason)
+            sequence.response_sink.aborted(reason)
             self._finish_without_router(sequence)
 
     def hand_over(self, sequence: InFlightSequence) -> None:
@@ -113,7 +113,7 @@
         self._report_answer(sequence)
         self._report_client_left(sequence)
         if stream is not None and stream.is_outstanding:
-            self.ended(stream, contract.Outcome.CANCELLED)
+            self.attempt_ended(stream, contract.Outcome.CANCELLED)
 
     def _finish_without_router(self, sequence: InFlightSequence) -> None:
         """Report the end of an answer that the router did not decide, and stop the stream."""
@@ -153,7 +153,7 @@
             attempt.is_outstanding for sequence in self.in_flight.values() for attempt in sequence.attempts
         )
 
-    def began(self, attempt: Attempt, message: TokenMessage) -> None:
+    def attempt_began(self, attempt: Attempt, message: TokenMessage) -> None:
         """Handle the first tokens of an attempt; the client gets them unless another attempt was first."""
         sequence = attempt.sequence
         if attempt.state_machine.step(AttemptEvent.TOKENS) != AttemptEffect.BEGIN:
@@ -174,7 +174,7 @@
         latency = first_token_at - attempt.sent_at
         self._call_router(lambda now: self.router.began(now, sequence.number, attempt.number, latency))
         sequence.token_count += 1
-        sequence.client.tokens(message)
+        sequence.response_sink.tokens(message)
 
     def attempt_arrived(self, attempt: Attempt) -> None:
         """Report to the router that an attempt has arrived at its engine; ignored after tokens or its end."""
@@ -188,9 +188,9 @@
         sequence = attempt.sequence
         if sequence.streaming_attempt is attempt and sequence.answer.step(_MORE_TOKENS) is _PASS:
             sequence.token_count += 1
-            sequence.client.tokens(message)
+            sequence.response_sink.tokens(message)
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
         outcome: contract.Outcome,
@@ -249,10 +249,10 @@
         if outcome == contract.Outcome.GENERATED and (stream is None or stream is attempt):
             if sequence.answer.step(AnswerEvent.COMPLETED) == AnswerEffect.ANSWER:
                 self._report_answer(sequence, tokens=tokens)
-                sequence.client.generated(tokens)
+                sequence.response_sink.generated(tokens)
         elif stream is attempt and sequence.answer.step(AnswerEvent.STREAM_FAILED) == AnswerEffect.ANSWER:
             self._report_answer(sequence)
-            sequence.client.aborted(f"the stream broke: {outcome}")
+            sequence.response_sink.aborted(f"the stream broke: {outcome}")
 
     def _handle_timeout(self, attempt: Attempt) -> None:
         self._stop_attempt(attempt, contract.Outcome.TIMEOUT)
@@ -261,4 +261,4 @@
         """Cancel an attempt at its engine unless it has ended."""
         if attempt.is_outstanding:
             self.transport.cancel(attempt)
-            self.ended(attempt, outcome)
+            self.attempt_ended(attempt, outcome)
--- a/myrtlehub/node/sequences.py
+++ b/myrtlehub/node/sequences.py
@@ -30,11 +30,10 @@
     """One attempt to run a sequence on an engine, or to read its prompt there."""
 
     __slots__ = (
-        "call",
         "claimed_state",
         "engine",
+        "engine_kind",
         "is_read",
-        "kind",
         "may_be_lost",
         "number",
         "outcome",
@@ -43,6 +42,7 @@
         "state_machine",
         "timer",
         "times_out_at",
+        "transport_call",
     )
 
     def __init__(
@@ -58,12 +58,13 @@
         self.sequence = sequence
         self.number = number  # of this node for the sequence, from 0
         self.engine = engine
-        self.kind = kind  # of the engine when the attempt was sent; the endpoint list may change it later
+        # Of the time when the attempt was sent; the endpoint list may change the kind of the engine later.
+        self.engine_kind = kind
         self.is_read = is_read
         self.sent_at = sent_at
         self.times_out_at = times_out_at
         self.timer: Timer | None = None
-        self.call: TransportCall | None = None
+        self.transport_call: TransportCall | None = None
         self.state_machine = StateMachine(ATTEMPT, AttemptState.READING if is_read else AttemptState.WRITING)
         self.claimed_state: ReadState | None = None  # the read state that this write fetches
         # The router released the read states while the attempt was outstanding, since it may not have
@@ -121,13 +122,13 @@
         "answer",
         "arrival",
         "attempts",
-        "client",
         "deadline",
         "earlier_attempts",
         "first_token_at",
         "number",
         "read_states",
         "request",
+        "response_sink",
         "sequence_id",
         "streaming_attempt",
         "token_count",
@@ -147,7 +148,7 @@
         self.sequence_id = sequence_id  # identifies the sequence to engines and clients
         self.request = request
         self.arrival = arrival
-        self.client = client
+        self.response_sink = client
         self.accepted_at = now
         self.deadline = now + arrival.time_left
         self.answer = StateMachine(ANSWER)
--- a/myrtlehub/relay/clients/client_front.py
+++ b/myrtlehub/relay/clients/client_front.py
@@ -82,7 +82,7 @@
     def _on_connection_lost(self) -> None:
         sequence = self._detach()
         if sequence is not None:
-            self.handler.executor.client_left(sequence)
+            self.handler.executor.client_disconnected(sequence)
 
     def _on_pause(self) -> None:
         request = self._streaming_request()
@@ -99,7 +99,7 @@
         attempt = self.sequence.streaming_attempt if self.sequence is not None else None
         if attempt is None or not attempt.is_outstanding:
             return None
-        return attempt.call if isinstance(attempt.call, PendingRequest) else None
+        return attempt.transport_call if isinstance(attempt.transport_call, PendingRequest) else None
 
 
 class ClientRequestHandler:
--- a/myrtlehub/relay/engines/arrival_check.py
+++ b/myrtlehub/relay/engines/arrival_check.py
@@ -79,7 +79,7 @@
 
     def _sent_request(self) -> PendingRequest | None:
         """Return the request of the attempt if it has been sent completely; otherwise None."""
-        call = self._attempt.call
+        call = self._attempt.transport_call
         return call if isinstance(call, PendingRequest) and call.is_sent else None
 
     def _on_response(self) -> None:
--- a/myrtlehub/relay/engines/attempt_response.py
+++ b/myrtlehub/relay/engines/attempt_response.py
@@ -126,7 +126,7 @@
             if attempt.is_streaming:
                 self.executor.tokens_received(attempt, events)
             elif attempt.is_outstanding:
-                self.executor.began(attempt, events)
+                self.executor.attempt_began(attempt, events)
 
     def _outstanding_request(self) -> PendingRequest:
         if self.pending is None:
@@ -226,6 +226,6 @@
         # For a rejected write, the executor takes a value above 0 to mean that the reader had no read state.
         cached_tokens = cached_tokens or float(end.is_state_missing)
         handle = True if end.outcome == contract.Outcome.READ else None
-        self.executor.ended(
+        self.executor.attempt_ended(
             self.attempt, end.outcome, cached_tokens, load or self._load_report, handle, token_count
         )
--- a/myrtlehub/relay/engines/engine_client.py
+++ b/myrtlehub/relay/engines/engine_client.py
@@ -79,7 +79,7 @@
             sequence_id=attempt.sequence.sequence_id,
             attempt=attempt.number,
             engine=self.directory.name(attempt.engine),
-            engine_kind=attempt.kind,
+            engine_kind=attempt.engine_kind,
             is_read=attempt.is_read,
             state=attempt.state_machine.state,
             outcome=attempt.outcome,
@@ -90,7 +90,7 @@
         if handler is not None:
             # Break the reference cycle of attempt, request and handler. It would keep the client's request in
             # memory until the next full garbage collection.
-            attempt.call = handler.pending = None
+            attempt.transport_call = handler.pending = None
 
     def arrival_check_requested(self, attempt: Attempt) -> None:
         """Check whether an attempt has arrived; see `ExecutorObserver`."""
@@ -116,7 +116,7 @@
         name = self.directory.name(attempt.engine)
         request = ClientRequest(b"POST", engine_request.target, engine_request.headers, engine_request.body)
         handler = AttemptResponseHandler(self, attempt)
-        handler.pending = attempt.call = self.pool.send(
+        handler.pending = attempt.transport_call = self.pool.send(
             name,
             self.directory.dial_addresses[name],
             request,
@@ -144,7 +144,9 @@
         return request._replace(headers=[*request.headers, Header(b"x-remaining-ms", b"%d" % remaining_ms)])
 
     def _log_attempt_sent(self, attempt: Attempt, remaining_ms: int) -> None:
-        connection = attempt.call.connection if isinstance(attempt.call, PendingRequest) else None
+        connection = (
+            attempt.transport_call.connection if isinstance(attempt.transport_call, PendingRequest) else None
+        )
         self.log(
             LogEvent.ATTEMPT_SENT,
             sequence_id=attempt.sequence.sequence_id,
@@ -240,7 +242,7 @@
 
 def _response_handler(attempt: Attempt) -> AttemptResponseHandler | None:
     """Return the response handler of an attempt; None if the attempt was not started or has ended."""
-    if not isinstance(attempt.call, PendingRequest):
+    if not isinstance(attempt.transport_call, PendingRequest):
         return None
-    handler = attempt.call.handler
+    handler = attempt.transport_call.handler
     return handler if isinstance(handler, AttemptResponseHandler) else None
--- a/tests/node/test_request_path.py
+++ b/tests/node/test_request_path.py
@@ -146,7 +146,9 @@
     fleet.run(60.0)
     assert all(call.answer == "generated" for call in others) and stalled.answer == ""
     (client_call,) = fleet.nodes["n0"].server.calls
-    engine_stream = next(iter(fleet.nodes["n0"].executor.in_flight.values())).streaming_attempt.call.stream
+    engine_stream = next(
+        iter(fleet.nodes["n0"].executor.in_flight.values())
+    ).streaming_attempt.transport_call.stream
     buffered_at_node = client_call.buffered + sum(map(len, engine_stream._received))
     buffered_at_writer = sum(job.call.buffered for job in fleet.engines["W0a"].jobs)
     assert 65536 < buffered_at_node <= 65536 + 2 * engine_limits.stream_window
@@ -276,7 +278,7 @@
     executor = fleet.nodes["n0"].executor
     attempt = executor.in_flight[0].attempts[0]
     events = [
-        lambda: executor.ended(attempt, contract.Outcome.GENERATED, tokens=0),
+        lambda: executor.attempt_ended(attempt, contract.Outcome.GENERATED, tokens=0),
         lambda: executor._handle_timeout(attempt),
     ]
     for event in events if answer_first else reversed(events):
@@ -326,7 +328,7 @@
     """Sends a rejection twice."""
 
     def _reject(self, action: contract.Reject) -> None:
-        client = self.in_flight[action.sequence].client
+        client = self.in_flight[action.sequence].response_sink
         client.call.finish = lambda *args: None
         super()._reject(action)
         client.rejected(action.retry_after)
@@ -342,8 +344,8 @@
 class ReportsRunAsNotRun(ActionExecutor):
     """Reports an attempt that was reset as one that did not run."""
 
-    def ended(self, attempt: Attempt, outcome: str, *args: object, **options: object) -> None:
-        super().ended(
+    def attempt_ended(self, attempt: Attempt, outcome: str, *args: object, **options: object) -> None:
+        super().attempt_ended(
             attempt, contract.Outcome.FULL if outcome == contract.Outcome.RESET else outcome, *args, **options
         )
 
