--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -43,7 +43,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_too_long_input_gets_an_error_of_its_own_and_duplicates_run_once() -> None:
+def test_an_input_over_the_length_limit_gets_its_own_error_and_duplicates_run_once() -> None:
     fleet = Fleet("R0 W0 E0", longest_input="400 tokens")
     request = pb.EmbedRequest(
         terms=pb.Terms(traffic_type="vec"),
@@ -59,7 +59,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_parts_of_an_engine_that_dies_are_retried_alone() -> None:
+def test_only_the_parts_of_a_failed_engine_are_retried() -> None:
     fleet = Fleet("R0 W0 E0 E0 E0", batch_rate=20000.0)
     call, stream = embed(fleet, texts(400)), embed(fleet, texts(400, 3), is_stream=True)
     fleet.run(0.25)
@@ -157,7 +157,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_client_that_leaves_a_shared_engine_batch_does_not_affect_the_others() -> None:
+def test_a_client_that_cancels_in_a_shared_engine_batch_does_not_affect_the_others() -> None:
     fleet = Fleet("R0 W0 E0", batch_rate=500.0, more_settings="batches: {gather: 20ms}")
     for i in range(8):
         embed(fleet, texts(1, 50 + i), tokens=1)
@@ -237,7 +237,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_flood_of_embeddings_leaves_chat_its_share_of_engines() -> None:
+def test_many_embeddings_requests_leave_chat_its_share_of_engines() -> None:
     fleet = Fleet("R0 M0 M0", batch_rate=20000.0, batch_queue=400, slots=16)
     embed_calls = [embed(fleet, texts(200, i), is_stream=True) for i in range(12)]
     fleet.run(0.05)
--- a/tests/node/test_client_limits.py
+++ b/tests/node/test_client_limits.py
@@ -182,7 +182,7 @@
     assert_nothing_left(fleet)
 
 
-def test_a_client_that_stalls_for_three_seconds_gets_all() -> None:
+def test_a_client_that_stalls_for_three_seconds_gets_the_complete_answer() -> None:
     fleet = fleet_with_small_window(step_crowd=0.0)
     caller = fleet.generate(prompt=100, output=20000)
     for _ in range(4):
@@ -221,7 +221,7 @@
     assert_nothing_left(fleet)
 
 
-def test_a_hundred_long_prompts_are_rejected_at_the_bound_and_nothing_runs() -> None:
+def test_requests_beyond_the_memory_budget_are_rejected_and_do_not_run() -> None:
     fleet = Fleet("R0 W0", more_settings="limits: {held_bytes: 1MB, peer_share: 1.0}")
     fleet.inject_fault("R0a", "hang", seconds=3.0)
     fleet.run(0.05)
@@ -240,7 +240,7 @@
     assert_nothing_left(fleet)
 
 
-def test_batches_are_limited_too_and_admin_reports_who_was_cut_off() -> None:
+def test_batches_are_limited_and_the_admin_service_reports_disconnects() -> None:
     fleet = Fleet("R0 W0 E0 K0", more_settings="limits: {rate_window: 2s}")
     fleet.channels["n0"].limits = TransportLimits(stream_window=1024)
     stalled, other = rank(fleet, b"q", texts(1500), is_stream=True), embed(fleet, texts(20))
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize("limit", ["connections: 3", "peer_connections: 3"])
-def test_connections_past_the_bound_are_closed_and_others_continue(limit: str) -> None:
+def test_connections_beyond_the_limit_are_closed_and_others_continue(limit: str) -> None:
     fleet = Fleet("W0", more_settings=f"limits: {{{limit}}}")
     node = fleet.nodes["n0"]
     callers = []
--- a/tests/node/test_engine_pools.py
+++ b/tests/node/test_engine_pools.py
@@ -179,7 +179,7 @@
     assert pools.routers[1].updates[5:] == [([(2, False, contract.EngineState.SERVING)], False)]
 
 
-def test_opening_a_pool_again_brings_back_nothing_that_has_left_it() -> None:
+def test_reopening_a_pool_restores_no_engine_that_has_left_it() -> None:
     """While the pool is closed, engine 0 changes its kind and a complete list omits engine 2."""
     pools = two_pools()
     pools.update_endpoints(0.0, [update(i, 2, True) for i in range(3)], True)
@@ -207,6 +207,6 @@
     assert not pools.routers[0].calls and not pools._pool_by_sequence
 
 
-def test_a_single_pool_has_no_pools_around_its_router() -> None:
+def test_a_node_with_one_front_uses_its_router_directly() -> None:
     assert type(Fleet().nodes["n0"].executor.router) is Router
     assert type(Fleet("R0 W0 E0 K0").nodes["n0"].executor.router) is EnginePools
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -172,7 +172,7 @@
     assert len(drain_ends) == 2 and drain_ends[0] == drain_ends[1]
 
 
-def test_what_a_node_counts_of_itself() -> None:
+def test_node_figures_count_requests_answers_and_utility() -> None:
     fleet = Fleet()
     admin = AdminClient(fleet)
     for i in range(6):
