--- a/myrtlehub/lab/in_process_fleet.py
+++ b/myrtlehub/lab/in_process_fleet.py
@@ -54,12 +54,12 @@
     def start(self, attempt: Attempt) -> None:
         """Send an attempt to its engine."""
         call = _SimulatedCall(self._engine(attempt.engine), self._attempt_keys())
-        attempt.call = call
+        attempt.transport_call = call
         self._clock.callLater(LINK_DELAY, call.engine.receive, call.key, attempt, self.executor)
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt at its engine."""
-        call = attempt.call
+        call = attempt.transport_call
         if isinstance(call, _SimulatedCall):
             self._clock.callLater(LINK_DELAY, call.engine.cancel, call.key)
 
@@ -68,11 +68,11 @@
         self._clock.callLater(LINK_DELAY, self._engine(engine).release, sequence_id)
 
     def probe(
-        self, engine: int, timeout: float, then: Callable[[bool, contract.LoadReport | None], None]
+        self, engine: int, timeout: float, on_result: Callable[[bool, contract.LoadReport | None], None]
     ) -> None:
         """Request a load report of an engine."""
         target = self._engine(engine)
-        self._clock.callLater(2 * LINK_DELAY, lambda: then(True, target.load_report()))
+        self._clock.callLater(2 * LINK_DELAY, lambda: on_result(True, target.load_report()))
 
     def close_idle(self, engine: int) -> None:
         """Do nothing: there are no connections."""
@@ -81,7 +81,7 @@
         """Do nothing: nothing is stored of an engine."""
 
     def _engine(self, index: int) -> InProcessEngine:
-        return self._engines[self._decoder.engines.rows[index].address]
+        return self._engines[self._decoder.engines.endpoints[index].address]
 
 
 class InProcessFleet:
--- a/myrtlehub/node/action_executor.py
+++ b/myrtlehub/node/action_executor.py
@@ -66,21 +66,21 @@
         self._step_read_state(attempt)
         if sequence.answer.is_final:
             # An earlier action sent the final answer, so no further attempt is sent for this sequence.
-            self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
+            self.clock.callLater(0, self.attempt_ended, attempt, contract.Outcome.UNSENT)
             return
         delay = max(0.0, attempt.times_out_at - now)
-        attempt.timer = self.clock.callLater(delay, self._timed_out, attempt)
+        attempt.timer = self.clock.callLater(delay, self._handle_timeout, attempt)
         try:
             self.transport.start(attempt)
         except BaseException:
             # The transport does not write in this iteration of the event loop, so the attempt was not sent
             # (`test_a_request_whose_send_raised_is_retried`).
-            self.clock.callLater(0, self.ended, attempt, contract.Outcome.UNSENT)
+            self.clock.callLater(0, self.attempt_ended, attempt, contract.Outcome.UNSENT)
             raise
 
     def _new_attempt(self, sequence: InFlightSequence, engine: int, timeout: float, now: float) -> Attempt:
-        kind = self.decoder.engines.rows[engine].kind
-        is_chat = self.decoder.rows[sequence.arrival.traffic].front == CHAT_FRONT
+        kind = self.decoder.engines.endpoints[engine].kind
+        is_chat = self.decoder.traffic_types[sequence.arrival.traffic].front == CHAT_FRONT
         # Embeddings and reranking have a single stage, even at engines that read the prompts of chat
         # sequences.
         is_read = is_chat and not self.config.writes[self.decoder.kinds[kind]]
@@ -135,9 +135,9 @@
             return
         self._report_answer(sequence)
         if sequence.answer.state == AnswerState.REJECTED:
-            sequence.client.rejected(retry_after)
+            sequence.response_sink.rejected(retry_after)
         else:
-            sequence.client.aborted("no engine could answer in time, and it may have run")
+            sequence.response_sink.aborted("no engine could answer in time, and it may have run")
 
     def _schedule_wakeup(self, action: contract.ScheduleWakeup) -> None:
         self.clock.callLater(action.delay, self.wake, action.token)
@@ -173,10 +173,10 @@
         # The engine may be removed before it responds; until then its index must not be reused for another
         # engine (`test_outstanding_probe_reserves_the_index_of_a_removed_engine`).
         self.decoder.engines.increment_use_count(action.engine)
-        on_result = partial(self._probed, action.engine, self.clock.seconds())
+        on_result = partial(self._probe_ended, action.engine, self.clock.seconds())
         self.transport.probe(action.engine, self.probe_timeout, on_result)
 
-    def _probed(
+    def _probe_ended(
         self, engine: int, sent_at: float, is_answered: bool, load: contract.LoadReport | None
     ) -> None:
         latency = self.clock.seconds() - sent_at
--- a/myrtlehub/node/admin/interfaces.py
+++ b/myrtlehub/node/admin/interfaces.py
@@ -18,13 +18,13 @@
     clock: Clock
     log: Log
     incarnation: str
-    program: str
+    program_digest: str
     started_at: float
     counters: TrafficCounters
     is_draining: bool
 
     @property
-    def sheet(self) -> NodeConfig:
+    def settings(self) -> NodeConfig:
         """The settings that apply to new sequences."""
 
     @property
@@ -40,7 +40,7 @@
         """The source of the endpoint list."""
 
     @property
-    def is_proven(self) -> bool:
+    def has_answered_with_settings(self) -> bool:
         """Whether the node has an endpoint list and has completed an answer with these settings."""
 
     def replaced_sequence_count(self) -> int:
--- a/myrtlehub/node/admin/node_state.py
+++ b/myrtlehub/node/admin/node_state.py
@@ -17,13 +17,13 @@
     now = node.clock.seconds()
     executor = node.executor
     state = pb.NodeState(
-        program=node.program,
-        settings=settings_digest(node.sheet),
+        program=node.program_digest,
+        settings=settings_digest(node.settings),
         run=node.incarnation,
         pid=os.getpid(),
         age=now - node.started_at,
         leaving=node.is_draining,
-        proven=node.is_proven,
+        proven=node.has_answered_with_settings,
         generation=orders.validator.generation,
         controller=orders.validator.controller,
         format=FORMAT_VERSION,
@@ -43,7 +43,11 @@
 
 
 def _listed_engines(engines: EndpointIndex) -> list[pb.ListedEngine]:
-    endpoints = [engines.rows[index] for index in engines.index_of.values() if not engines.is_removed(index)]
+    endpoints = [
+        engines.endpoints[index]
+        for index in engines.index_by_address.values()
+        if not engines.is_removed(index)
+    ]
     return [
         pb.ListedEngine(
             address=endpoint.address,
@@ -60,12 +64,12 @@
 
 def _add_list_state(state: pb.NodeState, validator: ListValidator, now: float) -> None:
     state.refused.extend(
-        pb.Refusal(age=now - rejection.at, source=rejection.source, why=rejection.reason)
+        pb.Refusal(age=now - rejection.rejected_at, source=rejection.source, why=rejection.reason)
         for rejection in validator.rejections
     )
     version = validator.version
     if version is not None:
         state.list_source = version.source
-        state.list_age = validator.age(now)
+        state.list_age = validator.version_age(now)
         state.list_digest = version.digest
         state.list_old = version.is_from_store
--- a/myrtlehub/node/batch_fronts/coordinator.py
+++ b/myrtlehub/node/batch_fronts/coordinator.py
@@ -51,7 +51,7 @@
             )
         )
         self.dispatcher = BatchDispatcher(executor, decoder, config, clock)
-        self.shares = self.dispatcher.shares
+        self.fair_share = self.dispatcher.fair_share
         self.capacity = FrontCapacity(config, self.dispatcher.fronts)
         self._config = config
         self._timer: Timer | None = None  # fires when the next group of the batcher is due
@@ -61,7 +61,7 @@
         if not self.dispatcher.fronts:
             return  # the node serves chat only
         engines = self.executor.decoder.engines
-        listed = [engines.rows[index] for index in engines.index_of.values()]
+        listed = [engines.endpoints[index] for index in engines.index_by_address.values()]
         serving = [endpoint for endpoint in listed if is_serving(endpoint)]
         self.capacity.update(serving)
         self.dispatcher.update_shares(serving, self.capacity)
@@ -71,7 +71,7 @@
     def utility(self, traffic_type: str) -> float:
         """Return the utility of one batch."""
         decoder = self.decoder
-        return decoder.rows[decoder.traffic[traffic_type]].utility
+        return decoder.traffic_types[decoder.traffic_type_indices[traffic_type]].utility
 
     def accept(self, request: BatchRequest, client: BatchClient) -> InFlightBatch:
         """Accept a request, or reject it if the node has its maximum of sequences.
@@ -86,7 +86,7 @@
         )
         now = self.clock.seconds()
         arrival = self.decoder.arrival(terms, now)
-        traffic = self.decoder.rows[arrival.traffic]
+        traffic = self.decoder.traffic_types[arrival.traffic]
         is_idempotent = RetrySemantics(traffic.repeats) is RetrySemantics.IDEMPOTENT
         if not is_idempotent:
             self._check_fits_one_engine(request, traffic.name, total_tokens)
@@ -99,7 +99,7 @@
         self.in_flight.add(batch)
         # Parts that are still queued here have to be answered by the same deadline as those at engines.
         batch.timer = self.clock.callLater(max(0.0, arrival.time_left), batch.deadline_passed)
-        self.shares.add_demand(now, request.front, total_tokens)
+        self.fair_share.add_demand(now, request.front, total_tokens)
         batch.begin()
         return batch
 
--- a/myrtlehub/node/chat_front/chat_front.py
+++ b/myrtlehub/node/chat_front/chat_front.py
@@ -44,7 +44,7 @@
     max_sequences: int  # in flight at the node
     max_retry_after: float  # seconds
     fair_share: FairShare[EngineBatch]  # shares the engines that serve several fronts
-    clients: ClientLimits
+    client_limits: ClientLimits
     admission: AdmissionController[QueuedRequest] | None  # None: every request is admitted
 
 
@@ -126,11 +126,11 @@
         message = parse_request(data, is_resume)
         request = decode_request(message, call.time_left())
         arrival = self._arrival(request)
-        traffic_type = self.decoder.rows[arrival.traffic]
+        traffic_type = self.decoder.traffic_types[arrival.traffic]
         accepted = AcceptedCall(chat_call, message, request, arrival, traffic_type)
         is_full = self.is_closed or len(self.executor.in_flight) >= self.limits.max_sequences
-        clients = self.limits.clients
-        retry_after = clients.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
+        client_limits = self.limits.client_limits
+        retry_after = client_limits.retry_after(call, request.tenant, request.is_retry, len(data), is_full)
         if retry_after is not None:
             self.on_rejected(traffic_type)
             chat_call.rejected(retry_after)  # not accepted, so no attempt was sent
@@ -138,9 +138,14 @@
         self.limits.fair_share.add_demand(self.executor.clock.seconds(), FRONT_NAME, arrival.prompt_tokens)
         call.stream.registerProducer(chat_call, True)
         self._arm_deadline(chat_call)
-        clients.track(
+        client_limits.track(
             LimitedCall(
-                call, request.mark, request.tenant, traffic_type.utility, len(data), chat_call.limit_exceeded
+                call,
+                request.idempotency_key,
+                request.tenant,
+                traffic_type.utility,
+                len(data),
+                chat_call.limit_exceeded,
             )
         )
         if self.takeover_support is not None:
--- a/myrtlehub/node/replication/record_publisher.py
+++ b/myrtlehub/node/replication/record_publisher.py
@@ -30,7 +30,7 @@
     """Counters since the start of the process."""
 
     taken_over: int = 0
-    unprotected: int = 0  # sequences that began while no replica was reachable
+    unreplicated: int = 0  # sequences that began while no replica was reachable
 
 
 class RecordPublisher:
@@ -148,7 +148,7 @@
             if attempt.number:
                 return SendDecision.SEND  # its earlier attempts are in no record, so no record is created now
             published = PublishedSequence(self._begin(executor, sequence, now), executor, now)
-        engine = executor.decoder.engines.rows[attempt.engine].address
+        engine = executor.decoder.engines.endpoints[attempt.engine].address
         number = sequence.earlier_attempts + attempt.number
         owned = published.owned.add_intent(AttemptIntent(number, engine, attempt.is_read, now))
         published.owned = owned
@@ -164,7 +164,7 @@
         if not isinstance(request, DecodedRequest):
             raise UnsupportedSequenceError(sequence.sequence_id, "its request has no deadline")
         incarnations = self.connections.reachable_incarnations(self.replicas)
-        self.counters.unprotected += not incarnations
+        self.counters.unreplicated += not incarnations
         lifetime = min(request.deadline_in, MAX_RECORD_LIFETIME)
         record = SequenceRecord(
             sequence.sequence_id,
--- a/tests/node/test_batch_fronts.py
+++ b/tests/node/test_batch_fronts.py
@@ -43,7 +43,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_too_long_input_gets_an_error_of_its_own_and_duplicates_run_once() -> None:
+def test_an_input_over_the_length_limit_gets_its_own_error_and_duplicates_run_once() -> None:
     fleet = Fleet("R0 W0 E0", longest_input="400 tokens")
     request = pb.EmbedRequest(
         terms=pb.Terms(traffic_type="vec"),
@@ -59,7 +59,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_parts_of_an_engine_that_dies_are_retried_alone() -> None:
+def test_only_the_parts_of_a_failed_engine_are_retried() -> None:
     fleet = Fleet("R0 W0 E0 E0 E0", batch_rate=20000.0)
     call, stream = embed(fleet, texts(400)), embed(fleet, texts(400, 3), is_stream=True)
     fleet.run(0.25)
@@ -157,7 +157,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_client_that_leaves_a_shared_engine_batch_does_not_affect_the_others() -> None:
+def test_a_client_that_cancels_in_a_shared_engine_batch_does_not_affect_the_others() -> None:
     fleet = Fleet("R0 W0 E0", batch_rate=500.0, more_settings="batches: {gather: 20ms}")
     for i in range(8):
         embed(fleet, texts(1, 50 + i), tokens=1)
@@ -237,7 +237,7 @@
     assert_nothing_in_flight(fleet)
 
 
-def test_a_flood_of_embeddings_leaves_chat_its_share_of_engines() -> None:
+def test_many_embeddings_requests_leave_chat_its_share_of_engines() -> None:
     fleet = Fleet("R0 M0 M0", batch_rate=20000.0, batch_queue=400, slots=16)
     embed_calls = [embed(fleet, texts(200, i), is_stream=True) for i in range(12)]
     fleet.run(0.05)
@@ -247,8 +247,8 @@
         fleet.run(0.05)
     batches = fleet.nodes["n0"].batches
     assert (
-        batches.shares.common_capacity == 8000.0
-        and batches.shares.tokens_in_flight["embed"] <= 0.5 * batches.shares.common_capacity + 4000.0
+        batches.fair_share.common_capacity == 8000.0
+        and batches.fair_share.tokens_in_flight["embed"] <= 0.5 * batches.fair_share.common_capacity + 4000.0
     )
     fleet.run(4.0)
     assert all(c.answer == "generated" for c in chat_calls)
@@ -264,7 +264,9 @@
     node_executor, batches = fleet.nodes["n0"].executor, fleet.nodes["n0"].batches
     only_call = embed(fleet, texts(600), is_stream=True)
     fleet.run(0.1)
-    assert batches.shares.common_tokens["embed"] > 0.0  # no other front has demand, so it may use all of them
+    assert (
+        batches.fair_share.common_tokens["embed"] > 0.0
+    )  # no other front has demand, so it may use all of them
     fleet.run(2.0)
     assert only_call.final == "generated"
     chat_calls, embed_calls, max_common_tokens = [], [], 0.0
@@ -273,19 +275,21 @@
         embed_calls.append(embed(fleet, texts(150, i), is_stream=True))
         fleet.run(0.04)
         if i > 5:
-            max_common_tokens = max(max_common_tokens, batches.shares.common_tokens["embed"])
-    assert max_common_tokens <= 0.5 * batches.shares.common_capacity + 4000.0
+            max_common_tokens = max(max_common_tokens, batches.fair_share.common_tokens["embed"])
+    assert max_common_tokens <= 0.5 * batches.fair_share.common_capacity + 4000.0
     engines_used = {r.who for r in fleet.records("got") if r.more["traffic"] == "vec"}
-    assert "E0d:1" in engines_used and any(batches.shares.is_excluded.values())
+    assert "E0d:1" in engines_used and any(batches.fair_share.is_excluded.values())
     fleet.run(6.0)
     assert all(c.answer == "generated" for c in chat_calls)
     fleet.run(90.0)  # until no front has demand any more
     late_call = embed(fleet, texts(5, 999))
     fleet.run(1.0)
-    assert late_call.final == "generated" and not any(batches.shares.is_excluded.values())
+    assert late_call.final == "generated" and not any(batches.fair_share.is_excluded.values())
     assert sum(c.final == "generated" for c in embed_calls) > 10
     engines = node_executor.router.routers[1].estimates.engines
     # The front is readmitted to the common engines.
-    assert all(engines[index].state == EngineState.SERVING for index in node_executor.router._known[1])
+    assert all(
+        engines[index].state == EngineState.SERVING for index in node_executor.router._known_engines[1]
+    )
     assert_rules_kept(fleet)
     assert_nothing_in_flight(fleet)
--- a/tests/node/test_client_limits.py
+++ b/tests/node/test_client_limits.py
@@ -152,7 +152,9 @@
         [fleet.generate(prompt=100, output=200) for _ in range(3)],
     )
     run_with_balanced_ledger(fleet, 5.0)
-    assert fleet.engines["W0a"].model.decode.running and not fleet.nodes["n0"].client_limits.cuts
+    assert (
+        fleet.engines["W0a"].model.decode.running and not fleet.nodes["n0"].client_limits.recent_disconnects
+    )
     run_with_balanced_ledger(fleet, 3.0)
     assert not fleet.engines["W0a"].model.decode.running  # the attempt was cancelled
     stalled.call.resumeProducing()
@@ -160,7 +162,7 @@
     assert stalled.answer == "aborted" and stalled.status.code == Code.OK  # received once it reads
     assert all(caller.answer == "generated" for caller in others)
     limits = fleet.nodes["n0"].client_limits
-    assert limits.counts["slow"] == 1 and "under 50 bytes a second" in limits.cuts[0].reason
+    assert limits.counts["slow"] == 1 and "under 50 bytes a second" in limits.recent_disconnects[0].reason
     assert limits.ledger.node.in_use == 0 and limits.ledger.node.dropped > 1000 and not limits.calls
     breaches = [breach.text for breach in check_rules(fleet).breaches]
     # The client itself caused this: it read nothing for 8 s.
@@ -180,7 +182,7 @@
     assert_nothing_left(fleet)
 
 
-def test_a_client_that_stalls_for_three_seconds_gets_all() -> None:
+def test_a_client_that_stalls_for_three_seconds_gets_the_complete_answer() -> None:
     fleet = fleet_with_small_window(step_crowd=0.0)
     caller = fleet.generate(prompt=100, output=20000)
     for _ in range(4):
@@ -189,7 +191,7 @@
         run_with_balanced_ledger(fleet, 3.0)
         caller.call.resumeProducing()
     run_with_balanced_ledger(fleet, 8.0)
-    assert caller.answer == "generated" and not fleet.nodes["n0"].client_limits.cuts
+    assert caller.answer == "generated" and not fleet.nodes["n0"].client_limits.recent_disconnects
     assert_nothing_left(fleet)
 
 
@@ -209,7 +211,9 @@
     run_with_balanced_ledger(fleet, 1.0)
     # The utilities are 3 and 1.
     assert "aborted" in {caller.answer for caller in low_utility} and high_utility.answer == ""
-    assert "the peer holds more than its 20000 bytes here" in {cut.reason for cut in limits.cuts}
+    assert "the peer holds more than its 20000 bytes here" in {
+        cut.reason for cut in limits.recent_disconnects
+    }
     for caller in (high_utility, *low_utility):
         if not caller.answer:
             fleet.cancel(caller)
@@ -217,7 +221,7 @@
     assert_nothing_left(fleet)
 
 
-def test_a_hundred_long_prompts_are_rejected_at_the_bound_and_nothing_runs() -> None:
+def test_requests_beyond_the_memory_budget_are_rejected_and_do_not_run() -> None:
     fleet = Fleet("R0 W0", more_settings="limits: {held_bytes: 1MB, peer_share: 1.0}")
     fleet.inject_fault("R0a", "hang", seconds=3.0)
     fleet.run(0.05)
@@ -236,7 +240,7 @@
     assert_nothing_left(fleet)
 
 
-def test_batches_are_limited_too_and_admin_reports_who_was_cut_off() -> None:
+def test_batches_are_limited_and_the_admin_service_reports_disconnects() -> None:
     fleet = Fleet("R0 W0 E0 K0", more_settings="limits: {rate_window: 2s}")
     fleet.channels["n0"].limits = TransportLimits(stream_window=1024)
     stalled, other = rank(fleet, b"q", texts(1500), is_stream=True), embed(fleet, texts(20))
@@ -256,7 +260,7 @@
 
 
 @pytest.mark.parametrize("limit", ["connections: 3", "peer_connections: 3"])
-def test_connections_past_the_bound_are_closed_and_others_continue(limit: str) -> None:
+def test_connections_beyond_the_limit_are_closed_and_others_continue(limit: str) -> None:
     fleet = Fleet("W0", more_settings=f"limits: {{{limit}}}")
     node = fleet.nodes["n0"]
     callers = []
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -94,8 +94,8 @@
     fleet.push_list_event("W0b", "draining")
     fleet.run(0.1)
     for executor in (old_runtime.executor, node.executor):
-        index = executor.decoder.engines.index_of["W0b:1"]
-        assert executor.decoder.engines.rows[index].state == "draining"
+        index = executor.decoder.engines.index_by_address["W0b:1"]
+        assert executor.decoder.engines.endpoints[index].state == "draining"
     fleet.run(8.0)
     assert {caller.answer for caller in fleet.calls} == {"generated"} and not node.replaced_runtimes
 
@@ -172,7 +172,7 @@
     assert len(drain_ends) == 2 and drain_ends[0] == drain_ends[1]
 
 
-def test_what_a_node_counts_of_itself() -> None:
+def test_node_figures_count_requests_answers_and_utility() -> None:
     fleet = Fleet()
     admin = AdminClient(fleet)
     for i in range(6):
@@ -203,5 +203,5 @@
     assert settings_digest(settings[0]) != settings_digest(parse_settings(changed_settings(fleet)))
     fleet.push_list_event("W0b", "draining")
     fleet.run(0.1)
-    assert isinstance(fleet.nodes["n0"], Node) and fleet.nodes["n0"].program == program_digest()
+    assert isinstance(fleet.nodes["n0"], Node) and fleet.nodes["n0"].program_digest == program_digest()
     assert len(program_digest()) == 16
