--- a/myrtlehub/rollout_controller/controller.py
+++ b/myrtlehub/rollout_controller/controller.py
@@ -36,7 +36,7 @@
 from myrtlehub.rollout_controller.stage_supervision import Decision, StageSupervisor, node_timeouts
 from myrtlehub.rpc.channel import Dialer
 
-OPERATOR_ROLLBACK_REASON = "requested by the operator"
+OPERATOR_ROLLBACK_REASON = "the operator asked for it"
 CONTROLLER_ID_LENGTH = 12  # hexadecimal digits; makes identical identifiers of two controllers improbable
 
 
--- a/myrtlehub/rollout_controller/node_actions.py
+++ b/myrtlehub/rollout_controller/node_actions.py
@@ -161,5 +161,5 @@
         if isinstance(error, RpcError) and error.status.code in REJECTION_CODES:
             order = method.lower()
             message = error.status.message
-            reason = f"{self._files.names[node]} rejected {order}: {message}"
+            reason = f"{self._files.names[node]} refused {order}: {message}"
             self._observer.order_rejected(node, Rejection(order, message, reason))
--- a/myrtlehub/rollout_controller/stage_supervision.py
+++ b/myrtlehub/rollout_controller/stage_supervision.py
@@ -36,7 +36,7 @@
 
     def __init__(self, config: RolloutPlanConfig, record: RolloutRecord, nodes: list[TrackedNode]) -> None:
         """Create a supervisor; `start` has to be called before anything else."""
-        self.verdict = Verdict(Outcome.UNDECIDED, "no sample window has been observed yet")
+        self.verdict = Verdict(Outcome.UNDECIDED, "no sample window was observed yet")
         self.phase_since = 0.0  # seconds of the controller's clock
         self._config = config
         self._record = record
@@ -118,14 +118,14 @@
     def _hold_decision(self) -> Decision | None:
         if self._record.analysis.is_disturbed or self._unresponsive_nodes():
             return None
-        return Decision(RolloutEvent.DISTURBANCE_OVER, "no disturbance in the last sample windows")
+        return Decision(RolloutEvent.DISTURBANCE_OVER, "no sign of the disturbance in the last windows")
 
     def _observation_decision(self) -> Decision | None:
         unresponsive = self._unresponsive_nodes()
         if unresponsive:
             # A node that does not answer is not compared, so the stage could pass without it. The stage is
             # put on hold instead (test_an_unreachable_node_is_left_unchanged_until_it_is_reachable).
-            return Decision(RolloutEvent.DISTURBANCE, f"no answer from {', '.join(unresponsive)}")
+            return Decision(RolloutEvent.DISTURBANCE, f"no contact with {', '.join(unresponsive)}")
         if self.verdict.outcome is Outcome.DISTURBANCE:
             return Decision(RolloutEvent.DISTURBANCE, self.verdict.reason)
         if self.verdict.outcome is Outcome.PASS:
--- a/tests/rollout/test_rollout_controller.py
+++ b/tests/rollout/test_rollout_controller.py
@@ -393,7 +393,7 @@
         and harness.fleet.nodes["n0"] is node
         and harness.controller.nodes[0].is_unreachable
     )
-    assert harness.controller.state.phase == "holding" and "no answer from n0" in str(harness.events)
+    assert harness.controller.state.phase == "holding" and "no contact with n0" in str(harness.events)
     harness.fleet.net.listen("n0:2", admin_listener)
     assert harness.run() == 0 and harness.programs() == ["new"] * 3
 
@@ -494,7 +494,7 @@
         harness.advance()
     Path(f"{harness.controller.journal.path}.undo").touch()
     assert harness.run() == 1 and harness.programs() == ["old"] * 3 and harness.max_unavailable == 1
-    assert "requested by the operator" in str(harness.events)
+    assert "the operator asked for it" in str(harness.events)
 
 
 @pytest.mark.parametrize(
