--- a/myrtlehub/config/field_types.py
+++ b/myrtlehub/config/field_types.py
@@ -1,4 +1,4 @@
-"""Types of fields that several models have."""
+"""Field types that several models share."""
 
 from typing import Annotated
 
