--- a/myrtlehub/cli/emulator.py
+++ b/myrtlehub/cli/emulator.py
@@ -1,4 +1,4 @@
-"""hub-emulator: runs an emulated engine; its figures are simulated."""
+"""hub-emulator: runs an emulated engine, with simulated capacities and rates."""
 
 import os
 import sys
@@ -14,7 +14,7 @@
 from myrtlehub.log_events import LogEvent
 from myrtlehub.node.process import call_on_termination, freeze_startup_objects
 
-CRASHED = 3  # exit code of an engine that was overloaded while warming up
+OVERLOAD_EXIT_CODE = 3  # the engine was overloaded while warming up
 
 
 @click.command()
@@ -22,8 +22,8 @@
 def main(config: Path) -> None:
     """Run an emulated engine with the settings in CONFIG, a YAML file (docs/operators/config.md).
 
-    It serves gRPC myrtlehub.v1.Engine as a model server does, with simulated figures, and
-    myrtlehub.v1.Stand, by which tests inject faults. Exit status 2: CONFIG or an address is
+    It serves gRPC myrtlehub.v1.Engine like a model server, with simulated capacities and rates,
+    and myrtlehub.v1.Stand, by which tests inject faults. Exit status 2: CONFIG or an address is
     invalid; 3: the engine was overloaded while warming up.
     """
     settings = load_or_exit(config, EmulatedEngineConfig)
@@ -36,13 +36,13 @@
     clock = SteadyClock(event_loop)
     recorder = Recorder(settings.listen, clock, settings.records)
 
-    def on_crashed() -> None:
-        log(LogEvent.ENGINE_OVERLOADED, reason="more requests than its slow start allows")
+    def on_overload() -> None:
+        log(LogEvent.ENGINE_OVERLOADED, reason="load above the capacity during slow start")
         recorder.close()
         sys.stdout.flush()
-        os._exit(CRASHED)
+        os._exit(OVERLOAD_EXIT_CODE)
 
-    engine = EmulatedEngine(settings, clock, dialer(event_loop), recorder, on_crashed)
+    engine = EmulatedEngine(settings, clock, dialer(event_loop), recorder, on_overload)
     listen(event_loop, settings.listen, engine.server)
     call_on_termination(event_loop.stop, event_loop)
     event_loop.callWhenRunning(lambda: log(LogEvent.READY, listen=settings.listen, cold=settings.cold))
--- a/myrtlehub/cli/endpoints.py
+++ b/myrtlehub/cli/endpoints.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 from myrtlehub.cli.event_loop import get_event_loop, run_until_fired
-from myrtlehub.cli.exits import fail, load_or_exit
+from myrtlehub.cli.exits import exit_invalid, load_or_exit
 from myrtlehub.config.endpoints import EndpointConfig
 from myrtlehub.config.engines import EngineKindConfig
 from myrtlehub.config.node import NodeConfig
@@ -27,35 +27,35 @@
 
 
 def read_valid_snapshot(paths: tuple[str, ...], node_file: Path | None) -> Snapshot:
-    """Return the snapshot of files; print one line per fault and exit with INVALID if there are any."""
+    """Return the snapshot of files; print one line per error and exit with EXIT_INVALID if there are any."""
     snapshot = read_snapshot(paths, Path())
     faults = list(snapshot.faults)
     if not faults:
         faults = [f"{', '.join(paths)}: {fault}" for fault in _find_faults(snapshot, node_file)]
     if faults:
-        fail("\n".join(faults))
+        exit_invalid("\n".join(faults))
     return snapshot
 
 
 def _find_faults(snapshot: Snapshot, node_file: Path | None) -> list[str]:
     if node_file is None:
-        kinds = {endpoint.kind: guess_kind(endpoint.kind) for endpoint in snapshot.endpoints}
+        kinds = {endpoint.kind: guess_engine_kind(endpoint.kind) for endpoint in snapshot.endpoints}
         return find_list_faults(snapshot.endpoints, kinds, [endpoint.zone for endpoint in snapshot.endpoints])
     settings = load_or_exit(node_file, NodeConfig)
     kinds = {kind.name: kind for kind in settings.kinds}
     return find_list_faults(snapshot.endpoints, kinds, settings.zones, settings.engines_may.read_alone)
 
 
-def guess_kind(name: str) -> EngineKindConfig:
-    """Return an engine kind with the tasks that its name suggests."""
-    reads = any(part in name for part in ("read", "mixed", "both"))
+def guess_engine_kind(name: str) -> EngineKindConfig:
+    """Return an engine kind whose tasks are guessed from its name."""
+    reads = any(word in name for word in ("read", "mixed", "both"))
     return EngineKindConfig(name=name, reads=reads, writes="read" not in name)
 
 
 def describe_difference(difference: ListDifference) -> list[str]:
     """Return one line per endpoint that differs."""
-    lines = [f"+ {_describe(endpoint)}" for endpoint in difference.added]
-    lines += [f"- {_describe(endpoint)}" for endpoint in difference.removed]
+    lines = [f"+ {_describe_endpoint(endpoint)}" for endpoint in difference.added]
+    lines += [f"- {_describe_endpoint(endpoint)}" for endpoint in difference.removed]
     lines += [f"~ {endpoint.address}: drains" for endpoint in difference.draining]
     for endpoint, fields in difference.changed:
         values = ", ".join(f"{field} is now {getattr(endpoint, field)}" for field in fields)
@@ -63,7 +63,7 @@
     return lines
 
 
-def _describe(endpoint: EndpointConfig) -> str:
+def _describe_endpoint(endpoint: EndpointConfig) -> str:
     return (
         f"{endpoint.address} ({endpoint.kind}, zone {endpoint.zone}, cell {endpoint.cell}, "
         f"weight {endpoint.weight:g}, {endpoint.state})"
@@ -73,7 +73,7 @@
 NODE_FILE = click.option(
     "--node-file",
     type=click.Path(path_type=Path),
-    help="A node's file, for its kinds and zones; without it kinds are guessed by name.",
+    help="A node's file, for its kinds and zones; without it, kinds are guessed from their names.",
 )
 
 
@@ -83,7 +83,7 @@
 def check(paths: tuple[str, ...], node_file: Path | None) -> None:
     """Validate FILEs (paths, globs, directories) as a node would.
 
-    Exit 0: they are valid. 2: they are not; one line per fault.
+    Exit 0: they are valid. 2: they are not; one line per error.
     """
     snapshot = read_valid_snapshot(paths, node_file)
     version = make_version(1, snapshot.endpoints, "files", 0.0)
@@ -99,7 +99,7 @@
 def diff(before: str, after: str, node_file: Path | None) -> None:
     """Print the differences between BEFORE and AFTER.
 
-    Exit 0: there is none. 1: there are some. 2: one of the two is invalid.
+    Exit 0: there are none. 1: there are some. 2: one of the two is invalid.
     """
     old, new = (
         make_version(number, read_valid_snapshot((path,), node_file).endpoints, path, 0.0)
@@ -116,12 +116,12 @@
 def show(node: str) -> None:
     """Print the endpoint list that a running node uses, its source, and the lists that it rejected."""
     if ":" not in node:
-        fail(f"--node {node}: write it as host:port")
+        exit_invalid(f"--node {node}: must be host:port")
     reply = _request_state(node)
     if isinstance(reply, Failure):
-        fail(f"{node}: {reply.getErrorMessage()}")
+        exit_invalid(f"{node}: {reply.getErrorMessage()}")
     state = pb.NodeState.FromString(reply)
-    from_store = ", OLD: no source had a good one at the start" if state.list_old else ""
+    from_store = " (version store, as no source had a valid list at the start)" if state.list_old else ""
     source = state.list_source or "its file"
     click.echo(
         f"version {state.list_version}, {state.list_age:.1f} s old, from {source}"
@@ -133,7 +133,7 @@
             f"weight {engine.weight:g} {engine.state}"
         )
     for rejected in state.refused:
-        click.echo(f"refused {rejected.age:.1f} s ago, {rejected.source}: {rejected.why}")
+        click.echo(f"rejected {rejected.age:.1f} s ago, {rejected.source}: {rejected.why}")
 
 
 def _request_state(node: str) -> bytes | Failure:
--- a/myrtlehub/cli/event_loop.py
+++ b/myrtlehub/cli/event_loop.py
@@ -1,4 +1,4 @@
-"""The interface of Twisted's reactor that the programs use, and functions that run it."""
+"""The part of Twisted's reactor interface that the programs use, and functions that run the reactor."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeVar
@@ -51,12 +51,12 @@
 
 
 def run_until_fired(
-    event_loop: EventLoop, start: Callable[[], Deferred[ResultT]], installs_signal_handlers: bool = True
+    event_loop: EventLoop, start: Callable[[], Deferred[ResultT]], install_signal_handlers: bool = True
 ) -> ResultT | Failure:
-    """Run the event loop until the Deferred that `start` returns has fired; return its result.
+    """Run the event loop until the Deferred returned by `start` fires; return its result or failure.
 
     Raises:
-        EventLoopStoppedError: the event loop was stopped before.
+        EventLoopStoppedError: the event loop was stopped before the Deferred fired.
     """
     results: list[ResultT | Failure] = []
 
@@ -65,7 +65,7 @@
         event_loop.stop()
 
     event_loop.callWhenRunning(lambda: start().addBoth(stop))
-    event_loop.run(installSignalHandlers=installs_signal_handlers)
+    event_loop.run(installSignalHandlers=install_signal_handlers)
     if not results:
         raise EventLoopStoppedError
     return results[0]
--- a/myrtlehub/cli/fault_soak.py
+++ b/myrtlehub/cli/fault_soak.py
@@ -16,15 +16,15 @@
 from myrtlehub.lab.fault_soak.schedule_shrinker import shrink
 from myrtlehub.lab.fault_soak.soak_result import SoakResult
 
-MAX_SEEDS = 1000  # largest number of seeds of one command
-MAX_SHOWN_PER_RULE = 4  # largest number of findings per rule that are printed for a run
-MAX_STDERR_SHOWN = 2000  # characters printed from the end of the standard error of a failed run
-RUN_MARGIN_S = 60.0  # seconds for start and end of a run's process, in addition to the duration of the run
+MAX_SEEDS = 1000  # maximum number of seeds per command
+MAX_FINDINGS_PER_RULE = 4  # maximum number of findings per rule printed for a run
+MAX_STDERR_CHARACTERS = 2000  # printed from the end of the standard error of a failed run
+RUN_MARGIN_S = 60.0  # time for a run's process to start and exit, in addition to the run's duration
 
 
 @click.group()
 def main() -> None:
-    """Inject randomized, overlapping faults into relay nodes on loopback; check what their peers recorded.
+    """Inject randomized, overlapping faults into relay nodes on loopback, and check their peers' records.
 
     Exit status 0: all rules were kept. 1: a rule was broken. 2: an argument is invalid.
     """
@@ -35,15 +35,15 @@
     try:
         seeds = list(range(int(first), int(last or first) + 1))
     except ValueError:
-        raise click.BadParameter(f"{text!r}: write SEED or FIRST-LAST") from None
+        raise click.BadParameter(f"{text!r}: must be SEED or FIRST-LAST") from None
     if not 0 < len(seeds) <= MAX_SEEDS:
-        raise click.BadParameter(f"{text!r}: one seed at least, {MAX_SEEDS} at most")
+        raise click.BadParameter(f"{text!r}: must have 1 to {MAX_SEEDS} seeds")
     return seeds
 
 
 @main.command()
 @click.option("--seeds", default="1", help="SEED or FIRST-LAST.")
-@click.option("--seconds", default=30.0, type=click.FloatRange(12.0, 3600.0), help="Length of a run.")
+@click.option("--seconds", default=30.0, type=click.FloatRange(12.0, 3600.0), help="Duration of a run.")
 @click.option("--nodes", default=10, type=click.IntRange(1, 40))
 @click.option("--engines", default=8, type=click.IntRange(2, 40))
 @click.option("--jobs", default=1, type=click.IntRange(1, 8), help="Number of concurrent runs.")
@@ -52,7 +52,7 @@
 @click.option(
     "--keep",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder for the schedules of failed runs.",
+    help="Directory for the schedules of failed runs.",
 )
 def run(
     seeds: str,
@@ -64,13 +64,13 @@
     kinds: tuple[str, ...],
     keep: Path | None,
 ) -> None:
-    """Play one run per seed, with faults of the given kinds, or of kinds that are drawn from the seed."""
+    """Run one schedule per seed, with faults of the given kinds, or of kinds drawn from the seed."""
     chosen = tuple(FaultKind(kind) for kind in kinds)
     schedules = [Schedule.draw(seed, seconds, nodes, engines, chosen) for seed in _parse_seeds(seeds)]
     failed = 0
     with ThreadPoolExecutor(jobs) as pool:
         for schedule, result in zip(
-            schedules, pool.map(lambda each: _play_in_process(each, program), schedules), strict=True
+            schedules, pool.map(lambda each: _run_in_process(each, program), schedules), strict=True
         ):
             failed += _print_result(schedule, result)
             if keep is not None and (result is None or result.findings):
@@ -84,10 +84,10 @@
 @click.argument("file", type=click.Path(exists=True, path_type=Path, dir_okay=False))
 @click.option("--program", default=RELAY, help="Module that is run as a node.")
 @click.option(
-    "--keep", type=click.Path(path_type=Path, file_okay=False), help="Folder for logs of the nodes."
+    "--keep", type=click.Path(path_type=Path, file_okay=False), help="Directory for the logs of the nodes."
 )
 def replay(file: Path, program: str, keep: Path | None) -> None:
-    """Play the schedule of FILE again."""
+    """Run the schedule of FILE again."""
     schedule = Schedule.read(file)
     result = play(schedule, keep, program)
     sys.exit(1 if _print_result(schedule, result) else 0)
@@ -95,7 +95,7 @@
 
 @main.command("shrink")
 @click.argument("file", type=click.Path(exists=True, path_type=Path, dir_okay=False))
-@click.option("--rule", required=True, help="The rule that the smaller schedule has to break.")
+@click.option("--rule", required=True, help="The rule that the shrunk schedule must still break.")
 @click.option(
     "--tries", default=2, help="Number of runs without a violation after which a schedule counts as passed."
 )
@@ -105,7 +105,7 @@
 
     def fails(schedule: Schedule) -> bool:
         for _ in range(tries):
-            result = _play_in_process(schedule, program)
+            result = _run_in_process(schedule, program)
             if result is not None and any(finding.rule == rule for finding in result.findings):
                 return True
         return False
@@ -113,37 +113,37 @@
     smallest = shrink(Schedule.read(file), fails)
     target = file.with_suffix(".small.json")
     smallest.write(target)
-    click.echo(f"{target}: {len(smallest.faults)} troubles")
+    click.echo(f"{target}: {len(smallest.faults)} faults")
 
 
 @main.command("play", hidden=True)
 @click.option("--program", default=RELAY)
-def play_from_input(program: str) -> None:
-    """Play the schedule that is read from standard input, and write the result to standard output."""
+def run_schedule_from_stdin(program: str) -> None:
+    """Run the schedule read from standard input, and write the result to standard output."""
     schedule = msgspec.json.decode(sys.stdin.buffer.read(), type=Schedule)
     sys.stdout.buffer.write(msgspec.json.encode(play(schedule, program=program)))
 
 
-def _play_in_process(schedule: Schedule, program: str) -> SoakResult | None:
-    """Play a schedule in a process of its own; return None if the process failed."""
-    done = subprocess.run(
+def _run_in_process(schedule: Schedule, program: str) -> SoakResult | None:
+    """Run a schedule in a separate process; return None if the process failed."""
+    completed = subprocess.run(
         [sys.executable, "-m", "myrtlehub.cli.fault_soak", "play", "--program", program],
         input=msgspec.json.encode(schedule),
         capture_output=True,
         check=False,
         timeout=schedule.duration_s + RUN_MARGIN_S,
     )
-    if done.returncode != 0:
-        click.echo(done.stderr.decode(errors="replace")[-MAX_STDERR_SHOWN:], err=True)
+    if completed.returncode != 0:
+        click.echo(completed.stderr.decode(errors="replace")[-MAX_STDERR_CHARACTERS:], err=True)
         return None
-    return msgspec.json.decode(done.stdout, type=SoakResult)
+    return msgspec.json.decode(completed.stdout, type=SoakResult)
 
 
 def _print_result(schedule: Schedule, result: SoakResult | None) -> bool:
     """Print the result of a run; return whether the run failed."""
     kinds = ", ".join(sorted({fault.kind.value for fault in schedule.faults}))
     if result is None:
-        click.echo(f"seed {schedule.seed}: could not be played ({kinds})")
+        click.echo(f"seed {schedule.seed}: could not be run ({kinds})")
         return True
     counts = Counter(finding.rule for finding in result.findings)
     verdict = ", ".join(f"{rule} {count}" for rule, count in sorted(counts.items())) or "kept"
@@ -151,12 +151,12 @@
         f"seed {schedule.seed}: {verdict}; {result.requests} requests, {result.attempts} attempts, "
         f"{result.ends}, withheld {result.withheld}, {result.killed} of {result.shutdowns} shutdowns "
         f"ended by SIGKILL, driver lag {result.driver_lag} s; deadline {schedule.deadline_s} s; "
-        f"{len(schedule.faults)} troubles: {kinds}"
+        f"{len(schedule.faults)} faults: {kinds}"
     )
-    shown: Counter[str] = Counter()
+    printed: Counter[str] = Counter()
     for finding in result.findings:
-        shown[finding.rule] += 1
-        if shown[finding.rule] <= MAX_SHOWN_PER_RULE:
+        printed[finding.rule] += 1
+        if printed[finding.rule] <= MAX_FINDINGS_PER_RULE:
             click.echo(f"    {finding.rule}: {finding.subject}: {finding.detail}")
             for line in result.evidence.get(finding.subject, ()):
                 click.echo(f"        {line}")
--- a/myrtlehub/cli/faulty_node.py
+++ b/myrtlehub/cli/faulty_node.py
@@ -2,8 +2,8 @@
 
     python -m myrtlehub.cli.faulty_node KIND CONFIG
 
-The program of the node is unchanged except for the fault that KIND names, and for its build label, which
-gives it a revision of its own.
+The node's program is unchanged except for the fault named by KIND, and for its build label, which gives it a
+distinct revision.
 """
 
 import os
@@ -27,24 +27,24 @@
 from myrtlehub.routing.contract import Action, Arrival, Forget, Reject
 from myrtlehub.routing.policy.router import Router
 
-CRASH_AFTER_S = 5.0  # from the start of a node with the fault `crashes` to its exit
+CRASH_AFTER_S = 5.0  # time from start to exit, of `crashes`
 CRASH_EXIT_CODE = 3
-NEVER_READY_S = 3600.0  # duration of the sleep in `never-ready`: longer than any rollout of a test
-SEND_DELAY_S = 0.06  # added to each send by `slow`: about a third of the usual time to first token
-LEAK_BYTES_PER_S = 2_000_000  # rate at which `leaks` leaks memory
+NEVER_READY_S = 3600.0  # sleep of `never-ready`, longer than any rollout of a test
+SEND_DELAY_S = 0.06  # delay of each send, of `slow`: about a third of the usual time to first token
+LEAK_BYTES_PER_S = 2_000_000  # leak rate of `leaks`
 LEAK_INTERVAL_S = 0.1
 RANDOM_SEED = 7
-# Fractions of sequences that are rejected, in addition to those that the router rejects.
-REJECTED = 0.02  # by `rejects`
-MOSTLY_REJECTED = 0.8  # by `rejects-most` and `foreign`
-REJECTED_OF_ONE_TRAFFIC_TYPE = 0.5  # by `spoils`, of the traffic type below
-REJECTED_BY_HALF = 0.3  # by `half`, as soon as half of the nodes run the faulty program
+# Fractions of sequences that are rejected in addition to those that the router rejects.
+REJECTED_FRACTION = 0.02  # by `rejects`
+MOST_REJECTED_FRACTION = 0.8  # by `rejects-most` and `foreign`
+TRAFFIC_TYPE_REJECTED_FRACTION = 0.5  # by `spoils`, of the traffic type below
+HALF_FLEET_REJECTED_FRACTION = 0.3  # by `half`, once half of the nodes run the faulty program
 AFFECTED_TRAFFIC_TYPE = 1  # index of that type in the list `traffic` of the settings
 RETRY_AFTER_S = 0.5  # Retry-After of the injected rejections
 
 
 def _reject_fraction(fraction: Callable[[Arrival], float]) -> None:
-    """Have the router reject a fraction of the arriving sequences, drawn at random."""
+    """Make the router reject a fraction of the arriving sequences, chosen at random."""
     draw = Random(RANDOM_SEED).random
 
     class RejectingRouter(Router):
@@ -56,18 +56,18 @@
     replace_attribute(node_runtime, "Router", RejectingRouter)
 
 
-def _slow() -> None:
+def _delay_sends() -> None:
     """Delay each send to an engine."""
     start = GrpcEngineTransport.start
 
-    def start_late(self: GrpcEngineTransport, attempt: Attempt) -> None:
+    def start_delayed(self: GrpcEngineTransport, attempt: Attempt) -> None:
         self.clock.callLater(SEND_DELAY_S, lambda: start(self, attempt) if attempt.is_outstanding else None)
 
-    replace_attribute(GrpcEngineTransport, "start", start_late)
+    replace_attribute(GrpcEngineTransport, "start", start_delayed)
 
 
-def _leaks() -> None:
-    """Leak memory from the start of the node on."""
+def _leak_memory() -> None:
+    """Leak memory, beginning with the first measurement of the event loop lag."""
     leaked: list[bytes] = []
     measure = node.Node.measure_lag
 
@@ -83,8 +83,8 @@
     replace_attribute(node.Node, "measure_lag", measure_and_leak)
 
 
-def _crashes() -> None:
-    """Exit after some seconds."""
+def _crash_after_delay() -> None:
+    """Exit with CRASH_EXIT_CODE after CRASH_AFTER_S."""
     event_loop = get_event_loop()
     name = Path(sys.argv[1]).name.split(".")[0]
 
@@ -97,10 +97,10 @@
     event_loop.callLater(CRASH_AFTER_S, crash)
 
 
-def _half() -> None:
-    """Reject a fraction of the sequences as soon as half of the nodes run this program.
+def _reject_once_half_run() -> None:
+    """Reject a fraction of the sequences once half of the nodes run this program.
 
-    Each of them leaves a file named by its process id, so that the others can count it.
+    Each process creates a file named by its process id, so that the others can count it.
     """
     folder = Path(os.environ[FOLDER_VARIABLE])
     (folder / f"half-{os.getpid()}").touch()
@@ -108,12 +108,12 @@
     def fraction(arrival: Arrival) -> float:
         pids = [file.name.removeprefix("half-") for file in folder.glob("half-*")]
         running = sum(Path(f"/proc/{pid}").exists() for pid in pids)
-        return REJECTED_BY_HALF if 2 * running >= int(os.environ[NODE_COUNT_VARIABLE]) else 0.0
+        return HALF_FLEET_REJECTED_FRACTION if 2 * running >= int(os.environ[NODE_COUNT_VARIABLE]) else 0.0
 
     _reject_fraction(fraction)
 
 
-def _deaf() -> None:
+def _never_drain() -> None:
     """Never complete a graceful shutdown, whether SIGTERM or the admin service requests it."""
 
     def drain(self: node.Node) -> Deferred[None]:
@@ -122,10 +122,10 @@
     replace_attribute(node.Node, "drain", drain)
 
 
-def _foreign() -> None:
-    """Store endpoint lists by a later schema, and reject most sequences, so that the node is rolled back.
+def _use_later_schema() -> None:
+    """Store endpoint lists in a later schema, and reject most sequences, so that the node is rolled back.
 
-    The earlier program then has to start with a version store of the later schema.
+    The earlier program must then start with a version store of the later schema.
     """
     from myrtlehub.membership import version_store
 
@@ -133,39 +133,39 @@
     version_store.SCHEMA = version_store.SCHEMA.replace(
         "NOT NULL)", "NOT NULL, more TEXT NOT NULL DEFAULT '')"
     )
-    _reject_fraction(lambda arrival: MOSTLY_REJECTED)
+    _reject_fraction(lambda arrival: MOST_REJECTED_FRACTION)
 
 
-def _spoils() -> None:
+def _reject_one_traffic_type() -> None:
     """Reject half of the sequences of one traffic type."""
     _reject_fraction(
-        lambda arrival: REJECTED_OF_ONE_TRAFFIC_TYPE if arrival.traffic == AFFECTED_TRAFFIC_TYPE else 0.0
+        lambda arrival: TRAFFIC_TYPE_REJECTED_FRACTION if arrival.traffic == AFFECTED_TRAFFIC_TYPE else 0.0
     )
 
 
-KINDS: dict[str, Callable[[], None]] = {
+FAULTS: dict[str, Callable[[], None]] = {
     "equal": lambda: None,
     "exits": partial(sys.exit, CRASH_EXIT_CODE),
     "never-ready": lambda: time.sleep(NEVER_READY_S),
-    "crashes": _crashes,
-    "slow": _slow,
-    "leaks": _leaks,
-    "rejects": lambda: _reject_fraction(lambda arrival: REJECTED),
-    "rejects-most": lambda: _reject_fraction(lambda arrival: MOSTLY_REJECTED),
-    "spoils": _spoils,
-    "half": _half,
-    "deaf": _deaf,
-    "foreign": _foreign,
+    "crashes": _crash_after_delay,
+    "slow": _delay_sends,
+    "leaks": _leak_memory,
+    "rejects": lambda: _reject_fraction(lambda arrival: REJECTED_FRACTION),
+    "rejects-most": lambda: _reject_fraction(lambda arrival: MOST_REJECTED_FRACTION),
+    "spoils": _reject_one_traffic_type,
+    "half": _reject_once_half_run,
+    "deaf": _never_drain,
+    "foreign": _use_later_schema,
 }
 
 
 def main() -> None:
     """Inject the fault, and run the node."""
     kind = sys.argv.pop(1)
-    if kind not in KINDS:
-        sys.exit(f"{kind!r} is not one of {', '.join(KINDS)}")
+    if kind not in FAULTS:
+        sys.exit(f"{kind!r} is not one of {', '.join(FAULTS)}")
     os.environ[revision.BUILD_LABEL_VARIABLE] = f"variant {kind}"
-    KINDS[kind]()
+    FAULTS[kind]()
     from myrtlehub.cli.node import main as run_node
 
     run_node()
--- a/myrtlehub/cli/json_log.py
+++ b/myrtlehub/cli/json_log.py
@@ -9,14 +9,14 @@
 from myrtlehub.log_events import Log, LogEvent
 
 
-def _to_json(event: dict[str, object], **ignored: object) -> str:
+def _to_json(event: dict[str, object], **_options: object) -> str:
     return msgspec.json.encode(event).decode()
 
 
 def make_log(**common_fields: object) -> Log:
-    """Return a log of JSON lines on standard output; each line has the common fields.
+    """Return a log that writes JSON lines to standard output; each line has the common fields.
 
-    Twisted's own log, which has the tracebacks of uncaught exceptions, is written to standard error as text.
+    Twisted's own log, with the tracebacks of uncaught exceptions, is written to standard error as text.
     """
     structlog.configure(
         processors=[
@@ -28,13 +28,13 @@
         cache_logger_on_first_use=True,
     )
     globalLogBeginner.beginLoggingTo(
-        [textFileLogObserver(sys.stderr)],  # type: ignore[list-item] # a zope interface, unknown to mypy
+        [textFileLogObserver(sys.stderr)],  # type: ignore[list-item] # mypy does not know zope interfaces
         redirectStandardIO=False,
     )
-    bound = structlog.get_logger().bind(**common_fields)
+    logger = structlog.get_logger().bind(**common_fields)
 
     def log(event: LogEvent, /, **fields: object) -> None:
-        bound.info(event, **fields)
+        logger.info(event, **fields)
         sys.stdout.flush()
 
     return log
--- a/myrtlehub/cli/node.py
+++ b/myrtlehub/cli/node.py
@@ -20,7 +20,7 @@
     from myrtlehub.node.endpoint_list_source import FileAccess
     from myrtlehub.node.node import Node
 
-Result = TypeVar("Result")
+ResultT = TypeVar("ResultT")
 
 
 @click.command()
@@ -31,7 +31,7 @@
 
     It serves gRPC myrtlehub.v1.Chat on node.listen and NodeAdmin on node.admin, and logs JSON lines on
     standard output, one per final answer and one per state change of an engine. SIGTERM starts a graceful
-    shutdown: new sequences are rejected, and those in flight are answered within node.drain_within. Exit
+    shutdown: new sequences are rejected, and in-flight ones are answered within node.drain_within. Exit
     status 0: it was shut down. 2: CONFIG or an address is invalid.
     """
     settings = load_or_exit(config, NodeConfig)
@@ -62,7 +62,7 @@
 
 
 def _file_access(settings: NodeConfig, folder: Path) -> "FileAccess":
-    """Return the access to the files of the endpoint list; without files, no process or thread is needed."""
+    """Return the file access for the endpoint list; without files, no process or thread is started."""
     from twisted.internet import reactor
 
     from myrtlehub.membership.file_monitor import poll_only
@@ -79,7 +79,7 @@
     )
 
 
-def _run_in_thread(work: Callable[[], Result], callback: Callable[[Result], None], /) -> None:
+def _run_in_thread(work: Callable[[], ResultT], callback: Callable[[ResultT], None], /) -> None:
     """Run `work` in a thread, and pass its result to `callback` in the event loop."""
     from twisted.internet.threads import deferToThread
 
@@ -97,7 +97,7 @@
 
 
 def _drain_on_request(node: "Node", chat_port: ListeningPort, event_loop: EventLoop) -> None:
-    """Have SIGTERM, SIGINT and the admin service's order start a graceful shutdown."""
+    """Start a graceful shutdown on SIGTERM, SIGINT or a request of the admin service."""
 
     def drain() -> None:
         if not node.is_draining:
--- a/myrtlehub/cli/rollout.py
+++ b/myrtlehub/cli/rollout.py
@@ -1,4 +1,4 @@
-"""hub-rollout: changes the program or the settings of a fleet in stages, and rolls back a worse version."""
+"""hub-rollout: changes the program or settings of a fleet in stages, and rolls back a regression."""
 
 import json
 import sys
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from myrtlehub.cli.event_loop import EventLoopStoppedError, get_event_loop, run_until_fired
-from myrtlehub.cli.exits import fail, load_or_exit
+from myrtlehub.cli.exits import exit_invalid, load_or_exit
 from myrtlehub.cli.network import dialer
 from myrtlehub.config.rollout_plan import RolloutPlanConfig
 from myrtlehub.log_events import LogEvent
@@ -30,20 +30,20 @@
     """Roll out a change by a PLAN, a YAML file (docs/operators/rolling-change.md).
 
     Exit status 0: the change is committed. 1: it was rolled back; the last line gives the reason. 2: the plan
-    or the fleet does not allow it, and nothing was changed. 3: stuck, an operator has to intervene. 4: the
-    journal cannot be written. 5: another controller has taken over. After 4 and 5, nodes stay as they are.
+    or the fleet does not permit it, and nothing was changed. 3: stuck, an operator must intervene. 4: the
+    journal cannot be written. 5: another controller has taken over. After 4 and 5, nodes stay unchanged.
     """
 
 
 @contextmanager
 def _plan_errors(plan: Path | None = None) -> Iterator[None]:
-    """Print one line and exit with INVALID if the block finds that the rollout cannot begin."""
+    """Print one line and exit with EXIT_INVALID if the block raises a RolloutError."""
     from myrtlehub.rollout_controller.errors import RolloutError
 
     try:
         yield
     except RolloutError as error:
-        fail(f"{plan}: {error}" if plan else str(error))
+        exit_invalid(f"{plan}: {error}" if plan else str(error))
 
 
 def _make_controller(plan: Path) -> "RolloutController":
@@ -64,7 +64,7 @@
 
 
 def _print_event(event: LogEvent, /, **fields: object) -> None:
-    """Print an event: a readable line on a terminal, a JSON object otherwise."""
+    """Print an event: as text on a terminal, as a JSON object otherwise."""
     if not sys.stdout.isatty():
         click.echo(json.dumps({"event": event, **fields}))
     elif event is LogEvent.NODE_STATE_CHANGED:
@@ -80,7 +80,7 @@
 
 
 def _run_controller(plan: Path, resume: bool, roll_back: bool = False) -> None:
-    """Run a controller until the rollout has ended, and exit with its code."""
+    """Run a controller until the rollout ends, and exit with its exit code."""
     from myrtlehub.node.process import call_on_termination
     from myrtlehub.rollout_controller.errors import ExitCode, RolloutError
 
@@ -97,7 +97,7 @@
     # A signal may stop the controller at any point: `resume` continues from the journal.
     call_on_termination(event_loop.stop, event_loop)
     try:
-        result = run_until_fired(event_loop, begin, installs_signal_handlers=False)
+        result = run_until_fired(event_loop, begin, install_signal_handlers=False)
     except EventLoopStoppedError:
         sys.exit(ExitCode.INVALID)
     sys.exit(ExitCode.INVALID if isinstance(result, Failure) else result)
@@ -125,34 +125,34 @@
 @main.command()
 @PLAN
 def run(plan: Path) -> None:
-    """Run the rollout of PLAN from its beginning to its end."""
+    """Run the rollout of PLAN from start to end."""
     _run_controller(plan, resume=False)
 
 
 @main.command()
 @PLAN
 def resume(plan: Path) -> None:
-    """Continue a rollout whose controller has ended, from its journal."""
+    """Continue, from its journal, a rollout whose controller exited."""
     _run_controller(plan, resume=True)
 
 
 @main.command()
 @PLAN
 def undo(plan: Path) -> None:
-    """Roll back the rollout of PLAN in any state. A running controller is notified and does it."""
+    """Roll back the rollout of PLAN in any state. A running controller is notified and performs it."""
     from filelock import Timeout
 
     from myrtlehub.rollout_controller.journal_store import journal_lock, rollback_request
 
     path = _make_controller(plan).journal.path
     if not path.exists():
-        fail(f"{path}: there is no such journal, so there is nothing to undo")
+        exit_invalid(f"{path}: no such journal; there is nothing to roll back")
     try:
         with journal_lock(path).acquire(timeout=0):
             pass
     except Timeout:
         rollback_request(path).touch()
-        click.echo("the controller at work was asked to undo")
+        click.echo("requested the rollback from the running controller")
         return
     _run_controller(plan, resume=True, roll_back=True)
 
@@ -174,7 +174,7 @@
     state = controller.state
     click.echo(
         f"{state.phase}, stage {state.stage + 1} of {len(controller.files.plan.stages)}, "
-        f"{state.stages_passed} let pass"
+        f"{state.stages_passed} passed"
     )
     for name, node_state in zip(names, state.nodes, strict=True):
         click.echo(f"  {name}: {node_state}")
@@ -186,9 +186,9 @@
     try:
         return decode_journal(path.read_bytes())
     except FileNotFoundError:
-        fail(f"{path}: there is no such journal; the change was not begun")
+        exit_invalid(f"{path}: no such journal; the rollout was not started")
     except JournalFormatError as error:
-        fail(f"{path}: {error}")
+        exit_invalid(f"{path}: {error}")
 
 
 if __name__ == "__main__":
--- a/myrtlehub/cli/scenario.py
+++ b/myrtlehub/cli/scenario.py
@@ -1,4 +1,4 @@
-"""hub-scenario: plays a scenario with real processes and prints the verdict on it."""
+"""hub-scenario: runs a scenario with real processes and prints its verdict."""
 
 import json
 import sys
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from myrtlehub.cli.event_loop import EventLoopStoppedError, get_event_loop, run_until_fired
-from myrtlehub.cli.exits import INVALID, fail, load_or_exit
+from myrtlehub.cli.exits import EXIT_INVALID, exit_invalid, load_or_exit
 from myrtlehub.lab.scenario_file import Scenario
 
 if TYPE_CHECKING:
@@ -20,14 +20,14 @@
 
 
 class ScenarioKind(NamedTuple):
-    """The class that plays a kind of scenario, and the function that formats its verdict."""
+    """The class that runs a kind of scenario, and the function that formats its verdict."""
 
     runner_class: type["ScenarioRunner"]
-    to_text: "Callable[[Verdict], str]"
+    format_verdict: "Callable[[Verdict], str]"
 
 
 def find_scenario(name: str) -> Path:
-    """Return the path of a scenario, which is given by path or by its name in scenarios/."""
+    """Return the path of a scenario, given by its path or its name in scenarios/."""
     for path in (
         Path(name),
         Path("scenarios") / f"{name}.yaml",
@@ -35,45 +35,45 @@
     ):
         if path.is_file():
             return path
-    return fail(f"no scenario {name!r}: neither a file nor a name under scenarios/")
+    return exit_invalid(f"no scenario {name!r}: neither a file nor a name under scenarios/")
 
 
 @click.command()
 @click.argument("scenario")
 @click.option(
-    "--sequences", type=click.IntRange(1), help="Approximate number of sequences; the length stays."
+    "--sequences", type=click.IntRange(1), help="Approximate number of sequences; the duration is unchanged."
 )
-@click.option("--seed", type=int, help="Random seed, in place of the scenario's.")
+@click.option("--seed", type=int, help="Random seed; replaces the scenario's.")
 @click.option(
     "--keep",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder for files, logs and records; it must be empty or not exist.",
+    help="Directory for files, logs and records; it must be empty or not exist.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the verdict as JSON.")
-@click.option("--quiet", is_flag=True, help="Print no progress.")
+@click.option("--quiet", is_flag=True, help="Do not print progress.")
 def main(
     scenario: str, sequences: int | None, seed: int | None, keep: Path | None, as_json: bool, quiet: bool
 ) -> None:
-    """Play SCENARIO: a YAML file, or the name of one in scenarios/ (example: hub-scenario bad-day).
+    """Run SCENARIO: a YAML file, or the name of one in scenarios/ (example: hub-scenario bad-day).
 
     It starts nodes, emulated engines and clients on loopback, each node and engine as a process of its own,
     generates traffic and faults, and checks the five rules against what clients and engines recorded on their
     sockets. Exit status 0: all rules were kept. 1: a rule was broken, or a process exited unexpectedly. 2:
-    the scenario could not be played.
+    the scenario could not be run.
     """
-    plan = load_or_exit(find_scenario(scenario), Scenario)
+    settings = load_or_exit(find_scenario(scenario), Scenario)
     if keep is not None and keep.exists() and any(keep.iterdir()):
-        fail(f"--keep {keep}: not empty")
-    kind = _kind_of(plan)
+        exit_invalid(f"--keep {keep}: the directory is not empty")
+    kind = _select_kind(settings)
     with tempfile.TemporaryDirectory(prefix="hub-scenario-") as temporary:
         folder = keep or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
-        verdict = _play(kind.runner_class, plan, folder, sequences or 0, seed, quiet)
-        click.echo(json.dumps(verdict) if as_json else kind.to_text(verdict))
+        verdict = _play(kind.runner_class, settings, folder, sequences or 0, seed, quiet)
+        click.echo(json.dumps(verdict) if as_json else kind.format_verdict(verdict))
     sys.exit(0 if verdict["kept"] else 1)
 
 
-def _kind_of(scenario: Scenario) -> ScenarioKind:
+def _select_kind(scenario: Scenario) -> ScenarioKind:
     from myrtlehub.lab.rollout_scenario import RolloutRunner, rollout_text
     from myrtlehub.lab.scenario_runner import ScenarioRunner
     from myrtlehub.lab.takeover_scenario import TakeoverRunner, takeover_text
@@ -94,28 +94,28 @@
     seed: int | None,
     quiet: bool,
 ) -> "Verdict":
-    """Run the event loop until the scenario has ended; save its verdict in the folder, and return it."""
+    """Run the event loop until the scenario has ended; save its verdict in the folder and return it."""
     from twisted.internet import reactor
 
     from myrtlehub.lab.scenario_runner import ScenarioFailedError
     from myrtlehub.lab.verdict import save
 
-    def report(line: str) -> None:
+    def print_progress(line: str) -> None:
         if not quiet:
-            at = runner.clock.seconds() - runner.started if runner.started else 0.0
-            click.echo(f"{at:6.1f} s  {line}", err=True)
+            elapsed_s = runner.clock.seconds() - runner.started if runner.started else 0.0
+            click.echo(f"{elapsed_s:6.1f} s  {line}", err=True)
 
-    runner = runner_class(scenario, folder.resolve(), reactor, sequences, seed, report)
+    runner = runner_class(scenario, folder.resolve(), reactor, sequences, seed, print_progress)
 
     try:
         verdict = run_until_fired(get_event_loop(), runner.play)
     except EventLoopStoppedError:
-        fail("interrupted")
+        exit_invalid("interrupted")
     if isinstance(verdict, Failure):
         if isinstance(verdict.value, ScenarioFailedError):
-            fail(f"the day could not be played: {verdict.getErrorMessage()}")
-        verdict.printTraceback(sys.stderr)  # type: ignore[no-untyped-call] # Twisted has no annotation
-        sys.exit(INVALID)
+            exit_invalid(f"the scenario could not be run: {verdict.getErrorMessage()}")
+        verdict.printTraceback(sys.stderr)  # type: ignore[no-untyped-call] # Twisted has no annotations
+        sys.exit(EXIT_INVALID)
     save(verdict, folder)
     return verdict
 
--- a/myrtlehub/cli/stepped_clock.py
+++ b/myrtlehub/cli/stepped_clock.py
@@ -15,19 +15,19 @@
 
 
 class SteppedClock:
-    """A replacement of `time.time` that can be set."""
+    """A replacement for `time.time` that can be set."""
 
     def __init__(self) -> None:
-        self._true_time = time.time
-        self._offset = 0.0
+        self._system_time = time.time
+        self._offset_s = 0.0
 
     def time(self) -> float:
         """Return the seconds since the epoch, by this clock."""
-        return self._true_time() + self._offset
+        return self._system_time() + self._offset_s
 
     def step(self, seconds: float) -> None:
-        """Move the clock by some seconds, and print that on standard output."""
-        self._offset += seconds
+        """Move the clock by a number of seconds, and print the event on standard output."""
+        self._offset_s += seconds
         print(f'{{"event": "clock set", "by": {seconds}}}', flush=True)
 
 
--- a/myrtlehub/config/node.py
+++ b/myrtlehub/config/node.py
@@ -53,7 +53,7 @@
     list: EndpointListConfig
 
     @model_validator(mode="after")
-    def _check_sections(self) -> Self:
+    def _check(self) -> Self:
         self._check_node_identity()
         self._check_names()
         self._check_fronts()
--- a/myrtlehub/config/rollout_plan.py
+++ b/myrtlehub/config/rollout_plan.py
@@ -146,7 +146,7 @@
         if self.one_zone > len(self.stages):
             raise ValueError(f"one_zone: {self.one_zone} exceeds the number of stages, {len(self.stages)}")
         if self.watch < MIN_SAMPLE_WINDOWS * self.block:
-            raise ValueError(f"watch: must be at least {MIN_SAMPLE_WINDOWS} times block")
+            raise ValueError("watch: must be at least three times block")
         if self.most_away >= len(self.nodes):
             raise ValueError(f"most_away: at least one of the {len(self.nodes)} nodes must remain available")
         return self
--- a/tests/cli/test_cli_endpoints.py
+++ b/tests/cli/test_cli_endpoints.py
@@ -1,4 +1,4 @@
-"""The program hub-endpoints: its printed lines and exit codes."""
+"""The output and exit codes of hub-endpoints."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 from myrtlehub.cli.endpoints import main as hub_endpoints
 
 
-def test_hub_endpoints_checks_and_compares_files(tmp_path: Path) -> None:
+def test_hub_endpoints_validates_and_compares_files(tmp_path: Path) -> None:
     first, second, faulty = (tmp_path / f"{name}.yaml" for name in "abc")
     first.write_text(list_text("reader1 w1 w2"))
     second.write_text(list_text("w2 reader1 w1"))
--- a/tests/cli/test_cli_event_loop.py
+++ b/tests/cli/test_cli_event_loop.py
@@ -9,8 +9,8 @@
 from myrtlehub.cli.event_loop import EventLoopStoppedError, run_until_fired
 
 
-class StartedLoop:
-    """An event loop that makes the calls scheduled for its start, and then ends."""
+class FakeEventLoop:
+    """An event loop that runs the calls scheduled for its start, and then returns."""
 
     def __init__(self) -> None:
         self.calls: list[Callable[[], object]] = []
@@ -30,16 +30,16 @@
 
 
 def test_the_result_or_the_failure_is_returned_and_the_loop_stopped() -> None:
-    loop = StartedLoop()
+    loop = FakeEventLoop()
     assert run_until_fired(loop, lambda: succeed(5)) == 5
     assert loop.stop_count == 1 and loop.handles_signals
     error = OSError("no route")
-    result = run_until_fired(StartedLoop(), lambda: fail(error), installs_signal_handlers=False)
+    result = run_until_fired(FakeEventLoop(), lambda: fail(error), install_signal_handlers=False)
     assert isinstance(result, Failure) and result.value is error
 
 
-def test_a_loop_that_is_stopped_before_raises() -> None:
-    loop = StartedLoop()
+def test_a_loop_stopped_before_the_deferred_fires_raises() -> None:
+    loop = FakeEventLoop()
     with pytest.raises(EventLoopStoppedError):
         run_until_fired(loop, Deferred)
     assert loop.stop_count == 0
--- a/tests/cli/test_cli_exits.py
+++ b/tests/cli/test_cli_exits.py
@@ -19,7 +19,7 @@
     for program, argument in (
         ("node", tmp_path / "n.yaml"),
         ("emulator", tmp_path / "none.yaml"),
-        ("scenario", "no-such-day"),
+        ("scenario", "no-such-scenario"),
     ):
         run = subprocess.run(
             [sys.executable, "-m", f"myrtlehub.cli.{program}", argument],
@@ -35,10 +35,10 @@
     ("address", "reason"),
     [
         ("127.0.0.1:99999", "bind(): port must be 0-65535."),
-        ("192.0.2.1:7100", "[Errno 99] Cannot assign requested address"),  # an address for documentation
+        ("192.0.2.1:7100", "[Errno 99] Cannot assign requested address"),  # a documentation address
     ],
 )
-def test_an_address_that_cannot_be_listened_on_is_one_line(
+def test_a_failure_to_listen_is_reported_in_one_line(
     address: str, reason: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as exited:
