--- a/myrtlehub/emulator/claims.py
+++ b/myrtlehub/emulator/claims.py
@@ -58,7 +58,7 @@
         closed_suffix = ", closed" if is_closed else ""
         raise RpcError(
             Code.FAILED_PRECONDITION,
-            f"superseded: {sequence_id} is owned by {owner} with epoch {epoch}{closed_suffix}",
+            f"superseded: {sequence_id} is {owner}'s by epoch {epoch}{closed_suffix}",
         )
 
     def retain_ended_job(self, job: Job) -> None:
@@ -97,7 +97,7 @@
         ownership = Ownership(request.epoch, request.owner)
         now = self._engine.clock.seconds()
         if not self._detached_timeout:
-            raise RpcError(Code.UNIMPLEMENTED, "claims are disabled: streams end with their connection")
+            raise RpcError(Code.UNIMPLEMENTED, "this engine ends a stream with its connection")
         granted = self.fences.claim(request.sequence, ownership, request.close)
         self._engine.recorder.note(
             "claimed",
--- a/myrtlehub/emulator/engine_service.py
+++ b/myrtlehub/emulator/engine_service.py
@@ -37,7 +37,7 @@
         """Serve `Engine.Read`."""
         engine = self._engine
         if not engine.config.reads:
-            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not serve reads")
+            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not read for others")
         job = Job(self._owner, call, pb.ReadRequest.FromString(data).work, is_read=True)
         self._admit(job, fetches_state=False)
         engine.handle_events(engine.model.read(engine.clock.seconds(), job, self._task_of(job.work)))
@@ -47,7 +47,7 @@
         """Serve `Engine.Write`: a new attempt, or a call that attaches to the stream of an earlier one."""
         engine = self._engine
         if not engine.config.writes:
-            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not serve writes")
+            raise RpcError(Code.FAILED_PRECONDITION, "this engine does not write")
         request = pb.WriteRequest.FromString(data)
         if request.HasField("attach"):
             return self._claims.attach(call, request)
@@ -69,9 +69,7 @@
         engine = self._engine
         request = pb.BatchRequest.FromString(data)
         if not self._supports_batch_task(request.task):
-            raise RpcError(
-                Code.FAILED_PRECONDITION, f"this engine does not support the batch task {request.task!r}"
-            )
+            raise RpcError(Code.FAILED_PRECONDITION, f"this engine has no work {request.task!r}")
         tokens = sum(item.tokens for item in request.items)
         tokens += len(request.items) * request.work.shared_tokens
         job = Job(self._owner, call, request.work, batch=request)
--- a/myrtlehub/emulator/event_handlers.py
+++ b/myrtlehub/emulator/event_handlers.py
@@ -56,9 +56,9 @@
             case events.Rejected():
                 self._reject(event.key, event.is_state_missing)
             case events.Failed():
-                _fail(event.key, "failed", RpcError(Code.INTERNAL, "the attempt failed by an injected fault"))
+                _fail(event.key, "failed", RpcError(Code.INTERNAL, "the engine failed"))
             case events.Expired():
-                error = RpcError(Code.DEADLINE_EXCEEDED, "the attempt expired in the queue")
+                error = RpcError(Code.DEADLINE_EXCEEDED, "its time was over before it could begin")
                 _fail(event.key, "expired", error)
             case _:
                 assert_never(event)
--- a/myrtlehub/emulator/state_transfer.py
+++ b/myrtlehub/emulator/state_transfer.py
@@ -40,7 +40,7 @@
         if engine.model.is_hung:
             return
         if not total_tokens:
-            call.finish(Code.NOT_FOUND, f"no read state {handle!r} on this engine")
+            call.finish(Code.NOT_FOUND, f"no state {handle!r} is held here")
             return
         piece_count = -(-int(total_tokens) // PIECE_TOKENS)
         lose_after_tokens = None
