--- a/myrtlehub/membership/endpoint_watcher.py
+++ b/myrtlehub/membership/endpoint_watcher.py
@@ -179,7 +179,7 @@
         faults = "; ".join(snapshot.faults)
         if snapshot.is_missing:
             patterns = ", ".join(self.config.patterns)
-            no_files_reason = f"no file matches {patterns}; the current list stays in use"
+            no_files_reason = f"no file exists for {patterns}; the last list stays in use"
             return self.validator.reject_lost_source(now, SOURCE_NAME, faults or no_files_reason)
         if faults:
             return self.validator.reject(now, SOURCE_NAME, faults)
--- a/myrtlehub/membership/list_faults.py
+++ b/myrtlehub/membership/list_faults.py
@@ -47,16 +47,16 @@
     faults = []
     if duplicate is not None:
         comparison = "the same" if duplicate == endpoint else "different"
-        faults.append(f"engine {endpoint.address} is listed twice, with {comparison} fields; keep one entry")
+        faults.append(f"engine {endpoint.address} is listed twice, with {comparison} figures; keep one")
     if endpoint.kind not in kinds:
         faults.append(
             f"engine {endpoint.address}: kind {endpoint.kind!r} is not among kinds: "
-            f"{', '.join(sorted(kinds))}; correct the name, or add the kind"
+            f"{', '.join(sorted(kinds))}; mend the name, or add the kind"
         )
     if endpoint.zone not in zones:
         faults.append(
             f"engine {endpoint.address}: zone {endpoint.zone!r} is not among zones: "
-            f"{', '.join(sorted(zones))}; correct the name, or add the zone"
+            f"{', '.join(sorted(zones))}; mend the name, or add the zone"
         )
     return faults
 
@@ -67,7 +67,7 @@
         "ranks": {name for name, kind in kinds.items() if kind.ranks},
     }
     return [
-        f"no serving engine {task}; list at least one"
+        f"no engine that serves {task}; list at least one"
         for task, names in capable_kinds.items()
         if names and not any(endpoint.kind in names for endpoint in serving)
     ]
@@ -82,13 +82,13 @@
     needs_readers = any(kind.reads for kind in kinds.values())
     faults = []
     if not writer_cells and needs_writers:
-        faults.append("no serving engine can write; list at least one")
+        faults.append("no engine that serves can write; list at least one")
     if not reader_cells and not writers_can_read and needs_writers:
-        faults.append("no serving engine can read, and writers cannot; list at least one")
+        faults.append("no engine that serves can read, and writers cannot; list at least one")
     elif not reader_cells and needs_readers:
-        faults.append("no serving engine can read; list at least one reader")
+        faults.append("no engine that serves can read; list at least one reader")
     faults += [
-        f"cell {cell} has readers and no writer; list a writer, or move the readers"
+        f"cell {cell} has readers and no writer; list one, or move the readers"
         for cell in sorted(reader_cells - writer_cells)
     ]
     return faults
--- a/myrtlehub/membership/reader_process.py
+++ b/myrtlehub/membership/reader_process.py
@@ -193,8 +193,8 @@
         callback = self._pending.callback
         self._pending = None
         lines = self.stderr_tail.decode(errors="replace").strip().splitlines()
-        last_line = lines[-1] if lines else "no error output"
-        callback(_failed_snapshot(f"the reader process died {MAX_READ_ATTEMPTS} times: {last_line}"))
+        last_line = lines[-1] if lines else "it said nothing"
+        callback(_failed_snapshot(f"the reading process died {MAX_READ_ATTEMPTS} times: {last_line}"))
 
     def close(self) -> None:
         """Close the process's standard input, which makes it exit."""
--- a/myrtlehub/membership/snapshot.py
+++ b/myrtlehub/membership/snapshot.py
@@ -130,15 +130,15 @@
             real_path = str(Path(file.path).resolve())
             if real_path in file.included_by:
                 self._faults.append(
-                    f"{file.path}:1: include: circular include through {file.included_by[-1]}; "
-                    "remove one of the includes"
+                    f"{file.path}:1: include: includes itself by way of {file.included_by[-1]}; "
+                    "break the circle"
                 )
                 continue
             if real_path in self._visited:
                 continue
             self._visited[real_path] = None
             if len(self._visited) > MAX_FILES:
-                self._faults.append(f"{file.path}:1: more than {MAX_FILES} files; is a pattern too broad?")
+                self._faults.append(f"{file.path}:1: more than {MAX_FILES} files; is a glob too wide?")
                 break
             self._read_file(file, real_path)
 
@@ -175,7 +175,7 @@
         try:
             content = parse_config(data.decode(), EndpointFile, path)
         except UnicodeDecodeError:
-            self._faults.append(f"{path}:1: not UTF-8 text; the file may be incomplete")
+            self._faults.append(f"{path}:1: not UTF-8 text; is it complete?")
             return None
         except ConfigError as error:
             self._faults.extend(error.lines)
@@ -183,7 +183,7 @@
         if self._requires_end_mark and not content.end:
             last_line = data.count(b"\n") + 1
             self._faults.append(
-                f"{path}:{last_line}: end: missing; write the complete file, with end: yes as the last line"
+                f"{path}:{last_line}: end: missing; write the complete file, with end: yes last"
             )
             return None
         return content
@@ -192,12 +192,8 @@
         address = endpoint.address
         earlier = self._listed.get(address)
         if earlier is not None and earlier.endpoint != endpoint:
-            self._faults.append(
-                f"{path}:1: engine {address} has different fields in {earlier.path}; keep one entry"
-            )
+            self._faults.append(f"{path}:1: engine {address} has other figures in {earlier.path}; keep one")
         elif earlier is not None:
-            self._faults.append(
-                f"{path}:1: engine {address} is also listed in {earlier.path}; keep one entry"
-            )
+            self._faults.append(f"{path}:1: engine {address} is in {earlier.path} too; keep one")
         self._listed[address] = ListedEndpoint(path, endpoint)
         self._endpoints.append(endpoint)
--- a/myrtlehub/recovery/recovery_decision.py
+++ b/myrtlehub/recovery/recovery_decision.py
@@ -127,9 +127,9 @@
 ) -> str | None:
     """Return why the sequence must not be sent again; None if it may be."""
     if not is_record_complete and (client_token_count or retry_semantics != RetrySemantics.IDEMPOTENT):
-        return "no replica has its record, so it may have been sent already"
+        return "no replica knows what was sent for it"
     if client_token_count:
-        return "the stream of its writer is lost, and another writer would generate different tokens"
+        return "the writer of what was begun is gone, and no other goes on with its text"
     if uncertain_attempt is not None and retry_semantics == RetrySemantics.AT_MOST_ONCE:
         return f"attempt {uncertain_attempt.attempt} may have run at {uncertain_attempt.engine}"
     return None
--- a/tests/membership/test_endpoint_files.py
+++ b/tests/membership/test_endpoint_files.py
@@ -226,8 +226,7 @@
         parsed_count += not read_snapshot(["list-n0"], tmp_path).faults
     assert parsed_count > len(truncation_points) / 2
     assert (
-        "write the complete file, with end: yes as the last line"
-        in node.endpoint_source.validator.rejections[-1].reason
+        "write the complete file, with end: yes last" in node.endpoint_source.validator.rejections[-1].reason
     )
 
 
--- a/tests/membership/test_endpoint_watcher.py
+++ b/tests/membership/test_endpoint_watcher.py
@@ -93,7 +93,7 @@
         ("engine:\n", "did you mean 'engines'?"),
         ("", "a file of fields is wanted"),
         (list_text("r1 w1").replace("kind: writer", "kind: wirter"), "kind 'wirter' is not among"),
-        (list_text("r1"), "no serving engine can write"),
+        (list_text("r1"), "no engine that serves can write"),
     ):
         path.write_text(text)
         harness.watcher.files_changed()
@@ -132,7 +132,7 @@
     assert harness.names() == "r1 w9" and harness.validator.source_lost_at is None
     (folder / "8.yaml").write_text(list_text("w9", weight=2.0))  # two files contradict each other
     harness.run(1.6)
-    assert harness.names() == "r1 w9" and "has different fields in" in harness.logged[-1][1]["reason"]
+    assert harness.names() == "r1 w9" and "has other figures in" in harness.logged[-1][1]["reason"]
 
 
 def test_a_burst_of_complete_and_incomplete_writes_ends_in_the_last_valid_list(tmp_path: Path) -> None:
--- a/tests/membership/test_reader_process.py
+++ b/tests/membership/test_reader_process.py
@@ -143,4 +143,4 @@
     for _ in range(reader_process.MAX_READ_ATTEMPTS):  # no process lives long enough to reply
         reactor.kill_last_process()
         reactor.deliver()
-    assert "the reader process died 3 times" in snapshots[3].faults[0] and not snapshots[3].is_missing
+    assert "the reading process died 3 times" in snapshots[3].faults[0] and not snapshots[3].is_missing
--- a/tests/membership/test_snapshot.py
+++ b/tests/membership/test_snapshot.py
@@ -14,4 +14,4 @@
     endpoints = read_snapshot(("a.yaml",), tmp_path).endpoints
     assert [endpoint.address for endpoint in endpoints] == ["r1:1", "w1:1", "w2:1"]
     (tmp_path / "parts" / "w.yaml").write_text("include: ['../a.yaml']\n" + list_text("w1"))
-    assert "circular include through" in read_snapshot(("a.yaml",), tmp_path).faults[0]
+    assert "break the circle" in read_snapshot(("a.yaml",), tmp_path).faults[0]
--- a/tests/membership/test_validation.py
+++ b/tests/membership/test_validation.py
@@ -9,7 +9,7 @@
 from myrtlehub.membership.list_version import compare_versions, make_version
 from myrtlehub.membership.validation import Accepted, Deferred, Rejected, Unchanged
 
-NO_WRITER = "no serving engine can write"
+NO_WRITER = "no engine that serves can write"
 
 
 def test_difference_lists_all_changes_between_two_versions() -> None:
@@ -44,11 +44,11 @@
     ("listed", "reason"),
     [
         (make_endpoints("r1"), NO_WRITER),
-        (make_endpoints("w1"), "no serving engine can read"),
-        (make_endpoints("r1 w1 w1"), "w1:1 is listed twice, with the same fields"),
+        (make_endpoints("w1"), "no engine that serves can read"),
+        (make_endpoints("r1 w1 w1"), "w1:1 is listed twice, with the same figures"),
         (
             [*make_endpoints("r1 w1"), make_endpoint("w1", weight=2.0)],
-            "w1:1 is listed twice, with different fields",
+            "w1:1 is listed twice, with different figures",
         ),
         ([*make_endpoints("r1 w1"), make_endpoint("r2", cell=3)], "cell 3 has readers and no writer"),
         (
