--- a/myrtlehub/config/batches.py
+++ b/myrtlehub/config/batches.py
@@ -8,10 +8,10 @@
 class BatchConfig(ConfigModel):
     """How requests are split into parts, merged into groups, and how their results are cached."""
 
-    least_part: Tokens = 2000.0  # minimum size of a part; a smaller one costs more time than it saves
-    gather: Duration = 0.004  # maximum time for which a small request waits to be merged; 0: no wait
+    least_part: Tokens = 2000.0  # smallest part; sending a smaller one would cost more time than it saves
+    gather: Duration = 0.004  # longest time that a small request waits to be merged; 0: it never waits
     gather_tokens: Tokens = 1000.0  # a group is sent as soon as it has this size
     gather_items: Count = 32  # a group is sent as soon as it has this many items
-    gather_left: Share = 0.8  # fraction of a request's remaining time that must be left when it is sent
-    keep: Size = 64 * 2**20  # bytes of cached results, over all tenants; 0: no cache
-    most_items: Count = 4096  # maximum number of items of one request
+    gather_left: Share = 0.8  # fraction of a request's time left that must remain when it is sent
+    keep: Size = 64 * 2**20  # bytes of cached results, of all tenants together; 0: no cache
+    most_items: Count = 4096  # largest number of items of one request
--- a/myrtlehub/config/emulated_engine.py
+++ b/myrtlehub/config/emulated_engine.py
@@ -8,11 +8,11 @@
 from myrtlehub.config.loader import ConfigModel
 from myrtlehub.config.units import Duration, Tokens
 
-TokensPerSecond = Annotated[float, Field(gt=0)]
+Rate = Annotated[float, Field(gt=0)]  # tokens per second
 
 
 class FaultInjectionConfig(ConfigModel):
-    """The fraction of attempts that fail by each kind of injected fault.
+    """The fractions of attempts in which an emulated engine fails by each kind of fault.
 
     Readers are engines that prefill prompts, writers are engines that decode answers. A read state is the KV
     cache that a reader holds for a sequence until a writer has fetched it.
@@ -25,7 +25,7 @@
 
 
 class EmulatedEngineConfig(ConfigModel):
-    """Settings of an emulated engine; capacities and rates are those of a simulated machine."""
+    """The settings of an emulated engine; the figures describe a simulated machine."""
 
     name: Name
     listen: Address
@@ -35,8 +35,8 @@
     ranks: bool = False
     model: str = "m1"  # version of the model that embeds or ranks
     dimensions: Count = 16
-    batch_base: Duration = 0.006  # fixed part of the duration of a batch
-    batch_rate: TokensPerSecond = 60000.0  # for a batch without concurrent streams
+    batch_base: Duration = 0.006  # duration of each batch, however small
+    batch_rate: Rate = 60000.0  # tokens per second, for a batch without concurrent streams
     batch_slots: Count = 1  # batches that run concurrently
     batch_queue: CountOrZero = 16
     batch_drag: NotNegative = 0.5  # relative slowdown by one batch, or by streams in all slots
@@ -44,19 +44,19 @@
     slots: Count = 8
     queue: CountOrZero = 32
     memory: Tokens = 200000.0
-    read_rate: TokensPerSecond = 16000.0  # prefill rate per slot
-    step: Duration = 0.02  # duration of a decode step (one token per stream) with a single stream
-    step_crowd: Share = 0.5  # relative increase of the step duration with all slots in use
-    fetch_rate: TokensPerSecond = 250000.0  # transfer rate of read states
+    read_rate: Rate = 16000.0  # prompt tokens per second and slot
+    step: Duration = 0.02  # duration of a decode step, one token per stream, with a single stream
+    step_crowd: Share = 0.5  # fraction by which steps are longer with all slots in use
+    fetch_rate: Rate = 250000.0  # tokens of read state per second
     kept: Tokens = 60000.0  # capacity of the prefix cache, in addition to `memory`
     reports: Literal["answers", "probe"] = "answers"  # messages that carry the load report
     cold: bool = False
     cold_share: Share = 0.25  # fraction of the capacity right after a cold start
     cold_time: Duration = 10.0  # from a cold start to the full capacity
-    fall_multiple: Positive = 2.5  # ratio of offered load to capacity above which a cold engine crashes
+    fall_multiple: Positive = 2.5  # ratio of received work to capacity above which a cold engine crashes
     fall_time: Duration = 1.0  # window over which `fall_multiple` is measured
     state_bound: Duration = 3.0  # time after which a read state that was not fetched is freed
-    stream_bound: Duration = 0.0  # time for which a stream outlives the loss of its node; 0: it ends
+    stream_bound: Duration = 0.0  # time for which a stream continues after the loss of its node; 0: it ends
     dedup_window: Duration = 5.0
     begin: Duration = 0.0  # time from the fetch of the read state to the first decode step
     mishaps: FaultInjectionConfig = FaultInjectionConfig()
@@ -66,5 +66,7 @@
     @model_validator(mode="after")
     def _check_tasks(self) -> Self:
         if not (self.reads or self.writes or self.embeds or self.ranks):
-            raise ValueError("the engine has no task; set reads, writes, embeds or ranks to yes")
+            raise ValueError(
+                "an emulated engine that does nothing; set reads, writes, embeds or ranks to yes"
+            )
         return self
--- a/myrtlehub/config/endpoints.py
+++ b/myrtlehub/config/endpoints.py
@@ -20,9 +20,9 @@
     kind: Name
     zone: Name
     cell: int = 0
-    weight: NotNegative = 1.0  # relative share of the load among engines of its kind; 0: it is draining
+    weight: NotNegative = 1.0  # share of the load, relative to other engines of its kind; 0: it is draining
     state: Literal["serving", "draining", "gone"] = "serving"
-    age: Duration = 0.0  # time since the engine's start, for slow start; 0: it is warm
+    age: Duration = 0.0  # time since the start of the engine, for slow start; 0: it is warm
     model: str = ""  # version of its embedding or rerank model
     FIELD_NAMES: ClassVar[tuple[str, ...]] = (
         "address",
@@ -37,7 +37,7 @@
 
     @cached_property
     def field_values(self) -> EndpointFields:
-        """Values in the order of FIELD_NAMES; cached, as lists of thousands of endpoints are compared."""
+        """Values of all fields, in the order of FIELD_NAMES; cached, as lists of thousands are compared."""
         return (
             self.address,
             self.kind,
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_values(cls, values: EndpointFields) -> "EndpointConfig":
-        """Return an endpoint with values that are already validated; they are not validated again."""
+        """Return an endpoint with values that were validated before; they are not validated again."""
         endpoint = cls.model_construct(None, **dict(zip(cls.FIELD_NAMES, values, strict=True)))
         endpoint.__dict__["field_values"] = values
         return endpoint
@@ -70,16 +70,16 @@
 
     engines: list[EndpointConfig] = Field(default=[])
     include: list[str] = Field(default=[])
-    end: bool = False  # end marker, the last line of a complete file; required if `list.end_marked` is set
+    end: bool = False  # the last line of a complete file if `list.end_marked` is set
 
 
 class ConfirmationConfig(ConfigModel):
     """The conditions for accepting a list that removes many engines."""
 
     most_removed: Share | Literal["any"] = (
-        0.5  # maximum fraction of serving engines removed without confirmation
+        0.5  # largest fraction of serving engines removed without confirmation
     )
-    after: Duration = 2.0  # a snapshot with the same content confirms the removal after this time
+    after: Duration = 2.0  # a snapshot with the same content confirms the removal this long after the first
 
 
 class FlapDampingConfig(ConfigModel):
@@ -89,7 +89,7 @@
         4  # number of additions and removals after which the engine is ignored
     )
     within: Duration = 30.0
-    quiet_for: Duration = 10.0  # time without additions or removals after which the engine is used again
+    quiet_for: Duration = 10.0  # time without additions and removals after which the engine is used again
 
 
 class EndpointListConfig(ConfigModel):
@@ -98,8 +98,8 @@
     pushed: bool = False  # NodeAdmin.PushList may change the list
     engines: list[EndpointConfig] = Field(default=[])
     files: list[str] = Field(default=[])  # paths, globs or directories, relative to the node's file
-    poll: Duration = 5.0  # polling interval of the files, in addition to the operating system's notifications
-    quiet: Duration = 0.1  # debounce time: a file is read once it has not changed for this long
+    poll: Duration = 5.0  # interval of the polls of the files, in addition to the system's notifications
+    quiet: Duration = 0.1  # a file that has not changed for this long is read
     end_marked: bool = False  # a file is incomplete as long as its last line is not "end: yes"
     confirm: ConfirmationConfig = ConfirmationConfig()
     damp: FlapDampingConfig = FlapDampingConfig()
--- a/myrtlehub/config/engines.py
+++ b/myrtlehub/config/engines.py
@@ -19,17 +19,17 @@
     embeds: bool = False
     ranks: bool = False
     memory: Tokens = 0.0  # capacity for sequences; 0: unknown
-    batch: Tokens = 16000.0  # maximum tokens of a part of a batch
-    batch_items: Count = 256  # maximum number of items of a part
+    batch: Tokens = 16000.0  # tokens of the largest part of a batch
+    batch_items: Count = 256  # largest number of items of a part
 
     def serves(self, front: Front) -> bool:
-        """Return whether engines of this kind process requests of an API (chat, embeddings or rerank)."""
+        """Return whether engines of this kind process requests of a front: chat, embeddings or rerank."""
         return {"chat": self.reads or self.writes, "embed": self.embeds, "rank": self.ranks}[front]
 
     @model_validator(mode="after")
     def _check_tasks(self) -> Self:
         if not (self.reads or self.writes or self.embeds or self.ranks):
-            raise ValueError("the kind has no task; set reads, writes, embeds or ranks to yes")
+            raise ValueError("a kind that does nothing; set reads, writes, embeds or ranks to yes")
         return self
 
 
@@ -41,7 +41,7 @@
     hold: bool = False  # reserving capacity; engines of myrtlehub.v1 cannot
     resume: bool = False  # migrating a stream; engines of myrtlehub.v1 cannot
     probe: bool = False  # reporting the load when polled for it
-    claims: bool = False  # continuing the streams of a lost node, and answering claims on sequences
+    claims: bool = False  # continuing streams whose node is lost, and answering claims on sequences
 
 
 class LoadReportConfig(ConfigModel):
@@ -49,4 +49,4 @@
 
     how: Literal["answers", "probe"] = "answers"  # messages that carry the load report
     probe_price: Share = 0.0  # cost of one poll per sequence, as a fraction of the utility of a sequence
-    probe_timeout: Duration = 0.25  # an engine that has not answered a poll by then is treated as full
+    probe_timeout: Duration = 0.25  # an engine that has not answered a poll within this time counts as full
--- a/myrtlehub/config/field_types.py
+++ b/myrtlehub/config/field_types.py
@@ -1,4 +1,4 @@
-"""Field types that several models share."""
+"""Types of fields that several models have."""
 
 from typing import Annotated
 
--- a/myrtlehub/config/loader.py
+++ b/myrtlehub/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads a YAML file and validates it against a model; every error is reported, each in one line."""
+"""Reads a YAML file and validates it completely against a model; each fault is described by one line."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -8,19 +8,19 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
-from myrtlehub.config.fault_lines import describe_error
+from myrtlehub.config.fault_lines import describe_fault
 
 Model = TypeVar("Model", bound="ConfigModel")
 
 
 class ConfigModel(BaseModel):
-    """Base of all models; unknown fields are errors."""
+    """Base of all models; unknown fields are faults."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
 
 
 class ConfigError(Exception):
-    """A settings file is invalid; `lines` has one line per error."""
+    """A settings file is invalid; `lines` describes each of its faults."""
 
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
@@ -51,7 +51,7 @@
     try:
         return model.model_validate(_to_builtins(tree))
     except ValidationError as error:
-        lines = [describe_error(path, tree, model, details) for details in error.errors()]
+        lines = [describe_fault(path, tree, model, details) for details in error.errors()]
         raise ConfigError(lines) from error
 
 
@@ -72,7 +72,7 @@
 
 
 def _to_builtins(tree: object) -> object:
-    """Return the tree as built-in types, without the line numbers and comments that ruamel attaches."""
+    """Return the tree in built-in types, without the line numbers and comments that ruamel attaches."""
     if isinstance(tree, CommentedMap):
         return {str(key): _to_builtins(value) for key, value in tree.items()}
     if isinstance(tree, CommentedSeq):
--- a/myrtlehub/config/rollout_plan.py
+++ b/myrtlehub/config/rollout_plan.py
@@ -11,7 +11,7 @@
 
 NODE_FIELDS = frozenset({"name", "settings"})  # placeholders of node paths and command lines
 PROCESS_FIELDS = frozenset({"name", "pid"})  # placeholders of commands for processes on other machines
-MIN_SAMPLE_WINDOWS = 3  # minimum number of sample windows in the observation of a stage
+MIN_SAMPLE_WINDOWS = 3  # smallest number of sample windows in the observation of a stage
 
 
 class SettingsChange(ConfigModel):
@@ -30,15 +30,15 @@
 
 
 class ChangeConfig(ConfigModel):
-    """What the rollout changes: either the settings or the program."""
+    """What the rollout changes: either settings or the program."""
 
     settings: SettingsChange | None = None
     program: ProgramChange | None = None
 
     @model_validator(mode="after")
-    def _check_exactly_one(self) -> Self:
+    def _check_one(self) -> Self:
         if (self.settings is None) == (self.program is None):
-            raise ValueError("set exactly one of settings and program")
+            raise ValueError("say what changes: either settings or program")
         return self
 
 
@@ -64,22 +64,22 @@
     share: Annotated[float, Field(gt=0.0, le=1.0)] | None = None
 
     @model_validator(mode="after")
-    def _check_exactly_one(self) -> Self:
+    def _check_one(self) -> Self:
         if (self.nodes is None) == (self.share is None):
-            raise ValueError("set exactly one of nodes, a count, and share, a fraction of all nodes")
+            raise ValueError("say either nodes, a count, or share, of all nodes")
         return self
 
 
 class GuardConfig(ConfigModel):
-    """A metric that the change must not worsen."""
+    """A metric that the change may not worsen."""
 
     figure: Literal["served", "rejected", "aborted", "first_token", "tail", "attempts", "memory"]
-    worse: Positive  # smallest unacceptable regression, as a difference in the metric's unit
+    worse: Positive  # smallest unacceptable worsening, as a difference in the metric's unit
     traffic: str = ""  # the traffic type to compare; empty: all types together; "each": each type separately
 
 
 class Template(NamedTuple):
-    """A string of the plan with placeholders in braces."""
+    """A text of the plan with placeholders in braces."""
 
     name: str  # name of the setting, for error messages
     text: str
@@ -94,11 +94,11 @@
         try:
             fields = {field for _, field, _, _ in Formatter().parse(self.text) if field is not None}
         except ValueError as error:
-            raise ValueError(f"{self.name}: {error}; write a literal brace twice") from error
+            raise ValueError(f"{self.name}: {error}; write braces twice where they are meant") from error
         unknown = sorted(fields - self.known_fields)
         if unknown:
             known = " and ".join(f"{{{field}}}" for field in sorted(self.known_fields))
-            raise ValueError(f"{self.name}: {{{unknown[0]}}} is not a known placeholder; use {known}")
+            raise ValueError(f"{self.name}: {{{unknown[0]}}} is not known; {known} are")
 
 
 class RolloutPlanConfig(ConfigModel):
@@ -112,13 +112,13 @@
     processes: ProcessCommands | None = None  # None: the nodes run on this machine
     stages: Annotated[list[StageConfig], Field(min_length=1)]
     one_zone: CountOrZero = 1  # number of stages, from the first, that are limited to the largest zone
-    most_away: Count = 1  # maximum number of unavailable nodes
+    most_away: Count = 1  # largest number of unavailable nodes
     measure: Duration = 60.0  # duration of the baseline measurement, before anything is changed
     warm: Duration = 10.0  # duration of a stage's warm-up, without a comparison
     watch: Duration = 60.0  # duration of a stage's observation, after the warm-up
-    hold: Duration = 300.0  # maximum time for which a disturbance may put a stage on hold
+    hold: Duration = 300.0  # longest time for which a disturbance may put a stage on hold
     block: Duration = 5.0  # length of a sample window
-    look: Duration = 1.0  # polling interval
+    look: Duration = 1.0  # interval of the polls
     drain_within: Duration = 20.0  # a draining node that has not exited after this time is killed
     start_within: Duration = 30.0  # a started node that has generated no sequence after this time has failed
     guards: Annotated[list[GuardConfig], Field(min_length=1)] = Field(
@@ -142,13 +142,13 @@
         for template in self._templates():
             template.check()
         if self.change.program is not None and not self.settings:
-            raise ValueError("settings: set the path of each node's file, with {name}")
+            raise ValueError("settings: say where each node's file is, with {name}")
         if self.one_zone > len(self.stages):
-            raise ValueError(f"one_zone: {self.one_zone} exceeds the number of stages, {len(self.stages)}")
+            raise ValueError(f"one_zone: there are {len(self.stages)} stages, not {self.one_zone}")
         if self.watch < MIN_SAMPLE_WINDOWS * self.block:
-            raise ValueError("watch: must be at least three times block")
+            raise ValueError("watch: has to be three blocks or more")
         if self.most_away >= len(self.nodes):
-            raise ValueError(f"most_away: at least one of the {len(self.nodes)} nodes must remain available")
+            raise ValueError(f"most_away: at least one of the {len(self.nodes)} nodes has to stay")
         return self
 
     def _check_nodes(self) -> None:
@@ -157,18 +157,18 @@
         for field, values in (("name", names), ("admin", addresses)):
             duplicates = find_duplicates(values)
             if duplicates:
-                raise ValueError(f"nodes: {field} {', '.join(duplicates)} occurs more than once")
+                raise ValueError(f"nodes: {field} {', '.join(duplicates)} stands more than once")
 
     def _templates(self) -> list[Template]:
         templates = [
             Template("start", self.start, NODE_FIELDS),
             Template("settings", self.settings, NODE_FIELDS),
         ]
-        for target in ("settings", "program"):
-            change = getattr(self.change, target)
+        for part in ("settings", "program"):
+            change = getattr(self.change, part)
             if change is not None:
-                templates.append(Template(f"change.{target}.was", change.was, NODE_FIELDS))
-                templates.append(Template(f"change.{target}.now", change.now, NODE_FIELDS))
+                templates.append(Template(f"change.{part}.was", change.was, NODE_FIELDS))
+                templates.append(Template(f"change.{part}.now", change.now, NODE_FIELDS))
         if self.processes is not None:
             templates.append(Template("processes.alive", self.processes.alive, PROCESS_FIELDS))
             templates.append(Template("processes.kill", self.processes.kill, PROCESS_FIELDS))
--- a/myrtlehub/config/takeover.py
+++ b/myrtlehub/config/takeover.py
@@ -18,14 +18,14 @@
 
 
 class TakeoverConfig(ConfigModel):
-    """Replication of sequence records to other nodes, so that they can take over the sequences."""
+    """Replication of sequence records to other nodes, which can then take the sequences over."""
 
     listen: Address  # address for connections of other nodes, not of clients
     peers: Annotated[list[PeerConfig], Field(min_length=2)]  # all nodes of the fleet, this one included
     copies: Count = 2  # number of replicas of this node's records
-    keep: Count = 20000  # maximum number of records that this node stores for others
-    patience: Duration = 0.1  # maximum time for which a send waits for a replica to reply
-    comes_back: Duration = 2.0  # time after the loss of a node during which its clients may resume
+    keep: Count = 20000  # largest number of records that this node stores for others
+    patience: Duration = 0.1  # longest time that a send waits for a replica that does not reply
+    comes_back: Duration = 2.0  # time after the loss of a node within which its clients may resume
 
     def check_peers(self, node_name: str) -> None:
         """Check that names and addresses are unique, and that this node is among the peers.
@@ -38,6 +38,6 @@
         for field, values in (("name", names), ("address", addresses)):
             duplicates = find_duplicates(values)
             if duplicates:
-                raise ValueError(f"takeover.peers: {field} {', '.join(duplicates)} occurs more than once")
+                raise ValueError(f"takeover.peers: {field} {', '.join(duplicates)} stands more than once")
         if node_name not in names:
-            raise ValueError(f"takeover.peers: this node, {node_name!r}, is missing")
+            raise ValueError(f"takeover.peers: {node_name!r}, this node, is not among them")
--- a/myrtlehub/config/units.py
+++ b/myrtlehub/config/units.py
@@ -1,4 +1,4 @@
-"""Field types with a unit: durations, sizes and tokens. A number without a unit is rejected, except 0."""
+"""Types of fields with a unit: durations, sizes and tokens. A number without a unit is rejected, except 0."""
 
 import re
 from collections.abc import Mapping
@@ -16,15 +16,15 @@
     """Return the value in the base unit.
 
     Raises:
-        ValueError: it is not a number with a known unit; pydantic reports it as an error of the field.
+        ValueError: it is not a number with a known unit; pydantic reports it as a fault of the field.
     """
     if value == 0 and not isinstance(value, bool):
         return 0.0
     match = _NUMBER_WITH_UNIT.fullmatch(value) if isinstance(value, str) else None
     if match is None:
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
-        problem = "a unit is missing" if is_number else "not a number with a unit"
-        raise ValueError(f"{problem}; write it like {example}")
+        fault = "a unit is missing" if is_number else "not understood"
+        raise ValueError(f"{fault}; write it like {example}")
     unit = " ".join(match[2].split())
     if unit not in units:
         raise ValueError(f"unit {match[2]!r} is not one of {', '.join(units)}")
@@ -32,17 +32,17 @@
 
 
 def parse_duration(value: object) -> float:
-    """Return the seconds of a string such as "250ms", "2s" or "1.5 m"."""
+    """Return the seconds of a text like "250ms", "2s" or "1.5 m"."""
     return _parse(value, _DURATION_UNITS, "250ms or 2s")
 
 
 def parse_size(value: object) -> int:
-    """Return the bytes of a string such as "64KiB"."""
+    """Return the bytes of a text like "64KiB"."""
     return int(_parse(value, _SIZE_UNITS, "64KiB"))
 
 
 def parse_tokens(value: object) -> float:
-    """Return the tokens of a string such as "200k tokens"."""
+    """Return the tokens of a text like "200k tokens"."""
     return _parse(value, _TOKEN_UNITS, '"200k tokens"')
 
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""Each error of a settings file is described in one line with file, line number, field and fix."""
+"""Each fault of a settings file is described by one line with file, line number, field and fix."""
 
 import pytest
 from paths import ROOT
@@ -12,7 +12,7 @@
 VALID = (ROOT / "examples" / "node.yaml").read_text()
 
 
-def error_lines(text: str) -> list[str]:
+def fault_lines(text: str) -> list[str]:
     with pytest.raises(ConfigError) as caught:
         parse_config(text, NodeConfig, "n.yaml")
     return caught.value.lines
@@ -42,12 +42,12 @@
         (
             "drain_within:",
             "drain_witin:",
-            "n.yaml:9: node.drain_witin: is not a known field; did you mean 'drain_within'?",
+            "n.yaml:9: node.drain_witin: is not known here; did you mean 'drain_within'?",
         ),
         (
             "abandon_time: 10s",
             "abandon_time: 1s",
-            "n.yaml:11: traffic[0](ask): abandon_time must be longer than latency_slo",
+            "n.yaml:11: traffic[0](ask): abandon_time has to be longer than latency_slo",
         ),
         (
             "repeats: once-only",
@@ -70,14 +70,14 @@
         (
             "10.0.0.2:7200",
             "10.0.0.1:7200",
-            "n.yaml:1: file: list.engines: 10.0.0.1:7200 occurs more than once",
+            "n.yaml:1: file: list.engines: 10.0.0.1:7200 named more than once",
         ),
         (
             "hold: no",
             "hold: yes",
-            "n.yaml:1: file: engines_may.hold: not supported by engines of myrtlehub.v1; set it to no",
+            "n.yaml:1: file: engines_may.hold: engines of myrtlehub.v1 cannot do this; say no",
         ),
-        ("index: 0", "index: 3", "n.yaml:1: file: node.index 3 must be less than node.nodes, 3"),
+        ("index: 0", "index: 3", "n.yaml:1: file: node.index 3 needs node.nodes above it, not 3"),
         (
             "utility: 3",
             "utility: -3",
@@ -85,18 +85,18 @@
         ),
     ],
 )
-def test_an_error_names_line_field_and_fix(old: str, new: str, line: str) -> None:
+def test_a_fault_names_line_field_and_fix(old: str, new: str, line: str) -> None:
     assert old in VALID
-    assert error_lines(VALID.replace(old, new, 1)) == [line]
+    assert fault_lines(VALID.replace(old, new, 1)) == [line]
 
 
-def test_all_errors_are_reported_at_once() -> None:
-    lines = error_lines(
+def test_all_faults_are_reported_at_once() -> None:
+    lines = fault_lines(
         VALID.replace("drain_within: 10s", "drain_within: 10").replace("index: 0", "index: x")
     )
     assert len(lines) == 2
-    assert error_lines("node: [")[0].startswith("n.yaml:1: not YAML: ")
-    assert error_lines("- a") == ["n.yaml:1: a file of fields is wanted, found CommentedSeq"]
+    assert fault_lines("node: [")[0].startswith("n.yaml:1: not YAML: ")
+    assert fault_lines("- a") == ["n.yaml:1: a file of fields is wanted, found CommentedSeq"]
     with pytest.raises(ConfigError, match=r"no-such-file\.yaml:1: cannot be read: No such file"):
         load_config("no-such-file.yaml", NodeConfig)
 
